--- a/crates/host/src/failure.rs
+++ b/crates/host/src/failure.rs
@@ -67,8 +67,10 @@
             ) => AcceptFailure::ThisConnection,
             // A rule of the firewall forbids this connection.
             Some(libc::EPERM) => AcceptFailure::ThisConnection,
-            // No descriptor free (of this process, of the machine), no memory for the socket.
-            Some(libc::EMFILE | libc::ENFILE | libc::ENOBUFS | libc::ENOMEM) => AcceptFailure::OutOfResources,
+            // No descriptor free (of this process, of the machine), no memory for the socket, no place in epoll's table.
+            Some(libc::EMFILE | libc::ENFILE | libc::ENOBUFS | libc::ENOMEM | libc::ENOSPC) => {
+                AcceptFailure::OutOfResources
+            }
             _ => AcceptFailure::Other,
         }
     }
@@ -87,8 +89,11 @@
     /// Reads the error of a call that connects.
     pub fn of(error: &io::Error) -> ConnectFailure {
         match number(error) {
-            // No memory for the socket or its buffers; no descriptor free (of this process, of the machine).
-            Some(libc::ENOBUFS | libc::ENOMEM | libc::EMFILE | libc::ENFILE) => ConnectFailure::Local,
+            // No memory for the socket or its buffers, no descriptor free (of this process, of the machine), no place in
+            // epoll's table.
+            Some(libc::ENOBUFS | libc::ENOMEM | libc::EMFILE | libc::ENFILE | libc::ENOSPC) => {
+                ConnectFailure::Local
+            }
             // Every port for outgoing connections is taken (EAGAIN on older systems, EADDRINUSE for a bound one).
             Some(libc::EADDRNOTAVAIL | libc::EADDRINUSE | libc::EAGAIN) => ConnectFailure::Local,
             // This machine's own interface or table of routes has no way out.
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -8,7 +8,9 @@
 
 pub mod failure;
 pub mod inherited;
+mod interrupted;
 mod machine;
+pub mod sockets;
 
 use std::fmt;
 use std::future::Future;
--- /dev/null
+++ b/crates/host/src/sockets.rs
@@ -0,0 +1,233 @@
+//! Tokio's sockets as the node uses them: calls that a signal interrupts are made again, and a short read says nothing
+//! of what comes next.
+//!
+//! Tokio's own `poll_read` takes a short read as a sign that the socket is drained, and waits for the next edge of epoll.
+//! read(2) allows a short one at any time (a signal, the urgent mark), after which no edge may ever come. Here the
+//! readiness to read ends only with `EAGAIN`. A short write is taken for a full buffer, as tokio does: a second try at
+//! once would make the system's buffer grow, and with it what can't be taken back.
+
+use std::cell::Cell;
+use std::future::poll_fn;
+use std::io::{self, ErrorKind, IoSlice};
+use std::net::SocketAddr;
+use std::pin::Pin;
+use std::task::{Context, Poll, ready};
+
+use bytes::BytesMut;
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
+use tokio::net::{TcpListener, TcpStream, UdpSocket};
+use tokio::task::yield_now;
+
+use crate::interrupted::{self, TRIES, is_interrupted, poll_retry};
+use crate::{Datagrams, Listener, Reading, Stream};
+
+/// The most that is read at once into a buffer which has to be cleared first.
+const READ_AT_ONCE: usize = 16 * 1024;
+/// Tries to switch off the delay of a connection: it may fail for want of memory, and works without.
+const NO_DELAY_TRIES: usize = 3;
+
+/// A TCP connection of this machine.
+#[derive(Debug)]
+pub struct MachineStream(TcpStream);
+
+/// The half of a TCP connection that is read from.
+#[derive(Debug)]
+pub struct MachineReading {
+    half: OwnedReadHalf,
+    /// The last read was interrupted again and again: other tasks run before the next.
+    interrupted: Cell<bool>,
+}
+
+/// The half of a TCP connection that is written to; dropping it ends the sending.
+#[derive(Debug)]
+pub struct MachineWriting(OwnedWriteHalf);
+
+/// A TCP socket of this machine that waits for connections.
+#[derive(Debug)]
+pub struct MachineListener(TcpListener);
+
+/// A UDP socket of this machine.
+#[derive(Debug)]
+pub struct MachineDatagrams(UdpSocket);
+
+impl MachineStream {
+    /// Opens a connection. A connect that is interrupted goes on in the background, on a socket that tokio has closed
+    /// by then: it is begun anew on another.
+    pub(crate) async fn connect(to: SocketAddr) -> io::Result<MachineStream> {
+        for _ in 1..TRIES {
+            match TcpStream::connect(to).await {
+                Err(error) if is_interrupted(&error) => yield_now().await,
+                connected => return connected.map(MachineStream::without_delay),
+            }
+        }
+        TcpStream::connect(to).await.map(MachineStream::without_delay)
+    }
+
+    /// Switches off the delay of small writes. Where that fails the connection is used all the same: an answer that is
+    /// late is better than none, and a connection that is broken says so at its first read or write.
+    fn without_delay(stream: TcpStream) -> MachineStream {
+        for _ in 0..NO_DELAY_TRIES {
+            if stream.set_nodelay(true).is_ok() {
+                break;
+            }
+        }
+        MachineStream(stream)
+    }
+}
+
+impl Stream for MachineStream {
+    type Reading = MachineReading;
+    type Writing = MachineWriting;
+
+    fn into_halves(self) -> (MachineReading, MachineWriting) {
+        let (reading, writing) = self.0.into_split();
+        (MachineReading { half: reading, interrupted: Cell::new(false) }, MachineWriting(writing))
+    }
+}
+
+impl Reading for MachineReading {
+    async fn readable(&self) -> io::Result<()> {
+        if self.interrupted.take() {
+            yield_now().await;
+        }
+        self.half.readable().await
+    }
+
+    fn try_read_buf(&self, buffer: &mut BytesMut) -> io::Result<usize> {
+        let read = interrupted::retry(|| self.half.try_read_buf(buffer));
+        match read {
+            Err(error) if is_interrupted(&error) => {
+                self.interrupted.set(true);
+                Err(ErrorKind::WouldBlock.into())
+            }
+            read => read,
+        }
+    }
+}
+
+impl AsyncRead for MachineStream {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buffer: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        let room = buffer.initialize_unfilled_to(buffer.remaining().min(READ_AT_ONCE));
+        let read = poll_retry(cx, |cx| {
+            loop {
+                ready!(self.0.poll_read_ready(cx))?;
+                match self.0.try_read(room) {
+                    Err(error) if error.kind() == ErrorKind::WouldBlock => {}
+                    read => return Poll::Ready(read),
+                }
+            }
+        });
+        let length = ready!(read)?;
+        buffer.advance(length);
+        Poll::Ready(Ok(()))
+    }
+}
+
+impl AsyncWrite for MachineStream {
+    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+        poll_retry(cx, |cx| Pin::new(&mut self.0).poll_write(cx, bytes))
+    }
+
+    fn poll_write_vectored(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        slices: &[IoSlice<'_>],
+    ) -> Poll<io::Result<usize>> {
+        poll_retry(cx, |cx| Pin::new(&mut self.0).poll_write_vectored(cx, slices))
+    }
+
+    fn is_write_vectored(&self) -> bool {
+        self.0.is_write_vectored()
+    }
+
+    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.0).poll_flush(cx)
+    }
+
+    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        poll_retry(cx, |cx| Pin::new(&mut self.0).poll_shutdown(cx))
+    }
+}
+
+impl AsyncWrite for MachineWriting {
+    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+        poll_retry(cx, |cx| Pin::new(&mut self.0).poll_write(cx, bytes))
+    }
+
+    fn poll_write_vectored(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        slices: &[IoSlice<'_>],
+    ) -> Poll<io::Result<usize>> {
+        poll_retry(cx, |cx| Pin::new(&mut self.0).poll_write_vectored(cx, slices))
+    }
+
+    fn is_write_vectored(&self) -> bool {
+        self.0.is_write_vectored()
+    }
+
+    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.0).poll_flush(cx)
+    }
+
+    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        poll_retry(cx, |cx| Pin::new(&mut self.0).poll_shutdown(cx))
+    }
+}
+
+impl MachineListener {
+    /// Listens at an address.
+    pub(crate) async fn bind(at: SocketAddr) -> io::Result<MachineListener> {
+        TcpListener::bind(at).await.map(MachineListener)
+    }
+
+    /// Goes on with a listener that was made elsewhere.
+    pub(crate) fn adopt(listener: std::net::TcpListener) -> io::Result<MachineListener> {
+        listener.set_nonblocking(true)?;
+        TcpListener::from_std(listener).map(MachineListener)
+    }
+}
+
+impl Listener for MachineListener {
+    type Stream = MachineStream;
+
+    async fn accept(&self) -> io::Result<(MachineStream, SocketAddr)> {
+        poll_fn(|cx| self.poll_accept(cx)).await
+    }
+
+    fn poll_accept(&self, cx: &mut Context<'_>) -> Poll<io::Result<(MachineStream, SocketAddr)>> {
+        let accepted = poll_retry(cx, |cx| self.0.poll_accept(cx));
+        accepted.map_ok(|(stream, from)| (MachineStream::without_delay(stream), from))
+    }
+
+    fn local_addr(&self) -> io::Result<SocketAddr> {
+        interrupted::retry(|| self.0.local_addr())
+    }
+}
+
+impl MachineDatagrams {
+    /// Opens a socket at an address.
+    pub(crate) async fn bind(at: SocketAddr) -> io::Result<MachineDatagrams> {
+        UdpSocket::bind(at).await.map(MachineDatagrams)
+    }
+}
+
+impl Datagrams for MachineDatagrams {
+    async fn recv_from(&self, buffer: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
+        loop {
+            match self.0.recv_from(buffer).await {
+                Err(error) if is_interrupted(&error) => yield_now().await,
+                received => return received,
+            }
+        }
+    }
+
+    fn try_send_to(&self, bytes: &[u8], to: SocketAddr) -> io::Result<usize> {
+        interrupted::retry(|| self.0.try_send_to(bytes, to))
+    }
+}
--- a/crates/mothpier/src/main.rs
+++ b/crates/mothpier/src/main.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use brassrouter::Settings;
-use mothpier_host::{Host, Machine, inherited};
+use mothpier_host::{Host, Listener, Machine, inherited};
 use mothpier_node::config::{self, Config, Environment, Precedence};
 use mothpier_node::keys::Keys;
 use mothpier_node::{Control, Start, operator, ops, run};
