--- a/crates/host/src/sockets.rs
+++ b/crates/host/src/sockets.rs
@@ -215,6 +215,14 @@
     pub(crate) async fn bind(at: SocketAddr) -> io::Result<MachineDatagrams> {
         UdpSocket::bind(at).await.map(MachineDatagrams)
     }
+
+    /// Where it is open.
+    ///
+    /// # Errors
+    /// What the machine says.
+    pub fn local_addr(&self) -> io::Result<SocketAddr> {
+        interrupted::retry(|| self.0.local_addr())
+    }
 }
 
 impl Datagrams for MachineDatagrams {
