--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -10,6 +10,7 @@
 pub mod inherited;
 mod interrupted;
 mod machine;
+pub mod opening;
 pub mod sockets;
 
 use std::fmt;
--- a/crates/mothpier/src/main.rs
+++ b/crates/mothpier/src/main.rs
@@ -8,6 +8,7 @@
 use std::sync::Arc;
 
 use brassrouter::Settings;
+use mothpier_host::opening::listen_with_retry;
 use mothpier_host::{Host, Listener, Machine, inherited};
 use mothpier_node::config::{self, Config, Environment, Precedence};
 use mothpier_node::keys::Keys;
@@ -128,9 +129,10 @@
             Err(e) => return bound.send(Err(e)).unwrap_or_default(),
         };
         LocalSet::new().block_on(&runtime, async {
-            match HOST.listen(address).await {
+            match listen_with_retry(&HOST, address).await {
                 Ok(listener) => {
-                    let _ = bound.send(listener.local_addr());
+                    // Only for the log.
+                    let _ = bound.send(Ok(listener.local_addr().unwrap_or(address)));
                     ops::serve(HOST, listener, desk, control, descriptors).await;
                 }
                 Err(e) => bound.send(Err(e)).unwrap_or_default(),
--- /dev/null
+++ b/crates/mothpier/tests/opening.rs
@@ -0,0 +1,146 @@
+//! A node opens its addresses although that fails for a while, and says so where it fails for good.
+#![allow(missing_docs)]
+
+mod world;
+
+#[path = "../../host/tests/interposed/mod.rs"]
+mod interposed;
+
+use std::net::{Ipv4Addr, SocketAddr, TcpListener, UdpSocket};
+use std::process::{Command, Output, Stdio};
+use std::thread;
+use std::time::{Duration, Instant};
+
+use interposed::let_calls_fail;
+use world::{Discovery, Node, array, command, config, member, node_command, serve};
+
+/// Nine starts in ten are ready within this time.
+const READY: Duration = Duration::from_secs(6);
+/// A start that can't succeed has ended within this time: no node may take longer to be ready.
+const ENDED: Duration = Duration::from_secs(30);
+
+/// An address that nothing has.
+fn free_address() -> SocketAddr {
+    TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap().local_addr().unwrap()
+}
+
+fn free_datagram_address() -> SocketAddr {
+    UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).unwrap().local_addr().unwrap()
+}
+
+/// A command that starts a node which opens all four addresses: for clients, for staff, for its peers and for the
+/// agreement.
+fn start_of_four_addresses(name: &str, discovery: &Discovery, listen: SocketAddr) -> Command {
+    let folder = env!("CARGO_TARGET_TMPDIR");
+    let (peers, agreement) = (free_datagram_address(), free_datagram_address());
+    let operator = format!("{folder}/{name}-opening.toml");
+    let text = format!(
+        "[places]\non = true\n[accord]\non = true\nvoters = [0]\nlisten = \"{agreement}\"\nmembers = [\"{agreement}\"]\n"
+    );
+    std::fs::write(&operator, text).unwrap();
+    let path = format!("{folder}/{name}-opening.json");
+    let addresses = format!(r#""peer_listen":"{peers}","peers":["{peers}"],"limits""#);
+    let text = config(name, discovery.address, 1024);
+    let text = text.replacen(r#""limits""#, &addresses, 1).replace("127.0.0.1:0", &listen.to_string());
+    // The agreement is about zones: the node is in one.
+    let text = text.replace(r#""zones":["a"],"#, r#""zones":["a"],"zone":0,"#);
+    std::fs::write(&path, text).unwrap();
+    let mut command = node_command(name, discovery.address, 1024, "");
+    command
+        .env("ROUTER_CONFIG", path)
+        .env("ROUTER_OPERATOR", operator)
+        .env("ROUTER_OPS", free_address().to_string());
+    command
+}
+
+fn discovery() -> Discovery {
+    let server = serve(command, |_| array("v"));
+    Discovery::start(&member("s-1", server, "m", "ready"))
+}
+
+/// Runs a start that is to fail: what it told, and how long it took.
+fn failed(mut command: Command) -> (String, Duration) {
+    let began = Instant::now();
+    let Output { status, stderr, .. } = command.stderr(Stdio::piped()).output().unwrap();
+    let log = String::from_utf8(stderr).unwrap();
+    assert_eq!(status.code(), Some(1), "{log}");
+    (log, began.elapsed())
+}
+
+#[test]
+fn a_failure_that_passes_at_any_address_is_outlived() {
+    let discovery = discovery();
+    let rules = [
+        // The first three calls fail, and every second of the others: one at each address.
+        ("bind", libc::ENOBUFS, ":1:3"),
+        ("bind", libc::ENOBUFS, ":2"),
+        ("bind", libc::ENOMEM, ":2"),
+        ("bind", libc::ENFILE, ":2"),
+        ("bind", libc::EMFILE, ":2"),
+        ("bind", libc::EADDRNOTAVAIL, ":2"),
+        ("bind", libc::EADDRINUSE, ":2"),
+        ("bind", libc::EINTR, ":1:3"),
+        ("listen", libc::EADDRINUSE, ":1:2"),
+        ("socket", libc::ENOBUFS, ":1:3"),
+        ("socket", libc::EMFILE, ":1:3"),
+        ("getsockname", libc::ENOBUFS, ":1"),
+    ];
+    for (call, number, when) in rules {
+        let rule = format!("{call}:{number}{when}");
+        let listen = free_address();
+        let mut command = start_of_four_addresses("passing", &discovery, listen);
+        let_calls_fail(&mut command, &rule);
+        let began = Instant::now();
+        let node = Node::spawn(command);
+        node.ready();
+        assert!(began.elapsed() < READY, "{rule}: ready after {:?}", began.elapsed());
+        assert_eq!(node.address, listen, "{rule}");
+    }
+}
+
+#[test]
+fn an_address_that_another_process_lets_go_of_is_taken_then() {
+    let discovery = discovery();
+    let before = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
+    let listen = before.local_addr().unwrap();
+    let command = start_of_four_addresses("restart", &discovery, listen);
+    let ends = thread::spawn(move || {
+        thread::sleep(Duration::from_millis(700));
+        drop(before);
+    });
+    let node = Node::spawn(command);
+    assert_eq!(node.address, listen);
+    ends.join().unwrap();
+}
+
+#[test]
+fn an_address_that_another_process_keeps_ends_the_start_with_a_clear_line() {
+    let discovery = discovery();
+    let taken = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
+    let listen = taken.local_addr().unwrap();
+    let (log, took) = failed(start_of_four_addresses("kept", &discovery, listen));
+    assert!(log.contains(&format!("cannot listen on {listen}: Address already in use")), "{log}");
+    assert!(took < ENDED, "{took:?}");
+}
+
+#[test]
+fn an_address_of_another_machine_ends_the_start_with_a_clear_line() {
+    let discovery = discovery();
+    // Of the block that is kept for documentation: no machine has it.
+    let listen = SocketAddr::from((Ipv4Addr::new(192, 0, 2, 1), 6379));
+    let (log, took) = failed(start_of_four_addresses("elsewhere", &discovery, listen));
+    assert!(log.contains(&format!("cannot listen on {listen}: Cannot assign requested address")), "{log}");
+    assert!(took < READY, "{took:?}");
+}
+
+#[test]
+fn an_address_that_is_not_allowed_ends_the_start_at_once() {
+    let discovery = discovery();
+    let listen = free_address();
+    let mut command = start_of_four_addresses("forbidden", &discovery, listen);
+    let_calls_fail(&mut command, &format!("bind:{}:1", libc::EACCES));
+    let (log, took) = failed(command);
+    assert!(log.contains("for staff: Permission denied"), "{log}");
+    assert!(!log.contains("yet"), "tried again: {log}");
+    assert!(took < READY, "{took:?}");
+}
--- a/crates/node/src/accord.rs
+++ b/crates/node/src/accord.rs
@@ -121,7 +121,7 @@
     ) -> Result<Option<Accord<H>>, String> {
         let Some(listen) = settings.listen.filter(|_| settings.on) else { return Ok(None) };
         let socket = Rc::new(OnceCell::new());
-        let opened = host.datagrams(listen).await;
+        let opened = mothpier_host::opening::datagrams_with_retry(host, listen, shared).await;
         let takes_part = opened.is_ok();
         match opened {
             Ok(opened) => drop(socket.set(opened)),
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -7,6 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use mothpier_host::opening::datagrams_with_retry;
 use mothpier_host::{Datagrams, Host};
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
@@ -42,7 +43,7 @@
         all: Option<SocketAddr>,
         events: mpsc::Sender<Input>,
     ) -> std::io::Result<Self> {
-        let first = match host.datagrams(listen).await {
+        let first = match datagrams_with_retry(&host, listen, shared).await {
             Ok(socket) => Some(Rc::new(socket)),
             Err(e) if shared && e.kind() == ErrorKind::AddrInUse => None,
             Err(e) => return Err(e),
--- a/crates/node/src/service.rs
+++ b/crates/node/src/service.rs
@@ -6,6 +6,7 @@
 use std::time::Duration;
 
 use brassrouter::Micros;
+use mothpier_host::opening::listen_with_retry;
 use mothpier_host::{Host, Listener};
 use mothpier_ops::{Board, Desk, Phase, Step};
 use mothpier_plan::Wish;
@@ -189,11 +190,12 @@
     let listener = match listener {
         Some(listener) => listener,
         None => {
-            let listener = host.listen(config.listen).await;
+            let listener = listen_with_retry(&host, config.listen).await;
             listener.map_err(|e| format!("cannot listen on {}: {e}", config.listen))?
         }
     };
-    let listener_address = listener.local_addr();
+    // Only for the log: a node that can't tell where it listens serves all the same.
+    let listening = listener.local_addr().unwrap_or(config.listen);
     let retiring = Rc::new(Retiring::default());
     let longest: Micros = site.decisions.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
     let bounds = Bounds {
@@ -249,7 +251,6 @@
         sleep(WITHOUT_DISCOVERY).await;
         waits.lifecycle.step(Step::Ready);
     });
-    let listening = listener_address.map_err(|e| e.to_string())?;
     host.log(format_args!("{} listens on {listening}", config.name));
     host.log(format_args!("{aims}"));
     let mut drain: Option<AbortHandle> = None;
