--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -6,8 +6,12 @@
 //!
 //! Spans are measured with tokio's clock ([`tokio::time`]), which a simulation pauses; it is no part of the trait.
 
+pub mod failure;
 pub mod inherited;
+mod interrupted;
 mod machine;
+pub mod opening;
+pub mod sockets;
 
 use std::fmt;
 use std::future::Future;
