--- a/crates/brassrouter/src/lib.rs
+++ b/crates/brassrouter/src/lib.rs
@@ -23,6 +23,7 @@
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { request: 1, server: 7 | 9, .. })));
 //! ```
 
+mod attempts;
 mod estimate;
 mod gate;
 pub mod interface;
@@ -31,6 +32,7 @@
 mod random;
 pub mod settings;
 mod state;
+mod unserved;
 
 pub use interface::*;
 pub use policy::Policy;
