--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -16,6 +16,7 @@
 
 use crate::http::{self, Connection};
 use crate::input::{Heard, Input};
+use crate::start_times::StartTimes;
 
 /// How long a watch waits at the other side: short, so that a silent one is noticed soon. What it misses counts as told 6 s
 /// after it fell silent, and until then it must have been given up, opened anew and answered.
@@ -65,7 +66,14 @@
     pub(crate) phase: String,
     size: Option<f32>,
     #[serde(default)]
-    up_since_ms: u64,
+    pub(crate) up_since_ms: u64,
+}
+
+impl Member {
+    /// Whether it is there: what is neither ready nor draining has left.
+    pub(crate) fn is_listed(&self) -> bool {
+        matches!(self.phase.as_str(), "ready" | "draining")
+    }
 }
 
 /// What the module asks for where discovery must be asked.
@@ -82,7 +90,8 @@
 pub struct Numbers(HashMap<String, ServerId>, HashSet<ServerId>);
 
 impl Numbers {
-    fn of(&mut self, id: &str) -> ServerId {
+    /// The number of a server.
+    pub(crate) fn of(&mut self, id: &str) -> ServerId {
         if let Some(number) = self.0.get(id) {
             return *number;
         }
@@ -114,12 +123,13 @@
     }
 
     /// Puts a list into the module's form, with the addresses beside it. Taken in the order of the ids, so
-    /// that nodes that hear the same list resolve a clash alike.
+    /// that nodes that hear the same list resolve a clash alike. Starts are told on this node's clock.
     pub fn lines(
         &mut self,
         host: &impl Host,
         list: &mut List,
         site: &Site,
+        start_times: &StartTimes,
     ) -> Vec<(ServerLine, Option<SocketAddr>)> {
         list.members.sort_by(|a, b| a.id.cmp(&b.id));
         let mut lines = Vec::with_capacity(list.members.len());
@@ -140,7 +150,7 @@
                 cell: m.cell,
                 kind: place(&site.kinds, &m.flavor, u16::MAX.into()) as u16,
                 weight: m.size.filter(|s| s.is_finite()).unwrap_or(1.0),
-                started: m.up_since_ms.saturating_mul(1000),
+                started: start_times.started(&m.id, m.up_since_ms),
                 condition,
             };
             lines.push((line, address));
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -4,7 +4,7 @@
 //! [`run`] is a whole node on any [`Host`](mothpier_host::Host): the daemon gives it the machine that it runs on, the
 //! simulated world a simulated one. Dependencies run one way: `service` puts the parts together; `node` owns the
 //! module and drives `servers`, `origin` and `peers`; these and `clients` and `discovery` tell it what happened
-//! through `input`. `weather` feeds the detector of storms, which the operator's file switches on, and `near` the machine that keeps traffic near
+//! through `input`. `start_times` puts discovery's dates on the node's own clock. `weather` feeds the detector of storms, which the operator's file switches on, and `near` the machine that keeps traffic near
 //! (`mothpier-places`), which it switches on as well, as it does `accord`, by which nodes agree on zones; `node` hands what the
 //! module is told to a recorder (`mothpier-record`), where there is one.
 
@@ -27,6 +27,7 @@
 mod peers;
 mod servers;
 mod service;
+mod start_times;
 mod stream;
 mod weather;
 
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -28,6 +28,7 @@
 use crate::origin::Origins;
 use crate::peers::Peers;
 use crate::servers::{Ended, Servers};
+use crate::start_times::StartTimes;
 use crate::weather::{LOOK, Weather};
 use crate::{origin, servers};
 
@@ -44,7 +45,12 @@
 /// milliseconds).
 const MOST_LOAD: (f32, f32) = (8.0, 60_000.0);
 
-/// Unix time at the start and a monotonic clock since: comparable with times of the list, and never set back.
+/// A state that is handed over is younger than this when the next process has it: so much of a difference of wall times may
+/// be time that passed. More is a step.
+const LONGEST_HANDOVER: Micros = 250_000;
+
+/// A monotonic clock that begins at the wall time of the start. A wall clock may be wrong or stepped: what others date by
+/// theirs is never compared with it.
 #[derive(Clone, Copy)]
 pub struct Clock {
     start: Instant,
@@ -56,6 +62,13 @@
         Clock { start: Instant::now(), unix: host.unix_time().as_micros() as Micros }
     }
 
+    /// The same clock, going on from what another process of this node told by its own: the wall clock may have been
+    /// stepped between the two starts.
+    pub fn continued_from(self, told: Micros) -> Self {
+        let passed = self.unix.checked_sub(told).filter(|passed| *passed <= LONGEST_HANDOVER);
+        Clock { unix: told + passed.unwrap_or_default(), ..self }
+    }
+
     pub fn now(&self) -> Micros {
         self.unix + self.start.elapsed().as_micros() as Micros
     }
@@ -130,6 +143,7 @@
     clock: Clock,
     parts: Parts<H>,
     numbers: Numbers,
+    start_times: StartTimes,
     origin_ids: BTreeSet<ServerId>,
     open: HashMap<RequestId, Open>,
     flights: HashMap<AttemptId, Flight>,
@@ -159,6 +173,7 @@
             clock,
             parts,
             numbers: Numbers::default(),
+            start_times: StartTimes::default(),
             origin_ids: BTreeSet::new(),
             open: HashMap::new(),
             flights: HashMap::new(),
@@ -185,6 +200,7 @@
             self.events.push_back(Event::Legacy(inherited.legacy));
         }
         let known = known.unwrap_or(List { revision: 0, complete: true, members: Vec::new() });
+        self.inherit_start_times(&known);
         self.list(known, ListKind::Cached);
         self.settle();
         self.wake(REPORT, Due::Report);
@@ -438,8 +454,21 @@
         }
     }
 
+    /// Starts that the process before this one knew keep their times, as the module's state has them.
+    fn inherit_start_times(&mut self, known: &List) {
+        let now = self.clock.now();
+        let inherited: HashMap<ServerId, Micros> =
+            self.policy.list().into_iter().map(|line| (line.id, line.started)).collect();
+        for member in &known.members {
+            if let Some(started) = inherited.get(&self.numbers.of(&member.id)) {
+                self.start_times.inherit(&member.id, member.up_since_ms, *started, now);
+            }
+        }
+    }
+
     fn list(&mut self, mut list: List, kind: ListKind) {
-        let lines = self.numbers.lines(&self.host, &mut list, &self.site);
+        self.start_times.heard(&list, kind, self.clock.now());
+        let lines = self.numbers.lines(&self.host, &mut list, &self.site, &self.start_times);
         if self.parts.hands_over {
             self.remember(list, kind);
         }
@@ -490,7 +519,7 @@
         }
         self.revision = list.revision;
         for member in list.members {
-            if matches!(member.phase.as_str(), "ready" | "draining") {
+            if member.is_listed() {
                 self.members.insert(member.id.clone(), member);
             } else {
                 self.members.remove(&member.id);
--- a/crates/node/src/service.rs
+++ b/crates/node/src/service.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use brassrouter::Micros;
+use brassrouter::{Micros, Policy};
 use mothpier_host::{Host, Listener};
 use mothpier_ops::{Board, Desk, Phase, Step};
 use mothpier_plan::Wish;
@@ -100,7 +100,7 @@
     mut control: mpsc::Receiver<Control>,
     start: Start<H>,
 ) -> Result<(), String> {
-    let clock = Clock::start(&host);
+    let mut clock = Clock::start(&host);
     let Start { mut recorder, listener, handover } = start;
     let shared = listener.is_some();
     let (events, inputs) = mpsc::channel(QUEUE);
@@ -175,7 +175,10 @@
             Ok(list) => known = Some(list),
             Err(e) => host.log(format_args!("handover: {e}")),
         }
-        let policy = postcard::from_bytes(&state.module).ok();
+        let policy: Option<Policy> = postcard::from_bytes(&state.module).ok();
+        if let Some(policy) = &policy {
+            clock = clock.continued_from(policy.now());
+        }
         let warm = if policy.is_some() { "its state" } else { "no state of the module" };
         host.log(format_args!("this process takes over: revision {}, {warm}", state.revision));
         parts.inherited = Some(Inherited { policy, legacy: state.left.legacy.clone() });
--- a/crates/node/tests/unit/node.rs
+++ b/crates/node/tests/unit/node.rs
@@ -21,44 +21,54 @@
     }
 }
 
+/// A node beside no other, with what another process of it has handed on; its inputs go nowhere.
+fn test_node(clock: Clock, inherited: Option<Inherited>) -> (Node<Machine>, mpsc::Receiver<Input>) {
+    let (events, inputs) = mpsc::channel(8);
+    let limits = servers::Limits {
+        balancers: 1,
+        multiplex: 32,
+        idle_close: Duration::from_secs(60),
+        connect_timeout: Duration::from_secs(30),
+        descriptors: 8,
+    };
+    let desk = Desk::new(["read"]);
+    let parts = Parts {
+        servers: Servers::new(HOST, limits, desk.figures.clone(), events.clone()),
+        origins: Origins::new(
+            HOST,
+            Duration::from_secs(60),
+            Duration::from_secs(30),
+            8,
+            desk.figures.clone(),
+            events,
+        ),
+        peers: None,
+        wanted: watch::channel(Wanted::default()).0,
+        desk,
+        staffed: false,
+        weather: None,
+        near: None,
+        accord: None,
+        moved: Rc::default(),
+        inherited,
+        hands_over: true,
+        recorder: None,
+    };
+    let site = brassrouter::settings::read(SITE.as_bytes()).unwrap();
+    (Node::new(HOST, site, 1, clock, parts), inputs)
+}
+
+/// Runs a test where connections may be opened.
+fn on_runtime(test: impl Future<Output = ()>) {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    tokio::task::LocalSet::new().block_on(&runtime, test);
+}
+
 /// Ids are ever new: what the list no longer names must leave nothing behind, and come back as it was.
 #[test]
 fn servers_that_have_left_leave_nothing_behind() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    tokio::task::LocalSet::new().block_on(&runtime, async {
-        let (events, _inputs) = mpsc::channel(8);
-        let limits = servers::Limits {
-            balancers: 1,
-            multiplex: 32,
-            idle_close: Duration::from_secs(60),
-            connect_timeout: Duration::from_secs(30),
-            descriptors: 8,
-        };
-        let desk = Desk::new(["read"]);
-        let parts = Parts {
-            servers: Servers::new(HOST, limits, desk.figures.clone(), events.clone()),
-            origins: Origins::new(
-                HOST,
-                Duration::from_secs(60),
-                Duration::from_secs(30),
-                8,
-                desk.figures.clone(),
-                events,
-            ),
-            peers: None,
-            wanted: watch::channel(Wanted::default()).0,
-            desk,
-            staffed: false,
-            weather: None,
-            near: None,
-            accord: None,
-            moved: Rc::default(),
-            inherited: None,
-            hands_over: false,
-            recorder: None,
-        };
-        let site = brassrouter::settings::read(SITE.as_bytes()).unwrap();
-        let mut node = Node::new(HOST, site, 1, Clock::start(&HOST), parts);
+    on_runtime(async {
+        let (mut node, _inputs) = test_node(Clock::start(&HOST), None);
         let address = SocketAddr::from(([127, 0, 0, 1], 9));
         let mut told = |id: u32, kind, phase, list| {
             let member =
@@ -82,3 +92,54 @@
         }
     });
 }
+
+#[test]
+fn a_clock_goes_on_from_the_process_before_it_whatever_the_wall_clock_says() {
+    const TOLD: Micros = 1_700_000_000_000_000;
+    const HOUR: Micros = 3_600_000_000;
+    let cases = [(TOLD, 0), (TOLD + 100_000, 100_000), (TOLD + 2_000_000, 0), (TOLD - 2_000_000, 0)];
+    for (wall, passed) in cases.into_iter().chain([(TOLD + HOUR, 0), (TOLD - HOUR, 0), (0, 0)]) {
+        let clock = Clock { start: Instant::now(), unix: wall }.continued_from(TOLD);
+        assert_eq!(clock.unix - TOLD, passed, "a wall clock at {wall}");
+    }
+}
+
+#[test]
+fn starts_keep_their_times_in_the_next_process_of_a_node() {
+    on_runtime(async {
+        let address = SocketAddr::from(([127, 0, 0, 1], 9));
+        let list = |first_up_since: u64, revision: u64| -> List {
+            let member = |id: &str, up: u64| {
+                format!(
+                    r#"{{"id":"{id}","host_port":"{address}","flavor":"m","phase":"ready","up_since_ms":{up}}}"#
+                )
+            };
+            let members = [member("a", first_up_since), member("b", 0)].join(",");
+            let text = format!(r#"{{"revision":{revision},"complete":true,"members":[{members}]}}"#);
+            serde_json::from_str(&text).unwrap()
+        };
+        let starts = |node: &Node<Machine>| {
+            let mut lines = node.policy.list();
+            lines.sort_by_key(|line| line.started);
+            lines.iter().map(|line| line.started).collect::<Vec<_>>()
+        };
+        let (mut first, _inputs) = test_node(Clock { start: Instant::now(), unix: 50_000_000 }, None);
+        first.list(list(7_000_000, 1), ListKind::Full);
+        first.settle();
+        // Discovery's clock has been stepped back.
+        first.list(list(3_000_000, 2), ListKind::Full);
+        first.settle();
+        let known = first.known(true);
+        let policy: Policy = postcard::from_bytes(&known.module).unwrap();
+        let clock = Clock { start: Instant::now(), unix: 1 }.continued_from(policy.now());
+        assert!(clock.now() >= policy.now());
+        let inherited = Inherited { policy: Some(policy), legacy: known.left.legacy.clone() };
+        let (mut next, _inputs) = test_node(clock, Some(inherited));
+        let told = crate::handover::list(&known).unwrap();
+        next.inherit_start_times(&told);
+        next.list(told, ListKind::Cached);
+        next.settle();
+        assert_eq!(starts(&next), starts(&first));
+        assert!(starts(&next)[0] == 0 && starts(&next)[1] >= 50_000_000, "{:?}", starts(&next));
+    });
+}
