--- a/crates/simnet/src/net.rs
+++ b/crates/simnet/src/net.rs
@@ -160,6 +160,8 @@
     links: Links,
     start: Instant,
     unix: Duration,
+    /// How far the wall clocks of machines have been stepped, in milliseconds.
+    wall_steps: BTreeMap<IpAddr, i64>,
     machines: BTreeMap<IpAddr, Machine>,
     /// Directed pairs between which nothing passes now.
     cuts: BTreeSet<(IpAddr, IpAddr)>,
@@ -198,6 +200,7 @@
             links,
             start: now,
             unix,
+            wall_steps: BTreeMap::new(),
             machines: BTreeMap::new(),
             cuts: BTreeSet::new(),
             zone_cuts: BTreeSet::new(),
@@ -425,9 +428,16 @@
         }
     }
 
-    pub(crate) fn unix_time(&self) -> Duration {
+    /// The wall clock of a machine is stepped, forward or back; its monotonic clock runs on.
+    pub fn step_wall_clock(&self, ip: IpAddr, by_ms: i64) {
+        *self.state.borrow_mut().wall_steps.entry(ip).or_default() += by_ms;
+    }
+
+    pub(crate) fn unix_time(&self, ip: IpAddr) -> Duration {
         let s = self.state.borrow();
-        s.unix + s.start.elapsed()
+        let steps = s.wall_steps.get(&ip).copied().unwrap_or_default();
+        let (true_time, stepped) = (s.unix + s.start.elapsed(), Duration::from_millis(steps.unsigned_abs()));
+        if steps < 0 { true_time.saturating_sub(stepped) } else { true_time + stepped }
     }
 }
 
--- a/crates/simnet/src/socket.rs
+++ b/crates/simnet/src/socket.rs
@@ -103,7 +103,7 @@
     }
 
     fn unix_time(&self) -> Duration {
-        self.net.unix_time()
+        self.net.unix_time(self.ip)
     }
 
     fn log(&self, line: fmt::Arguments<'_>) {
--- a/crates/world/src/faults.rs
+++ b/crates/world/src/faults.rs
@@ -7,6 +7,7 @@
 
 use crate::observe::{BoxNo, NodeNo};
 use crate::scenario::Scenario;
+use crate::wall_clock::WallClockStep;
 
 /// The largest filling of a value: what it says of itself comes on top.
 pub const LARGEST: usize = (4 << 20) - 64;
@@ -67,11 +68,13 @@
     ZonesApart,
     /// Several nodes are killed at once, those that vote among them.
     NodesKilled,
+    /// Wall clocks are stepped by seconds or an hour: of a node, of all, of discovery.
+    WallClockStep,
 }
 
 impl Kind {
     /// All kinds, in the order in which the documents name them.
-    pub const ALL: [Kind; 26] = [
+    pub const ALL: [Kind; 27] = [
         Kind::Crash,
         Kind::Deploy,
         Kind::NodeKill,
@@ -98,6 +101,7 @@
         Kind::ZoneSilent,
         Kind::ZonesApart,
         Kind::NodesKilled,
+        Kind::WallClockStep,
     ];
 }
 
@@ -303,6 +307,8 @@
         /// Whether it drains only.
         drains: bool,
     },
+    /// Wall clocks are stepped, and stay so; monotonic clocks run on.
+    WallClockStep(WallClockStep),
 }
 
 /// A fault and when it begins, in milliseconds.
@@ -327,6 +333,7 @@
         match &self.what {
             What::Crash { boxes, .. } => boxes.iter().try_for_each(|b| is_box(*b)),
             What::Node { node, .. } | What::Drain { node, .. } | What::Upgrade { node, .. } => is_node(*node),
+            What::WallClockStep(step) => step.nodes.iter().try_for_each(|n| is_node(*n)),
             What::NodesKilled { nodes, .. } => nodes.iter().try_for_each(|n| is_node(*n)),
             // Zones are dealt out over the boxes: one beyond them all has none.
             What::ZoneLost { zone, .. } | What::ZoneSilent { zone, .. } => is_box(*zone),
@@ -425,6 +432,7 @@
             // Those that vote have the lowest numbers.
             What::NodesKilled { nodes: (0..many).collect(), down_ms: rng.random_range(100..3_000) }
         }
+        Kind::WallClockStep => What::WallClockStep(WallClockStep::draw(scenario.nodes.count, rng)),
         Kind::Drain => What::Drain { node, for_ms },
         Kind::Upgrade => What::Upgrade {
             node,
--- a/crates/world/src/lib.rs
+++ b/crates/world/src/lib.rs
@@ -23,3 +23,4 @@
 pub mod storm;
 pub mod tape;
 mod time_told;
+pub mod wall_clock;
--- a/crates/world/src/sim.rs
+++ b/crates/world/src/sim.rs
@@ -33,6 +33,7 @@
 use crate::rules::Checker;
 use crate::scenario::Scenario;
 use crate::tape::{Recording, Tape, Tapes};
+use crate::wall_clock::WallClockStep;
 
 /// The time of day at which every simulated world begins.
 const EPOCH: Duration = Duration::from_secs(1_700_000_000);
@@ -103,6 +104,7 @@
     net: Net,
     fleet: Rc<Fleet>,
     discovery: Rc<Discovery>,
+    discovery_host: SimHost,
     nodes: RefCell<BTreeMap<NodeNo, NodeRun>>,
     boxes: RefCell<BTreeMap<BoxNo, BoxRun>>,
     clients: RefCell<Option<Rc<Clients<SimHost>>>>,
@@ -239,6 +241,7 @@
         net: net.clone(),
         fleet: fleet.clone(),
         discovery: discovery.clone(),
+        discovery_host: net.process(DISCOVERY, 0, "discovery"),
         nodes: RefCell::default(),
         boxes: RefCell::default(),
         clients: RefCell::new(None),
@@ -254,8 +257,7 @@
     }
     fleet.fill(&discovery.ready());
     world.start_origin().await;
-    let host = net.process(DISCOVERY, 0, "discovery");
-    if let Ok(listener) = host.listen(SocketAddr::new(DISCOVERY, 8500)).await {
+    if let Ok(listener) = world.discovery_host.listen(SocketAddr::new(DISCOVERY, 8500)).await {
         spawn_local(discovery.serve::<SimHost>(listener, node_of));
     }
     let mut platform = Vec::new();
@@ -327,7 +329,7 @@
         let host = self.net.process(ip, zone as u8, &format!("box {number}"));
         let cache = Cache::new(&self.fleet, number, self.life(), cold);
         self.fleet.add(number, cache.clone());
-        let start = if cold { host.unix_time().as_millis() as u64 } else { 0 };
+        let start = if cold { self.discovery_unix_ms() } else { 0 };
         self.fleet.witness.saw(Seen::BoxUp { at: number, start, power: cache.power(), cold });
         let Ok(listener) = host.listen(SocketAddr::new(ip, 6379)).await else { return };
         let local = LocalSet::new();
@@ -576,12 +578,21 @@
             return;
         };
         self.start_box(number, true).await;
-        member.started = self.net_unix();
+        member.started = self.discovery_unix_ms();
         self.discovery.set(number, member);
     }
 
-    fn net_unix(&self) -> u64 {
-        (EPOCH + self.net.elapsed()).as_millis() as u64
+    /// The time of discovery's wall clock, by which starts are listed.
+    fn discovery_unix_ms(&self) -> u64 {
+        self.discovery_host.unix_time().as_millis() as u64
+    }
+
+    /// Steps the wall clocks of machines; what runs there is not told.
+    fn step_wall_clocks(&self, step: &WallClockStep) {
+        step.nodes.iter().for_each(|node| self.net.step_wall_clock(node_ip(*node), step.by_ms));
+        if step.discovery {
+            self.net.step_wall_clock(DISCOVERY, step.by_ms);
+        }
     }
 
     fn set_phase(&self, number: BoxNo, phase: Phase) {
@@ -611,7 +622,7 @@
             zone: old.map_or(0, |m| m.zone),
             origin: false,
             phase: Phase::Ready,
-            started: self.net_unix(),
+            started: self.discovery_unix_ms(),
         };
         self.discovery.set(next, member);
     }
@@ -814,6 +825,7 @@
                     let _ = one.await;
                 }
             }
+            What::WallClockStep(step) => self.step_wall_clocks(&step),
             What::GoneAtPacket { at, packet, drains } => {
                 self.net.packet(packet).await;
                 if let Some(mut member) = self.discovery.member(at) {
