--- /dev/null
+++ b/crates/mothpier/tests/accepting.rs
@@ -0,0 +1,139 @@
+//! Connections are accepted, and those that are open kept, although the call that accepts fails now and then.
+#![allow(missing_docs)]
+
+mod world;
+
+#[path = "../../host/tests/interposed/mod.rs"]
+mod interposed;
+
+use std::thread;
+use std::time::Duration;
+
+use interposed::let_calls_fail;
+use world::{Client, Discovery, Node, Reaction, array, command, member, node_command, serve};
+
+/// Clients that rest while others come.
+const RESTING: usize = 20;
+/// Clients that come.
+const COMING: usize = 60;
+/// Longer than a connection that has only just come is kept from giving way.
+const NO_LONGER_NEW: Duration = Duration::from_millis(100);
+
+/// A node, of so many descriptors, in which calls fail by these rules.
+fn node(name: &str, discovery: &Discovery, sockets: usize, rules: &str) -> Node {
+    let mut command = node_command(name, discovery.address, sockets, "");
+    let_calls_fail(&mut command, rules);
+    Node::run(command, discovery)
+}
+
+fn discovery() -> Discovery {
+    let server = serve(command, |_| array("value"));
+    Discovery::start(&member("s-1", server, "m", "ready"))
+}
+
+/// Clients that have asked once and rest.
+fn resting(node: &Node) -> Vec<Client> {
+    let mut clients: Vec<Client> = (0..RESTING).map(|_| node.client()).collect();
+    for client in &mut clients {
+        assert_eq!(client.ask(&["PING"]), "+PONG");
+    }
+    thread::sleep(NO_LONGER_NEW);
+    clients
+}
+
+/// More clients come, one after the other, and each is answered.
+fn come(node: &Node) {
+    for number in 0..COMING {
+        assert_eq!(node.client().ask(&["PING"]), "+PONG", "client {number}");
+    }
+}
+
+#[test]
+fn a_connection_that_is_gone_costs_no_other_its_place() {
+    let discovery = discovery();
+    for error in [libc::ECONNABORTED, libc::EPROTO, libc::EINTR, libc::EPERM, libc::ENETDOWN] {
+        let node = node("aborted", &discovery, 1024, &format!("accept4:{error}:2"));
+        let rested = resting(&node);
+        come(&node);
+        let ended = rested.iter().filter(|client| client.has_ended()).count();
+        assert_eq!(ended, 0, "errno {error}: so many resting clients gave way");
+    }
+}
+
+#[test]
+fn without_a_descriptor_one_that_rests_gives_way_and_all_who_come_are_answered() {
+    let discovery = discovery();
+    for error in [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM] {
+        // Past the calls that the clients at rest need.
+        let node = node("short", &discovery, 1024, &format!("accept4:{error}:{}:2", RESTING + 10));
+        let rested = resting(&node);
+        come(&node);
+        let ended = rested.iter().filter(|client| client.has_ended()).count();
+        assert_eq!(ended, 2, "errno {error}: so many resting clients gave way");
+    }
+}
+
+#[test]
+fn a_failure_that_lasts_neither_spins_nor_floods_the_log() {
+    let discovery = discovery();
+    for error in [libc::EINVAL, libc::ENETDOWN, libc::EMFILE] {
+        let mut node = node("lasting", &discovery, 1024, &format!("accept4:{error}:1"));
+        let clients: Vec<Client> = (0..COMING).map(|_| node.client()).collect();
+        node.logged("accepting failed");
+        let before = processor_ticks(node.child.id());
+        thread::sleep(Duration::from_secs(1));
+        let used = processor_ticks(node.child.id()) - before;
+        // Of 100 in a second.
+        assert!(used < 30, "errno {error}: {used} ticks of the processor in a second");
+        let _ = node.child.kill();
+        let lines = node.rest_of_log().iter().filter(|line| line.contains("accepting failed")).count();
+        assert!(lines <= 4, "errno {error}: {lines} lines");
+        drop(clients);
+    }
+}
+
+/// Processor time that a process has used.
+fn processor_ticks(process: u32) -> u64 {
+    let text = std::fs::read_to_string(format!("/proc/{process}/stat")).unwrap();
+    let fields: Vec<&str> = text.rsplit(") ").next().unwrap().split(' ').collect();
+    fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap()
+}
+
+#[test]
+fn at_the_end_those_behind_one_that_was_aborted_are_answered() {
+    let silent = serve(command, |_| Reaction::Silence);
+    let discovery = Discovery::start(&member("s-1", silent, "m", "ready"));
+    // Of 64 descriptors the clients have so many; those beyond wait in the machine's queue.
+    const PLACES: usize = 23;
+    const BEYOND: usize = 7;
+    for error in [libc::ECONNABORTED, libc::EMFILE] {
+        let mut command = node_command("rest", discovery.address, 64, "");
+        command.env("ROUTER_OPS", "127.0.0.1:0");
+        let_calls_fail(&mut command, &format!("accept4:{error}:2"));
+        let mut node = Node::run(command, &discovery);
+        let mut busy: Vec<Client> = (0..PLACES + BEYOND).map(|number| busy(&node, number)).collect();
+        node.figure_becomes("edge_router_in_flight", PLACES as u64);
+        let mut waiting: Vec<Client> = (0..8).map(|_| node.client()).collect();
+        for client in &mut waiting {
+            client.send(&["PING"]);
+        }
+        // None of them is accepted, though there is time for it.
+        thread::sleep(Duration::from_millis(300));
+        assert!(waiting.iter().all(|client| !client.has_ended()), "errno {error}: no queue");
+        node.signal("TERM");
+        for client in &mut waiting {
+            assert_eq!(client.answer(), "+PONG", "errno {error}");
+        }
+        for client in &mut busy {
+            assert_ne!(client.answer(), "end", "errno {error}: not answered");
+        }
+        assert!(node.ended().success());
+    }
+}
+
+/// A client with a request open, from the moment that it is accepted.
+fn busy(node: &Node, number: usize) -> Client {
+    let mut client = node.client();
+    client.send(&["CACHE.GET", "k", &format!("id-{number}"), "c=read,t=acme,d=20000"]);
+    client
+}
--- a/crates/mothpier/tests/world/mod.rs
+++ b/crates/mothpier/tests/world/mod.rs
@@ -285,6 +285,15 @@
         }
     }
 
+    /// What else it logs, up to its end.
+    pub fn rest_of_log(&self) -> Vec<String> {
+        let mut lines = Vec::new();
+        while let Ok(line) = self.log.recv_timeout(HUNG) {
+            lines.push(line);
+        }
+        lines
+    }
+
     /// A call at the second address: the whole answer.
     pub fn call(&self, line: &str) -> String {
         let mut stream = TcpStream::connect(self.staff.expect("no second address")).unwrap();
--- a/crates/node/src/clients/listening.rs
+++ b/crates/node/src/clients/listening.rs
@@ -2,6 +2,8 @@
 
 use std::collections::VecDeque;
 use std::future::poll_fn;
+use std::io;
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::task::Poll;
 use std::time::Duration;
@@ -11,6 +13,7 @@
 use mothpier_storm::Verdict;
 use tokio::io::AsyncWriteExt;
 use tokio::sync::{Notify, OwnedSemaphorePermit};
+use tokio::task::yield_now;
 use tokio::time::{Instant, sleep, timeout};
 
 use super::Clients;
@@ -18,16 +21,19 @@
 use super::retiring::Listening;
 use super::session::{Newcomer, Session};
 use super::state::State;
+use crate::accepting::{self, Failures, Reaction};
 use crate::crowd::Activity;
 use crate::stream::{CLOSE_TIMEOUT, close_in_order};
 
-/// Between tries to accept while there is no room.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Pauses in a row at the end of the listening, at most: what is in the queue then is to be answered before the process
+/// ends.
+const REST_PAUSES: usize = 3;
 
 impl<H: Host> Clients<H> {
     /// Accepts until the phase ends; what the machine has accepted by then is still taken.
     pub async fn accept(self: Rc<Self>, listener: H::Listener) {
         let mut number = 0u64;
+        let mut failures = Failures::default();
         loop {
             if self.count() >= self.most.get() {
                 if !self.wait_for_room().await {
@@ -43,25 +49,39 @@
             };
             number += 1;
             match accepted {
-                Ok((stream, _)) => self.admit(stream, number).await,
-                Err(e) => {
-                    // Out of descriptors (EMFILE) or the like: it passes, and the listener must outlive it.
-                    self.host.log(format_args!("accepting failed: {e}"));
-                    self.evict(true);
-                    sleep(ACCEPT_PAUSE).await;
+                Ok((stream, _)) => {
+                    failures.accepted();
+                    self.admit(stream, number).await;
+                }
+                Err(error) => {
+                    self.outlive(&error, &mut failures).await;
                 }
             }
         }
         self.take_rest(&listener, number).await;
     }
 
+    /// Does what lets the next try succeed: the listener must outlive every failure.
+    async fn outlive(&self, error: &io::Error, failures: &mut Failures) -> Reaction {
+        let reaction = failures.failed(&self.host, "clients", error);
+        match reaction {
+            Reaction::RetryAtOnce => yield_now().await,
+            Reaction::Pause => sleep(accepting::PAUSE).await,
+            Reaction::MakeRoom => {
+                self.evict(true);
+                sleep(accepting::PAUSE).await;
+            }
+        }
+        reaction
+    }
+
     /// At the limit one connection gives way; if none can, new ones wait. Whether any are still accepted.
     async fn wait_for_room(&self) -> bool {
         self.evict(true);
         tokio::select! {
             biased;
             () = self.closed.notified() => true,
-            () = sleep(ACCEPT_PAUSE) => true,
+            () = sleep(accepting::PAUSE) => true,
             () = self.retiring.listening_ended() => false,
         }
     }
@@ -83,17 +103,26 @@
         }
     }
 
-    /// Takes what the machine has accepted, where no other process would.
+    /// Takes what the machine has accepted, where no other process would. One that was aborted before, or a moment without
+    /// a descriptor, leaves those behind it no less to be answered.
     async fn take_rest(self: &Rc<Self>, listener: &H::Listener, mut number: u64) {
-        while self.retiring.listening.get() == Listening::TakeRest
-            && let Some((stream, _)) = poll_fn(|cx| match listener.poll_accept(cx) {
-                Poll::Ready(accepted) => Poll::Ready(accepted.ok()),
-                Poll::Pending => Poll::Ready(None),
-            })
-            .await
-        {
-            number += 1;
-            self.clone().start(stream, number);
+        let (mut failures, mut pauses) = (Failures::default(), 0);
+        // Once round the runtime, which looks at the sockets then.
+        yield_now().await;
+        while self.retiring.listening.get() == Listening::TakeRest && pauses < REST_PAUSES {
+            match accepted_by_now(listener).await {
+                None => return,
+                Some(Ok((stream, _))) => {
+                    failures.accepted();
+                    pauses = 0;
+                    number += 1;
+                    self.clone().start(stream, number);
+                }
+                Some(Err(error)) => {
+                    let reaction = self.outlive(&error, &mut failures).await;
+                    pauses += usize::from(reaction != Reaction::RetryAtOnce);
+                }
+            }
         }
     }
 
@@ -137,3 +166,12 @@
         });
     }
 }
+
+/// The next connection that the machine has accepted, if there is one.
+async fn accepted_by_now<L: Listener>(listener: &L) -> Option<io::Result<(L::Stream, SocketAddr)>> {
+    poll_fn(|cx| match listener.poll_accept(cx) {
+        Poll::Ready(accepted) => Poll::Ready(Some(accepted)),
+        Poll::Pending => Poll::Ready(None),
+    })
+    .await
+}
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -8,6 +8,7 @@
 //! (`mothpier-places`), which it switches on as well, as it does `accord`, by which nodes agree on zones; `node` hands what the
 //! module is told to a recorder (`mothpier-record`), where there is one.
 
+mod accepting;
 mod accord;
 mod clients;
 mod command;
--- a/crates/node/src/ops.rs
+++ b/crates/node/src/ops.rs
@@ -12,10 +12,11 @@
 use mothpier_ops::{Called, Desk, Follows, MAX_HEAD};
 use tokio::io::AsyncWriteExt;
 use tokio::sync::{Notify, mpsc};
-use tokio::task::{AbortHandle, spawn_local};
+use tokio::task::{AbortHandle, spawn_local, yield_now};
 use tokio::time::{sleep, timeout};
 
 use crate::Control;
+use crate::accepting::{self, Failures, Reaction};
 use crate::stream::{close_in_order, read};
 
 /// Connections at once, as a part of all descriptors, and at most: a handful of callers and those that never finish.
@@ -27,8 +28,6 @@
 /// A head must come whole within this time, and an answer be taken.
 const HEAD: Duration = Duration::from_secs(2);
 const TAKEN: Duration = Duration::from_secs(1);
-/// Between tries to accept after a failure.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// How many connections it may have, of a process that may hold so many descriptors.
 fn connections(descriptors: usize) -> usize {
@@ -76,6 +75,7 @@
 ) {
     let most = connections(descriptors);
     let open = Rc::new(Open::default());
+    let mut failures = Failures::default();
     for number in 0.. {
         while open.all.get() >= most {
             // The oldest that has asked nothing gives way; all others end within a known time.
@@ -86,12 +86,16 @@
         }
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
-            Err(e) => {
-                host.log(format_args!("ops: accepting failed: {e}"));
-                sleep(ACCEPT_PAUSE).await;
+            Err(error) => {
+                // What descriptors are short of is not in its few connections.
+                match failures.failed(&host, "ops", &error) {
+                    Reaction::RetryAtOnce => yield_now().await,
+                    Reaction::Pause | Reaction::MakeRoom => sleep(accepting::PAUSE).await,
+                }
                 continue;
             }
         };
+        failures.accepted();
         open.all.set(open.all.get() + 1);
         let place = Place(open.clone(), number);
         let task = spawn_local(answer::<H>(stream, place, desk.clone(), control.clone(), host.clone()));
--- a/crates/node/src/service.rs
+++ b/crates/node/src/service.rs
@@ -304,7 +304,7 @@
         sleep(KEEP_ACCEPTING).await;
         retiring.end_listening(Listening::TakeRest);
     }
-    let _ = accepting.await;
+    let _ = timeout_at(kill, accepting).await;
     let all_closed = async {
         while clients.count() > 0 {
             clients.one_closed().await;
