--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -11,6 +11,7 @@
 mod interrupted;
 mod machine;
 pub mod opening;
+pub mod receiving;
 pub mod sockets;
 
 use std::fmt;
--- a/crates/host/src/sockets.rs
+++ b/crates/host/src/sockets.rs
@@ -227,12 +227,13 @@
 
 impl Datagrams for MachineDatagrams {
     async fn recv_from(&self, buffer: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
-        loop {
+        for _ in 1..TRIES {
             match self.0.recv_from(buffer).await {
                 Err(error) if is_interrupted(&error) => yield_now().await,
                 received => return received,
             }
         }
+        self.0.recv_from(buffer).await
     }
 
     fn try_send_to(&self, bytes: &[u8], to: SocketAddr) -> io::Result<usize> {
--- a/crates/mothpier/tests/accepting.rs
+++ b/crates/mothpier/tests/accepting.rs
@@ -80,9 +80,9 @@
         let mut node = node("lasting", &discovery, 1024, &format!("accept4:{error}:1"));
         let clients: Vec<Client> = (0..COMING).map(|_| node.client()).collect();
         node.logged("accepting failed");
-        let before = processor_ticks(node.child.id());
+        let before = node.processor_ticks();
         thread::sleep(Duration::from_secs(1));
-        let used = processor_ticks(node.child.id()) - before;
+        let used = node.processor_ticks() - before;
         // Of 100 in a second.
         assert!(used < 30, "errno {error}: {used} ticks of the processor in a second");
         let _ = node.child.kill();
@@ -92,13 +92,6 @@
     }
 }
 
-/// Processor time that a process has used.
-fn processor_ticks(process: u32) -> u64 {
-    let text = std::fs::read_to_string(format!("/proc/{process}/stat")).unwrap();
-    let fields: Vec<&str> = text.rsplit(") ").next().unwrap().split(' ').collect();
-    fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap()
-}
-
 #[test]
 fn at_the_end_those_behind_one_that_was_aborted_are_answered() {
     let silent = serve(command, |_| Reaction::Silence);
--- /dev/null
+++ b/crates/mothpier/tests/datagrams.rs
@@ -0,0 +1,48 @@
+//! Messages of peers are received although the call that does so fails.
+#![allow(missing_docs)]
+
+mod world;
+
+#[path = "../../host/tests/interposed/mod.rs"]
+mod interposed;
+
+use std::net::{SocketAddr, UdpSocket};
+use std::thread;
+use std::time::Duration;
+
+use interposed::let_calls_fail;
+use world::{Discovery, Node, array, command, config, member, node_command, serve};
+
+/// A node that hears its peers at an address, and in which calls fail by these rules.
+fn node(name: &str, discovery: &Discovery, peers: SocketAddr, rules: &str) -> Node {
+    let path = format!("{}/{name}-datagrams.json", env!("CARGO_TARGET_TMPDIR"));
+    let addresses = format!(r#""peer_listen":"{peers}","peers":["{peers}"],"limits""#);
+    let text = config(name, discovery.address, 1024).replacen(r#""limits""#, &addresses, 1);
+    std::fs::write(&path, text).unwrap();
+    let mut command = node_command(name, discovery.address, 1024, "");
+    command.env("ROUTER_CONFIG", path);
+    let_calls_fail(&mut command, rules);
+    Node::run(command, discovery)
+}
+
+#[test]
+fn a_failure_to_receive_that_lasts_does_not_spin() {
+    let server = serve(command, |_| array("value"));
+    let discovery = Discovery::start(&member("s-1", server, "m", "ready"));
+    for error in [libc::ENOBUFS, libc::ENOMEM, libc::ECONNREFUSED] {
+        let sender = UdpSocket::bind("127.0.0.1:0").unwrap();
+        let peers = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+        let node = node("receives", &discovery, peers, &format!("recvfrom:{error}:1"));
+        // Only with something to read is the call made at all.
+        sender.send_to(b"something", peers).unwrap();
+        thread::sleep(Duration::from_millis(100));
+        let before = node.processor_ticks();
+        thread::sleep(Duration::from_secs(1));
+        let used = node.processor_ticks() - before;
+        // Of 100 in a second.
+        assert!(used < 30, "errno {error}: {used} ticks of the processor in a second");
+        // It serves meanwhile.
+        let answer = node.client().ask(&["CACHE.GET", "k", "id", "c=read,t=acme,d=20000"]);
+        assert_eq!(answer, "$value", "errno {error}");
+    }
+}
--- a/crates/mothpier/tests/world/mod.rs
+++ b/crates/mothpier/tests/world/mod.rs
@@ -285,6 +285,13 @@
         }
     }
 
+    /// Processor time that it has used, in ticks of the system: 100 a second.
+    pub fn processor_ticks(&self) -> u64 {
+        let text = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
+        let fields: Vec<&str> = text.rsplit(") ").next().unwrap().split(' ').collect();
+        fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap()
+    }
+
     /// What else it logs, up to its end.
     pub fn rest_of_log(&self) -> Vec<String> {
         let mut lines = Vec::new();
--- a/crates/node/src/accord.rs
+++ b/crates/node/src/accord.rs
@@ -95,8 +95,7 @@
     let Some(socket) = socket.get() else { return };
     let mut buffer = [0; mothpier_accord::MOST + 1];
     loop {
-        // An error here is that of an earlier datagram which found no listener.
-        let Ok((length, sender)) = socket.recv_from(&mut buffer).await else { continue };
+        let (length, sender) = mothpier_host::receiving::receive_with_backoff(socket, &mut buffer).await;
         let Some(member) = members.iter().position(|a| *a == sender) else { continue };
         if let Ok(message) = Message::decode(&buffer[..length]) {
             // One that finds the queue full is dropped, as it might have been on its way.
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -8,6 +8,7 @@
 use std::time::Duration;
 
 use mothpier_host::opening::datagrams_with_retry;
+use mothpier_host::receiving::receive_with_backoff;
 use mothpier_host::{Datagrams, Host};
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
@@ -64,8 +65,7 @@
             *place.borrow_mut() = Some(inbox.clone());
             let mut buffer = [0; MAX_MESSAGE + 1];
             loop {
-                // An error here is that of an earlier datagram which found no listener.
-                let Ok((length, sender)) = inbox.recv_from(&mut buffer).await else { continue };
+                let (length, sender) = receive_with_backoff(&*inbox, &mut buffer).await;
                 let Some(from) = known.iter().position(|a| *a == sender) else { continue };
                 if length <= MAX_MESSAGE {
                     let bytes = buffer[..length].to_vec();
