--- a/crates/node/src/clients/listening.rs
+++ b/crates/node/src/clients/listening.rs
@@ -155,6 +155,7 @@
                 pending,
                 asked: 0,
                 newcomer: Some(newcomer),
+                refuses: false,
                 state: State::new(),
             };
             session.run(stream, evict).await;
--- a/crates/node/src/clients/reading.rs
+++ b/crates/node/src/clients/reading.rs
@@ -110,6 +110,9 @@
 
     /// Passes a request on to the node.
     async fn ask(&mut self, request: Request, command: Box<Command>, reserved: Option<OwnedSemaphorePermit>) {
+        if self.refuses {
+            return self.refuse(request.class);
+        }
         // Memory is bounded by what open requests may hold, and one connection by its own part of them; what is
         // beyond never runs, and is told so instead of being left unread.
         let value = command.value.as_ref().filter(|_| reserved.is_none()).map_or(0, Bytes::len);
--- a/crates/node/src/clients/session.rs
+++ b/crates/node/src/clients/session.rs
@@ -57,6 +57,9 @@
     pub(super) asked: usize,
     /// Until it has sent a command in the agreed form.
     pub(super) newcomer: Option<Newcomer>,
+    /// The process ends too soon for more requests than are open: those that come are refused at once. Left unread they
+    /// would be lost with the connection.
+    pub(super) refuses: bool,
     pub(super) state: State,
 }
 
@@ -87,16 +90,13 @@
             if self.state.client_has_closed() {
                 return Closing::AtOnce;
             }
-            let finishing = !self.state.reads_commands();
-            if finishing && idle {
+            if idle && !self.state.reads_commands() {
                 return Closing::InOrder;
             }
+            self.refuses &= !idle;
             let situation = self.situation(&progress);
-            if situation.last.is_some_and(|last| last <= now) {
-                self.state.finish();
-                if !finishing || self.fail_open().await {
-                    continue;
-                }
+            if situation.last.is_some_and(|last| last <= now) && self.process_ends().await {
+                continue;
             }
             let limits = Limits::of(&progress, situation, now);
             let limit = limits.next();
@@ -194,8 +194,24 @@
             leaving: self.is_leaving(progress),
             crowded: self.clients.crowded(),
             misses_value: self.state.misses_value(),
-            last: end.map(|end| last_before(end, !self.state.reads_commands())),
+            last: end.map(|end| last_before(end, self.is_ending())),
+        }
+    }
+
+    /// Whether what is open is all that may still be served.
+    fn is_ending(&self) -> bool {
+        self.refuses || !self.state.reads_commands()
+    }
+
+    /// The end of the process is near: first no more requests are passed on, then those that are open fail and nothing
+    /// more is read. Whether that changed anything.
+    async fn process_ends(&mut self) -> bool {
+        if !self.is_ending() {
+            self.refuses = true;
+            return true;
         }
+        self.state.finish();
+        self.fail_open().await
     }
 
     /// Whether it is to go as soon as it asks nothing.
--- a/crates/node/src/stream.rs
+++ b/crates/node/src/stream.rs
@@ -41,12 +41,12 @@
 /// has just asked takes for a failure.
 pub async fn close_in_order(reading: &impl Reading, writing: &mut (impl AsyncWrite + Unpin)) {
     let said = async {
-        writing.shutdown().await.ok()?;
+        // Where that fails the other side has gone, which the next read tells, or it may still be reading.
+        let _ = writing.shutdown().await;
         let mut buffer = BytesMut::new();
         while read(reading, &mut buffer).await {
             buffer.clear();
         }
-        Some(())
     };
     let _ = timeout(CLOSE_TIMEOUT, said).await;
 }
