--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -2,31 +2,26 @@
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
-use std::future::poll_fn;
-use std::io::ErrorKind;
 use std::net::SocketAddr;
-use std::pin::Pin;
 use std::rc::Rc;
 use std::sync::Arc;
-use std::task::{Poll, ready};
 use std::time::Duration;
 
 use brassrouter::ServerId;
-use bytes::{Bytes, BytesMut};
-use mothpier_host::{Host, Reading, Stream};
+use bytes::Bytes;
+use mothpier_host::Host;
 use mothpier_ops::Figures;
 use mothpier_resp as resp;
 use redis_protocol::resp2::types::BytesFrame;
-use tokio::io::{AsyncWrite, AsyncWriteExt};
 use tokio::sync::{Notify, mpsc};
 use tokio::task::AbortHandle;
-use tokio::time::{Instant, timeout};
+use tokio::time::Instant;
 
-use crate::command::{
-    AttemptExtras, AttemptId, Command as ClientCommand, PIECE, STANDSTILL, Stream as LargeValue,
-};
+use self::driver::drive;
+use crate::command::{AttemptExtras, AttemptId, Command as ClientCommand, Stream as LargeValue};
 use crate::input::Input;
-use crate::stream::{READ, more};
+
+mod driver;
 
 /// Connections of the whole tier to one server that are aimed at: servers hold few, each takes some of its
 /// capacity, and the nodes share them. A node uses its whole part before it puts a command behind another: answers
@@ -37,10 +32,6 @@
 /// After a refused connection none beside those that work is opened for this long.
 const REFUSED_PAUSE: Duration = Duration::from_secs(2);
 
-/// An answer that has begun goes on within this time, however small its pieces are. One that does not is spoilt, and
-/// what waits behind it waits in vain.
-const BEGUN: Duration = Duration::from_millis(250);
-
 /// How an attempt at a cache server ended.
 pub enum Ended {
     /// A frame of the agreed form came back for it.
@@ -105,15 +96,6 @@
     }
 }
 
-/// A command of which the first byte has been written.
-struct Begun {
-    attempt: AttemptId,
-    probe: bool,
-    bytes: Bytes,
-    /// How many of the bytes have been written.
-    written: usize,
-}
-
 /// A command that was written whole.
 struct Sent {
     attempt: AttemptId,
@@ -539,231 +521,6 @@
     }
 }
 
-/// Whether a frame can be the answer to a command: an array of the value or null, how it went and the load report,
-/// whose form matters to nobody but the module; or an error line. A probe is answered with the report alone.
-fn fits(frame: &BytesFrame, probe: bool) -> bool {
-    match frame {
-        BytesFrame::Error(_) => true,
-        BytesFrame::BulkString(_) => probe,
-        BytesFrame::Array(parts) if !probe => {
-            let [value, how, _report] = parts.as_slice() else { return false };
-            matches!(value, BytesFrame::BulkString(_) | BytesFrame::Null)
-                && matches!(how, BytesFrame::BulkString(_) | BytesFrame::SimpleString(_) | BytesFrame::Null)
-        }
-        _ => false,
-    }
-}
-
-/// Makes a connection and carries its commands until it ends; whether it was refused.
-async fn drive<H: Host>(
-    host: &H,
-    server: ServerId,
-    number: u64,
-    address: SocketAddr,
-    within: Duration,
-    shared: &Shared,
-    events: &mpsc::Sender<Input>,
-) -> bool {
-    let stream = match timeout(within, host.connect(address)).await {
-        Ok(Ok(stream)) => stream,
-        Ok(Err(_)) => return true,
-        Err(_) => return false,
-    };
-    shared.line.borrow_mut().up = true;
-    if events.send(Input::Server { server, number, event: Event::Up }).await.is_err() {
-        return false;
-    }
-    let (reading, mut writing) = stream.into_halves();
-    let reader = async {
-        let mut buffer = BytesMut::new();
-        loop {
-            let (nothing_sent, writing) = {
-                let line = shared.line.borrow();
-                (line.sent.is_empty(), line.writing)
-            };
-            if nothing_sent && writing == Writing::Abandoned {
-                return;
-            }
-            // What lies behind an answer that nothing waits behind belongs to no command, and would be taken for the
-            // beginning of the next answer: the connection is closed before anything more is written.
-            if !buffer.is_empty() && nothing_sent {
-                return host.log(format_args!("{address}: more than was asked for"));
-            }
-            if let Some(large) = resp::large_answer(&buffer) {
-                let tell = |event| events.send(Input::Server { server, number, event });
-                if !pass_on(large, &reading, &mut buffer, shared, tell).await {
-                    return;
-                }
-                continue;
-            }
-            let taken = resp::take_frame(&mut buffer, resp::WHOLE);
-            if let Ok(None) = taken {
-                if buffer.is_empty() {
-                    buffer = BytesMut::new();
-                }
-                let begun = !buffer.is_empty();
-                let read = match begun {
-                    true => more_within(&reading, &mut buffer, READ, BEGUN).await,
-                    false => more(&reading, &mut buffer, READ).await,
-                };
-                match read {
-                    Ok(()) => continue,
-                    Err(e) if e.kind() == ErrorKind::TimedOut && begun => {}
-                    Err(_) => return,
-                }
-            }
-            let Some(sent) = shared.line.borrow_mut().sent.pop_front() else { return };
-            let (event, good) = match taken {
-                Ok(Some(frame)) if fits(&frame, sent.probe) => (Event::Answer(sent.attempt, frame), true),
-                _ => (Event::Spoilt(sent.attempt), false),
-            };
-            // Before the node hears of it, which may have something more to write.
-            let waits = !shared.line.borrow().sent.is_empty();
-            shared.line.borrow_mut().ending = !good || !(buffer.is_empty() || waits);
-            let told = events.send(Input::Server { server, number, event }).await;
-            if told.is_err() || !good {
-                return host.log(format_args!("{address}: an answer that can't be read"));
-            }
-        }
-    };
-    let writer = async {
-        loop {
-            // Once round the runtime: a close that has come in is read before anything more is written.
-            tokio::task::yield_now().await;
-            let Begun { attempt, probe, bytes, written } = match begin_next(&mut writing, shared).await {
-                Ok(Some(begun)) => begun,
-                Ok(None) => {
-                    shared.wake.notified().await;
-                    continue;
-                }
-                Err(_) => return,
-            };
-            // Not awaited where nothing is left to be written.
-            if written < bytes.len() {
-                let rest = tokio::select! {
-                    biased;
-                    // The reader ends the connection once what was sent before has been answered.
-                    () = shared.halt.notified() => std::future::pending().await,
-                    rest = writing.write_all(&bytes[written..]) => rest,
-                };
-                if rest.is_err() {
-                    return;
-                }
-            }
-            // No await since the last byte was written: it is on record before an answer can be read.
-            let mut line = shared.line.borrow_mut();
-            line.writing = Writing::Nothing;
-            if !probe {
-                shared.figures.attempt();
-            }
-            line.sent.push_back(Sent { attempt, probe, given_up: false });
-        }
-    };
-    // The reader first: a close by the server is noticed before anything more is written to it.
-    tokio::select! { biased; () = reader => {}, () = writer => {} }
-    false
-}
-
-/// Writes the first bytes of the first queued command that has time left; `None` where there is none.
-///
-/// The bytes are made anew whenever the socket may take some, so that they tell the time left when the first of them is
-/// written: behind much that the server has not read yet that may be late. One without time left stays queued, unwritten,
-/// until the node gives it up, which it does when that time ends.
-async fn begin_next(
-    writing: &mut (impl AsyncWrite + Unpin),
-    shared: &Shared,
-) -> std::io::Result<Option<Begun>> {
-    poll_fn(|context| {
-        let next = {
-            let line = shared.line.borrow();
-            line.unsent.iter().enumerate().find_map(|(index, c)| Some((index, c.payload.encode_now()?)))
-        };
-        let Some((index, bytes)) = next else { return Poll::Ready(Ok(None)) };
-        let written = ready!(Pin::new(&mut *writing).poll_write(context, &bytes))?;
-        if written == 0 {
-            return Poll::Ready(Err(ErrorKind::WriteZero.into()));
-        }
-        let mut line = shared.line.borrow_mut();
-        let Some(Command { attempt, payload }) = line.unsent.remove(index) else {
-            return Poll::Ready(Ok(None));
-        };
-        line.writing = Writing::Begun(attempt);
-        Poll::Ready(Ok(Some(Begun { attempt, probe: matches!(payload, Payload::Probe), bytes, written })))
-    })
-    .await
-}
-
-/// As [`more`]; an error, too, where nothing has come within a time.
-async fn more_within(
-    reading: &impl Reading,
-    buffer: &mut BytesMut,
-    room: usize,
-    within: Duration,
-) -> std::io::Result<()> {
-    timeout(within, more(reading, buffer, room)).await.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()))
-}
-
-/// Passes a large value on as it comes, as fast as its client takes it, and takes what stands behind it off the buffer;
-/// whether the connection can be used again. The attempt stays among those sent until then, so that a connection that
-/// ends meanwhile ends it.
-async fn pass_on<T: Future<Output = Result<(), mpsc::error::SendError<Input>>>>(
-    large: resp::Large,
-    reading: &impl Reading,
-    buffer: &mut BytesMut,
-    shared: &Shared,
-    tell: impl Fn(Event) -> T,
-) -> bool {
-    let Some(attempt) = shared.line.borrow().sent.front().filter(|s| !s.probe).map(|s| s.attempt) else {
-        return false;
-    };
-    let (into, value) = LargeValue::new(large.length);
-    shared.line.borrow_mut().streaming = true;
-    if tell(Event::Began(attempt, value)).await.is_err() {
-        return false;
-    }
-    let _ = buffer.split_to(large.head);
-    let mut left = large.length;
-    let mut wanted = true;
-    while left > 0 {
-        if buffer.is_empty() {
-            *buffer = BytesMut::new();
-            if more_within(reading, buffer, PIECE, STANDSTILL).await.is_err() {
-                return false;
-            }
-        }
-        let piece = buffer.split_to(buffer.len().min(left).min(PIECE)).freeze();
-        left -= piece.len();
-        wanted = wanted && into.send(piece).await.is_ok();
-        // Its client has gone. The rest is read for the sake of those behind it alone.
-        if !wanted && shared.line.borrow().load() <= 1 {
-            return false;
-        }
-    }
-    drop(into);
-    // The end of the value, how it went, and the load report: none of it is owed to anyone any more, but it must come
-    // for the next answer to be found.
-    let mut behind = 0;
-    while behind < 3 {
-        let taken = match behind {
-            0 => resp::take_line_end(buffer).map(|end| end.is_some()),
-            _ => resp::take_frame(buffer, resp::WHOLE).map(|frame| frame.is_some()),
-        };
-        match taken {
-            Ok(true) => behind += 1,
-            Ok(false) => {
-                if more_within(reading, buffer, READ, STANDSTILL).await.is_err() {
-                    return false;
-                }
-            }
-            Err(_) => return false,
-        }
-    }
-    let mut line = shared.line.borrow_mut();
-    line.sent.pop_front();
-    line.streaming = false;
-    true
-}
-
 #[cfg(test)]
 #[path = "../tests/unit/servers.rs"]
 mod tests;
--- a/crates/node/tests/unit/servers.rs
+++ b/crates/node/tests/unit/servers.rs
@@ -1,6 +1,6 @@
 //! Connections to cache servers, told apart from the node that drives them.
 
-use std::io::Read;
+use std::io::{ErrorKind, Read};
 
 use mothpier_host::Machine;
 use mothpier_ops::Desk;
