--- a/crates/brassrouter/src/lib.rs
+++ b/crates/brassrouter/src/lib.rs
@@ -31,6 +31,7 @@
 mod random;
 pub mod settings;
 mod state;
+mod unserved;
 
 pub use interface::*;
 pub use policy::Policy;
--- a/crates/brassrouter/src/policy.rs
+++ b/crates/brassrouter/src/policy.rs
@@ -18,6 +18,7 @@
 use crate::pools::Pools;
 use crate::random::{Backoff, Random};
 use crate::state::*;
+use crate::unserved::{Unserved, Why, log_crossing};
 
 /// Load bound, a multiple of a server's part of this balancer's attempts in flight; never below this
 /// balancer's part of the second, else a quiet one would scatter its keys.
