--- a/crates/brassrouter/src/interface.rs
+++ b/crates/brassrouter/src/interface.rs
@@ -36,7 +36,8 @@
     pub weights_are_sizes: bool,
     /// The figures that load reports carry, in their order.
     pub load_fields: Vec<LoadField>,
-    /// Attempts that one request may make.
+    /// Attempts that one request may make, not counting those that this machine could not make
+    /// ([`Status::LocalFailure`]).
     pub max_attempts: u32,
     /// Whether two attempts of one request may be out at once.
     pub may_duplicate: bool,
@@ -314,12 +315,20 @@
     Cancelled,
     /// Never sent: the request had ended or had no attempts left; it did not run.
     NotSent,
+    /// This machine could not make the connection: no descriptors, ports, buffers or route; the attempt never ran.
+    ///
+    /// It tells nothing of the server, and is not one of [`Settings::max_attempts`]. Its number is used up: the
+    /// next attempt of the request has the next one.
+    LocalFailure,
 }
 
 impl Status {
     /// Whether this outcome proves that the attempt never ran.
     pub fn proves_not_run(self) -> bool {
-        matches!(self, Status::Miss | Status::Full | Status::ConnectFailed | Status::NotSent)
+        matches!(
+            self,
+            Status::Miss | Status::Full | Status::ConnectFailed | Status::NotSent | Status::LocalFailure
+        )
     }
 }
 
--- a/crates/brassrouter/src/lib.rs
+++ b/crates/brassrouter/src/lib.rs
@@ -23,6 +23,7 @@
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { request: 1, server: 7 | 9, .. })));
 //! ```
 
+mod attempts;
 mod estimate;
 mod gate;
 pub mod interface;
--- a/crates/brassrouter/src/policy.rs
+++ b/crates/brassrouter/src/policy.rs
@@ -36,6 +36,10 @@
 const GATE_CUT: (f64, f64, f64) = (0.8, 0.1, 0.8);
 /// Postponement: the note's 1 to 3 s against its bound of 60 s, taken as parts of the request's aim.
 const DELAY: (f64, f64) = (1.0 / 60.0, 3.0 / 60.0);
+/// Postponement after an attempt that this machine could not make: the least, in microseconds, so that no
+/// class has them in a tight loop, and how often it doubles, so that its wait stays well within a deadline.
+const LOCAL_PAUSE: Micros = 2_000;
+const LOCAL_DOUBLINGS: u32 = 3;
 /// An attempt without answer for this part of its aim is slow, for twice this nearly late.
 const PATIENCE: f64 = 0.4;
 /// Least part of its keys a troubled server keeps; what a review leaves; mean at which the cause is shared.
@@ -289,7 +293,7 @@
     /// Chooses and makes the next call of a request that has none out.
     fn step(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(h) = self.held.get(&id) else { return };
-        if self.now >= self.useful_until(h) || u32::from(h.sent) >= self.settings.max_attempts {
+        if self.now >= self.useful_until(h) || !h.sent.may_make_another(self.settings.max_attempts) {
             return self.end(id, Why::TimeUp, out);
         }
         // A burst for one key: those behind the first are postponed, then ask the cache again.
@@ -425,9 +429,24 @@
 
     /// Parks a request that a shut gate stops, for a random delay, while its answer can still earn.
     fn postpone(&mut self, id: RequestId, why: Why, out: &mut Vec<Action>) {
+        let aim = self.settings.classes[self.held[&id].class].aim;
+        let delay = (aim as f64 * self.rng.between(DELAY)) as Micros + 1;
+        self.postpone_for(delay, id, why, out);
+    }
+
+    /// This machine could not make a connection, and would no sooner for another attempt at once: the request
+    /// waits, longer each time, and may then be sent to the same server.
+    fn postpone_local_failure(&mut self, id: RequestId, out: &mut Vec<Action>) {
+        let h = &self.held[&id];
+        let doublings = u32::from(h.sent.local_failures.saturating_sub(1)).min(LOCAL_DOUBLINGS);
+        let first = (self.settings.classes[h.class].aim as f64 * self.rng.between(DELAY)) as Micros;
+        self.postpone_for((first + LOCAL_PAUSE) << doublings, id, Why::TimeUp, out);
+    }
+
+    /// Parks a request for a time, while its answer can still earn.
+    fn postpone_for(&mut self, delay: Micros, id: RequestId, why: Why, out: &mut Vec<Action>) {
         let h = &self.held[&id];
         let class = &self.settings.classes[h.class];
-        let delay = (class.aim as f64 * self.rng.between(DELAY)) as Micros + 1;
         // A keyed repeat may be near the end of its window, which only its client knows: it goes now or not.
         let near_window = h.repeat && h.write && class.window().is_some();
         if near_window || self.now + delay >= self.useful_until(h) {
@@ -443,7 +462,7 @@
     fn send(&mut self, id: RequestId, server: ServerId, call: Call, out: &mut Vec<Action>) -> bool {
         let (Some(h), Some(s)) = (self.held.get(&id), self.servers.get(&server)) else { return false };
         let allowed = self.now < h.ends
-            && u32::from(h.sent) < self.settings.max_attempts
+            && h.sent.may_make_another(self.settings.max_attempts)
             && s.line.condition == Condition::Ready
             && self.may_use(h.class, s)
             && (h.out == 0 || self.settings.may_duplicate)
@@ -453,10 +472,10 @@
             return false;
         }
         let cold_level = self.cold_bucket(s, h.class).0 + 1.0;
-        let (attempt, sent, aim) = (h.sent, self.now, self.settings.classes[h.class].aim);
+        let (attempt, sent, aim) = (h.sent.begun, self.now, self.settings.classes[h.class].aim);
         let slow_after = (aim as f64 * PATIENCE) as Micros;
         if let (Some(h), Some(s)) = (self.held.get_mut(&id), self.servers.get_mut(&server)) {
-            (h.sent, h.out, h.may_have_run) = (h.sent + 1, h.out + 1, h.may_have_run + 1);
+            (h.sent.begun, h.out, h.may_have_run) = (h.sent.begun + 1, h.out + 1, h.may_have_run + 1);
             (s.in_flight, s.cold_level, s.used) = (s.in_flight + 1, cold_level, self.now);
         }
         if call == Call::Cache {
@@ -481,6 +500,7 @@
         let Some(h) = self.held.get_mut(&o.request) else { return };
         h.out -= 1;
         h.may_have_run -= u16::from(o.status.proves_not_run());
+        h.sent.local_failures += u16::from(o.status == Status::LocalFailure);
         h.missed |= o.status == Status::Miss;
         if h.write && !h.repeat && h.may_have_run == 0 {
             self.writes.not_run(h.key);
@@ -488,7 +508,8 @@
         // A connection may be lost while its server is well and holds the key: it is asked once more, which
         // costs little where it is down, for then it refuses the new connection.
         let again = o.status == Status::Reset && h.lost_at.replace(flight.server) != Some(flight.server);
-        if flight.call == Call::Cache && o.status != Status::Miss && !again {
+        let asked = !matches!(o.status, Status::Miss | Status::LocalFailure) && !again;
+        if flight.call == Call::Cache && asked {
             h.tried.push(flight.server);
         }
         let (key, others_out, class) = (h.key, h.out > 0, h.class);
@@ -508,6 +529,9 @@
         if flight.call != Call::Cache && o.status == Status::Full {
             return self.postpone(o.request, Why::OriginFull, out);
         }
+        if o.status == Status::LocalFailure {
+            return self.postpone_local_failure(o.request, out);
+        }
         // A miss and a failed connect cost no server work, and what was called off has been paid for.
         let free =
             matches!(o.status, Status::Miss | Status::ConnectFailed | Status::NotSent | Status::Cancelled);
@@ -527,17 +551,20 @@
 
     /// What an outcome tells of its server and of the strain on the fleet, or of the origin.
     fn learn(&mut self, flight: &Flight, o: &Outcome, out: &mut Vec<Action>) {
+        self.no_longer_out(flight.call);
         let Some(s) = self.servers.get_mut(&flight.server) else { return };
         s.in_flight = s.in_flight.saturating_sub(1);
         s.overtaken -= u32::from(flight.overtaken);
         s.active = self.now;
+        if o.status == Status::LocalFailure {
+            return; // It tells nothing of the server or the origin.
+        }
         s.connected |= !matches!(o.status, Status::Reset | Status::ConnectFailed);
         let not_made = o.status == Status::ConnectFailed && o.took >= self.settings.connect_timeout;
         self.slow_connects.add(f64::from(u8::from(not_made)), 1.0);
         if flight.call != Call::Cache {
             return self.learn_origin(flight, o, out);
         }
-        self.cache_out -= 1;
         if o.status == Status::Served {
             self.kinds.entry(s.line.kind).or_default().pace.took(o.took);
         }
@@ -559,6 +586,14 @@
         }
     }
 
+    /// Lowers the count of attempts in flight, at cache servers or at the origin.
+    fn no_longer_out(&mut self, call: Call) {
+        match call {
+            Call::Cache => self.cache_out -= 1,
+            Call::Fetch | Call::Write => self.gate.leave(call),
+        }
+    }
+
     /// Counts signs of a server, and as strain by the part of its keys kept: known trouble is no overload.
     fn count_signs(&mut self, server: ServerId, cases: f64, all: f64, overload: bool) {
         let Some(s) = self.servers.get_mut(&server) else { return };
@@ -571,7 +606,6 @@
     fn learn_origin(&mut self, flight: &Flight, o: &Outcome, out: &mut Vec<Action>) {
         let slow = self.now - flight.sent > (self.origin_aim as f64 * GATE_CUT.2) as Micros;
         let g = &mut self.gate;
-        g.leave(flight.call);
         let was = g.limit;
         if o.status == Status::Served && !slow {
             g.limit = (g.limit + 1.0 / g.limit).min(g.most_out);
--- a/crates/brassrouter/src/state.rs
+++ b/crates/brassrouter/src/state.rs
@@ -6,6 +6,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
+use crate::attempts::Attempts;
 use crate::estimate::{Pace, Rate, Ratio};
 use crate::interface::{Action, Key, Micros, RequestId, ServerId, ServerLine, Settings};
 use crate::random::Random;
@@ -100,7 +101,7 @@
     pub missed: bool,
     pub aim_at: Micros,
     pub ends: Micros,
-    pub sent: u16,
+    pub sent: Attempts,
     pub out: u16,
     /// How many attempts run or may have run.
     pub may_have_run: u16,
--- a/crates/record/src/entry.rs
+++ b/crates/record/src/entry.rs
@@ -622,7 +622,7 @@
     }
 }
 
-const STATUSES: [Status; 9] = [
+const STATUSES: [Status; 10] = [
     Status::Served,
     Status::Miss,
     Status::Error,
@@ -632,6 +632,7 @@
     Status::Reset,
     Status::Cancelled,
     Status::NotSent,
+    Status::LocalFailure,
 ];
 const NOTES: [Note; 4] = [Note::None, Note::Hit, Note::Miss, Note::MissBeingFetched];
 const LISTS: [ListKind; 4] = [ListKind::Full, ListKind::Cached, ListKind::Delta, ListKind::Failed];
--- a/crates/record/tests/format.rs
+++ b/crates/record/tests/format.rs
@@ -2,10 +2,11 @@
 
 mod common;
 
+use brassrouter::{Event, Load, Note, Outcome, Status};
 use mothpier_record::Segment;
 use mothpier_record::entry::{Body, Entry};
 use mothpier_record::replay::replay;
-use mothpier_record::segment::MAGIC;
+use mothpier_record::segment::{MAGIC, Writer};
 use proptest::prelude::*;
 
 fn whole(bytes: &[u8]) -> Vec<Entry> {
@@ -30,6 +31,47 @@
     }
 }
 
+/// The numbers that statuses have in records that are kept: a new one goes to the end.
+const STATUSES: [Status; 10] = [
+    Status::Served,
+    Status::Miss,
+    Status::Error,
+    Status::Full,
+    Status::TimedOut,
+    Status::ConnectFailed,
+    Status::Reset,
+    Status::Cancelled,
+    Status::NotSent,
+    Status::LocalFailure,
+];
+
+#[test]
+fn every_status_is_read_back_and_keeps_its_number() {
+    for (number, status) in STATUSES.into_iter().enumerate() {
+        let ended = Outcome {
+            request: 0,
+            attempt: 0,
+            server: 0,
+            status,
+            over: false,
+            note: Note::None,
+            took: 0,
+            load: Load::default(),
+        };
+        let event = Event::Outcome(ended);
+        let mut writer = Writer::begin(&common::header()).expect("a header");
+        let mut bytes = writer.take();
+        let begin = bytes.len();
+        writer.event(common::header().at, &event, None);
+        writer.actions([].into_iter());
+        bytes.extend(writer.take());
+        // The entry's length, its kind, and no steps of time and of the request's id come before it.
+        assert_eq!(usize::from(bytes[begin + 4]), number, "{status:?}");
+        let body = Body::Told { event, reference: None, actions: Vec::new() };
+        assert_eq!(whole(&bytes), [Entry { at: common::header().at, body }], "{status:?}");
+    }
+}
+
 /// A power cut or a kill leaves a beginning of the file, of any length.
 #[test]
 fn torn_at_every_byte_it_reads_up_to_the_last_whole_entry_and_says_where_it_stopped() {
