--- a/crates/node/src/counters.rs
+++ b/crates/node/src/counters.rs
@@ -11,7 +11,7 @@
 #[derive(Default)]
 struct Calls([(u32, Micros); STATUSES.len()]);
 
-const STATUSES: [(Status, &str); 9] = [
+const STATUSES: [(Status, &str); 10] = [
     (Status::Served, "served"),
     (Status::Miss, "missed"),
     (Status::Error, "error"),
@@ -21,6 +21,7 @@
     (Status::Reset, "reset"),
     (Status::Cancelled, "cancelled"),
     (Status::NotSent, "not sent"),
+    (Status::LocalFailure, "failed on this machine"),
 ];
 
 impl Calls {
@@ -78,7 +79,7 @@
             list_age.map_or("none yet".into(), |age| format!("the last {:.1} s ago", age.as_secs_f64()));
         let line = format!(
             "{} asked, {} served, {} refused ({} untried), {} failed, {open} open; cache:{}; origin:{}; \
-             lists: {}, {age}, {} calls failed; peers: {} told, {} heard; connects: {}, {} refused",
+             lists: {}, {age}, {} calls failed; peers: {} told, {} heard; connects: {}",
             c.asked,
             c.served,
             c.refused,
@@ -90,8 +91,7 @@
             c.list_failures,
             c.told,
             c.heard,
-            c.connects.begun,
-            c.connects.refused
+            c.connects
         );
         (c.asked > 0 || open > 0).then_some(line)
     }
@@ -108,7 +108,7 @@
         counters.ended(false, Status::Served, 4_000);
         counters.ended(true, Status::Full, 500);
         (counters.lists, counters.list_failures, counters.told, counters.heard) = (1, 2, 16, 15);
-        counters.connects = Connects { begun: 9, refused: 4 };
+        counters.connects = Connects { begun: 9, refused: 4, local_failures: 0 };
         assert_eq!(
             counters.line(0, Some(Duration::from_millis(2_140))).as_deref(),
             Some(
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -15,10 +15,14 @@
 mod counters;
 mod crowd;
 mod discovery;
+#[cfg(test)]
+#[path = "../tests/unit/failing_host.rs"]
+mod failing_host;
 pub mod handover;
 mod http;
 mod input;
 pub mod keys;
+mod local_failures;
 mod near;
 mod node;
 pub mod operator;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -27,12 +27,14 @@
 use crate::near::Nearby;
 use crate::origin::Origins;
 use crate::peers::Peers;
-use crate::servers::{Ended, Servers};
+use crate::servers::{Ended, SendError, Servers};
 use crate::weather::{LOOK, Weather};
 use crate::{origin, servers};
 
 /// A probe without answer after this time has failed.
 const PROBE_WAIT: Duration = Duration::from_millis(250);
+/// A probe that this machine could not make is made again after this time: a shortage of descriptors or ports is soon over.
+const PROBE_PAUSE: Duration = Duration::from_millis(100);
 /// Between two looks at the gauges that staff read: what they tell may be half a second old.
 const GAUGES: Duration = Duration::from_millis(200);
 /// The part of the descriptors of a kind that connections to cache servers may have; the rest is for the origin.
@@ -66,13 +68,22 @@
     command: Rc<Command>,
     answer: oneshot::Sender<Answer>,
     ends: Instant,
+    /// Attempts so far, each with its number, and how many of them this machine could not make.
     attempts: u16,
+    local_failures: u16,
     /// Of these, the ones without outcome.
     out: Vec<AttemptId>,
     /// What the detector knows it by; 0 without one.
     fingerprint: u64,
 }
 
+impl Open {
+    /// How many attempts of it have counted: one that this machine could not make is not among them.
+    fn made(&self) -> u16 {
+        self.attempts.saturating_sub(self.local_failures)
+    }
+}
+
 /// An attempt or a probe without outcome; it may outlive its request.
 struct Flight {
     /// The request and the attempt's number; `None` for a probe.
@@ -91,6 +102,8 @@
     Look,
     Gauges,
     Near,
+    /// A probe that this machine could not make.
+    Probe(ServerId),
 }
 
 /// What another process of this node has handed on.
@@ -241,6 +254,7 @@
                 Some(Reverse((_, Due::Look))) => self.look(),
                 Some(Reverse((_, Due::Gauges))) => self.gauges(),
                 Some(Reverse((_, Due::Near))) => self.keep_near(),
+                Some(Reverse((_, Due::Probe(server)))) => self.probe(server),
                 None => {}
             }
             self.settle();
@@ -373,8 +387,15 @@
                 let now = self.clock.now();
                 let weather = self.parts.weather.as_mut();
                 let fingerprint = weather.map_or(0, |w| w.arrived(now, connection, &mut request));
-                let open =
-                    Open { command: command.into(), answer, ends, attempts: 0, out: Vec::new(), fingerprint };
+                let open = Open {
+                    command: command.into(),
+                    answer,
+                    ends,
+                    attempts: 0,
+                    local_failures: 0,
+                    out: Vec::new(),
+                    fingerprint,
+                };
                 self.open.insert(request.id, open);
                 self.counters.asked += 1;
                 self.events.push_back(Event::Request(request));
@@ -551,7 +572,7 @@
             Answer::Value(_) | Answer::Stream(_) => self.counters.served += 1,
             Answer::Busy(_) => {
                 self.counters.refused += 1;
-                self.counters.untried += u32::from(open.attempts == 0);
+                self.counters.untried += u32::from(open.made() == 0);
             }
             Answer::Failed => self.counters.failed += 1,
         }
@@ -594,8 +615,8 @@
         let Some(open) = self.open.get_mut(&request) else {
             return self.host.log(format_args!("an attempt of request {request}, which is over"));
         };
-        let number = open.attempts;
-        open.attempts += 1;
+        let (number, made) = (open.attempts, open.made());
+        open.attempts = open.attempts.saturating_add(1);
         open.out.push(id);
         let command = open.command.clone();
         let attempt_ends = match give_up_after {
@@ -603,13 +624,13 @@
             after => open.ends.min(sent + Duration::from_micros(after)),
         };
         self.flights.insert(id, Flight { attempt: Some((request, number)), server, sent, call: None });
-        if u32::from(number) >= self.site.decisions.max_attempts || attempt_ends <= sent {
+        if u32::from(made) >= self.site.decisions.max_attempts || attempt_ends <= sent {
             return self.end(id, Status::NotSent, Note::None, Load::default(), None);
         }
         let extras = command.attempt_extras(attempt_ends);
         let out = if self.origin_ids.contains(&server) {
             let call = self.parts.origins.call(server, id, &command, extras);
-            let out = call.is_some();
+            let out = call.as_ref().map(|_| ()).ok_or(SendError::NoConnection);
             self.flights.entry(id).and_modify(|f| f.call = call);
             out
         } else {
@@ -619,10 +640,9 @@
             let payload = servers::Payload::Request { command, extras };
             self.parts.servers.send(server, servers::Command { attempt: id, payload })
         };
-        if out {
-            self.due.push(Reverse((attempt_ends, Due::GiveUp(id))));
-        } else {
-            self.end(id, Status::ConnectFailed, Note::None, Load::default(), None);
+        match out {
+            Ok(()) => self.due.push(Reverse((attempt_ends, Due::GiveUp(id)))),
+            Err(error) => self.end(id, unsent(error), Note::None, Load::default(), None),
         }
     }
 
@@ -632,12 +652,15 @@
         let origin = self.origin_ids.contains(&server);
         let call = if origin { self.parts.origins.probe(server, id) } else { None };
         let command = servers::Command { attempt: id, payload: servers::Payload::Probe };
-        let out = call.is_some() || (!origin && self.parts.servers.send(server, command));
+        let out = match (origin, &call) {
+            (true, Some(_)) => Ok(()),
+            (true, None) => Err(SendError::NoConnection),
+            (false, _) => self.parts.servers.send(server, command),
+        };
         self.flights.insert(id, Flight { attempt: None, server, sent, call });
-        if out {
-            self.wake(PROBE_WAIT, Due::GiveUp(id));
-        } else {
-            self.end(id, Status::ConnectFailed, Note::None, Load::default(), None);
+        match out {
+            Ok(()) => self.wake(PROBE_WAIT, Due::GiveUp(id)),
+            Err(error) => self.end(id, unsent(error), Note::None, Load::default(), None),
         }
     }
 
@@ -664,6 +687,9 @@
             Ended::NotConnected => {
                 return self.end(attempt, Status::ConnectFailed, Note::None, Load::default(), None);
             }
+            Ended::LocalFailure => {
+                return self.end(attempt, Status::LocalFailure, Note::None, Load::default(), None);
+            }
             // It has run, whatever it was that came back.
             Ended::Spoilt => return self.end(attempt, Status::Error, Note::None, Load::default(), None),
             // For the module it is served: what follows is between the server and the client.
@@ -715,14 +741,21 @@
         }
         let (server, took) = (flight.server, flight.sent.elapsed().as_micros() as Micros);
         let Some((request, attempt)) = flight.attempt else {
+            // A probe that never left this machine tells nothing of the server: it is made later.
+            if status == Status::LocalFailure {
+                return self.wake(PROBE_PAUSE, Due::Probe(server));
+            }
             return self.events.push_back(Event::Probed { server, ok: status == Status::Served, took, load });
         };
+        let was_made = !matches!(status, Status::NotSent | Status::LocalFailure);
         self.counters.ended(flight.call.is_some() || self.origin_ids.contains(&server), status, took);
-        if let Some(weather) = self.parts.weather.as_mut().filter(|_| status != Status::NotSent) {
+        if let Some(weather) = self.parts.weather.as_mut().filter(|_| was_made) {
             weather.worked(took, self.open.contains_key(&request));
         }
         if let Some(open) = self.open.get_mut(&request) {
             open.out.retain(|out| *out != id);
+            let failures = u16::from(status == Status::LocalFailure);
+            open.local_failures = open.local_failures.saturating_add(failures);
         }
         let others = match status {
             Status::Served => self.answer(request, value.unwrap_or(Answer::Failed)),
@@ -744,6 +777,14 @@
     }
 }
 
+/// How an attempt ended that was not taken.
+fn unsent(error: SendError) -> Status {
+    match error {
+        SendError::NoConnection => Status::ConnectFailed,
+        SendError::LocalFailure => Status::LocalFailure,
+    }
+}
+
 /// A load report: names and values, in the order that the settings give.
 fn load(site: &Site, report: &str) -> Load {
     let mut load = Load::default();
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -2,6 +2,8 @@
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
+use std::fmt;
+use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -20,6 +22,7 @@
 use self::driver::drive;
 use crate::command::{AttemptExtras, AttemptId, Command as ClientCommand, Stream as LargeValue};
 use crate::input::Input;
+use crate::local_failures::LocalFailures;
 
 mod driver;
 
@@ -44,6 +47,30 @@
     Reset,
     /// Its last byte was never written: it cannot have run.
     NotConnected,
+    /// The same, for a reason that lies on this machine and tells nothing of the server.
+    LocalFailure,
+}
+
+/// Why an attempt was not taken by [`Servers::send`]. It cannot have run.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SendError {
+    /// The server takes nothing new, or its connections have no room.
+    NoConnection,
+    /// This machine could not make connections a moment ago, and it is too early to try again.
+    LocalFailure,
+}
+
+/// How a connection ended.
+#[derive(Debug)]
+pub enum ConnectionEnd {
+    /// The server, or the way to it, turned it down.
+    Refused,
+    /// It did not come up in time.
+    TimedOut,
+    /// This machine could not make it.
+    LocalFailure(std::io::Error),
+    /// It had been made, and was closed by either side or lost.
+    Broken,
 }
 
 /// What a connection tells the node.
@@ -55,7 +82,7 @@
     Spoilt(AttemptId),
     /// The connection is no more; the attempts written whole, and those not.
     Down {
-        refused: bool,
+        end: ConnectionEnd,
         written: Vec<AttemptId>,
         unwritten: Vec<AttemptId>,
     },
@@ -210,6 +237,18 @@
     pub begun: u32,
     /// Of these, the ones that were refused.
     pub refused: u32,
+    /// Of these, the ones that this machine could not make.
+    pub local_failures: u32,
+}
+
+impl fmt::Display for Connects {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}, {} refused", self.begun, self.refused)?;
+        match self.local_failures {
+            0 => Ok(()),
+            failures => write!(f, ", {failures} failed on this machine"),
+        }
+    }
 }
 
 /// What came of taking back an attempt.
@@ -232,6 +271,8 @@
     all: Rc<Cell<usize>>,
     ready: usize,
     connects: Connects,
+    /// A shortage of this machine's concerns the connections to all servers.
+    local_failures: LocalFailures,
     figures: Arc<Figures>,
 }
 
@@ -246,6 +287,7 @@
             all: Rc::default(),
             ready: 0,
             connects: Connects::default(),
+            local_failures: LocalFailures::default(),
             figures,
         }
     }
@@ -319,14 +361,17 @@
     }
 
     /// Sends an attempt on an idle connection, or a new one within this node's part, or behind others on the
-    /// one with the fewest. `false` where there is none: it was not written.
-    pub fn send(&mut self, server: ServerId, command: Command) -> bool {
-        let Some(pool) = self.pools.get_mut(&server).filter(|p| p.ready) else { return false };
+    /// one with the fewest.
+    ///
+    /// # Errors
+    /// Where there is none: it was not written.
+    pub fn send(&mut self, server: ServerId, command: Command) -> Result<(), SendError> {
+        let pool = self.pools.get_mut(&server).filter(|p| p.ready).ok_or(SendError::NoConnection)?;
         let fresh = self.limits.idle_close.mul_f64(FRESH);
         pool.connections.retain(|c| c.load() > 0 || !c.up() || c.used.elapsed() < fresh);
         if let Some(idle) = pool.connections.iter_mut().find(|c| c.free()) {
             idle.push(command);
-            return true;
+            return Ok(());
         }
         let part = (TIER_CONNECTIONS / self.limits.balancers.max(1)).max(1);
         let part = part.min((self.limits.descriptors / self.ready.max(1)).max(1));
@@ -335,9 +380,9 @@
         let moves = |line: &Line| !line.stalled() && line.writing != Writing::Abandoned;
         let moving = pool.connections.iter().filter(|c| moves(&c.shared.line.borrow()) && !c.retired).count();
         let may_open = (moving == 0 || Instant::now() >= pool.alone_until) && open < 2 * part;
-        if let Some(address) =
-            pool.address.filter(|_| moving < part && may_open && self.all.get() < self.limits.descriptors)
-        {
+        let wants_new = moving < part && may_open && self.all.get() < self.limits.descriptors;
+        let too_early = wants_new && !self.local_failures.may_connect();
+        if let Some(address) = pool.address.filter(|_| wants_new && !too_early) {
             self.numbers += 1;
             self.connects.begun = self.connects.begun.saturating_add(1);
             self.figures.connect();
@@ -353,18 +398,57 @@
                 self.figures.clone(),
             );
             pool.waiting.push_back(command);
-            return true;
+            return Ok(());
+        }
+        match pool.append(command, self.limits.multiplex) {
+            true => Ok(()),
+            false if too_early => Err(SendError::LocalFailure),
+            false => Err(SendError::NoConnection),
+        }
+    }
+
+    /// Counts how a connection ended, and returns what that means for an attempt that was not written on it.
+    fn connection_ended(
+        &mut self,
+        server: ServerId,
+        end: ConnectionEnd,
+    ) -> fn(AttemptId) -> (AttemptId, Ended) {
+        match end {
+            ConnectionEnd::LocalFailure(error) if self.is_local(server, &error) => {
+                self.connects.local_failures = self.connects.local_failures.saturating_add(1);
+                if self.local_failures.failed() {
+                    self.host.log(format_args!("this machine can't connect to cache servers: {error}"));
+                }
+                return |attempt| (attempt, Ended::LocalFailure);
+            }
+            ConnectionEnd::Refused | ConnectionEnd::LocalFailure(_) => {
+                self.connects.refused = self.connects.refused.saturating_add(1);
+                self.figures.connect_refused();
+                if let Some(pool) = self.pools.get_mut(&server) {
+                    pool.alone_until = Instant::now() + REFUSED_PAUSE;
+                }
+            }
+            ConnectionEnd::TimedOut | ConnectionEnd::Broken => {}
         }
-        pool.append(command, self.limits.multiplex)
+        |attempt| (attempt, Ended::NotConnected)
+    }
+
+    /// Whether a failure says nothing of the server: where no route leads to it while others are connected, it is the
+    /// server that can't be reached.
+    fn is_local(&self, server: ServerId, error: &std::io::Error) -> bool {
+        let no_route = matches!(error.kind(), ErrorKind::NetworkUnreachable | ErrorKind::NetworkDown);
+        let mut others = self.pools.iter().filter(|(id, _)| **id != server).map(|(_, pool)| pool);
+        !(no_route && others.any(|pool| pool.connections.iter().any(Connection::up)))
     }
 
     /// Takes what a connection tells and returns the attempts that this ends.
     pub fn event(&mut self, server: ServerId, number: u64, event: Event) -> Vec<(AttemptId, Ended)> {
         let mut ended = Vec::new();
+        let mut unplaced: fn(AttemptId) -> (AttemptId, Ended) = |attempt| (attempt, Ended::NotConnected);
         // Told before the pool is looked for: that of a server which the list no longer names may be gone by now, with
         // the answers of several of its connections still on their way here, and each of them is owed.
         match event {
-            Event::Up => {}
+            Event::Up => self.local_failures.connected(),
             Event::Answer(attempt, frame) => {
                 let pool = self.pools.get_mut(&server);
                 if let Some(c) = pool.and_then(|p| p.connections.iter_mut().find(|c| c.number == number)) {
@@ -374,23 +458,17 @@
             }
             Event::Began(attempt, value) => ended.push((attempt, Ended::Began(value))),
             Event::Spoilt(attempt) => ended.push((attempt, Ended::Spoilt)),
-            Event::Down { refused, written, unwritten } => {
-                self.connects.refused = self.connects.refused.saturating_add(u32::from(refused));
-                if refused {
-                    self.figures.connect_refused();
-                }
+            Event::Down { end, written, unwritten } => {
+                unplaced = self.connection_ended(server, end);
                 ended.extend(written.into_iter().map(|id| (id, Ended::Reset)));
-                ended.extend(unwritten.into_iter().map(|id| (id, Ended::NotConnected)));
+                ended.extend(unwritten.into_iter().map(unplaced));
                 if let Some(pool) = self.pools.get_mut(&server) {
                     pool.connections.retain(|c| c.number != number);
-                    if refused {
-                        pool.alone_until = Instant::now() + REFUSED_PAUSE;
-                    }
                 }
             }
         }
         let Some(pool) = self.pools.get_mut(&server) else { return ended };
-        pool.pump(self.limits.multiplex, &mut ended);
+        ended.extend(pool.pump(self.limits.multiplex).into_iter().map(unplaced));
         self.tidy(server);
         ended
     }
@@ -420,7 +498,8 @@
             }
             !line.in_vain()
         });
-        pool.pump(self.limits.multiplex, &mut withdrawn.ended);
+        let unplaced = pool.pump(self.limits.multiplex).into_iter();
+        withdrawn.ended.extend(unplaced.map(|id| (id, Ended::NotConnected)));
         self.tidy(server);
         withdrawn
     }
@@ -466,7 +545,7 @@
         let (host, line, events, within) =
             (host.clone(), shared.clone(), events.clone(), limits.connect_timeout);
         let task = tokio::task::spawn_local(async move {
-            let refused = drive(&host, server, number, address, within, &line, &events).await;
+            let end = drive(&host, server, number, address, within, &line, &events).await;
             let mut state = std::mem::take(&mut *line.line.borrow_mut());
             let written = state.sent.drain(..).map(|s| s.attempt).collect();
             let begun = match state.writing {
@@ -474,7 +553,7 @@
                 Writing::Nothing | Writing::Abandoned => None,
             };
             let unwritten = begun.into_iter().chain(state.unsent.drain(..).map(|c| c.attempt)).collect();
-            let event = Event::Down { refused, written, unwritten };
+            let event = Event::Down { end, written, unwritten };
             let _ = events.send(Input::Server { server, number, event }).await;
         });
         let (task, used) = (task.abort_handle(), Instant::now());
@@ -506,18 +585,21 @@
     }
 
     /// Gives waiting attempts the connections that have become free; once none is being made any more those
-    /// left go behind others, or have found no connection.
-    fn pump(&mut self, multiplex: usize, ended: &mut Vec<(AttemptId, Ended)>) {
+    /// left go behind others. Returns those that have found no connection.
+    fn pump(&mut self, multiplex: usize) -> Vec<AttemptId> {
+        let mut unplaced = Vec::new();
         while let Some(command) = self.waiting.pop_front() {
             let attempt = command.attempt;
             if let Some(c) = self.connections.iter_mut().find(|c| c.free()) {
                 c.push(command);
             } else if self.connections.iter().any(|c| !c.up() && !c.retired) {
-                return self.waiting.push_front(command);
+                self.waiting.push_front(command);
+                break;
             } else if !self.append(command, multiplex) {
-                ended.push((attempt, Ended::NotConnected));
+                unplaced.push(attempt);
             }
         }
+        unplaced
     }
 }
 
--- a/crates/node/src/servers/driver.rs
+++ b/crates/node/src/servers/driver.rs
@@ -9,6 +9,7 @@
 
 use brassrouter::ServerId;
 use bytes::{Bytes, BytesMut};
+use mothpier_host::failure::ConnectFailure;
 use mothpier_host::{Host, Reading, Stream};
 use mothpier_resp as resp;
 use redis_protocol::resp2::types::BytesFrame;
@@ -16,7 +17,7 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-use super::{Command, Event, Payload, Sent, Shared, Writing};
+use super::{Command, ConnectionEnd, Event, Payload, Sent, Shared, Writing};
 use crate::command::{AttemptId, PIECE, STANDSTILL, Stream as LargeValue};
 use crate::input::Input;
 use crate::stream::{READ, more};
@@ -49,7 +50,7 @@
     }
 }
 
-/// Makes a connection and carries its commands until it ends; whether it was refused.
+/// Makes a connection and carries its commands until it ends; how it did.
 pub(super) async fn drive<H: Host>(
     host: &H,
     server: ServerId,
@@ -58,15 +59,15 @@
     within: Duration,
     shared: &Shared,
     events: &mpsc::Sender<Input>,
-) -> bool {
+) -> ConnectionEnd {
     let stream = match timeout(within, host.connect(address)).await {
         Ok(Ok(stream)) => stream,
-        Ok(Err(_)) => return true,
-        Err(_) => return false,
+        Ok(Err(error)) => return not_made(error),
+        Err(_) => return ConnectionEnd::TimedOut,
     };
     shared.line.borrow_mut().up = true;
     if events.send(Input::Server { server, number, event: Event::Up }).await.is_err() {
-        return false;
+        return ConnectionEnd::Broken;
     }
     let (reading, mut writing) = stream.into_halves();
     let reader = async {
@@ -156,7 +157,15 @@
     };
     // The reader first: a close by the server is noticed before anything more is written to it.
     tokio::select! { biased; () = reader => {}, () = writer => {} }
-    false
+    ConnectionEnd::Broken
+}
+
+/// Reads why a connection was not made.
+fn not_made(error: std::io::Error) -> ConnectionEnd {
+    match ConnectFailure::of(&error) {
+        ConnectFailure::Local => ConnectionEnd::LocalFailure(error),
+        ConnectFailure::Remote => ConnectionEnd::Refused,
+    }
 }
 
 /// Writes the first bytes of the first queued command that has time left; `None` where there is none.
--- a/crates/node/tests/unit/servers.rs
+++ b/crates/node/tests/unit/servers.rs
@@ -7,9 +7,15 @@
 
 use super::*;
 use crate::command::{Claim, Ids};
+use crate::failing_host::{EMFILE, ENETUNREACH, FailingHost, LOCAL, REMOTE};
 
 /// The connections of one of so many nodes, with so many descriptors for them, and what they tell.
 fn servers(balancers: usize, descriptors: usize) -> (Servers<Machine>, mpsc::Receiver<Input>) {
+    servers_on(Machine { program: "test" }, balancers, descriptors)
+}
+
+/// The same on a host.
+fn servers_on<H: Host>(host: H, balancers: usize, descriptors: usize) -> (Servers<H>, mpsc::Receiver<Input>) {
     let (events, inputs) = mpsc::channel(8);
     let limits = Limits {
         balancers,
@@ -19,7 +25,7 @@
         descriptors,
     };
     let figures = Desk::new(["read"]).figures.clone();
-    (Servers::new(Machine { program: "test" }, limits, figures, events), inputs)
+    (Servers::new(host, limits, figures, events), inputs)
 }
 
 /// Answers come in the order of the commands: one that is slow or lost must not hold up seven others.
@@ -33,10 +39,13 @@
             let (mut servers, _inputs) = servers(balancers, descriptors);
             assert!(servers.listed(7, Some(address), true).is_empty());
             for attempt in 1..=20 {
-                assert!(servers.send(7, Command { attempt, payload: Payload::Probe }));
+                assert!(servers.send(7, Command { attempt, payload: Payload::Probe }).is_ok());
             }
             assert_eq!(servers.pools[&7].connections.len(), connections);
-            assert_eq!(servers.connects(), Connects { begun: connections as u32, refused: 0 });
+            assert_eq!(
+                servers.connects(),
+                Connects { begun: connections as u32, refused: 0, local_failures: 0 }
+            );
             assert_eq!(servers.connects(), Connects::default(), "told once");
         }
     });
@@ -52,11 +61,11 @@
         let (mut servers, mut inputs) = servers(1, 8);
         let ping = |attempt| Command { attempt, payload: Payload::Probe };
         assert!(servers.listed(7, Some(address), true).is_empty());
-        assert!(servers.send(7, ping(1)));
+        assert!(servers.send(7, ping(1)).is_ok());
         assert!(matches!(inputs.recv().await, Some(Input::Server { event: Event::Up, .. })));
         // Up, but the node has not been told yet: the attempt still waits.
         assert_eq!(servers.listed(7, Some(address), false), [1]);
-        assert!(!servers.send(7, ping(2)), "taken for a server that drains");
+        assert!(servers.send(7, ping(2)).is_err(), "taken for a server that drains");
         assert!(servers.event(7, 1, Event::Up).is_empty());
     });
     let mut written = Vec::new();
@@ -75,7 +84,7 @@
         tokio::task::LocalSet::new().block_on(&runtime, async {
             let (mut servers, mut inputs) = servers(1, 8);
             assert!(servers.listed(7, Some(address), true).is_empty());
-            assert!(servers.send(7, Command { attempt: 1, payload: Payload::Probe }));
+            assert!(servers.send(7, Command { attempt: 1, payload: Payload::Probe }).is_ok());
             assert!(matches!(inputs.recv().await, Some(Input::Server { event: Event::Up, .. })));
             assert!(servers.event(7, 1, Event::Up).is_empty());
             let (mut stream, _) = listener.accept().unwrap();
@@ -131,8 +140,8 @@
 #[test]
 fn an_attempt_without_time_left_is_not_written() {
     with_one_connection(async |listener, mut servers, mut inputs| {
-        assert!(servers.send(7, read_until(1, Instant::now())));
-        assert!(servers.send(7, Command { attempt: 2, payload: Payload::Probe }));
+        assert!(servers.send(7, read_until(1, Instant::now())).is_ok());
+        assert!(servers.send(7, Command { attempt: 2, payload: Payload::Probe }).is_ok());
         assert!(matches!(inputs.recv().await, Some(Input::Server { event: Event::Up, .. })));
         assert!(servers.event(7, 1, Event::Up).is_empty());
         let (mut stream, _) = listener.accept().unwrap();
@@ -155,7 +164,7 @@
 #[test]
 fn a_connection_is_closed_when_the_last_that_waits_on_it_is_taken_back_unwritten() {
     with_one_connection(async |listener, mut servers, mut inputs| {
-        assert!(servers.send(7, Command { attempt: 1, payload: Payload::Probe }));
+        assert!(servers.send(7, Command { attempt: 1, payload: Payload::Probe }).is_ok());
         assert!(matches!(inputs.recv().await, Some(Input::Server { event: Event::Up, .. })));
         assert!(servers.event(7, 1, Event::Up).is_empty());
         let (stream, _) = listener.accept().unwrap();
@@ -164,7 +173,7 @@
         while written(&servers) == 0 {
             tokio::task::yield_now().await;
         }
-        assert!(servers.send(7, read_until(2, Instant::now())));
+        assert!(servers.send(7, read_until(2, Instant::now())).is_ok());
         assert!(!servers.give_up(7, 1).unwritten);
         assert_eq!(servers.pools[&7].connections.len(), 1, "closed under one that waits");
         assert!(servers.give_up(7, 2).unwritten);
@@ -172,3 +181,128 @@
         drop(stream);
     });
 }
+
+/// A server that is ready, at an address at which a [`FailingHost`] may fail.
+fn failing_server(host: &FailingHost) -> (Servers<FailingHost>, mpsc::Receiver<Input>) {
+    let (mut servers, inputs) = servers_on(host.clone(), 1, 64);
+    assert!(servers.listed(7, Some("127.0.0.1:1".parse().unwrap()), true).is_empty());
+    (servers, inputs)
+}
+
+fn probe(attempt: AttemptId) -> Command {
+    Command { attempt, payload: Payload::Probe }
+}
+
+/// Takes the next event of a connection to a server, and returns the attempts that it ends.
+async fn next_event<H: Host>(
+    servers: &mut Servers<H>,
+    inputs: &mut mpsc::Receiver<Input>,
+) -> Vec<(AttemptId, Ended)> {
+    match inputs.recv().await {
+        Some(Input::Server { server, number, event }) => servers.event(server, number, event),
+        _ => panic!("something else"),
+    }
+}
+
+/// Runs a test on one thread with a clock that stands still unless it is moved.
+fn with_paused_clock(test: impl Future<Output = ()>) {
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build().unwrap();
+    tokio::task::LocalSet::new().block_on(&runtime, test);
+}
+
+/// What this machine lacks tells nothing of the server: its attempts never ran, it counts as refused nowhere, and the next
+/// connection is tried as soon as the pause is over.
+#[test]
+fn a_connection_that_this_machine_cannot_make_is_no_refusal_of_the_server() {
+    with_paused_clock(async {
+        for error in LOCAL {
+            let host = FailingHost::with(error);
+            let (mut servers, mut inputs) = failing_server(&host);
+            assert_eq!(servers.send(7, probe(1)), Ok(()));
+            let ended = next_event(&mut servers, &mut inputs).await;
+            assert!(matches!(ended[..], [(1, Ended::LocalFailure)]), "error {error}");
+            let connects = servers.connects();
+            assert_eq!((connects.refused, connects.local_failures), (0, 1), "error {error}");
+            assert_eq!(servers.send(7, probe(2)), Err(SendError::LocalFailure), "tried again at once");
+            tokio::time::advance(Duration::from_millis(10)).await;
+            assert_eq!(servers.send(7, probe(3)), Ok(()), "error {error}");
+            assert_eq!(host.log.borrow().len(), 1);
+        }
+    });
+}
+
+#[test]
+fn a_connection_that_fails_at_the_server_or_on_the_way_to_it_is_a_refusal() {
+    with_paused_clock(async {
+        for error in REMOTE {
+            let host = FailingHost::with(error);
+            let (mut servers, mut inputs) = failing_server(&host);
+            assert_eq!(servers.send(7, probe(1)), Ok(()));
+            let ended = next_event(&mut servers, &mut inputs).await;
+            assert!(matches!(ended[..], [(1, Ended::NotConnected)]), "error {error}");
+            let connects = servers.connects();
+            assert_eq!((connects.refused, connects.local_failures), (1, 0), "error {error}");
+        }
+    });
+}
+
+/// Where no route leads to one server and another is connected, it is that server that can't be reached.
+#[test]
+fn a_route_that_only_one_server_lacks_is_a_refusal_of_its() {
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    tokio::task::LocalSet::new().block_on(&runtime, async {
+        let host = FailingHost::new();
+        let (mut servers, mut inputs) = failing_server(&host);
+        assert!(servers.listed(8, Some(address), true).is_empty());
+        assert_eq!(servers.send(8, probe(1)), Ok(()));
+        assert!(next_event(&mut servers, &mut inputs).await.is_empty());
+        host.error.set(Some(ENETUNREACH));
+        assert_eq!(servers.send(7, probe(2)), Ok(()));
+        let ended = next_event(&mut servers, &mut inputs).await;
+        assert!(matches!(ended[..], [(2, Ended::NotConnected)]));
+        assert_eq!(servers.connects().refused, 1);
+    });
+}
+
+/// Requests go on to come, and each wants a connection: this machine is asked for one at a bounded rate, and so is the log.
+#[test]
+fn a_shortage_of_descriptors_is_not_met_with_a_storm_of_connections() {
+    with_paused_clock(async {
+        let host = FailingHost::with(EMFILE);
+        let (mut servers, mut inputs) = failing_server(&host);
+        for attempt in 0..10_000 {
+            if servers.send(7, probe(attempt)).is_ok() {
+                let ended = next_event(&mut servers, &mut inputs).await;
+                assert!(matches!(ended[..], [(_, Ended::LocalFailure)]));
+            }
+            tokio::time::advance(Duration::from_millis(1)).await;
+        }
+        let tries = host.connects.get();
+        assert!((50..=80).contains(&tries), "{tries} connections tried in 10 s");
+        assert!(host.log.borrow().len() <= 3, "{:?}", host.log.borrow());
+    });
+}
+
+/// Connections that there are serve on: nothing waits for the pause.
+#[test]
+fn a_connection_that_is_up_is_used_while_this_machine_can_make_no_other() {
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    tokio::task::LocalSet::new().block_on(&runtime, async {
+        let host = FailingHost::new();
+        let (mut servers, mut inputs) = servers_on(host.clone(), 1, 64);
+        assert!(servers.listed(7, Some(address), true).is_empty());
+        assert_eq!(servers.send(7, probe(1)), Ok(()));
+        assert!(next_event(&mut servers, &mut inputs).await.is_empty());
+        host.error.set(Some(EMFILE));
+        // The second waits for a connection of its own, which fails: it goes behind the first.
+        assert_eq!(servers.send(7, probe(2)), Ok(()));
+        assert!(next_event(&mut servers, &mut inputs).await.is_empty());
+        assert_eq!(servers.send(7, probe(3)), Ok(()));
+        assert_eq!(servers.pools[&7].connections[0].load(), 3);
+    });
+}
