--- a/crates/node/src/origin.rs
+++ b/crates/node/src/origin.rs
@@ -14,6 +14,7 @@
 use hyper::header::HeaderValue;
 use hyper::{Method, Request};
 use mothpier_host::Host;
+use mothpier_host::failure::ConnectFailure;
 use mothpier_ops::Figures;
 use mothpier_resp::{MAX_VALUE, WHOLE};
 use percent_encoding::{AsciiSet, NON_ALPHANUMERIC, percent_encode};
@@ -24,6 +25,7 @@
 use crate::command::{Answer, AttemptExtras, AttemptId, Command, PIECE, STANDSTILL, Stream};
 use crate::http::{self, Connection};
 use crate::input::Input;
+use crate::local_failures::LocalFailures;
 
 /// A connection idle for this part of the time after which it is closed is not used again.
 const FRESH: f64 = 0.7;
@@ -110,14 +112,49 @@
 /// A connection with its part of the descriptors, and since when it has been idle.
 struct Idle(Connection, OwnedSemaphorePermit, Instant);
 
+/// Opens connections to origins.
+#[derive(Clone)]
+struct Connector<H> {
+    host: H,
+    timeout: Duration,
+    /// Connections that may be open to all together.
+    descriptors: Arc<Semaphore>,
+    /// A shortage of this machine's concerns the connections to all of them.
+    local_failures: Rc<RefCell<LocalFailures>>,
+}
+
+impl<H: Host> Connector<H> {
+    /// Opens one; the status of its attempt where it can't be made. Too few descriptors, or too early after a shortage of
+    /// this machine's, are no failure of the origin's.
+    async fn connect(&self, to: SocketAddr) -> Result<(Connection, OwnedSemaphorePermit), Status> {
+        let permit = self.descriptors.clone().try_acquire_owned().map_err(|_| Status::LocalFailure)?;
+        if !self.local_failures.borrow().may_connect() {
+            return Err(Status::LocalFailure);
+        }
+        let connected = http::connect(&self.host, to, self.timeout).await;
+        let mut failures = self.local_failures.borrow_mut();
+        match connected {
+            Ok(connection) => {
+                failures.connected();
+                Ok((connection, permit))
+            }
+            Err(error) if ConnectFailure::of(&error) == ConnectFailure::Local => {
+                if failures.failed() {
+                    self.host.log(format_args!("this machine can't connect to the origin: {error}"));
+                }
+                Err(Status::LocalFailure)
+            }
+            Err(_) => Err(Status::ConnectFailed),
+        }
+    }
+}
+
 /// The origins of the list.
 pub struct Origins<H> {
-    host: H,
+    connector: Connector<H>,
     pools: BTreeMap<ServerId, Rc<Pool>>,
     idle_close: Duration,
-    connect_timeout: Duration,
     /// Connections that may be open to all together.
-    descriptors: Arc<Semaphore>,
     most: usize,
     figures: Arc<Figures>,
     events: mpsc::Sender<Input>,
@@ -133,18 +170,14 @@
         events: mpsc::Sender<Input>,
     ) -> Self {
         let most = descriptors.max(1);
-        let descriptors = Arc::new(Semaphore::new(most));
-        let idle_close = idle_close.mul_f64(FRESH);
-        Origins {
+        let connector = Connector {
             host,
-            pools: BTreeMap::new(),
-            idle_close,
-            connect_timeout,
-            descriptors,
-            most,
-            figures,
-            events,
-        }
+            timeout: connect_timeout,
+            descriptors: Arc::new(Semaphore::new(most)),
+            local_failures: Rc::default(),
+        };
+        let idle_close = idle_close.mul_f64(FRESH);
+        Origins { connector, pools: BTreeMap::new(), idle_close, most, figures, events }
     }
 
     /// Takes a line of the list of one that is not gone.
@@ -165,7 +198,7 @@
 
     /// How many connections there are.
     pub fn open(&self) -> usize {
-        self.most.saturating_sub(self.descriptors.available_permits())
+        self.most.saturating_sub(self.connector.descriptors.available_permits())
     }
 
     /// How many are kept.
@@ -216,15 +249,14 @@
     fn spawn(&self, pool: Rc<Pool>, address: SocketAddr, attempt: AttemptId, outgoing: Outgoing) -> Call {
         let written = Rc::new(Cell::new(false));
         let figures = outgoing.extras.is_some().then(|| self.figures.clone());
-        let (host, begun, events) = (self.host.clone(), written.clone(), self.events.clone());
+        let (connector, begun, events) = (self.connector.clone(), written.clone(), self.events.clone());
         let begins = move || {
             begun.set(true);
             figures.iter().for_each(|f| f.attempt());
         };
-        let (fresh, within, descriptors) = (self.idle_close, self.connect_timeout, self.descriptors.clone());
+        let fresh = self.idle_close;
         let task = tokio::task::spawn_local(async move {
-            let answered =
-                exchange(&host, &pool, address, outgoing, (fresh, within), descriptors, begins).await;
+            let answered = exchange(&connector, &pool, address, outgoing, fresh, begins).await;
             let (ended, large) = match answered {
                 Ok((ended, large)) => (ended, large),
                 Err(status) => (Ended::with(status), None),
@@ -246,12 +278,11 @@
 }
 
 async fn exchange<H: Host>(
-    host: &H,
+    connector: &Connector<H>,
     pool: &Pool,
     address: SocketAddr,
     outgoing: Outgoing,
-    (fresh, within): (Duration, Duration),
-    descriptors: Arc<Semaphore>,
+    fresh: Duration,
     begins: impl FnOnce(),
 ) -> Result<(Ended, Option<Large>), Status> {
     // Once round the runtime: a close that has come in is noticed before a connection is chosen, or a write that
@@ -262,13 +293,9 @@
         idle.retain(|Idle(c, _, since)| c.sender.is_ready() && since.elapsed() < fresh);
         idle.pop()
     };
-    let (mut connection, permit) = match (idle, descriptors.try_acquire_owned()) {
-        (Some(Idle(connection, permit, _)), _) => (connection, permit),
-        (None, Ok(permit)) => match http::connect(host, address, within).await {
-            Ok(connection) => (connection, permit),
-            Err(_) => return Err(Status::ConnectFailed),
-        },
-        (None, Err(_)) => return Err(Status::ConnectFailed),
+    let (mut connection, permit) = match idle {
+        Some(Idle(connection, permit, _)) => (connection, permit),
+        None => connector.connect(address).await?,
     };
     // It may have begun to drain while the connection was made: nothing new goes there then.
     if !pool.ready.get() {
--- a/crates/node/tests/unit/origin.rs
+++ b/crates/node/tests/unit/origin.rs
@@ -5,6 +5,7 @@
 
 use super::*;
 use crate::command::{Claim, Ids};
+use crate::failing_host::{FailingHost, LOCAL, REMOTE};
 
 /// Only what has hung waits for so long; nothing is measured by it.
 const HUNG: Duration = Duration::from_secs(10);
@@ -44,3 +45,61 @@
     std::io::Read::read_to_end(&mut stream, &mut written).unwrap();
     assert_eq!(written, b"");
 }
+
+/// Calls to an origin on a host where connections fail, and how the first of them ended.
+async fn first_call(host: &FailingHost) -> (Origins<FailingHost>, mpsc::Receiver<Input>, Status) {
+    let (events, mut inputs) = mpsc::channel(8);
+    let figures = Desk::new(["read"]).figures.clone();
+    let (idle, within) = (Duration::from_secs(60), Duration::from_secs(30));
+    let mut origins = Origins::new(host.clone(), idle, within, 8, figures, events);
+    origins.listed(7, Some("127.0.0.1:1".parse().unwrap()), true);
+    assert!(origins.probe(7, 1).is_some());
+    let status = ended(&mut inputs).await;
+    (origins, inputs, status)
+}
+
+async fn ended(inputs: &mut mpsc::Receiver<Input>) -> Status {
+    match timeout(HUNG, inputs.recv()).await {
+        Ok(Some(Input::Origin { ended, .. })) => ended.status,
+        _ => panic!("something else"),
+    }
+}
+
+/// Runs a test on one thread with a clock that stands still unless it is moved.
+fn with_paused_clock(test: impl Future<Output = ()>) {
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build().unwrap();
+    tokio::task::LocalSet::new().block_on(&runtime, test);
+}
+
+/// What this machine lacks is no trouble of the origin's, and is not asked of the machine again at once.
+#[test]
+fn a_call_that_this_machine_cannot_make_is_told_as_a_local_failure() {
+    with_paused_clock(async {
+        for error in LOCAL {
+            let host = FailingHost::with(error);
+            let (origins, mut inputs, status) = first_call(&host).await;
+            assert_eq!(status, Status::LocalFailure, "error {error}");
+            for attempt in 2..50 {
+                origins.probe(7, attempt).unwrap();
+                assert_eq!(ended(&mut inputs).await, Status::LocalFailure);
+            }
+            assert_eq!(host.connects.get(), 1, "tried again at once");
+            tokio::time::advance(Duration::from_millis(10)).await;
+            origins.probe(7, 50).unwrap();
+            ended(&mut inputs).await;
+            assert_eq!(host.connects.get(), 2);
+            assert_eq!(host.log.borrow().len(), 1);
+        }
+    });
+}
+
+#[test]
+fn a_call_that_fails_at_the_origin_or_on_the_way_to_it_is_not_connected() {
+    with_paused_clock(async {
+        for error in REMOTE {
+            let (_, _, status) = first_call(&FailingHost::with(error)).await;
+            assert_eq!(status, Status::ConnectFailed, "error {error}");
+        }
+    });
+}
