--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -9,6 +9,7 @@
 use bytes::Bytes;
 use http_body_util::Full;
 use mothpier_host::Host;
+use mothpier_host::failure::ConnectFailure;
 use serde::{Deserialize, Serialize};
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep, timeout};
@@ -192,6 +193,8 @@
     Silent,
     /// It was answered otherwise, or broke.
     Failed(String),
+    /// This machine could not make the connection, which tells nothing of discovery.
+    Local(std::io::Error),
 }
 
 impl std::fmt::Display for Failure {
@@ -199,6 +202,7 @@
         match self {
             Failure::Silent => f.write_str("no answer"),
             Failure::Failed(why) => f.write_str(why),
+            Failure::Local(error) => write!(f, "this machine can't connect: {error}"),
         }
     }
 }
@@ -213,6 +217,7 @@
     events: mpsc::Sender<Input>,
 ) {
     let (mut connection, mut revision, mut calls, mut failing) = (None, known, 0, false);
+    let mut failing_locally = false;
     // What was held at the start may be old. An agent gives the whole list at no cost; where discovery is one
     // service for all, only what changed since is asked for.
     let mut first = teller == Teller::Agent;
@@ -238,7 +243,6 @@
             continue;
         }
         let whole = first || !now.watch;
-        calls = now.calls;
         let answer = tokio::select! {
             biased;
             Ok(()) = addresses.changed() => {
@@ -247,10 +251,22 @@
             }
             answer = call(&host, teller.patience(stage), &mut connection, address, revision.filter(|_| !whole)) => answer,
         };
-        moved = false;
+        if let Err(Failure::Local(error)) = answer {
+            // Discovery has not been asked: the same call is made again, and nobody is told of a failure of discovery's.
+            if !failing_locally {
+                host.log(format_args!("discovery: {}; trying again until it can", Failure::Local(error)));
+            }
+            (connection, stage, failing_locally) = (None, Stage::Opens, true);
+            sleep(PAUSE).await;
+            if events.is_closed() {
+                return;
+            }
+            continue;
+        }
+        (moved, calls) = (false, now.calls);
         let heard = match answer {
             Ok(list) => {
-                (first, failing, stage) = (false, false, Stage::Goes);
+                (first, failing, stage, failing_locally) = (false, false, Stage::Goes, false);
                 revision = Some(list.revision);
                 Heard::List(list)
             }
@@ -279,6 +295,14 @@
     }
 }
 
+/// Reads why there is no connection.
+fn not_connected(error: std::io::Error) -> Failure {
+    match ConnectFailure::of(&error) {
+        ConnectFailure::Local => Failure::Local(error),
+        ConnectFailure::Remote => Failure::Failed(format!("no connection: {error}")),
+    }
+}
+
 async fn call<H: Host>(
     host: &H,
     (wait, late): (Duration, Duration),
@@ -292,9 +316,7 @@
         None => "/api/targets".into(),
     };
     if open.as_ref().is_none_or(|c| !c.sender.is_ready()) {
-        *open = Some(
-            http::connect(host, address, late).await.map_err(|e| failed(format!("no connection: {e}")))?,
-        );
+        *open = Some(http::connect(host, address, late).await.map_err(not_connected)?);
     }
     let Some(connection) = open else { return Err(failed("no connection".into())) };
     let request =
@@ -313,3 +335,7 @@
     let _ = tokio::time::timeout(PAUSE, connection.sender.ready()).await;
     serde_json::from_slice(&body).map_err(|e| failed(format!("unreadable list: {e}")))
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/discovery.rs"]
+mod tests;
--- /dev/null
+++ b/crates/node/tests/unit/discovery.rs
@@ -0,0 +1,79 @@
+//! The watch on the list, told apart from the node.
+
+use super::*;
+use crate::failing_host::{EMFILE, FailingHost, LOCAL, REMOTE};
+
+/// Only what has hung waits for so long; nothing is measured by it.
+const HUNG: Duration = Duration::from_secs(10);
+
+/// Starts a watch on a host whose connections fail, and lets it go on for a time.
+async fn watch_for(host: &FailingHost, span: Duration) -> mpsc::Receiver<Input> {
+    let (events, inputs) = mpsc::channel(64);
+    let (_address, addresses) = watch::channel("127.0.0.1:1".parse().unwrap());
+    let (_wanted, wanted) = watch::channel(Wanted { watch: true, calls: 1 });
+    let watch = run(host.clone(), Teller::Agent, addresses, None, wanted, events);
+    let _ = timeout(span, watch).await;
+    inputs
+}
+
+/// Discovery has not been asked where this machine lacks something: it is said once, and tried again in a measured way.
+#[tokio::test(start_paused = true)]
+async fn a_watch_that_this_machine_cannot_open_is_tried_again_with_its_pause_and_blames_nobody() {
+    for error in LOCAL {
+        let host = FailingHost::with(error);
+        let mut inputs = watch_for(&host, Duration::from_secs(10)).await;
+        assert!(inputs.try_recv().is_err(), "error {error} told as a failure of discovery's");
+        let tries = host.connects.get();
+        assert!((50..=101).contains(&tries), "{tries} tries in 10 s");
+        let log = host.log.borrow();
+        assert_eq!(log.len(), 1, "{log:?}");
+        assert!(log[0].contains("this machine"), "{log:?}");
+    }
+}
+
+#[tokio::test(start_paused = true)]
+async fn a_watch_that_discovery_or_the_way_to_it_turns_down_is_told_as_failed() {
+    for error in REMOTE {
+        let host = FailingHost::with(error);
+        let mut inputs = watch_for(&host, Duration::from_secs(1)).await;
+        assert!(matches!(inputs.try_recv(), Ok(Input::Discovery(Heard::Failed))), "error {error}");
+        assert!(!host.log.borrow().iter().any(|line| line.contains("this machine")));
+    }
+}
+
+/// A call that was asked for once is owed, also where there is no watch to go on with.
+#[test]
+fn a_call_for_the_whole_list_outlasts_a_shortage_of_this_machines() {
+    let service = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = service.local_addr().unwrap();
+    let host = FailingHost::with(EMFILE);
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    tokio::task::LocalSet::new().block_on(&runtime, async {
+        let (events, mut inputs) = mpsc::channel(8);
+        let (_address, addresses) = watch::channel(address);
+        let (_wanted, wanted) = watch::channel(Wanted { watch: false, calls: 1 });
+        tokio::task::spawn_local(run(host.clone(), Teller::Service, addresses, None, wanted, events));
+        while host.connects.get() < 2 {
+            tokio::task::yield_now().await;
+        }
+        host.error.set(None);
+        let answer = std::thread::spawn(move || {
+            use std::io::{Read, Write};
+            let mut stream = service.accept().unwrap().0;
+            let mut asked = Vec::new();
+            while !asked.ends_with(b"\r\n\r\n") {
+                let mut byte = [0];
+                stream.read_exact(&mut byte).unwrap();
+                asked.push(byte[0]);
+            }
+            let list = r#"{"revision":3,"complete":true,"members":[]}"#;
+            let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", list.len());
+            stream.write_all([head.as_bytes(), list.as_bytes()].concat().as_slice()).unwrap();
+            stream
+        });
+        let heard = timeout(HUNG, inputs.recv()).await;
+        let Ok(Some(Input::Discovery(Heard::List(list)))) = heard else { panic!("no list") };
+        assert_eq!(list.revision, 3);
+        drop(answer.join());
+    });
+}
