--- /dev/null
+++ b/crates/mothpier/tests/beyond_servers.rs
@@ -0,0 +1,555 @@
+//! Trouble at cache servers, the origin and discovery beyond the common faults, on real sockets with the daemon as a
+//! process: forgotten connections, hangs through a shutdown, requests dropped without a word, retries and hedges that fail
+//! at once, answers in single bytes, small socket buffers, and configurations in quick succession.
+#![allow(missing_docs)]
+
+mod world;
+
+use std::io::{BufReader, Read, Write};
+use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::sync::mpsc::{Receiver, Sender, channel};
+use std::sync::{Arc, Mutex};
+use std::thread;
+use std::time::{Duration, Instant};
+
+use socket2::{Domain, SockRef, Socket, Type};
+use world::*;
+
+/// Writes go to cache servers where these fetch what they lack by themselves.
+const THROUGH: (&str, &str) = (r#""mode":"aside""#, r#""mode":"through""#);
+
+/// Deadlines of 1.5 s for the two classes that have 20 s.
+const SHORT: [(&str, &str); 2] = [
+    (r#""deadlineUs":20000000,"goalTimeUs":2000000,"#, r#""deadlineUs":1500000,"goalTimeUs":1500000,"#),
+    (r#""deadlineUs":20000000,"goalTimeUs":1000000,"#, r#""deadlineUs":1500000,"goalTimeUs":1000000,"#),
+];
+
+/// SIGKILL comes no sooner after SIGTERM than the longest deadline ([`SHORT`]) and 0.7 s more.
+const KILLED_AFTER: Duration = Duration::from_millis(1500 + 700);
+
+/// Ends a connection by a reset.
+fn reset_connection(stream: &TcpStream) {
+    SockRef::from(stream).set_linger(Some(Duration::ZERO)).unwrap();
+}
+
+/// Gives each connection of a listener a thread of its own.
+fn each_connection(listener: TcpListener, serve: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
+    let address = listener.local_addr().unwrap();
+    let serve = Arc::new(serve);
+    thread::spawn(move || {
+        for stream in listener.incoming().map_while(Result::ok) {
+            let serve = serve.clone();
+            thread::spawn(move || serve(stream));
+        }
+    });
+    address
+}
+
+fn listener() -> TcpListener {
+    TcpListener::bind("127.0.0.1:0").unwrap()
+}
+
+/// The bytes of a reaction that answers.
+fn bytes_of(reaction: Reaction) -> Vec<u8> {
+    match reaction {
+        Reaction::Answer(bytes) => bytes,
+        _ => unreachable!("no answer"),
+    }
+}
+
+/// What becomes of a connection that has answered its first command.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Forgets {
+    Closes,
+    Resets,
+    /// The server knows nothing of it any more, and says so only when something more comes.
+    ResetsAtNextRequest,
+}
+
+/// A cache server that forgets each connection after its first answer.
+struct ForgetfulServer {
+    address: SocketAddr,
+    /// The ids of the commands that were read.
+    seen: Receiver<String>,
+    /// Lets the connection that answered last end.
+    end: Sender<()>,
+    /// Told when it has ended.
+    ended: Receiver<()>,
+}
+
+impl ForgetfulServer {
+    fn start(forgets: Forgets) -> Self {
+        let (told, seen) = channel::<String>();
+        let (end, may_end) = channel::<()>();
+        let (has_ended, ended) = channel::<()>();
+        let shared = Mutex::new((told, has_ended));
+        let may_end = Mutex::new(may_end);
+        let address = each_connection(listener(), move |stream| {
+            let (told, has_ended) = shared.lock().unwrap().clone();
+            let mut stream = BufReader::new(stream);
+            let Some(first) = command(&mut stream) else { return };
+            told.send(first[2].clone()).unwrap();
+            stream.get_mut().write_all(&bytes_of(array(&first[2]))).unwrap();
+            if forgets == Forgets::ResetsAtNextRequest {
+                let Some(next) = command(&mut stream) else { return };
+                told.send(next[2].clone()).unwrap();
+            } else if may_end.lock().unwrap().recv().is_err() {
+                return;
+            }
+            if forgets == Forgets::Closes {
+                // Until the node has closed its side: it has noticed then.
+                stream.get_ref().shutdown(Shutdown::Write).unwrap();
+                let _ = stream.read_to_end(&mut Vec::new());
+            } else {
+                reset_connection(stream.get_ref());
+            }
+            drop(stream);
+            let _ = has_ended.send(());
+        });
+        ForgetfulServer { address, seen, end, ended }
+    }
+}
+
+/// A connection that its server has closed or reset while it was idle costs no request. Nothing tells the test when a reset
+/// has been noticed, and a write that overtakes it would fail: only reads follow one.
+#[test]
+fn an_idle_connection_that_its_server_has_ended_is_not_used_again() {
+    for forgets in [Forgets::Closes, Forgets::Resets] {
+        let server = ForgetfulServer::start(forgets);
+        let discovery = Discovery::start(&member("s-1", server.address, "m", "ready"));
+        let node = node("forgotten-idle", &discovery, &[THROUGH]);
+        let mut client = node.client();
+        for i in 0..20 {
+            let id = format!("i{i}");
+            let answer = match forgets {
+                Forgets::Closes if i % 2 == 1 => {
+                    client.ask(&["CACHE.SET", "k", &id, "c=once,t=acme,d=9000", "value"])
+                }
+                _ => client.ask(&["CACHE.GET", "k", &id, "c=read,t=acme,d=9000"]),
+            };
+            assert_eq!(answer, format!("${id}"), "{forgets:?}");
+            assert_eq!(server.seen.recv_timeout(HUNG).unwrap(), id, "{forgets:?}");
+            server.end.send(()).unwrap();
+            server.ended.recv_timeout(HUNG).unwrap();
+        }
+        assert!(server.seen.try_recv().is_err(), "{forgets:?}: sent again");
+    }
+}
+
+/// Nothing tells of it before a request has been written whole: a safe read is sent again, a write that may not run twice
+/// gets its error.
+#[test]
+fn on_a_connection_forgotten_without_a_word_a_read_is_retried_and_a_write_fails() {
+    let server = ForgetfulServer::start(Forgets::ResetsAtNextRequest);
+    let discovery = Discovery::start(&member("s-1", server.address, "m", "ready"));
+    let node = node("forgotten-silently", &discovery, &[THROUGH]);
+    let mut client = node.client();
+    let mut read = |id: &str| client.ask(&["CACHE.GET", "k", id, "c=read,t=acme,d=9000"]);
+    assert_eq!(read("r1"), "$r1");
+    assert_eq!(read("r2"), "$r2", "not retried");
+    let write = node.client().ask(&["CACHE.SET", "k", "w1", "c=once,t=acme,d=9000", "value"]);
+    assert_eq!(write, "-ERR failed");
+    assert_eq!(read("r3"), "$r3");
+    let seen: Vec<String> = server.seen.try_iter().collect();
+    assert_eq!(seen, ["r1", "r2", "r2", "w1", "r3"]);
+}
+
+/// All cache servers and the origin hang, and go on to hang, when the process is told to end: every request that it reads
+/// has its final answer before SIGKILL may come, and the process has ended by then.
+#[test]
+fn all_requests_are_answered_before_sigkill_while_all_servers_hang_through_the_shutdown() {
+    for connects in [true, false] {
+        let silent = || serve(command, |_| Reaction::Silence);
+        let origin = serve(call, |_| Reaction::Silence);
+        let shut = Shut::new();
+        let cache = if connects { silent() } else { shut.address() };
+        let members = [
+            member("s-1", cache, "m", "ready"),
+            member("s-2", cache, "m", "ready"),
+            member("o-1", origin, "origin", "ready"),
+        ];
+        let discovery = Discovery::start(&members.join(","));
+        let mut node = node("hangs-through", &discovery, &SHORT);
+        let mut clients: Vec<Client> = (0..6).map(|_| node.client()).collect();
+        let ask = |client: &mut Client, number: usize, id: &str| match number % 2 {
+            0 => client.send(&["CACHE.GET", &format!("k{id}"), id, "c=read,t=acme,d=600000"]),
+            _ => client.send(&["CACHE.SET", &format!("k{id}"), id, "c=once,t=acme,d=600000", "value"]),
+        };
+        for (number, client) in clients.iter_mut().enumerate() {
+            ask(client, number, &format!("before-{number}"));
+        }
+        node.figure_becomes("edge_router_in_flight", 6);
+        let told = Instant::now();
+        node.signal("TERM");
+        // Clients that have a request open send on, on their open connections.
+        for (number, client) in clients.iter_mut().enumerate() {
+            ask(client, number, &format!("after-{number}"));
+        }
+        for client in &mut clients {
+            for _ in 0..2 {
+                let answer = client.answer();
+                assert!(answer.starts_with('-'), "{answer}");
+                assert!(told.elapsed() < KILLED_AFTER, "answered after {:?}", told.elapsed());
+            }
+        }
+        assert!(node.ended().success());
+        assert!(told.elapsed() < KILLED_AFTER, "ended after {:?}", told.elapsed());
+    }
+}
+
+/// A cache server that drops what has little time left without a word, and says nothing more on that connection, for its
+/// answers come in order.
+fn drops_without_a_word(least: u64) -> SocketAddr {
+    each_connection(listener(), move |stream| {
+        let mut stream = BufReader::new(stream);
+        let mut silent = false;
+        while let Some(asked) = command(&mut stream) {
+            let left = asked[3].split(',').find_map(|extra| extra.strip_prefix("d=")).unwrap();
+            silent |= left.parse::<u64>().unwrap() < least;
+            if !silent && stream.get_mut().write_all(&bytes_of(array(&asked[2]))).is_err() {
+                return;
+            }
+        }
+    })
+}
+
+/// A request with little time left that its server drops gets its final answer in time, and those that come meanwhile or
+/// afterwards get their own answers.
+#[test]
+fn a_request_dropped_without_a_word_is_answered_in_time_and_harms_no_other() {
+    const LITTLE: Duration = Duration::from_millis(80);
+    // What a deadline may be passed by.
+    const SLACK: Duration = Duration::from_millis(150);
+    let members: Vec<String> = (0..3)
+        .map(|number| member(&format!("s-{number}"), drops_without_a_word(200), "m", "ready"))
+        .collect();
+    let discovery = Discovery::start(&members.join(","));
+    // As one of eight nodes it has four connections to each server: some requests are written behind others.
+    let node = node("drops", &discovery, &[(r#""balancers":1"#, r#""balancers":8"#)]);
+    for round in 0..6 {
+        let asked = Instant::now();
+        let mut dropped = node.client();
+        let extras = format!("c=read,t=acme,d={}", LITTLE.as_millis());
+        dropped.send(&["CACHE.GET", "k", &format!("little-{round}"), &extras]);
+        let mut others: Vec<Client> = (0..4).map(|_| node.client()).collect();
+        for (number, other) in others.iter_mut().enumerate() {
+            other.send(&["CACHE.GET", "k", &format!("r{round}-{number}"), "c=read,t=acme,d=9000"]);
+        }
+        let answer = dropped.answer();
+        assert!(answer.starts_with('-'), "{answer}");
+        assert!(asked.elapsed() < LITTLE + SLACK, "answered after {:?}", asked.elapsed());
+        for (number, other) in others.iter_mut().enumerate() {
+            assert_eq!(other.answer(), format!("$r{round}-{number}"));
+        }
+    }
+}
+
+/// Where nothing listens any more.
+fn closed_port() -> SocketAddr {
+    listener().local_addr().unwrap()
+}
+
+/// A hedge that is refused at once takes nothing from the first attempt, which is answered later.
+#[test]
+fn a_hedge_that_fails_at_once_leaves_the_first_attempt_its_answer() {
+    let (go, wait) = channel::<()>();
+    let wait = Mutex::new(wait);
+    let (told, commands) = channel();
+    let told = report(told);
+    let slow = serve(command, move |asked| {
+        told(asked);
+        if asked[2] == "slow" {
+            let _ = wait.lock().unwrap().recv();
+        }
+        array(&asked[2])
+    });
+    let slow_server = member("s-1", slow, "m", "ready");
+    let discovery = Discovery::start(&slow_server);
+    // A hedge goes out after two fifths of the aim.
+    let node = node("hedge-fails", &discovery, &[(r#""goalTimeUs":2000000"#, r#""goalTimeUs":500000"#)]);
+    let mut client = node.client();
+    client.send(&["CACHE.GET", "k", "slow", "c=read,t=acme,d=20000"]);
+    assert_eq!(commands.recv_timeout(HUNG).unwrap()[2], "slow");
+    // What is sent later is answered: the first is overtaken, so that it is hedged.
+    assert_eq!(node.client().ask(&["CACHE.GET", "k", "quick", "c=read,t=acme,d=20000"]), "$quick");
+    discovery.change(2, &[slow_server, member("s-2", closed_port(), "m", "ready")].join(","));
+    discovery.watched_after(2);
+    node.figure_becomes("edge_router_connects_refused_total", 1);
+    go.send(()).unwrap();
+    assert_eq!(client.answer(), "$slow");
+    node.figure_becomes("edge_router_in_flight", 0);
+}
+
+/// Of many servers only one listens: whatever is refused at once goes on to it, and each request gets its answer.
+#[test]
+fn retries_that_fail_at_once_go_on_to_a_server_that_listens() {
+    let good = serve(command, |asked| array(&asked[2]));
+    let origin = serve(call, |asked| http("200 OK", &asked[0]));
+    let mut members = vec![member("s-0", good, "m", "ready"), member("o-1", origin, "origin", "ready")];
+    members.extend((1..3).map(|number| member(&format!("s-{number}"), closed_port(), "m", "ready")));
+    let discovery = Discovery::start(&members.join(","));
+    let node = node("retries-fail", &discovery, &[]);
+    let mut client = node.client();
+    for number in 0..60 {
+        let (key, id) = (format!("k{number}"), format!("i{number}"));
+        let answer = client.ask(&["CACHE.GET", &key, &id, "c=read,t=acme,d=9000"]);
+        let from_origin = format!("$GET /{key} HTTP/1.1");
+        assert!(answer == format!("${id}") || answer == from_origin, "{answer}");
+    }
+}
+
+/// One whose retry fails at once, too, has its final answer long before its deadline.
+#[test]
+fn where_every_attempt_fails_at_once_the_final_answer_is_soon() {
+    let origin = serve(call, |_| Reaction::Reset);
+    let mut members = vec![member("o-1", origin, "origin", "ready")];
+    members.extend((0..3).map(|number| member(&format!("s-{number}"), closed_port(), "m", "ready")));
+    let discovery = Discovery::start(&members.join(","));
+    let node = node("all-fail", &discovery, &[]);
+    let mut client = node.client();
+    let asked = Instant::now();
+    for number in 0..20 {
+        let id = format!("i{number}");
+        let answer = client.ask(&["CACHE.GET", &id, &id, "c=read,t=acme,d=9000"]);
+        assert!(answer.starts_with('-'), "{answer}");
+    }
+    assert!(asked.elapsed() < Duration::from_secs(9), "{:?} for 20", asked.elapsed());
+}
+
+/// An answer over HTTP without a length ends with its connection; one that has come whole is passed on, in whatever pieces
+/// it came.
+#[test]
+fn answers_without_a_length_that_come_whole_in_single_bytes_are_forwarded() {
+    const HEADS: [&str; 3] = [
+        "HTTP/1.1 200 OK\r\n\r\n",
+        "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n",
+        "HTTP/1.0 200 OK\r\n\r\n",
+    ];
+    let answers = Arc::new(Mutex::new(0));
+    let count = answers.clone();
+    let origin = each_connection(listener(), move |stream| {
+        stream.set_nodelay(true).unwrap();
+        let mut stream = BufReader::new(stream);
+        if call(&mut stream).is_none() {
+            return;
+        }
+        let head = {
+            let mut count = count.lock().unwrap();
+            *count += 1;
+            HEADS[*count % HEADS.len()]
+        };
+        for byte in [head.as_bytes(), b"a whole receipt"].concat() {
+            stream.get_mut().write_all(&[byte]).unwrap();
+            thread::yield_now();
+        }
+    });
+    let discovery = Discovery::start(&member("o-1", origin, "origin", "ready"));
+    let node = node("single-bytes", &discovery, &[]);
+    let mut client = node.client();
+    for number in 0..30 {
+        let id = format!("i{number}");
+        let answer = client.ask(&["CACHE.SET", &id, &id, "c=once,t=acme,d=9000", "value"]);
+        assert_eq!(answer, "$a whole receipt");
+    }
+    assert_eq!(*answers.lock().unwrap(), 30);
+}
+
+/// A socket that holds little in either direction.
+fn small_buffers(socket: SockRef<'_>) {
+    const SMALL: usize = 4096;
+    socket.set_recv_buffer_size(SMALL).unwrap();
+    socket.set_send_buffer_size(SMALL).unwrap();
+    // Loopback's segments are larger than these buffers: the other side would wait for a timer before each of them.
+    socket.set_tcp_mss(1000).unwrap();
+}
+
+/// A listener whose connections have [`small_buffers`]: those that it accepts take over its sizes.
+fn small_listener() -> TcpListener {
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
+    small_buffers(SockRef::from(&socket));
+    socket.bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into()).unwrap();
+    socket.listen(128).unwrap();
+    TcpListener::from(socket)
+}
+
+/// Bytes without a period that a buffer has.
+fn pattern(length: usize) -> String {
+    (0..length).map(|at| char::from(b'a' + (at * at % 251 % 26) as u8)).collect()
+}
+
+/// A client whose side of the connection has [`small_buffers`].
+fn small_client(node: &Node) -> Client {
+    let client = node.client();
+    small_buffers(SockRef::from(&client.sending()));
+    client
+}
+
+/// Every write and read is a short one: values arrive whole all the same, to and from a cache server.
+#[test]
+fn large_values_go_whole_through_small_buffers_both_ways() {
+    const LENGTH: usize = 150_000;
+    let value = pattern(LENGTH);
+    let (told, written) = channel();
+    let told = report(told);
+    let large = value.clone();
+    let server = serve_on(small_listener(), command, move |asked| match asked[0].as_str() {
+        "CACHE.SET" => {
+            told(asked);
+            array("written")
+        }
+        _ => array(&large),
+    });
+    let discovery = Discovery::start(&member("s-1", server, "m", "ready"));
+    let node = node("small-buffers", &discovery, &[THROUGH]);
+    let mut client = small_client(&node);
+    for id in ["r1", "r2"] {
+        let answer = client.ask(&["CACHE.GET", "k", id, "c=read,t=acme,d=19000"]);
+        assert!(answer.strip_prefix('$') == Some(&value), "{id}: {} bytes", answer.len());
+    }
+    assert_eq!(client.ask(&["CACHE.SET", "k", "w", "c=once,t=acme,d=19000", &value]), "$written");
+    assert!(written.recv_timeout(HUNG).unwrap()[4] == value, "not as it was sent");
+}
+
+/// The same of the origin.
+#[test]
+fn a_large_value_of_the_origin_goes_whole_through_small_buffers() {
+    const LENGTH: usize = 150_000;
+    let value = pattern(LENGTH);
+    let large = value.clone();
+    let (told, written) = channel();
+    let told = report(told);
+    let origin = serve_on(small_listener(), call, move |asked| {
+        if asked[0].starts_with("PUT") {
+            told(asked);
+            return http("200 OK", "written");
+        }
+        http("200 OK", &large)
+    });
+    let server = serve(command, |_| miss());
+    let members = [member("s-1", server, "m", "ready"), member("o-1", origin, "origin", "ready")];
+    let discovery = Discovery::start(&members.join(","));
+    let node = node("small-origin", &discovery, &[]);
+    let mut client = small_client(&node);
+    let answer = client.ask(&["CACHE.GET", "k", "r", "c=read,t=acme,d=19000"]);
+    assert!(answer.strip_prefix('$') == Some(&value), "{} bytes", answer.len());
+    assert_eq!(client.ask(&["CACHE.SET", "k", "w", "c=once,t=acme,d=19000", &value]), "$written");
+    assert!(*written.recv_timeout(HUNG).unwrap().last().unwrap() == value, "not as it was sent");
+}
+
+/// A write that has begun and whose client leaves is never completed, however little the server's socket holds.
+#[test]
+fn a_command_half_written_into_a_small_buffer_is_never_completed() {
+    let server = small_listener();
+    let discovery = Discovery::start(&member("s-1", server.local_addr().unwrap(), "m", "ready"));
+    let node = node("half-small", &discovery, &[LONG[0], LONG[1], LONG[2], THROUGH]);
+    let value = pattern(4 << 20);
+    let mut gone = node.client();
+    gone.send(&["CACHE.SET", "k", "gone", "c=once,t=acme,d=600000", &value]);
+    let mut stalled = reader(server.accept().unwrap().0);
+    let mut begun = [0; 16];
+    stalled.read_exact(&mut begun).unwrap();
+    node.figure_becomes("edge_router_in_flight", 1);
+    drop(gone);
+    node.figure_becomes("edge_router_in_flight", 0);
+    let mut rest = Vec::new();
+    let _ = stalled.read_to_end(&mut rest);
+    assert!(begun.len() + rest.len() < value.len(), "all of it came: {} bytes", rest.len());
+    assert_eq!(node.figure("edge_router_attempts_total"), Some(0));
+}
+
+/// Reloads that come faster than the node can follow: the last one holds, its discovery is watched, and a request that was
+/// open is answered.
+#[test]
+fn of_configurations_in_quick_succession_the_last_one_holds_and_nothing_is_lost() {
+    let (held_server, commands, go) = held(|asked| asked[2].clone());
+    let first = Discovery::start(&member("s-1", held_server, "m", "ready"));
+    let path = format!("{}/quick-reloads.json", env!("CARGO_TARGET_TMPDIR"));
+    let mut started = node_command("quick-reloads", first.address, 1024, "");
+    started.env("ROUTER_DISCOVERY", first.address.to_string());
+    let node = Node::run(started, &first);
+    let mut open = node.client();
+    open.send(&["CACHE.GET", "k", "open", "c=read,t=acme,d=19000"]);
+    commands.recv_timeout(HUNG).unwrap();
+    let others: Vec<Discovery> = (0..3)
+        .map(|_| Discovery::start(&member("s-1", serve(command, |_| array("passing")), "m", "ready")))
+        .collect();
+    let last = Discovery::start(&member("s-9", serve(command, |_| array("last")), "m", "ready"));
+    // Written beside it and moved there: no reload reads half a file.
+    let configure = |discovery: &Discovery| {
+        let beside = format!("{path}.new");
+        std::fs::write(&beside, config("quick-reloads", discovery.address, 1024)).unwrap();
+        std::fs::rename(&beside, &path).unwrap();
+        node.signal("HUP");
+    };
+    for _ in 0..8 {
+        others.iter().for_each(configure);
+    }
+    configure(&last);
+    last.watched_after(1);
+    let mut client = node.client();
+    for number in 0..20 {
+        let (key, id) = (format!("k{number}"), format!("i{number}"));
+        assert_eq!(client.ask(&["CACHE.GET", &key, &id, "c=read,t=acme,d=9000"]), "$last");
+    }
+    go.send(()).unwrap();
+    assert_eq!(open.answer(), "$open");
+    // Reloads of what holds already change nothing.
+    (0..8).for_each(|_| configure(&last));
+    assert_eq!(client.ask(&["CACHE.GET", "k", "after", "c=read,t=acme,d=9000"]), "$last");
+}
+
+/// Discovery answers slowly, or refuses most calls, for as long as the test goes on: requests are served from the list that
+/// the node has, and a change is taken in with the first answer that brings it.
+#[test]
+fn slow_and_crowded_discovery_costs_no_request_and_its_news_is_taken_in() {
+    let [old, new] = ["old", "new"].map(|name| serve(command, move |_| array(name)));
+    let calls = Mutex::new(0);
+    let (told, answered) = channel();
+    let told = Mutex::new(told);
+    let discovery = serve(call, move |asked| {
+        let number = {
+            let mut calls = calls.lock().unwrap();
+            *calls += 1;
+            *calls
+        };
+        let list = |revision: u64, server| {
+            let members = member(&format!("s-{revision}"), server, "m", "ready");
+            let text = format!(r#"{{"revision":{revision},"complete":true,"members":[{members}]}}"#);
+            http("200 OK", &text)
+        };
+        match number {
+            1 => list(1, old),
+            // Crowded: turned away, or cut off.
+            _ if number < 12 && number % 3 == 0 => Reaction::Reset,
+            _ if number < 12 => http("503 Service Unavailable", "later"),
+            // Slow: near the end of what a watch waits.
+            12 => {
+                thread::sleep(Duration::from_millis(1200));
+                list(2, new)
+            }
+            _ => {
+                if asked[0].contains("after=2&") {
+                    let _ = told.lock().unwrap().send(());
+                }
+                Reaction::Silence
+            }
+        }
+    });
+    let node = Node::spawn(node_command("crowded", discovery, 1024, ""));
+    let mut client = node.client();
+    let mut ask = |id: &str| client.ask(&["CACHE.GET", "k", id, "c=read,t=acme,d=9000"]);
+    // Before the first list nothing can be served.
+    let begun = Instant::now();
+    while ask("first") != "$old" {
+        assert!(begun.elapsed() < HUNG, "no list was taken in");
+        thread::sleep(Duration::from_millis(5));
+    }
+    let mut number = 0;
+    while answered.try_recv().is_err() {
+        let answer = ask(&format!("i{number}"));
+        assert!(answer == "$old" || answer == "$new", "{answer}");
+        assert!(begun.elapsed() < HUNG, "the new list was never taken in");
+        number += 1;
+    }
+    assert_eq!(ask("last"), "$new");
+}
