--- a/crates/node/src/http.rs
+++ b/crates/node/src/http.rs
@@ -12,6 +12,8 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
+use crate::retrying_write::RetryingWrite;
+
 /// Read ahead of one connection; a head without end goes no further.
 const MAX_HEAD: usize = 64 * 1024;
 
@@ -34,7 +36,8 @@
     within: Duration,
 ) -> std::io::Result<Connection> {
     let stream = tokio::time::timeout(within, host.connect(address)).await??;
-    let handshake = http1::Builder::new().max_buf_size(MAX_HEAD).handshake(TokioIo::new(stream)).await;
+    let stream = TokioIo::new(RetryingWrite::new(stream));
+    let handshake = http1::Builder::new().max_buf_size(MAX_HEAD).handshake(stream).await;
     let (sender, connection) = handshake.map_err(std::io::Error::other)?;
     // Driving the connection also while it is idle is what notices that the peer has closed it.
     let driver = tokio::task::spawn_local(async move { drop(connection.await) }).abort_handle();
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -29,6 +29,7 @@
 pub mod ops;
 mod origin;
 mod peers;
+mod retrying_write;
 mod servers;
 mod service;
 mod stream;
--- a/crates/node/src/servers/driver.rs
+++ b/crates/node/src/servers/driver.rs
@@ -20,6 +20,7 @@
 use super::{Command, ConnectionEnd, Event, Payload, Sent, Shared, Writing};
 use crate::command::{AttemptId, PIECE, STANDSTILL, Stream as LargeValue};
 use crate::input::Input;
+use crate::retrying_write::RetryingWrite;
 use crate::stream::{READ, more};
 
 /// An answer that has begun goes on within this time, however small its pieces are. One that does not is spoilt, and
@@ -69,7 +70,8 @@
     if events.send(Input::Server { server, number, event: Event::Up }).await.is_err() {
         return ConnectionEnd::Broken;
     }
-    let (reading, mut writing) = stream.into_halves();
+    let (reading, writing) = stream.into_halves();
+    let mut writing = RetryingWrite::new(writing);
     let reader = async {
         let mut buffer = BytesMut::new();
         loop {
