--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -16,16 +16,21 @@
 mod counters;
 mod crowd;
 mod discovery;
+#[cfg(test)]
+#[path = "../tests/unit/failing_host.rs"]
+mod failing_host;
 pub mod handover;
 mod http;
 mod input;
 pub mod keys;
+mod local_failures;
 mod near;
 mod node;
 pub mod operator;
 pub mod ops;
 mod origin;
 mod peers;
+mod retrying_write;
 mod servers;
 mod service;
 mod start_times;
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -2,31 +2,29 @@
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
-use std::future::poll_fn;
+use std::fmt;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
-use std::pin::Pin;
 use std::rc::Rc;
 use std::sync::Arc;
-use std::task::{Poll, ready};
 use std::time::Duration;
 
 use brassrouter::ServerId;
-use bytes::{Bytes, BytesMut};
-use mothpier_host::{Host, Reading, Stream};
+use bytes::Bytes;
+use mothpier_host::Host;
 use mothpier_ops::Figures;
 use mothpier_resp as resp;
 use redis_protocol::resp2::types::BytesFrame;
-use tokio::io::{AsyncWrite, AsyncWriteExt};
 use tokio::sync::{Notify, mpsc};
 use tokio::task::AbortHandle;
-use tokio::time::{Instant, timeout};
+use tokio::time::Instant;
 
-use crate::command::{
-    AttemptExtras, AttemptId, Command as ClientCommand, PIECE, STANDSTILL, Stream as LargeValue,
-};
+use self::driver::drive;
+use crate::command::{AttemptExtras, AttemptId, Command as ClientCommand, Stream as LargeValue};
 use crate::input::Input;
-use crate::stream::{READ, more};
+use crate::local_failures::LocalFailures;
+
+mod driver;
 
 /// Connections of the whole tier to one server that are aimed at: servers hold few, each takes some of its
 /// capacity, and the nodes share them. A node uses its whole part before it puts a command behind another: answers
@@ -37,10 +35,6 @@
 /// After a refused connection none beside those that work is opened for this long.
 const REFUSED_PAUSE: Duration = Duration::from_secs(2);
 
-/// An answer that has begun goes on within this time, however small its pieces are. One that does not is spoilt, and
-/// what waits behind it waits in vain.
-const BEGUN: Duration = Duration::from_millis(250);
-
 /// How an attempt at a cache server ended.
 pub enum Ended {
     /// A frame of the agreed form came back for it.
@@ -53,6 +47,30 @@
     Reset,
     /// Its last byte was never written: it cannot have run.
     NotConnected,
+    /// The same, for a reason that lies on this machine and tells nothing of the server.
+    LocalFailure,
+}
+
+/// Why an attempt was not taken by [`Servers::send`]. It cannot have run.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SendError {
+    /// The server takes nothing new, or its connections have no room.
+    NoConnection,
+    /// This machine could not make connections a moment ago, and it is too early to try again.
+    LocalFailure,
+}
+
+/// How a connection ended.
+#[derive(Debug)]
+pub enum ConnectionEnd {
+    /// The server, or the way to it, turned it down.
+    Refused,
+    /// It did not come up in time.
+    TimedOut,
+    /// This machine could not make it.
+    LocalFailure(std::io::Error),
+    /// It had been made, and was closed by either side or lost.
+    Broken,
 }
 
 /// What a connection tells the node.
@@ -64,7 +82,7 @@
     Spoilt(AttemptId),
     /// The connection is no more; the attempts written whole, and those not.
     Down {
-        refused: bool,
+        end: ConnectionEnd,
         written: Vec<AttemptId>,
         unwritten: Vec<AttemptId>,
     },
@@ -105,15 +123,6 @@
     }
 }
 
-/// A command of which the first byte has been written.
-struct Begun {
-    attempt: AttemptId,
-    probe: bool,
-    bytes: Bytes,
-    /// How many of the bytes have been written.
-    written: usize,
-}
-
 /// A command that was written whole.
 struct Sent {
     attempt: AttemptId,
@@ -228,6 +237,18 @@
     pub begun: u32,
     /// Of these, the ones that were refused.
     pub refused: u32,
+    /// Of these, the ones that this machine could not make.
+    pub local_failures: u32,
+}
+
+impl fmt::Display for Connects {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}, {} refused", self.begun, self.refused)?;
+        match self.local_failures {
+            0 => Ok(()),
+            failures => write!(f, ", {failures} failed on this machine"),
+        }
+    }
 }
 
 /// What came of taking back an attempt.
@@ -250,6 +271,8 @@
     all: Rc<Cell<usize>>,
     ready: usize,
     connects: Connects,
+    /// A shortage of this machine's concerns the connections to all servers.
+    local_failures: LocalFailures,
     figures: Arc<Figures>,
 }
 
@@ -264,6 +287,7 @@
             all: Rc::default(),
             ready: 0,
             connects: Connects::default(),
+            local_failures: LocalFailures::default(),
             figures,
         }
     }
@@ -337,14 +361,17 @@
     }
 
     /// Sends an attempt on an idle connection, or a new one within this node's part, or behind others on the
-    /// one with the fewest. `false` where there is none: it was not written.
-    pub fn send(&mut self, server: ServerId, command: Command) -> bool {
-        let Some(pool) = self.pools.get_mut(&server).filter(|p| p.ready) else { return false };
+    /// one with the fewest.
+    ///
+    /// # Errors
+    /// Where there is none: it was not written.
+    pub fn send(&mut self, server: ServerId, command: Command) -> Result<(), SendError> {
+        let pool = self.pools.get_mut(&server).filter(|p| p.ready).ok_or(SendError::NoConnection)?;
         let fresh = self.limits.idle_close.mul_f64(FRESH);
         pool.connections.retain(|c| c.load() > 0 || !c.up() || c.used.elapsed() < fresh);
         if let Some(idle) = pool.connections.iter_mut().find(|c| c.free()) {
             idle.push(command);
-            return true;
+            return Ok(());
         }
         let part = (TIER_CONNECTIONS / self.limits.balancers.max(1)).max(1);
         let part = part.min((self.limits.descriptors / self.ready.max(1)).max(1));
@@ -353,9 +380,9 @@
         let moves = |line: &Line| !line.stalled() && line.writing != Writing::Abandoned;
         let moving = pool.connections.iter().filter(|c| moves(&c.shared.line.borrow()) && !c.retired).count();
         let may_open = (moving == 0 || Instant::now() >= pool.alone_until) && open < 2 * part;
-        if let Some(address) =
-            pool.address.filter(|_| moving < part && may_open && self.all.get() < self.limits.descriptors)
-        {
+        let wants_new = moving < part && may_open && self.all.get() < self.limits.descriptors;
+        let too_early = wants_new && !self.local_failures.may_connect();
+        if let Some(address) = pool.address.filter(|_| wants_new && !too_early) {
             self.numbers += 1;
             self.connects.begun = self.connects.begun.saturating_add(1);
             self.figures.connect();
@@ -371,18 +398,57 @@
                 self.figures.clone(),
             );
             pool.waiting.push_back(command);
-            return true;
+            return Ok(());
+        }
+        match pool.append(command, self.limits.multiplex) {
+            true => Ok(()),
+            false if too_early => Err(SendError::LocalFailure),
+            false => Err(SendError::NoConnection),
         }
-        pool.append(command, self.limits.multiplex)
+    }
+
+    /// Counts how a connection ended, and returns what that means for an attempt that was not written on it.
+    fn connection_ended(
+        &mut self,
+        server: ServerId,
+        end: ConnectionEnd,
+    ) -> fn(AttemptId) -> (AttemptId, Ended) {
+        match end {
+            ConnectionEnd::LocalFailure(error) if self.is_local(server, &error) => {
+                self.connects.local_failures = self.connects.local_failures.saturating_add(1);
+                if self.local_failures.failed() {
+                    self.host.log(format_args!("this machine can't connect to cache servers: {error}"));
+                }
+                return |attempt| (attempt, Ended::LocalFailure);
+            }
+            ConnectionEnd::Refused | ConnectionEnd::LocalFailure(_) => {
+                self.connects.refused = self.connects.refused.saturating_add(1);
+                self.figures.connect_refused();
+                if let Some(pool) = self.pools.get_mut(&server) {
+                    pool.alone_until = Instant::now() + REFUSED_PAUSE;
+                }
+            }
+            ConnectionEnd::TimedOut | ConnectionEnd::Broken => {}
+        }
+        |attempt| (attempt, Ended::NotConnected)
+    }
+
+    /// Whether a failure says nothing of the server: where no route leads to it while others are connected, it is the
+    /// server that can't be reached.
+    fn is_local(&self, server: ServerId, error: &std::io::Error) -> bool {
+        let no_route = matches!(error.kind(), ErrorKind::NetworkUnreachable | ErrorKind::NetworkDown);
+        let mut others = self.pools.iter().filter(|(id, _)| **id != server).map(|(_, pool)| pool);
+        !(no_route && others.any(|pool| pool.connections.iter().any(Connection::up)))
     }
 
     /// Takes what a connection tells and returns the attempts that this ends.
     pub fn event(&mut self, server: ServerId, number: u64, event: Event) -> Vec<(AttemptId, Ended)> {
         let mut ended = Vec::new();
+        let mut unplaced: fn(AttemptId) -> (AttemptId, Ended) = |attempt| (attempt, Ended::NotConnected);
         // Told before the pool is looked for: that of a server which the list no longer names may be gone by now, with
         // the answers of several of its connections still on their way here, and each of them is owed.
         match event {
-            Event::Up => {}
+            Event::Up => self.local_failures.connected(),
             Event::Answer(attempt, frame) => {
                 let pool = self.pools.get_mut(&server);
                 if let Some(c) = pool.and_then(|p| p.connections.iter_mut().find(|c| c.number == number)) {
@@ -392,23 +458,17 @@
             }
             Event::Began(attempt, value) => ended.push((attempt, Ended::Began(value))),
             Event::Spoilt(attempt) => ended.push((attempt, Ended::Spoilt)),
-            Event::Down { refused, written, unwritten } => {
-                self.connects.refused = self.connects.refused.saturating_add(u32::from(refused));
-                if refused {
-                    self.figures.connect_refused();
-                }
+            Event::Down { end, written, unwritten } => {
+                unplaced = self.connection_ended(server, end);
                 ended.extend(written.into_iter().map(|id| (id, Ended::Reset)));
-                ended.extend(unwritten.into_iter().map(|id| (id, Ended::NotConnected)));
+                ended.extend(unwritten.into_iter().map(unplaced));
                 if let Some(pool) = self.pools.get_mut(&server) {
                     pool.connections.retain(|c| c.number != number);
-                    if refused {
-                        pool.alone_until = Instant::now() + REFUSED_PAUSE;
-                    }
                 }
             }
         }
         let Some(pool) = self.pools.get_mut(&server) else { return ended };
-        pool.pump(self.limits.multiplex, &mut ended);
+        ended.extend(pool.pump(self.limits.multiplex).into_iter().map(unplaced));
         self.tidy(server);
         ended
     }
@@ -438,7 +498,8 @@
             }
             !line.in_vain()
         });
-        pool.pump(self.limits.multiplex, &mut withdrawn.ended);
+        let unplaced = pool.pump(self.limits.multiplex).into_iter();
+        withdrawn.ended.extend(unplaced.map(|id| (id, Ended::NotConnected)));
         self.tidy(server);
         withdrawn
     }
@@ -484,7 +545,7 @@
         let (host, line, events, within) =
             (host.clone(), shared.clone(), events.clone(), limits.connect_timeout);
         let task = tokio::task::spawn_local(async move {
-            let refused = drive(&host, server, number, address, within, &line, &events).await;
+            let end = drive(&host, server, number, address, within, &line, &events).await;
             let mut state = std::mem::take(&mut *line.line.borrow_mut());
             let written = state.sent.drain(..).map(|s| s.attempt).collect();
             let begun = match state.writing {
@@ -492,7 +553,7 @@
                 Writing::Nothing | Writing::Abandoned => None,
             };
             let unwritten = begun.into_iter().chain(state.unsent.drain(..).map(|c| c.attempt)).collect();
-            let event = Event::Down { refused, written, unwritten };
+            let event = Event::Down { end, written, unwritten };
             let _ = events.send(Input::Server { server, number, event }).await;
         });
         let (task, used) = (task.abort_handle(), Instant::now());
@@ -524,244 +585,22 @@
     }
 
     /// Gives waiting attempts the connections that have become free; once none is being made any more those
-    /// left go behind others, or have found no connection.
-    fn pump(&mut self, multiplex: usize, ended: &mut Vec<(AttemptId, Ended)>) {
+    /// left go behind others. Returns those that have found no connection.
+    fn pump(&mut self, multiplex: usize) -> Vec<AttemptId> {
+        let mut unplaced = Vec::new();
         while let Some(command) = self.waiting.pop_front() {
             let attempt = command.attempt;
             if let Some(c) = self.connections.iter_mut().find(|c| c.free()) {
                 c.push(command);
             } else if self.connections.iter().any(|c| !c.up() && !c.retired) {
-                return self.waiting.push_front(command);
+                self.waiting.push_front(command);
+                break;
             } else if !self.append(command, multiplex) {
-                ended.push((attempt, Ended::NotConnected));
-            }
-        }
-    }
-}
-
-/// Whether a frame can be the answer to a command: an array of the value or null, how it went and the load report,
-/// whose form matters to nobody but the module; or an error line. A probe is answered with the report alone.
-fn fits(frame: &BytesFrame, probe: bool) -> bool {
-    match frame {
-        BytesFrame::Error(_) => true,
-        BytesFrame::BulkString(_) => probe,
-        BytesFrame::Array(parts) if !probe => {
-            let [value, how, _report] = parts.as_slice() else { return false };
-            matches!(value, BytesFrame::BulkString(_) | BytesFrame::Null)
-                && matches!(how, BytesFrame::BulkString(_) | BytesFrame::SimpleString(_) | BytesFrame::Null)
-        }
-        _ => false,
-    }
-}
-
-/// Makes a connection and carries its commands until it ends; whether it was refused.
-async fn drive<H: Host>(
-    host: &H,
-    server: ServerId,
-    number: u64,
-    address: SocketAddr,
-    within: Duration,
-    shared: &Shared,
-    events: &mpsc::Sender<Input>,
-) -> bool {
-    let stream = match timeout(within, host.connect(address)).await {
-        Ok(Ok(stream)) => stream,
-        Ok(Err(_)) => return true,
-        Err(_) => return false,
-    };
-    shared.line.borrow_mut().up = true;
-    if events.send(Input::Server { server, number, event: Event::Up }).await.is_err() {
-        return false;
-    }
-    let (reading, mut writing) = stream.into_halves();
-    let reader = async {
-        let mut buffer = BytesMut::new();
-        loop {
-            let (nothing_sent, writing) = {
-                let line = shared.line.borrow();
-                (line.sent.is_empty(), line.writing)
-            };
-            if nothing_sent && writing == Writing::Abandoned {
-                return;
-            }
-            // What lies behind an answer that nothing waits behind belongs to no command, and would be taken for the
-            // beginning of the next answer: the connection is closed before anything more is written.
-            if !buffer.is_empty() && nothing_sent {
-                return host.log(format_args!("{address}: more than was asked for"));
-            }
-            if let Some(large) = resp::large_answer(&buffer) {
-                let tell = |event| events.send(Input::Server { server, number, event });
-                if !pass_on(large, &reading, &mut buffer, shared, tell).await {
-                    return;
-                }
-                continue;
-            }
-            let taken = resp::take_frame(&mut buffer, resp::WHOLE);
-            if let Ok(None) = taken {
-                if buffer.is_empty() {
-                    buffer = BytesMut::new();
-                }
-                let begun = !buffer.is_empty();
-                let read = match begun {
-                    true => more_within(&reading, &mut buffer, READ, BEGUN).await,
-                    false => more(&reading, &mut buffer, READ).await,
-                };
-                match read {
-                    Ok(()) => continue,
-                    Err(e) if e.kind() == ErrorKind::TimedOut && begun => {}
-                    Err(_) => return,
-                }
-            }
-            let Some(sent) = shared.line.borrow_mut().sent.pop_front() else { return };
-            let (event, good) = match taken {
-                Ok(Some(frame)) if fits(&frame, sent.probe) => (Event::Answer(sent.attempt, frame), true),
-                _ => (Event::Spoilt(sent.attempt), false),
-            };
-            // Before the node hears of it, which may have something more to write.
-            let waits = !shared.line.borrow().sent.is_empty();
-            shared.line.borrow_mut().ending = !good || !(buffer.is_empty() || waits);
-            let told = events.send(Input::Server { server, number, event }).await;
-            if told.is_err() || !good {
-                return host.log(format_args!("{address}: an answer that can't be read"));
-            }
-        }
-    };
-    let writer = async {
-        loop {
-            // Once round the runtime: a close that has come in is read before anything more is written.
-            tokio::task::yield_now().await;
-            let Begun { attempt, probe, bytes, written } = match begin_next(&mut writing, shared).await {
-                Ok(Some(begun)) => begun,
-                Ok(None) => {
-                    shared.wake.notified().await;
-                    continue;
-                }
-                Err(_) => return,
-            };
-            // Not awaited where nothing is left to be written.
-            if written < bytes.len() {
-                let rest = tokio::select! {
-                    biased;
-                    // The reader ends the connection once what was sent before has been answered.
-                    () = shared.halt.notified() => std::future::pending().await,
-                    rest = writing.write_all(&bytes[written..]) => rest,
-                };
-                if rest.is_err() {
-                    return;
-                }
-            }
-            // No await since the last byte was written: it is on record before an answer can be read.
-            let mut line = shared.line.borrow_mut();
-            line.writing = Writing::Nothing;
-            if !probe {
-                shared.figures.attempt();
-            }
-            line.sent.push_back(Sent { attempt, probe, given_up: false });
-        }
-    };
-    // The reader first: a close by the server is noticed before anything more is written to it.
-    tokio::select! { biased; () = reader => {}, () = writer => {} }
-    false
-}
-
-/// Writes the first bytes of the first queued command that has time left; `None` where there is none.
-///
-/// The bytes are made anew whenever the socket may take some, so that they tell the time left when the first of them is
-/// written: behind much that the server has not read yet that may be late. One without time left stays queued, unwritten,
-/// until the node gives it up, which it does when that time ends.
-async fn begin_next(
-    writing: &mut (impl AsyncWrite + Unpin),
-    shared: &Shared,
-) -> std::io::Result<Option<Begun>> {
-    poll_fn(|context| {
-        let next = {
-            let line = shared.line.borrow();
-            line.unsent.iter().enumerate().find_map(|(index, c)| Some((index, c.payload.encode_now()?)))
-        };
-        let Some((index, bytes)) = next else { return Poll::Ready(Ok(None)) };
-        let written = ready!(Pin::new(&mut *writing).poll_write(context, &bytes))?;
-        if written == 0 {
-            return Poll::Ready(Err(ErrorKind::WriteZero.into()));
-        }
-        let mut line = shared.line.borrow_mut();
-        let Some(Command { attempt, payload }) = line.unsent.remove(index) else {
-            return Poll::Ready(Ok(None));
-        };
-        line.writing = Writing::Begun(attempt);
-        Poll::Ready(Ok(Some(Begun { attempt, probe: matches!(payload, Payload::Probe), bytes, written })))
-    })
-    .await
-}
-
-/// As [`more`]; an error, too, where nothing has come within a time.
-async fn more_within(
-    reading: &impl Reading,
-    buffer: &mut BytesMut,
-    room: usize,
-    within: Duration,
-) -> std::io::Result<()> {
-    timeout(within, more(reading, buffer, room)).await.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()))
-}
-
-/// Passes a large value on as it comes, as fast as its client takes it, and takes what stands behind it off the buffer;
-/// whether the connection can be used again. The attempt stays among those sent until then, so that a connection that
-/// ends meanwhile ends it.
-async fn pass_on<T: Future<Output = Result<(), mpsc::error::SendError<Input>>>>(
-    large: resp::Large,
-    reading: &impl Reading,
-    buffer: &mut BytesMut,
-    shared: &Shared,
-    tell: impl Fn(Event) -> T,
-) -> bool {
-    let Some(attempt) = shared.line.borrow().sent.front().filter(|s| !s.probe).map(|s| s.attempt) else {
-        return false;
-    };
-    let (into, value) = LargeValue::new(large.length);
-    shared.line.borrow_mut().streaming = true;
-    if tell(Event::Began(attempt, value)).await.is_err() {
-        return false;
-    }
-    let _ = buffer.split_to(large.head);
-    let mut left = large.length;
-    let mut wanted = true;
-    while left > 0 {
-        if buffer.is_empty() {
-            *buffer = BytesMut::new();
-            if more_within(reading, buffer, PIECE, STANDSTILL).await.is_err() {
-                return false;
-            }
-        }
-        let piece = buffer.split_to(buffer.len().min(left).min(PIECE)).freeze();
-        left -= piece.len();
-        wanted = wanted && into.send(piece).await.is_ok();
-        // Its client has gone. The rest is read for the sake of those behind it alone.
-        if !wanted && shared.line.borrow().load() <= 1 {
-            return false;
-        }
-    }
-    drop(into);
-    // The end of the value, how it went, and the load report: none of it is owed to anyone any more, but it must come
-    // for the next answer to be found.
-    let mut behind = 0;
-    while behind < 3 {
-        let taken = match behind {
-            0 => resp::take_line_end(buffer).map(|end| end.is_some()),
-            _ => resp::take_frame(buffer, resp::WHOLE).map(|frame| frame.is_some()),
-        };
-        match taken {
-            Ok(true) => behind += 1,
-            Ok(false) => {
-                if more_within(reading, buffer, READ, STANDSTILL).await.is_err() {
-                    return false;
-                }
+                unplaced.push(attempt);
             }
-            Err(_) => return false,
         }
+        unplaced
     }
-    let mut line = shared.line.borrow_mut();
-    line.sent.pop_front();
-    line.streaming = false;
-    true
 }
 
 #[cfg(test)]
