--- a/crates/record/tests/restart.rs
+++ b/crates/record/tests/restart.rs
@@ -3,15 +3,18 @@
 
 mod common;
 
+use std::cell::RefCell;
 use std::io;
+use std::rc::Rc;
 
 use brassrouter::{Action, Event, Legacy, ListKind, Micros, Policy, Request, ServerLine, Settings};
-use mothpier_record::Header;
 use mothpier_record::entry::{Body, Noted};
 use mothpier_record::monotonic::{Now, Reading};
+use mothpier_record::recorder::{Piece, Sink};
 use mothpier_record::recover::{Found, Recovery, Unseen};
 use mothpier_record::replay::replay;
 use mothpier_record::segment::{Segment, Writer};
+use mothpier_record::{Figures, Header, Recorder};
 
 const BOOTED: Reading = Reading { boot: 7, at: 50_000_000 };
 const LONGEST_DEADLINE: Micros = 3_000_000;
@@ -191,3 +194,39 @@
         assert!(left.calls.iter().all(|(_, until)| *until <= late + LONGEST_DEADLINE));
     }
 }
+
+struct Headers(Rc<RefCell<Vec<Header>>>);
+
+impl Sink for Headers {
+    fn piece(&mut self, header: &Header, _: bool, _: Piece) -> Result<(), String> {
+        self.0.borrow_mut().push(header.clone());
+        Ok(())
+    }
+
+    fn dropped(&mut self) -> u64 {
+        0
+    }
+}
+
+/// The wall clock is stepped between the recovery and the node's begin, and stood ahead in the life before.
+#[test]
+fn the_legacy_moves_with_the_nodes_clock_and_the_incarnation_is_greater_than_the_largest() {
+    for step in STEPS {
+        let begin = stepped(common::BEGIN, step);
+        let headers = Rc::new(RefCell::new(Vec::new()));
+        let legacy = Legacy { calls: vec![(true, common::BEGIN + 700_000)], ..Legacy::default() };
+        let sink = Box::new(Headers(headers.clone()));
+        let mut recorder = Recorder::new(Figures::default(), true, sink, Some(legacy))
+            .recovered_at(common::BEGIN)
+            .monotonic(|| Some(BOOTED))
+            .after_incarnation(Some(common::BEGIN));
+        recorder.born("n1", 1, &common::site(), begin);
+        assert_eq!(recorder.legacy().map(|l| l.calls), Some(vec![(true, begin + 700_000)]), "step {step}");
+        recorder.before(begin + 5_000_000, &Policy::new(settings(), 1), &origin(), None);
+        recorder.after(begin + 5_000_000, &[]);
+        recorder.end(begin + 5_000_000);
+        let headers = headers.borrow();
+        assert_eq!(headers[0].life, begin.max(common::BEGIN + 1), "step {step}");
+        assert_eq!(headers[0].monotonic, Some(BOOTED.later(5_000_000)), "step {step}");
+    }
+}
