--- a/crates/node/src/counters.rs
+++ b/crates/node/src/counters.rs
@@ -5,8 +5,6 @@
 
 use brassrouter::{Micros, Status};
 
-use crate::servers::Connects;
-
 /// How calls of one kind ended since the last line: how many with each status, and how long those took in all.
 #[derive(Default)]
 struct Calls([(u32, Micros); STATUSES.len()]);
@@ -45,6 +43,26 @@
     }
 }
 
+/// How many connections to cache servers were made of late.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Connects {
+    pub begun: u32,
+    /// Of these, the ones that were refused.
+    pub refused: u32,
+    /// Of these, the ones that this machine could not make.
+    pub local_failures: u32,
+}
+
+impl fmt::Display for Connects {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}, {} refused", self.begun, self.refused)?;
+        match self.local_failures {
+            0 => Ok(()),
+            failures => write!(f, ", {failures} failed on this machine"),
+        }
+    }
+}
+
 /// The counts since the last line.
 #[derive(Default)]
 pub struct Counters {
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -2,7 +2,6 @@
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
-use std::fmt;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -21,6 +20,7 @@
 
 use self::driver::drive;
 use crate::command::{AttemptExtras, AttemptId, Command as ClientCommand, Stream as LargeValue};
+use crate::counters::Connects;
 use crate::input::Input;
 use crate::local_failures::LocalFailures;
 
@@ -231,26 +231,6 @@
     alone_until: Instant,
 }
 
-/// How many connections to cache servers were made of late.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Connects {
-    pub begun: u32,
-    /// Of these, the ones that were refused.
-    pub refused: u32,
-    /// Of these, the ones that this machine could not make.
-    pub local_failures: u32,
-}
-
-impl fmt::Display for Connects {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}, {} refused", self.begun, self.refused)?;
-        match self.local_failures {
-            0 => Ok(()),
-            failures => write!(f, ", {failures} failed on this machine"),
-        }
-    }
-}
-
 /// What came of taking back an attempt.
 #[derive(Default)]
 pub struct Withdrawn {
