--- /dev/null
+++ b/crates/mothpier/tests/beyond_clients.rs
@@ -0,0 +1,559 @@
+//! Clients, restarts and pauses under trouble that is rarer than the bench's: commands that stop half way,
+//! long quiet times, a process that is held up, very little time left. On real sockets, with the daemon as a
+//! process.
+#![allow(missing_docs)]
+
+mod load;
+mod world;
+
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
+use std::sync::{Arc, Mutex, mpsc};
+use std::thread;
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+
+use load::{GRACE, Load, Tally};
+use world::*;
+
+/// Clients that stop in the middle of a command are owed an error or the end within this time.
+const OWED: Duration = Duration::from_secs(3);
+/// The longest time for which a process is held up.
+const HELD_UP: Duration = Duration::from_millis(150);
+/// How much longer the signals themselves may make that; it is measured, and this keeps the hold itself
+/// below the bound.
+const SIGNALLING: Duration = Duration::from_millis(10);
+
+/// The grace of the settings: a server that drains may still be asked for so long.
+const DRAIN_GRACE: Duration = Duration::from_millis(500);
+
+/// Stops the process for as long as it may be held up, while other things happen. Returns for how long it
+/// was.
+fn hold_up(node: &Node, happens: impl FnOnce()) -> Duration {
+    let begun = Instant::now();
+    node.signal("STOP");
+    happens();
+    thread::sleep((HELD_UP - SIGNALLING).saturating_sub(begun.elapsed()));
+    node.signal("CONT");
+    begun.elapsed()
+}
+
+// Commands that stop half way.
+
+/// How a client's command begins that never ends.
+fn halves() -> Vec<(&'static str, Vec<u8>)> {
+    let write = "*5\r\n$9\r\nCACHE.SET\r\n$1\r\nk\r\n$1\r\ni\r\n$20\r\nc=once,t=acme,d=9000\r\n";
+    let large = format!("{write}$60000\r\n{}", "v".repeat(20_000));
+    let larger = format!("{write}$1000000\r\n{}", "v".repeat(300_000));
+    [
+        ("one byte", "*"),
+        ("the array's count", "*4"),
+        ("the array's header but for its last byte", "*4\r"),
+        ("the array's header", "*4\r\n"),
+        ("a length line", "*4\r\n$"),
+        ("a length", "*4\r\n$9"),
+        ("a word's header", "*4\r\n$9\r\n"),
+        ("a word", "*4\r\n$9\r\nCACHE"),
+        ("a word's end", "*4\r\n$9\r\nCACHE.GET\r"),
+        ("two words", "*4\r\n$9\r\nCACHE.GET\r\n$1\r\nk\r\n"),
+        ("all but the last byte", "*1\r\n$4\r\nPING\r"),
+        ("an inline word", "PING"),
+        ("a value's length", &format!("{write}$5")),
+        ("a value's header", &format!("{write}$5\r\n")),
+        ("a value", &format!("{write}$5\r\nva")),
+        ("a value's end", &format!("{write}$5\r\nvalue")),
+        ("a large value", &large),
+        ("a value beyond the limit of values", &larger),
+    ]
+    .map(|(name, text)| (name, text.as_bytes().to_vec()))
+    .into()
+}
+
+/// On a new connection, and behind a whole command that was answered.
+#[test]
+fn a_command_that_stops_anywhere_ends_within_the_time_that_is_owed() {
+    let discovery = Discovery::start("");
+    let node = Node::start("stops-anywhere", &discovery);
+    let mut clients = Vec::new();
+    for behind in [false, true] {
+        for (name, bytes) in halves() {
+            let mut client = node.client();
+            clients.push(thread::spawn(move || {
+                if behind {
+                    client.send(&["PING"]);
+                    client.answer();
+                }
+                client.write(&bytes);
+                let begun = Instant::now();
+                let answer = client.answer();
+                (name, behind, answer, begun.elapsed())
+            }));
+        }
+    }
+    for client in clients {
+        let (name, behind, answer, took) = client.join().unwrap();
+        assert!(answer == "end" || answer.starts_with("-ERR"), "{name}, behind {behind}: {answer}");
+        assert!(took < OWED, "{name}, behind {behind}: {answer} after {took:?}");
+    }
+    assert_eq!(node.client().ask(&["PING"]), "+PONG");
+}
+
+/// One that stops behind a request whose answer is owed gets that answer, and then its error.
+#[test]
+fn a_command_that_stops_behind_an_answered_request_costs_that_nothing() {
+    let server = serve(command, |asked| array(&asked[2]));
+    let discovery = Discovery::start(&member("s-1", server, "m", "ready"));
+    let node = Node::start("stops-behind", &discovery);
+    let mut clients = Vec::new();
+    for (number, (name, bytes)) in halves().into_iter().enumerate() {
+        let mut client = node.client();
+        clients.push(thread::spawn(move || {
+            client.send(&["CACHE.GET", "k", &format!("i-{number}"), "c=read,t=acme,d=9000"]);
+            client.write(&bytes);
+            let begun = Instant::now();
+            let answers = (client.answer(), client.answer());
+            (name, format!("$i-{number}"), answers, begun.elapsed())
+        }));
+    }
+    for client in clients {
+        let (name, served, (first, second), took) = client.join().unwrap();
+        assert_eq!(first, served, "{name}");
+        assert!(second == "end" || second.starts_with("-ERR"), "{name}: {second}");
+        assert!(took < OWED, "{name}: {second} after {took:?}");
+    }
+}
+
+// Trouble after a long quiet time.
+
+/// Servers close what stands idle for so long.
+const IDLE_CLOSE: (&str, &str) = (r#""idleCloseUs":60000000"#, r#""idleCloseUs":400000"#);
+/// Many times that.
+const QUIET: Duration = Duration::from_secs(5);
+
+/// Asks so many reads side by side, each on its own connection.
+fn reads(node: &Node, name: &str, count: usize) -> Vec<String> {
+    let asked: Vec<_> = (0..count)
+        .map(|number| {
+            let (mut client, id) = (node.client(), format!("{name}-{number}"));
+            thread::spawn(move || client.ask(&["CACHE.GET", &id, &id, "c=read,t=acme,d=3000"]))
+        })
+        .collect();
+    asked.into_iter().map(|asked| asked.join().unwrap()).collect()
+}
+
+fn values(name: &str, count: usize) -> Vec<String> {
+    (0..count).map(|number| format!("${name}-{number}")).collect()
+}
+
+/// A cache server that closes its connections once they have stood idle, and can be stopped: it then
+/// accepts nothing more.
+struct StoppableServer {
+    address: SocketAddr,
+    stopped: Arc<AtomicBool>,
+    asked: Arc<AtomicUsize>,
+}
+
+impl StoppableServer {
+    fn start() -> Self {
+        let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+        let address = listener.local_addr().unwrap();
+        let (stopped, asked) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
+        let server = StoppableServer { address, stopped: stopped.clone(), asked: asked.clone() };
+        thread::spawn(move || {
+            for stream in listener.incoming().map_while(Result::ok) {
+                if stopped.load(Ordering::SeqCst) {
+                    return;
+                }
+                let asked = asked.clone();
+                thread::spawn(move || answer_until_idle(stream, &asked));
+            }
+        });
+        server
+    }
+
+    /// Its listener goes; connections have gone long before.
+    fn stop(&self) {
+        self.stopped.store(true, Ordering::SeqCst);
+        drop(std::net::TcpStream::connect(self.address));
+        while std::net::TcpStream::connect(self.address).is_ok() {}
+    }
+
+    fn asked(&self) -> usize {
+        self.asked.load(Ordering::SeqCst)
+    }
+}
+
+fn answer_until_idle(stream: std::net::TcpStream, asked: &AtomicUsize) {
+    stream.set_read_timeout(Some(Duration::from_millis(400))).unwrap();
+    let mut reader = std::io::BufReader::new(stream.try_clone().unwrap());
+    let mut stream = stream;
+    while let Some(words) = command(&mut reader) {
+        asked.fetch_add(1, Ordering::SeqCst);
+        if let Reaction::Answer(bytes) = array(&words[2])
+            && std::io::Write::write_all(&mut stream, &bytes).is_err()
+        {
+            return;
+        }
+    }
+}
+
+#[test]
+fn a_server_that_stopped_in_a_quiet_time_costs_the_first_requests_nothing() {
+    let servers = [0; 3].map(|_| StoppableServer::start());
+    let list = |number: usize| member(&format!("s-{number}"), servers[number].address, "m", "ready");
+    let discovery = Discovery::start(&(0..3).map(list).collect::<Vec<_>>().join(","));
+    let node = node("quiet-stopped", &discovery, &[IDLE_CLOSE]);
+    assert_eq!(reads(&node, "before", 30), values("before", 30));
+    thread::sleep(QUIET);
+    servers[0].stop();
+    assert_eq!(reads(&node, "after", 30), values("after", 30));
+    assert!(servers[1].asked() > 0 && servers[2].asked() > 0, "nothing was asked of two servers");
+}
+
+#[test]
+fn a_list_that_changes_after_a_quiet_time_holds_for_the_first_requests() {
+    let servers = [0; 4].map(|_| StoppableServer::start());
+    let list = |number: usize, phase| member(&format!("s-{number}"), servers[number].address, "m", phase);
+    let discovery = Discovery::start(&[list(0, "ready"), list(1, "ready")].join(","));
+    let node = node("quiet-list", &discovery, &[IDLE_CLOSE]);
+    assert_eq!(reads(&node, "before", 30), values("before", 30));
+    thread::sleep(QUIET);
+    let asked_before = servers[0].asked();
+    discovery
+        .change(2, &[list(0, "draining"), list(1, "ready"), list(2, "ready"), list(3, "ready")].join(","));
+    discovery.watched_after(2);
+    assert_eq!(reads(&node, "after", 30), values("after", 30));
+    assert_eq!(servers[0].asked(), asked_before, "a draining server was asked");
+    assert!(servers[2].asked() + servers[3].asked() > 0, "the new servers were not asked");
+}
+
+// A process that is held up.
+
+/// A command as it came to a cache server.
+struct Arrival {
+    at: Instant,
+    server: usize,
+    /// What it told: the time left, milliseconds.
+    told_ms: u64,
+    /// When the client sent it, milliseconds of the time of day, and what it gave it.
+    sent_ms: u64,
+    given_ms: u64,
+    wall_ms: u64,
+}
+
+fn wall_ms() -> u64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64
+}
+
+fn extra(extras: &str, name: &str) -> u64 {
+    let value = extras.split(',').find_map(|part| part.strip_prefix(name)?.strip_prefix('='));
+    value.and_then(|value| value.parse().ok()).unwrap_or_else(|| panic!("no {name} in {extras}"))
+}
+
+/// A cache server that reports what arrives, and now and then fails or is slow, so that there are retries.
+fn reporting(server: usize, arrivals: mpsc::Sender<Arrival>) -> SocketAddr {
+    let (arrivals, count) = (Mutex::new(arrivals), AtomicUsize::new(0));
+    serve(command, move |asked| {
+        if asked[0] != "CACHE.GET" {
+            return Reaction::Answer(b"+OK\r\n".to_vec());
+        }
+        let extras = &asked[3];
+        let arrival = Arrival {
+            at: Instant::now(),
+            server,
+            told_ms: extra(extras, "d"),
+            sent_ms: extra(extras, "sent"),
+            given_ms: extra(extras, "given"),
+            wall_ms: wall_ms(),
+        };
+        arrivals.lock().unwrap().send(arrival).unwrap_or_default();
+        // One in six fails and one in six is slow, so that retries and hedges go out.
+        match count.fetch_add(1, Ordering::Relaxed) % 6 {
+            3 => Reaction::Answer(b"-ERR failed\r\n".to_vec()),
+            5 => {
+                thread::sleep(Duration::from_millis(40));
+                array(&asked[2])
+            }
+            _ => array(&asked[2]),
+        }
+    })
+}
+
+/// Clients that say when they sent each request and how long they wait for it, until told to stop. Returns
+/// how many requests got no final answer in their time.
+fn timed_clients(node: SocketAddr, stop: &Arc<AtomicBool>) -> Vec<thread::JoinHandle<(usize, Vec<String>)>> {
+    let client = |client: usize| {
+        let stop = stop.clone();
+        thread::spawn(move || {
+            let (mut connection, mut asked, mut missing) = (Client::connect(node), 0, Vec::new());
+            while !stop.load(Ordering::Relaxed) {
+                let given = [60, 150, 300, 1000][asked % 4];
+                let id = format!("timed-{client}-{asked}");
+                let extras = format!("c=read,t=acme,d={given},sent={},given={given}", wall_ms());
+                let begun = Instant::now();
+                let answer = connection.ask(&["CACHE.GET", &id, &id, &extras]);
+                let late = begun.elapsed() > Duration::from_millis(given) + GRACE;
+                if late || !(answer == format!("${id}") || answer.starts_with('-')) {
+                    missing.push(format!("{id} of {given} ms: {answer} after {:?}", begun.elapsed()));
+                    connection = Client::connect(node);
+                }
+                asked += 1;
+                thread::sleep(Duration::from_millis(2));
+            }
+            (asked, missing)
+        })
+    };
+    (0..4).map(client).collect()
+}
+
+#[test]
+fn a_node_that_is_held_up_tells_no_server_too_much_time_and_drains_in_time() {
+    let (told, arrivals) = mpsc::channel();
+    let servers: Vec<_> = (0..3).map(|number| reporting(number, told.clone())).collect();
+    drop(told);
+    let list = |number: usize, phase| member(&format!("s-{number}"), servers[number], "m", phase);
+    let discovery = Discovery::start(&(0..3).map(|n| list(n, "ready")).collect::<Vec<_>>().join(","));
+    let node = node("held-up", &discovery, &[]);
+    let stop = Arc::new(AtomicBool::new(false));
+    let clients = timed_clients(node.address, &stop);
+    let mut longest = Duration::ZERO;
+    let mut drained = None;
+    for round in 0..12 {
+        // At varying points of what it does.
+        thread::sleep(Duration::from_millis(37 + round * 11));
+        let drain = || {
+            if round == 6 {
+                discovery.change(2, &[list(0, "draining"), list(1, "ready"), list(2, "ready")].join(","));
+                drained = Some(Instant::now());
+            }
+        };
+        longest = longest.max(hold_up(&node, drain));
+    }
+    thread::sleep(DRAIN_GRACE);
+    stop.store(true, Ordering::Relaxed);
+    let mut asked = 0;
+    for client in clients {
+        let (count, missing) = client.join().unwrap();
+        asked += count;
+        assert!(missing.is_empty(), "{missing:?}");
+    }
+    drop(node);
+    let slack_ms = HELD_UP.max(longest).as_millis() as u64 + 1;
+    let drained = drained.unwrap();
+    let arrivals: Vec<_> = arrivals.try_iter().collect();
+    assert!(arrivals.len() > asked / 2 && asked > 200, "{asked} asked, {} arrived", arrivals.len());
+    for arrival in arrivals {
+        let left = (arrival.sent_ms + arrival.given_ms + slack_ms).saturating_sub(arrival.wall_ms);
+        let (told, late) = (arrival.told_ms, arrival.wall_ms - arrival.sent_ms);
+        assert!(told <= left, "told {told} ms of {} after {late} ms", arrival.given_ms);
+        let after = arrival.at.saturating_duration_since(drained);
+        assert!(arrival.server != 0 || after < DRAIN_GRACE, "asked a draining server after {after:?}");
+    }
+}
+
+// Very little time left.
+
+/// A cache server that drops some requests without a word, and answers nothing more on their connection;
+/// others it answers slowly.
+fn dropping() -> SocketAddr {
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap();
+    let count = Arc::new(AtomicUsize::new(0));
+    thread::spawn(move || {
+        for stream in listener.incoming().map_while(Result::ok) {
+            let count = count.clone();
+            thread::spawn(move || answer_until_one_is_dropped(stream, &count));
+        }
+    });
+    address
+}
+
+fn answer_until_one_is_dropped(mut stream: std::net::TcpStream, count: &AtomicUsize) {
+    let mut reader = std::io::BufReader::new(stream.try_clone().unwrap());
+    let mut dropped = false;
+    while let Some(asked) = command(&mut reader) {
+        let number = count.fetch_add(1, Ordering::Relaxed);
+        dropped |= number % 4 == 1;
+        if number % 4 == 2 {
+            thread::sleep(Duration::from_millis(8));
+        }
+        if !dropped
+            && let Reaction::Answer(bytes) = array(&asked[2])
+            && std::io::Write::write_all(&mut stream, &bytes).is_err()
+        {
+            return;
+        }
+    }
+}
+
+#[test]
+fn requests_with_very_little_time_get_their_final_answer() {
+    static LITTLE: [u64; 20] = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20];
+    let servers = [0; 3].map(|_| dropping());
+    let members: Vec<_> = (0..3).map(|n| member(&format!("s-{n}"), servers[n], "m", "ready")).collect();
+    let node = node("little-time", &Discovery::start(&members.join(",")), &[]);
+    let load = Load { deadlines_ms: &LITTLE, ..Load::on(node.address) };
+    let mut tally = Tally::default();
+    for round in 0..3 {
+        tally += load.run(round);
+    }
+    assert!(tally.missing.is_empty(), "{tally:?}");
+    assert_eq!(tally.served + tally.refused + tally.failed, tally.asked);
+    node.figure_becomes("edge_router_in_flight", 0);
+}
+
+// Clients that close as the process is held up.
+
+/// What has been asked of servers and origin, counted.
+fn counting(count: &Arc<AtomicUsize>) -> SocketAddr {
+    let count = count.clone();
+    serve(command, move |asked| {
+        if asked[0] == "CACHE.GET" {
+            count.fetch_add(1, Ordering::SeqCst);
+        }
+        array(&asked[2])
+    })
+}
+
+#[test]
+fn what_a_client_asks_and_leaves_while_the_process_is_held_up_is_not_begun() {
+    let count = Arc::new(AtomicUsize::new(0));
+    let members =
+        [member("s-1", counting(&count), "m", "ready"), member("s-2", counting(&count), "m", "ready")];
+    let node = node("left-held-up", &Discovery::start(&members.join(",")), &[]);
+    for round in 0..5 {
+        let mut resting = node.client();
+        assert_eq!(resting.ask(&["PING"]), "+PONG");
+        let mut halfway = node.client();
+        halfway.write(format!("*4\r\n$9\r\nCACHE.GET\r\n$1\r\nk\r\n$3\r\nh-{round}\r\n"));
+        let mut many = node.client();
+        assert_eq!(many.ask(&["PING"]), "+PONG");
+        hold_up(&node, || {
+            let get = |id: &str| ["CACHE.GET", "k", id, "c=read,t=acme,d=9000"].map(str::to_owned);
+            let words = |words: [String; 4], client: &mut Client| {
+                client.send(&words.each_ref().map(String::as_str));
+            };
+            words(get(&format!("r-{round}")), &mut resting);
+            halfway.write("$20\r\nc=read,t=acme,d=9000\r\n");
+            (0..20).for_each(|n| words(get(&format!("m-{round}-{n}")), &mut many));
+            let mut new = node.client();
+            words(get(&format!("n-{round}")), &mut new);
+            drop((resting, halfway, many, new));
+        });
+        // Answered behind all that: what was to be begun has begun.
+        assert_eq!(node.client().ask(&["PING"]), "+PONG");
+        node.figure_becomes("edge_router_in_flight", 0);
+    }
+    assert_eq!(count.load(Ordering::SeqCst), 0, "begun for clients that had left");
+}
+
+/// The first attempt fails, or misses, in the moment in which the client leaves: nothing further is begun.
+#[test]
+fn no_further_attempt_begins_for_a_client_that_left_while_the_process_was_held_up() {
+    let failures: [fn() -> Reaction; 3] =
+        [|| Reaction::Reset, || Reaction::Answer(b"-BUSY\r\n".to_vec()), miss];
+    for (number, failure) in failures.into_iter().enumerate() {
+        for answer_first in [false, true] {
+            let (arrived, commands) = mpsc::channel();
+            let (go, wait) = mpsc::channel::<()>();
+            let (arrived, wait) = (Mutex::new(arrived), Arc::new(Mutex::new(wait)));
+            let react = Arc::new(move |asked: &[String]| {
+                arrived.lock().unwrap().send(asked.to_vec()).unwrap_or_default();
+                let _ = wait.lock().unwrap().recv();
+                failure()
+            });
+            let [first, second] =
+                [react.clone(), react.clone()].map(|react| serve(command, move |asked| react(asked)));
+            let origin = serve(call, move |asked| react(asked));
+            let members = [
+                member("s-1", first, "m", "ready"),
+                member("s-2", second, "m", "ready"),
+                member("o-1", origin, "origin", "ready"),
+            ];
+            let name = format!("left-further-{number}-{answer_first}");
+            let node = node(&name, &Discovery::start(&members.join(",")), &LONG);
+            let mut client = node.client();
+            client.send(&["CACHE.GET", "k", "i", "c=read,t=acme,d=9000"]);
+            commands.recv_timeout(HUNG).unwrap();
+            hold_up(&node, || {
+                if answer_first {
+                    go.send(()).unwrap();
+                    thread::sleep(Duration::from_millis(20));
+                }
+                drop(client);
+                if !answer_first {
+                    go.send(()).unwrap();
+                }
+            });
+            node.figure_becomes("edge_router_in_flight", 0);
+            let further: Vec<_> = commands.try_iter().collect();
+            assert!(further.is_empty(), "{name}: {further:?}");
+        }
+    }
+}
+
+// Restarts and drains together.
+
+#[test]
+fn a_restart_with_a_drain_and_a_server_that_comes_back_costs_no_request() {
+    let asked_last = Arc::new(Mutex::new(None));
+    let noted = asked_last.clone();
+    let draining = serve(command, move |asked| {
+        *noted.lock().unwrap() = Some(Instant::now());
+        array(&asked[2])
+    });
+    let others = [0; 2].map(|_| serve(command, |asked| array(&asked[2])));
+    let written = Arc::new(Mutex::new(Vec::new()));
+    let ids = written.clone();
+    let origin = serve(call, move |asked| {
+        let id = asked
+            .iter()
+            .find_map(|line| line.to_ascii_lowercase().strip_prefix("x-request-id:").map(str::to_owned));
+        let id = id.unwrap_or_default().trim().to_owned();
+        if asked[0].starts_with("PUT ") {
+            ids.lock().unwrap().push(id.clone());
+        }
+        http("200 OK", &id)
+    });
+    let list = |phase| {
+        [
+            member("s-0", draining, "m", phase),
+            member("s-1", others[0], "m", "ready"),
+            member("s-2", others[1], "m", "ready"),
+            member("o-1", origin, "origin", "ready"),
+        ]
+        .join(",")
+    };
+    let discovery = Discovery::start(&list("ready"));
+    let mut old = node("restart-old", &discovery, &[]);
+    let load = Load { resends: true, ..Load::on(old.address) };
+    let stop = Arc::new(AtomicBool::new(false));
+    let (clients, until) = (load.clone(), stop.clone());
+    let clients = thread::spawn(move || clients.run_until(&until));
+    thread::sleep(Duration::from_millis(300));
+    // The drain begins in the moment of SIGTERM, and the new process starts beside the old one.
+    old.signal("TERM");
+    discovery.change(2, &list("draining"));
+    let drained = Instant::now();
+    let mut command = node_command("restart-new", discovery.address, 1024, "");
+    command.env("ROUTER_OPS", "127.0.0.1:0");
+    let new = Node::spawn(command);
+    new.ready();
+    *load.node.lock().unwrap() = new.address;
+    assert!(old.ended().success());
+    thread::sleep(DRAIN_GRACE);
+    let last = asked_last.lock().unwrap().unwrap();
+    let after = last.saturating_duration_since(drained);
+    assert!(after < DRAIN_GRACE, "asked a draining server after {after:?}");
+    // It comes back.
+    discovery.change(3, &list("ready"));
+    thread::sleep(Duration::from_millis(500));
+    stop.store(true, Ordering::Relaxed);
+    let tally = clients.join().unwrap();
+    assert!(tally.missing.is_empty(), "{tally:?}");
+    assert!(tally.served * 100 >= tally.asked * 97, "{tally:?}");
+    let mut written = written.lock().unwrap().clone();
+    let count = written.len();
+    written.sort();
+    written.dedup();
+    assert_eq!(written.len(), count, "a write ran twice");
+}
