--- a/crates/mothpier/tests/beyond_clients.rs
+++ b/crates/mothpier/tests/beyond_clients.rs
@@ -401,6 +401,33 @@
     node.figure_becomes("edge_router_in_flight", 0);
 }
 
+/// A cache server that drops one in four requests without a word, and answers those behind them.
+fn skipping() -> SocketAddr {
+    let count = AtomicUsize::new(0);
+    serve(command, move |asked| match count.fetch_add(1, Ordering::Relaxed) % 4 {
+        1 => Reaction::Silence,
+        2 => {
+            thread::sleep(Duration::from_millis(8));
+            array(&asked[2])
+        }
+        _ => array(&asked[2]),
+    })
+}
+
+/// The answer to the next request must not be taken for that of the one that was dropped.
+#[test]
+fn an_answer_behind_a_dropped_request_is_not_taken_for_its_own() {
+    static LITTLE: [u64; 20] = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20];
+    let members: Vec<_> = (0..3).map(|n| member(&format!("s-{n}"), skipping(), "m", "ready")).collect();
+    let node = node("skipping", &Discovery::start(&members.join(",")), &[]);
+    let load = Load { deadlines_ms: &LITTLE, ..Load::on(node.address) };
+    let mut tally = Tally::default();
+    for round in 0..6 {
+        tally += load.run(round);
+    }
+    assert!(tally.missing.is_empty(), "{tally:?}");
+}
+
 // Clients that close as the process is held up.
 
 /// What has been asked of servers and origin, counted.
--- a/crates/node/src/command.rs
+++ b/crates/node/src/command.rs
@@ -78,6 +78,11 @@
 }
 
 impl AttemptExtras {
+    /// Until when the attempt is waited for, which is what a cache server is told.
+    pub fn attempt_ends(&self) -> Instant {
+        self.attempt_ends
+    }
+
     /// The list to be written now; `None` where not one whole millisecond is left, the least that can be told.
     pub fn to_write_now(&self) -> Option<Bytes> {
         let left = self.attempt_ends.saturating_duration_since(Instant::now()).as_millis();
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -32,6 +32,9 @@
 const TIER_CONNECTIONS: usize = 32;
 /// A connection idle for this part of the time after which servers close it is not used again.
 const FRESH: f64 = 0.7;
+/// A cache server may drop a request without a word when less of its time is left than this, however it counts: as much as
+/// the protocol allows its times to differ.
+const LITTLE_TIME: Duration = Duration::from_millis(50);
 /// After a refused connection none beside those that work is opened for this long.
 const REFUSED_PAUSE: Duration = Duration::from_secs(2);
 
@@ -114,6 +117,14 @@
 }
 
 impl Payload {
+    /// Until when the command is waited for; `None` for a probe.
+    fn ends(&self) -> Option<Instant> {
+        match self {
+            Payload::Request { extras, .. } => Some(extras.attempt_ends()),
+            Payload::Probe => None,
+        }
+    }
+
     /// The bytes to be written now; `None` where the attempt has no time left.
     fn encode_now(&self) -> Option<Bytes> {
         match self {
@@ -129,6 +140,20 @@
     probe: bool,
     /// The node waits for it no longer.
     given_up: bool,
+    /// Until when its server was told to answer; `None` for a probe.
+    ends: Option<Instant>,
+}
+
+impl Sent {
+    /// Whether its server may have dropped it without a word: too little of its time is left, or none.
+    fn may_be_dropped(&self) -> bool {
+        has_little_time(self.ends)
+    }
+}
+
+/// Whether a command that ends then has so little time left that its server may drop it without a word.
+fn has_little_time(ends: Option<Instant>) -> bool {
+    ends.is_some_and(|ends| ends.saturating_duration_since(Instant::now()) < LITTLE_TIME)
 }
 
 /// What a connection is writing.
@@ -171,6 +196,17 @@
     fn stalled(&self) -> bool {
         self.sent.iter().any(|s| s.given_up)
     }
+
+    /// Whether a command ahead may be dropped without a word: the answer to one behind it would be taken for its own.
+    fn may_skip_an_answer(&self) -> bool {
+        self.sent.iter().any(Sent::may_be_dropped)
+            || self.unsent.iter().any(|command| has_little_time(command.payload.ends()))
+    }
+
+    /// Whether the answer that comes next may be that of the second command: the first may have been dropped.
+    fn next_answer_is_ambiguous(&self) -> bool {
+        self.sent.len() > 1 && self.sent.front().is_some_and(Sent::may_be_dropped)
+    }
 }
 
 struct Shared {
@@ -549,6 +585,7 @@
                 && !line.streaming
                 && !c.retired
                 && !line.stalled()
+                && !line.may_skip_an_answer()
                 && line.load() < multiplex)
                 .then(|| line.load())
         };
--- a/crates/node/src/servers/driver.rs
+++ b/crates/node/src/servers/driver.rs
@@ -15,7 +15,7 @@
 use redis_protocol::resp2::types::BytesFrame;
 use tokio::io::{AsyncWrite, AsyncWriteExt};
 use tokio::sync::mpsc;
-use tokio::time::timeout;
+use tokio::time::{Instant, timeout};
 
 use super::{Command, ConnectionEnd, Event, Payload, Sent, Shared, Writing};
 use crate::command::{AttemptId, PIECE, STANDSTILL, Stream as LargeValue};
@@ -31,6 +31,7 @@
 struct Begun {
     attempt: AttemptId,
     probe: bool,
+    ends: Option<Instant>,
     bytes: Bytes,
     /// How many of the bytes have been written.
     written: usize,
@@ -87,6 +88,10 @@
             if !buffer.is_empty() && nothing_sent {
                 return host.log(format_args!("{address}: more than was asked for"));
             }
+            // It has ended, then, for all that wait on it: a retry can tell whose answer it gets.
+            if !buffer.is_empty() && shared.line.borrow().next_answer_is_ambiguous() {
+                return;
+            }
             if let Some(large) = resp::large_answer(&buffer) {
                 let tell = |event| events.send(Input::Server { server, number, event });
                 if !pass_on(large, &reading, &mut buffer, shared, tell).await {
@@ -128,7 +133,8 @@
         loop {
             // Once round the runtime: a close that has come in is read before anything more is written.
             tokio::task::yield_now().await;
-            let Begun { attempt, probe, bytes, written } = match begin_next(&mut writing, shared).await {
+            let Begun { attempt, probe, ends, bytes, written } = match begin_next(&mut writing, shared).await
+            {
                 Ok(Some(begun)) => begun,
                 Ok(None) => {
                     shared.wake.notified().await;
@@ -154,7 +160,7 @@
             if !probe {
                 shared.figures.attempt();
             }
-            line.sent.push_back(Sent { attempt, probe, given_up: false });
+            line.sent.push_back(Sent { attempt, probe, given_up: false, ends });
         }
     };
     // The reader first: a close by the server is noticed before anything more is written to it.
@@ -194,7 +200,8 @@
             return Poll::Ready(Ok(None));
         };
         line.writing = Writing::Begun(attempt);
-        Poll::Ready(Ok(Some(Begun { attempt, probe: matches!(payload, Payload::Probe), bytes, written })))
+        let (probe, ends) = (matches!(payload, Payload::Probe), payload.ends());
+        Poll::Ready(Ok(Some(Begun { attempt, probe, ends, bytes, written })))
     })
     .await
 }
