--- a/crates/accord/src/lib.rs
+++ b/crates/accord/src/lib.rs
@@ -19,11 +19,14 @@
 //! - A **follower** acts on a plan until `life` after the question that the last answer confirmed; then it has none, and its
 //!   node does what it does by itself. One that the decider does not answer has its question passed on by voters; the answer
 //!   counts from the same stamp, whatever way it came.
+//! - A **new decider** learns its predecessor's last plan for two thirds of `ask`: it asks back members that have acted on a
+//!   plan which it doesn't know, before it answers them.
 //!
 //! `hold` must be longer than `lease` by more than two clocks can differ over that time.
 
 mod member;
 mod message;
+mod succession;
 
 pub use member::{Config, Effect, Member, Mutant, Timing};
 pub use message::{Ballot, MOST, Message, Number, Question, Unreadable, VERSION};
--- a/crates/accord/src/member.rs
+++ b/crates/accord/src/member.rs
@@ -3,6 +3,7 @@
 use std::collections::BTreeSet;
 
 use crate::message::{Ballot, Message, Number, Question};
+use crate::succession::Succession;
 use crate::{MemberId, Millis};
 
 /// So many questions in a row without an answer may be bad luck.
@@ -59,6 +60,10 @@
     Resigns,
     /// What another member sees; told to a decider only.
     Evidence(MemberId, Vec<u8>),
+    /// Another member has acted on this decider's plan of this sequence number, or on a later one.
+    Follows(MemberId, u32),
+    /// An earlier decider's plan, newer than any that this decider knew; told while it may choose nothing of its own yet.
+    Learns(Vec<u8>),
 }
 
 /// A guard that is left out: for tests, which must catch each.
@@ -135,6 +140,7 @@
     campaign_at: Millis,
     tenure: Option<Tenure>,
     plan: (u32, Vec<u8>),
+    succession: Succession,
     // As a follower.
     known: Option<Known>,
     highest: Number,
@@ -168,6 +174,7 @@
             campaign_at: now + wait,
             tenure: None,
             plan: (0, Vec::new()),
+            succession: Succession::default(),
             known: None,
             highest: Number::default(),
             guess: 0,
@@ -235,6 +242,11 @@
         self.tenure.map(|t| t.until)
     }
 
+    /// Until when it learns its predecessor's plan, where it decides: it should choose nothing of its own before.
+    pub fn learns_until(&self) -> Option<Millis> {
+        self.tenure.map(|_| self.succession.until())
+    }
+
     /// The plan that it acts on.
     pub fn acts_on(&self) -> Option<(Number, &[u8])> {
         self.known.as_ref().map(|k| (k.number, k.plan.as_slice()))
@@ -591,6 +603,10 @@
                 self.tenure = Some(Tenure { began: ballot, until });
                 // What it had planned as one that would decide may come after the lease's end.
                 self.campaign_at = self.campaign_at.min(self.now + self.config.timing.lease / 3);
+                let known = self.known.as_ref().map(|k| k.number);
+                // A member that sees trouble, or acts on a plan that moves, asks twice in this.
+                let learns_until = self.now + self.config.timing.ask * 2 / 3;
+                self.succession = Succession::begin(known, learns_until);
                 // It goes on from what it has acted on last.
                 self.plan = (0, self.known.as_ref().map(|k| k.plan.clone()).unwrap_or_default());
                 out.push(Effect::Decides(ballot));
@@ -615,13 +631,37 @@
     ) {
         self.hear_of(number.tenure);
         if self.tenure.is_none() {
-            if let Some(voter) = self.granted_to() {
-                out.push(Effect::Send(from, Message::Elsewhere { voter }));
+            match self.granted_to() {
+                Some(voter) if voter != from => out.push(Effect::Send(from, Message::Elsewhere { voter })),
+                _ => self.tell_known(from, (stamp, life), out),
             }
             return;
         }
-        if let Some((own, left, plan)) = self.answers(from, number, evidence, out) {
-            out.push(Effect::Send(from, Message::Told { stamp, life, number: own, left, plan }));
+        let Some((own, left, plan)) = self.answers(from, number, evidence, out) else { return };
+        if self.must_learn_from(from, number) {
+            return self.question(self.now, from, out);
+        }
+        out.push(Effect::Send(from, Message::Told { stamp, life, number: own, left, plan }));
+    }
+
+    /// Whether a member knows a plan of an earlier tenure that this decider doesn't: it keeps that one until it has told it.
+    fn must_learn_from(&mut self, member: MemberId, number: Number) -> bool {
+        let earlier = self.tenure.is_some_and(|t| number.tenure != t.began);
+        earlier && self.succession.queries(self.now, member, number)
+    }
+
+    /// A new decider asks for its predecessor's plan: with no time left on the lease nobody acts on what is told.
+    fn tell_known(&self, to: MemberId, (stamp, life): (Millis, u32), out: &mut Vec<Effect>) {
+        let Some(Known { number, plan, .. }) = self.known.clone() else { return };
+        if self.config.voters.contains(&to) {
+            out.push(Effect::Send(to, Message::Told { stamp, life, number, left: 0, plan }));
+        }
+    }
+
+    /// What a member acts on, told by it to this decider.
+    fn learn(&mut self, tenure: Tenure, number: Number, plan: Vec<u8>, out: &mut Vec<Effect>) {
+        if number.tenure < tenure.began && self.succession.learns(self.now, number) {
+            out.push(Effect::Learns(plan));
         }
     }
 
@@ -643,9 +683,12 @@
             return;
         }
         let (stamp, life) = (ask.stamp, ask.life);
-        if let Some((number, left, plan)) = self.answers(asker, ask.number, ask.evidence, out) {
-            out.push(Effect::Send(from, Message::Answer { asker, stamp, life, number, left, plan }));
+        let Some((number, left, plan)) = self.answers(asker, ask.number, ask.evidence, out) else { return };
+        if self.must_learn_from(asker, ask.number) {
+            // There may be a direct way by now; where there is none, its next questions are answered.
+            return self.question(self.now, asker, out);
         }
+        out.push(Effect::Send(from, Message::Answer { asker, stamp, life, number, left, plan }));
     }
 
     /// What a decider answers to a member's question; nothing where its tenure must begin anew first.
@@ -657,6 +700,9 @@
         out: &mut Vec<Effect>,
     ) -> Option<(Number, Millis, Vec<u8>)> {
         let tenure = self.tenure?;
+        if number.tenure == tenure.began {
+            out.push(Effect::Follows(asker, number.sequence));
+        }
         out.push(Effect::Evidence(asker, evidence));
         let own = Number { tenure: tenure.began, sequence: self.plan.0 };
         if number > own && number.tenure.round < MOST_ROUNDS {
@@ -682,6 +728,9 @@
         if life != self.life && !self.lacks(Mutant::TakesForeign) {
             return;
         }
+        if let Some(tenure) = self.tenure.filter(|_| left == 0) {
+            return self.learn(tenure, number, plan, out);
+        }
         // The question was asked before the answer was given: what the lease had left then counts from the question on.
         let trusted = left.min(self.config.timing.lease) * (1000 - self.config.timing.drift.min(1000)) / 1000;
         let in_time = stamp <= self.now && self.now < stamp.saturating_add(trusted);
--- a/crates/accord/tests/fleet.rs
+++ b/crates/accord/tests/fleet.rs
@@ -123,6 +123,9 @@
                         planner.hear(now, to, seen);
                         let plan = planner.step(now);
                         node.member.decide(now, plan.encode(), &mut out);
+                        if let Some((number, _)) = node.member.acts_on() {
+                            planner.published(to, number.sequence);
+                        }
                     }
                 }
             }
@@ -145,11 +148,20 @@
                         node.plan = plan;
                     }
                     Effect::Decides(_) => {
-                        node.planner = Some(Planner::new(Figures::default(), ZONES, &node.plan, now));
+                        let learns_until = node.member.learns_until().unwrap();
+                        let times = (now, learns_until);
+                        node.planner =
+                            Some(Planner::takes_over(Figures::default(), ZONES, &node.plan, times));
                     }
                     Effect::Resigns => node.planner = None,
                     Effect::FallBack => node.plan = Plan::default(),
-                    Effect::Send(..) => {}
+                    Effect::Follows(from, sequence) => {
+                        if let Some(planner) = &mut node.planner {
+                            planner.follows(*from, *sequence);
+                        }
+                    }
+                    // Nobody is killed here: whoever begins to decide knows the plan.
+                    Effect::Learns(_) | Effect::Send(..) => {}
                 }
             }
             let sends = out.into_iter().filter_map(|e| match e {
--- a/crates/node/src/accord.rs
+++ b/crates/node/src/accord.rs
@@ -2,6 +2,7 @@
 //! only where the operator's file switches it on; without it no socket is opened and nothing is sent.
 
 use std::cell::OnceCell;
+use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -192,7 +193,8 @@
         if ordered {
             seen.orders = self.orders.told(self.now());
         }
-        self.member.sees(seen.encode());
+        let tells = self.told_of(&seen);
+        self.member.sees(tells.encode());
         let silent = seen.zones.iter().any(|(_, silent)| *silent >= HURRY);
         self.member.hurries(silent || ordered || self.moves());
         let now = self.now();
@@ -208,14 +210,30 @@
             self.plans_at = Instant::now() + PLANS;
             let now = self.now();
             if let Some(planner) = &mut self.planner {
-                planner.hear(now, self.me, seen);
+                planner.hear(now, self.me, tells);
                 let plan = planner.step(now).encode();
                 self.member.decide(now, plan, &mut out);
+                if let Some((number, _)) = self.member.acts_on() {
+                    planner.published(self.me, number.sequence);
+                }
             }
         }
         self.carry_out(out, near)
     }
 
+    /// What this node tells of what it sees: to a zone that it has left by itself it sends less than others need to tell by. It was lost
+    /// to it for long, and still is where what little goes there is not answered.
+    fn told_of(&self, seen: &Evidence) -> Evidence {
+        let mut tells = seen.clone();
+        for (zone, sees) in tells.zones.iter_mut().enumerate() {
+            let silent = sees.0 > 0 && f64::from(sees.1) / 255.0 >= self.figures.lost;
+            if silent && self.apart[zone] && self.acts_on.open(zone) >= 1.0 {
+                *sees = Evidence::LOST;
+            }
+        }
+        tells
+    }
+
     /// Whether some zone is on its way; one that staff keep out, and that has no keys left, is not.
     fn moves(&self) -> bool {
         let plan = &self.acts_on;
@@ -244,7 +262,8 @@
 
     fn carry_out(&mut self, out: Vec<Effect>, near: &mut Nearby) -> Wanted {
         let mut wanted = Wanted::default();
-        for effect in out {
+        let mut effects = VecDeque::from(out);
+        while let Some(effect) = effects.pop_front() {
             match effect {
                 Effect::Send(to, message) => {
                     let address = self.members.get(usize::from(to));
@@ -282,12 +301,21 @@
                         .lines
                         .push(format!("accord: this node decides from now on (round {})", ballot.round));
                     let (zones, now) = (self.zones.len(), self.now());
-                    self.planner = Some(Planner::new(self.figures.clone(), zones, &self.acts_on, now));
+                    let learns_until = self.member.learns_until().unwrap_or(now);
+                    let figures = self.figures.clone();
+                    self.planner =
+                        Some(Planner::takes_over(figures, zones, &self.acts_on, (now, learns_until)));
                 }
                 Effect::Resigns => {
                     wanted.lines.push("accord: this node no longer decides".into());
                     self.planner = None;
                 }
+                Effect::Follows(from, sequence) => {
+                    if let Some(planner) = &mut self.planner {
+                        planner.follows(from, sequence);
+                    }
+                }
+                Effect::Learns(bytes) => effects.extend(self.learn(&bytes)),
                 Effect::Evidence(from, bytes) => {
                     let now = self.now();
                     if let (Some(planner), Ok(evidence)) = (&mut self.planner, Evidence::decode(&bytes)) {
@@ -302,6 +330,17 @@
         wanted
     }
 
+    /// An earlier decider's plan, which this node goes on from: all are told of it at once.
+    fn learn(&mut self, bytes: &[u8]) -> Vec<Effect> {
+        let (mut out, now) = (Vec::new(), self.now());
+        if let (Some(planner), Ok(plan)) = (&mut self.planner, Plan::decode(bytes))
+            && planner.adopt(now, &plan)
+        {
+            self.member.decide(now, planner.plan(now).encode(), &mut out);
+        }
+        out
+    }
+
     /// The part of its keys that goes to each zone: as the plan says, and without one as staff have ordered. A plan of somebody who
     /// has yet to hear of an order, or who begins anew with its steps, gives no keys back to what staff keep out.
     fn opens(&self) -> Vec<f64> {
--- a/crates/plan/src/evidence.rs
+++ b/crates/plan/src/evidence.rs
@@ -11,6 +11,8 @@
 
 /// Attempts are told in parts of one: of a zone that is given up each node has less than one at a time.
 pub const PARTS: f64 = 8.0;
+/// A node that has sent a zone fewer attempts than this of late can't tell how it is.
+pub(crate) const ENOUGH: f64 = 3.0;
 
 /// What a node sees of each zone: attempts of late, and the part of them that nobody answered in time, both as 0 to 255.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -61,6 +63,9 @@
 }
 
 impl Evidence {
+    /// What a node tells of a zone that it has left by itself: as many attempts as it takes to tell, and all of them silent.
+    pub const LOST: (u8, u8) = ((ENOUGH * PARTS) as u8, 255);
+
     /// Of attempts and silent ones by zone.
     pub fn of(zones: impl Iterator<Item = (f64, f64)>) -> Evidence {
         let byte = |figure: f64| figure.clamp(0.0, 255.0).round() as u8;
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -6,6 +6,7 @@
 //! acting on the plan before and half on this one differ by one step only. What staff order by hand ([`Orders`]) goes before what nodes
 //! see. No I/O, no clock.
 
+mod announcement;
 mod evidence;
 mod orders;
 mod planner;
--- a/crates/plan/src/planner.rs
+++ b/crates/plan/src/planner.rs
@@ -4,12 +4,11 @@
 
 use serde::Deserialize;
 
-use crate::evidence::{Evidence, PARTS, Plan, State, Zone};
+use crate::announcement::{Announced, Announcement};
+use crate::evidence::{ENOUGH, Evidence, PARTS, Plan, State, Zone};
 use crate::orders::{How, Orders};
 use crate::{MOST_ZONES, Millis};
 
-/// A node that has sent a zone fewer attempts than this of late can't tell how it is.
-const ENOUGH: f64 = 3.0;
 /// All nodes together must have sent a zone that is given up so many to tell how it is, and a node that decides for itself.
 const ENOUGH_SCOUTS: (f64, f64) = (2.0, 0.5);
 /// Nodes that are heard for this long count.
@@ -20,6 +19,9 @@
 const ALONE: Millis = 1_500;
 /// In hundredths: of one node's keys so many must go on by which it sees that it can reach the zone again.
 const ALONE_SCOUTS: u8 = 5;
+/// In milliseconds: longer than this a zone is not kept because too few nodes know that it is the one to be given up. Nodes that see
+/// trouble ask for plans every 167 ms, and tell with the next question that they act on one.
+const LONGEST_ANNOUNCEMENT: Millis = 1_000;
 /// All of a zone's keys.
 const ALL: u8 = 100;
 
@@ -93,6 +95,11 @@
     stepped: Millis,
     /// Since when it answers, where it does.
     well_since: Option<Millis>,
+    /// Enough nodes see it as lost now, and since when they did, but for times in which nobody could tell.
+    bad: bool,
+    lost_since: Option<Millis>,
+    /// Who knows that it is suspected.
+    announced: Announced,
     hold: u64,
 }
 
@@ -105,6 +112,8 @@
     orders: Orders,
     /// It is one node's own.
     alone: bool,
+    /// What others know of its plans, where it decides for them.
+    announcement: Option<Announcement>,
 }
 
 impl Planner {
@@ -112,12 +121,68 @@
     pub fn new(figures: Figures, zones: usize, plan: &Plan, now: Millis) -> Planner {
         let course = |i: usize| {
             let zone = plan.zones.get(i).copied().unwrap_or(Zone { state: State::Serving, open: ALL });
-            Course { zone, since: now, stepped: now, well_since: None, hold: 1 }
+            Course {
+                zone,
+                since: now,
+                stepped: now,
+                well_since: None,
+                bad: false,
+                lost_since: None,
+                announced: Announced::No,
+                hold: 1,
+            }
         };
         let mut orders = Orders::default();
         orders.hear(now, &plan.orders, zones);
         let courses = (0..zones.min(MOST_ZONES)).map(course).collect();
-        Planner { figures, courses, heard: BTreeMap::new(), orders, alone: false }
+        Planner { figures, courses, heard: BTreeMap::new(), orders, alone: false, announcement: None }
+    }
+
+    /// The same for a node that begins to decide for others: until a time it only learns what its predecessor had planned, and it
+    /// gives a zone up only when others know that it is the one.
+    pub fn takes_over(
+        figures: Figures,
+        zones: usize,
+        plan: &Plan,
+        (now, learns_until): (Millis, Millis),
+    ) -> Planner {
+        let announcement = Some(Announcement::new(learns_until));
+        Planner { announcement, ..Planner::new(figures, zones, plan, now) }
+    }
+
+    /// The predecessor's last plan, as a node has told it: goes on from that. Orders are told with evidence. Returns whether there
+    /// was still time for it.
+    pub fn adopt(&mut self, now: Millis, plan: &Plan) -> bool {
+        if self.announcement.as_ref().is_none_or(|announcement| announcement.may_choose(now)) {
+            return false;
+        }
+        for (course, zone) in self.courses.iter_mut().zip(&plan.zones) {
+            (course.zone, course.since, course.stepped) = (*zone, now, now);
+            course.announced = match zone.state {
+                State::Suspected => Announced::Earlier,
+                _ => Announced::No,
+            };
+        }
+        true
+    }
+
+    /// The plan as it is now is told to others under a sequence number; this node acts on it at once.
+    pub fn published(&mut self, me: u16, sequence: u32) {
+        for course in &mut self.courses {
+            course.announced = match (course.zone.state, course.announced) {
+                (State::Suspected, Announced::No) => Announced::With(sequence),
+                (State::Suspected, announced) => announced,
+                _ => Announced::No,
+            };
+        }
+        self.follows(me, sequence);
+    }
+
+    /// A node has acted on the plan of a sequence number, or on a later one.
+    pub fn follows(&mut self, node: u16, sequence: u32) {
+        if let Some(announcement) = &mut self.announcement {
+            announcement.follows(node, sequence);
+        }
     }
 
     /// What one node does by itself about zones that the common plan keeps: fewer nodes than the plan goes by may have no way there,
@@ -150,22 +215,45 @@
         self.heard.retain(|_, (at, _)| *at + HEARD >= now);
         // Parts such as two thirds are a little less than they should be.
         let most = (self.figures.most * self.courses.len() as f64 + 1e-9).floor() as usize;
+        let may_choose = self.announcement.as_ref().is_none_or(|a| a.may_choose(now));
         for i in 0..self.courses.len() {
-            let away = self
-                .courses
-                .iter()
-                .filter(|c| matches!(c.zone.state, State::GivenUp | State::Returning))
-                .count();
             let (lost, well) = self.votes(i);
-            let room = away < most;
+            let room = self.reserved_beside(i) < most;
+            let known = self.is_known(i, now);
             match self.orders.of(i, now) {
                 Some((how, _)) => self.courses[i].ordered(&self.figures, now, how),
-                None => self.courses[i].step(&self.figures, now, lost, well, room),
+                None => {
+                    self.courses[i].see(&self.figures, now, (lost, well));
+                    if may_choose {
+                        self.courses[i].step(&self.figures, now, lost + well, room, known);
+                    }
+                }
             }
         }
         self.plan(now)
     }
 
+    /// How many other zones are given up or are about to be. Of several that are suspected (a plan of an earlier version may have
+    /// those) the first ones go before the others.
+    fn reserved_beside(&self, zone: usize) -> usize {
+        let suspected = self.courses[zone].zone.state == State::Suspected;
+        let reserves = |(other, course): &(usize, &Course)| match course.zone.state {
+            _ if *other == zone => false,
+            State::GivenUp | State::Returning => true,
+            State::Suspected => !suspected || *other < zone,
+            State::Serving => false,
+        };
+        self.courses.iter().enumerate().filter(reserves).count()
+    }
+
+    /// Whether a zone may be given up as far as others must know of it first.
+    fn is_known(&self, zone: usize, now: Millis) -> bool {
+        let Some(announcement) = &self.announcement else { return true };
+        let course = &self.courses[zone];
+        now >= course.since + self.figures.confirm_ms + LONGEST_ANNOUNCEMENT
+            || announcement.is_known(course.announced, self.heard.keys())
+    }
+
     /// How many nodes see a zone as lost, and how many see that it answers.
     fn votes(&self, zone: usize) -> (usize, usize) {
         let figures = || self.heard.values().filter_map(|(_, e)| e.zones.get(zone));
@@ -194,22 +282,38 @@
         }
     }
 
-    fn step(&mut self, figures: &Figures, now: Millis, lost: usize, well: usize, room: bool) {
+    /// What nodes tell of it now. Where nobody can tell, nothing changes but what time alone moves.
+    fn see(&mut self, figures: &Figures, now: Millis, (lost, well): (usize, usize)) {
         let told = lost + well;
-        let bad = lost > 0 && lost as f64 >= figures.nodes * told as f64;
-        // Where nobody can tell, nothing changes but what time alone moves.
-        self.well_since = if bad { None } else { self.well_since.or((told > 0).then_some(now)) };
+        self.bad = lost > 0 && lost as f64 >= figures.nodes * told as f64;
+        let well = !self.bad && told > 0;
+        if well || !self.bad && self.zone.state == State::Serving {
+            self.lost_since = None;
+        } else if self.bad {
+            self.lost_since = self.lost_since.or(Some(now));
+        }
+        self.well_since = if self.bad { None } else { self.well_since.or(well.then_some(now)) };
+    }
+
+    fn step(&mut self, figures: &Figures, now: Millis, told: usize, room: bool, known: bool) {
+        let bad = self.bad;
+        let confirmed = self.lost_since.is_some_and(|since| now >= since + figures.confirm_ms);
         let due = now >= self.stepped + figures.step_ms;
         match self.zone.state {
-            State::Serving if bad => self.become_(now, State::Suspected),
+            // The one that is suspected is the one that others know to be given up next: no more of them than there is room for.
+            State::Serving if bad && room => self.become_(now, State::Suspected),
             State::Serving => {
                 if now >= self.since + figures.hold_ms * LONGEST_HOLD {
                     self.hold = 1;
                 }
             }
             State::Suspected if !bad && told > 0 => self.become_(now, State::Serving),
+            // Nobody can tell any more: it does not keep the room from others.
+            State::Suspected if !bad && now >= self.since + figures.confirm_ms + LONGEST_ANNOUNCEMENT => {
+                self.become_(now, State::Serving);
+            }
             State::Suspected => {
-                if bad && room && now >= self.since + figures.confirm_ms {
+                if bad && confirmed && room && known {
                     self.become_(now, State::GivenUp);
                     self.away(figures, now);
                 }
@@ -242,7 +346,7 @@
     /// Staff's word goes before what nodes see; it moves keys in the same steps.
     fn ordered(&mut self, figures: &Figures, now: Millis, how: How) {
         // What is seen meanwhile is not held against the zone, nor for it, when the order ends.
-        (self.well_since, self.hold) = (None, 1);
+        (self.well_since, self.lost_since, self.hold) = (None, None, 1);
         let due = now >= self.stepped + figures.step_ms;
         match how {
             How::Out | How::Drained => {
