--- /dev/null
+++ b/crates/accord/tests/wall_clock.rs
@@ -0,0 +1,172 @@
+//! Members whose number of incarnation comes from a clock that was stepped between two of their lives: one that is lower than the
+//! former one, higher, or the same neither keeps a member out nor has anything of its former life count.
+#![allow(missing_docs)]
+
+use std::collections::VecDeque;
+
+use mothpier_accord::{Config, Effect, Member, MemberId, Message, Millis, Number, Timing};
+
+/// When the first lives begin by the wall clock, in milliseconds of a day.
+const BEGIN: i64 = 43_200_000;
+/// Steps of the wall clock between two lives, in milliseconds.
+const STEPS: [i64; 4] = [-2_000, 2_000, -3_600_000, 3_600_000];
+/// How long a member's process is down between two lives.
+const DOWN: Millis = 300;
+/// Time for a decider to begin and for all to hear its plan: all voters abstain first, then each waits for its turn to campaign.
+const SETTLED: Millis = 8_000;
+const VOTERS: [MemberId; 3] = [0, 1, 2];
+const MEMBERS: usize = 5;
+/// One way.
+const DELAY: Millis = 15;
+
+struct Fleet {
+    now: Millis,
+    /// When each life began: a process's own clock begins with it.
+    began: Vec<Millis>,
+    members: Vec<Member>,
+    net: VecDeque<(Millis, MemberId, MemberId, Message)>,
+    /// Deciders that hold a lease, and numbers acted on, in order.
+    acted: Vec<(MemberId, Number)>,
+}
+
+fn start(me: usize, wall: i64) -> Member {
+    let config = Config { me: me as MemberId, voters: VOTERS.to_vec(), timing: Timing::default() };
+    Member::start(config, wall as u32, 0)
+}
+
+impl Fleet {
+    fn new() -> Fleet {
+        let members = (0..MEMBERS).map(|me| start(me, BEGIN + me as i64)).collect();
+        Fleet { now: 0, began: vec![0; MEMBERS], members, net: VecDeque::new(), acted: Vec::new() }
+    }
+
+    fn carry_out(&mut self, me: usize, out: Vec<Effect>) {
+        for effect in out {
+            match effect {
+                Effect::Send(to, message) => {
+                    self.net.push_back((self.now + DELAY, me as MemberId, to, message));
+                }
+                Effect::Act(number, _) => self.acted.push((me as MemberId, number)),
+                _ => {}
+            }
+        }
+    }
+
+    fn deciders(&self) -> Vec<usize> {
+        (0..MEMBERS).filter(|i| self.members[*i].decides().is_some()).collect()
+    }
+
+    /// Goes on; whoever decides has this plan.
+    fn run(&mut self, millis: Millis, plan: &[u8]) {
+        let end = self.now + millis;
+        while self.now < end {
+            self.now += 1;
+            while self.net.front().is_some_and(|(at, ..)| *at <= self.now) {
+                let Some((_, from, to, message)) = self.net.pop_front() else { break };
+                let (me, mut out) = (usize::from(to), Vec::new());
+                let own = self.now.saturating_sub(self.began[me]);
+                // Nobody is there while its process is down.
+                if self.now >= self.began[me] {
+                    self.members[me].handle(own, from, message, &mut out);
+                    self.carry_out(me, out);
+                }
+            }
+            for me in 0..MEMBERS {
+                if self.now >= self.began[me] {
+                    let (own, mut out) = (self.now - self.began[me], Vec::new());
+                    self.members[me].tick(own, &mut out);
+                    self.members[me].decide(own, plan.to_vec(), &mut out);
+                    self.carry_out(me, out);
+                }
+            }
+            assert!(self.deciders().len() <= 1, "{:?} decide at once", self.deciders());
+        }
+    }
+
+    /// A member's process ends, and begins anew when the wall clock was stepped.
+    fn restart(&mut self, me: usize, step: i64) {
+        self.began[me] = self.now + DOWN;
+        self.members[me] = start(me, BEGIN + self.began[me] as i64 + step);
+    }
+
+    fn all_act_on(&self, plan: &[u8]) -> bool {
+        self.members.iter().all(|member| member.acts_on().is_some_and(|(_, acts_on)| acts_on == plan))
+    }
+}
+
+#[test]
+fn a_decider_or_follower_that_starts_again_after_a_step_of_the_wall_clock_takes_part_as_any_other() {
+    for step in STEPS {
+        for me in 0..MEMBERS {
+            let mut fleet = Fleet::new();
+            fleet.run(SETTLED, &[1]);
+            assert!(fleet.all_act_on(&[1]), "before");
+            // Twice, back and forth.
+            for (step, plan) in [(step, [2]), (-step, [3])] {
+                let me = if me == 0 { fleet.deciders()[0] } else { me };
+                fleet.restart(me, step);
+                fleet.run(SETTLED, &plan);
+                assert!(fleet.all_act_on(&plan), "member {me}, a step of {step} ms");
+            }
+        }
+    }
+}
+
+#[test]
+fn all_voters_that_start_again_at_once_after_a_step_come_to_a_higher_number_and_followers_act_on_it() {
+    for step in STEPS {
+        let mut fleet = Fleet::new();
+        fleet.run(SETTLED, &[1]);
+        let before = fleet.members[3].highest();
+        VOTERS.iter().for_each(|me| fleet.restart(usize::from(*me), step));
+        fleet.run(SETTLED, &[2]);
+        assert!(fleet.all_act_on(&[2]), "a step of {step} ms");
+        assert!(fleet.members[3].highest() > before, "a step of {step} ms");
+        let of_follower: Vec<Number> =
+            fleet.acted.iter().filter(|(me, _)| *me == 3).map(|(_, n)| *n).collect();
+        assert!(of_follower.windows(2).all(|w| w[0] < w[1]), "{of_follower:?}");
+    }
+}
+
+/// Of a ballot the round goes before the incarnation: a voter that has promised to the former life tells its round, and the
+/// new life campaigns above it.
+#[test]
+fn a_candidate_whose_incarnation_is_lower_than_its_former_one_campaigns_above_what_a_voter_has_promised() {
+    let timing = Timing::default();
+    for step in STEPS {
+        let mut voter = start(1, BEGIN);
+        let (mut former, mut out) = (start(0, BEGIN), Vec::new());
+        // It stands several times, and is promised to: its round is ahead of what a new life begins with.
+        for i in 0..3 {
+            former.stand(timing.hold + i, &mut out);
+        }
+        let prepares = |out: &[Effect]| -> Vec<Message> {
+            let sent = out.iter().filter_map(|e| match e {
+                Effect::Send(1, message @ Message::Prepare { .. }) => Some(message.clone()),
+                _ => None,
+            });
+            sent.collect()
+        };
+        for message in prepares(&out) {
+            voter.handle(timing.hold + 5, 0, message, &mut Vec::new());
+        }
+        let mut candidate = start(0, BEGIN + step);
+        let (mut promised, mut tries) = (false, 0);
+        let mut now = timing.hold;
+        while !promised && tries < 3 {
+            let (mut out, mut answers) = (Vec::new(), Vec::new());
+            candidate.stand(now, &mut out);
+            for message in prepares(&out) {
+                voter.handle(now + timing.hold, 0, message, &mut answers);
+            }
+            for effect in answers {
+                if let Effect::Send(_, message) = effect {
+                    promised |= matches!(message, Message::Promise { .. });
+                    candidate.handle(now, 1, message, &mut Vec::new());
+                }
+            }
+            (now, tries) = (now + timing.again, tries + 1);
+        }
+        assert!(promised && tries <= 2, "a step of {step} ms: promised {promised} after {tries} tries");
+    }
+}
