--- a/crates/world/tests/seeds.rs
+++ b/crates/world/tests/seeds.rs
@@ -52,7 +52,7 @@
 
 /// Plays a fault of zones under nodes that agree, alone or with those that vote killed in its midst: the rules hold, and one
 /// zone is given up, by all.
-fn one_zone_is_given_up(what: &What, voters_killed: bool) {
+fn one_zone_is_given_up(seed: u64, what: &What, voters_killed: bool) {
     let mut scenario = scenario("zones");
     scenario.seconds = 14.0;
     let mut script = vec![Fault { at_ms: 3_000, what: what.clone() }];
@@ -67,17 +67,18 @@
             sees.borrow_mut().extend(told.away().into_iter().map(str::to_owned));
         }
     };
-    let plan = Plan { scenario, seed: 3, script: Some(script), mutant: None };
+    let plan = Plan { scenario, seed, script: Some(script), mutant: None };
     let report = run(&plan, Some(std::rc::Rc::new(std::cell::RefCell::new(trace))));
     kept(&report);
-    assert_eq!(given_up.borrow().len(), 1, "{what:?}, voters killed {voters_killed}: {given_up:?}");
+    let zones = given_up.borrow();
+    assert_eq!(zones.len(), 1, "seed {seed}, {what:?}, voters killed {voters_killed}: {zones:?}");
 }
 
 #[test]
 fn a_zone_that_is_lost_or_silent_breaks_no_rule_and_is_given_up_by_all() {
     for what in [What::ZoneLost { zone: 2, down_ms: 5_000 }, What::ZoneSilent { zone: 1, for_ms: 5_000 }] {
         for voters_killed in [false, true] {
-            one_zone_is_given_up(&what, voters_killed);
+            one_zone_is_given_up(3, &what, voters_killed);
         }
     }
 }
@@ -87,12 +88,16 @@
 
 #[test]
 fn of_two_zones_apart_one_is_given_up_by_all() {
-    one_zone_is_given_up(&ZONES_APART, false);
+    one_zone_is_given_up(3, &ZONES_APART, false);
 }
 
 #[test]
 fn of_two_zones_apart_one_is_given_up_by_all_though_voters_are_killed() {
-    one_zone_is_given_up(&ZONES_APART, true);
+    // In the first four each of two leaders once gave up another zone; in the others none could while the cut lasted, when a new
+    // leader learned for longer, or nodes that had left a zone by themselves told nothing of it.
+    for seed in [3, 10, 58, 63, 1, 8, 17] {
+        one_zone_is_given_up(seed, &ZONES_APART, true);
+    }
 }
 
 /// Seeds that once broke a rule, by the fault of the node. The figures are in the changes that mended them.
