--- a/crates/simnet/src/net.rs
+++ b/crates/simnet/src/net.rs
@@ -297,6 +297,11 @@
         self.earlier.notify_one();
     }
 
+    /// Whether a program listens for connections at an address.
+    pub fn listens(&self, at: SocketAddr) -> bool {
+        self.state.borrow().listeners.contains_key(&at)
+    }
+
     /// Counts traffic from now on, from 0. Without this call none is counted.
     pub fn begin_tally(&self) {
         self.state.borrow_mut().tally = Some(Tally::default());
--- a/crates/simnet/src/socket.rs
+++ b/crates/simnet/src/socket.rs
@@ -330,6 +330,20 @@
     address: SocketAddr,
 }
 
+impl SimListener {
+    /// Waits until a connection can be accepted, and leaves it in the queue.
+    pub fn poll_waiting(&self, cx: &mut Context<'_>) -> Poll<()> {
+        let mut s = self.host.net.state.borrow_mut();
+        let Some(l) = s.listeners.get_mut(&self.address) else { return Poll::Pending };
+        let Some(place) = l.place(self.host.process) else { return Poll::Pending };
+        if l.queue.is_empty() {
+            l.holders[place].1 = Some(cx.waker().clone());
+            return Poll::Pending;
+        }
+        Poll::Ready(())
+    }
+}
+
 impl Listener for SimListener {
     type Stream = SimStream;
 
--- /dev/null
+++ b/crates/world/src/failing_host.rs
@@ -0,0 +1,245 @@
+//! A machine whose system calls fail for a while, as a node on it sees that.
+//!
+//! It stands where [`SimHost`] does, in the test programs alone: the daemon is not built with it. Reads and writes are cut
+//! short but carry all bytes in the end; a failed `accept` leaves the connection in the queue, as Linux does where the
+//! process is short of descriptors, and the connection that an `ECONNABORTED` tells of is one that never was.
+
+use std::fmt;
+use std::io;
+use std::net::SocketAddr;
+use std::pin::Pin;
+use std::task::{Context, Poll, ready};
+use std::time::Duration;
+
+use bytes::BytesMut;
+use chalksill_simnet::{SimDatagrams, SimHost, SimListener, SimReading, SimStream};
+use mothpier_host::{Datagrams, Host, Listener, Reading, Stream};
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::task::spawn_local;
+use tokio::time::{Sleep, sleep};
+
+use crate::mutant::Mutant;
+use crate::observe::NodeNo;
+use crate::system_calls::{FailingCalls, Failure, GRAIN, SystemCall};
+
+/// A short write takes so many bytes at most.
+const SHORT_WRITE: usize = 8;
+/// After a short write the socket takes nothing for so many milliseconds, from 1 on: its buffer was full.
+const FULL_MS: usize = 3;
+
+/// The machine of a node, whose calls fail as its world says.
+#[derive(Clone)]
+pub struct FailingHost {
+    host: SimHost,
+    node: NodeNo,
+    calls: FailingCalls,
+    mutant: Option<Mutant>,
+}
+
+impl FailingHost {
+    /// The machine of a node, with a fault of how errors are told where there is one.
+    pub fn new(host: SimHost, node: NodeNo, calls: FailingCalls, mutant: Option<Mutant>) -> FailingHost {
+        FailingHost { host, node, calls, mutant }
+    }
+
+    /// A listener that this machine's program inherits.
+    pub fn listener(&self, listener: SimListener) -> FailingListener {
+        FailingListener { listener, host: self.clone() }
+    }
+
+    /// The error of a call that is made now, if it fails.
+    fn error(&self, call: SystemCall) -> Option<io::Error> {
+        let failure = self.calls.failure(self.node, call)?;
+        Some(
+            self.mutant.and_then(|mutant| mutant.disguised(call, failure)).unwrap_or_else(|| failure.error()),
+        )
+    }
+
+    /// Fails a call that can wait, or lets it through.
+    async fn may_fail(&self, call: SystemCall) -> io::Result<()> {
+        let Some(error) = self.error(call) else { return Ok(()) };
+        if self.calls.is_busy_loop(self.node, call) {
+            sleep(GRAIN).await;
+        }
+        Err(error)
+    }
+
+    fn is_short(&self, call: SystemCall) -> bool {
+        self.calls.failure(self.node, call) == Some(Failure::Short)
+    }
+
+    fn stream(&self, stream: SimStream) -> FailingStream {
+        FailingStream { stream, host: self.clone(), full: None, was_short: false }
+    }
+}
+
+impl Host for FailingHost {
+    type Stream = FailingStream;
+    type Listener = FailingListener;
+    type Datagrams = FailingDatagrams;
+
+    async fn connect(&self, to: SocketAddr) -> io::Result<FailingStream> {
+        self.may_fail(SystemCall::Connect).await?;
+        Ok(self.stream(self.host.connect(to).await?))
+    }
+
+    async fn listen(&self, at: SocketAddr) -> io::Result<FailingListener> {
+        self.may_fail(SystemCall::Listen).await?;
+        Ok(self.listener(self.host.listen(at).await?))
+    }
+
+    async fn datagrams(&self, at: SocketAddr) -> io::Result<FailingDatagrams> {
+        self.may_fail(SystemCall::BindDatagrams).await?;
+        Ok(FailingDatagrams { datagrams: self.host.datagrams(at).await?, host: self.clone() })
+    }
+
+    fn unix_time(&self) -> Duration {
+        self.host.unix_time()
+    }
+
+    fn log(&self, line: fmt::Arguments<'_>) {
+        self.host.log(line);
+    }
+}
+
+/// A listener on such a machine.
+pub struct FailingListener {
+    listener: SimListener,
+    host: FailingHost,
+}
+
+impl Listener for FailingListener {
+    type Stream = FailingStream;
+
+    async fn accept(&self) -> io::Result<(FailingStream, SocketAddr)> {
+        std::future::poll_fn(|cx| self.poll_accept(cx)).await
+    }
+
+    fn poll_accept(&self, cx: &mut Context<'_>) -> Poll<io::Result<(FailingStream, SocketAddr)>> {
+        // A call is made only where a connection waits.
+        ready!(self.listener.poll_waiting(cx));
+        let Some(error) = self.host.error(SystemCall::Accept) else {
+            return self.listener.poll_accept(cx).map_ok(|(stream, from)| (self.host.stream(stream), from));
+        };
+        if !self.host.calls.is_busy_loop(self.host.node, SystemCall::Accept) {
+            return Poll::Ready(Err(error));
+        }
+        let waker = cx.waker().clone();
+        spawn_local(async move {
+            sleep(GRAIN).await;
+            waker.wake();
+        });
+        Poll::Pending
+    }
+
+    fn local_addr(&self) -> io::Result<SocketAddr> {
+        self.listener.local_addr()
+    }
+}
+
+/// A connection of such a machine, or the half of one that is written to.
+pub struct FailingStream {
+    stream: SimStream,
+    host: FailingHost,
+    /// Until it takes bytes again.
+    full: Option<Pin<Box<Sleep>>>,
+    /// The last write was short: the next one is not.
+    was_short: bool,
+}
+
+/// The half of a connection that is read from.
+pub struct FailingReading {
+    reading: SimReading,
+    host: FailingHost,
+}
+
+impl Stream for FailingStream {
+    type Reading = FailingReading;
+    type Writing = FailingStream;
+
+    fn into_halves(self) -> (FailingReading, FailingStream) {
+        let (reading, writing) = self.stream.into_halves();
+        let reading = FailingReading { reading, host: self.host.clone() };
+        (reading, FailingStream { stream: writing, ..self })
+    }
+}
+
+impl Reading for FailingReading {
+    async fn readable(&self) -> io::Result<()> {
+        self.reading.readable().await
+    }
+
+    fn try_read_buf(&self, buffer: &mut BytesMut) -> io::Result<usize> {
+        if buffer.capacity() == buffer.len() || !self.host.is_short(SystemCall::Read) {
+            return self.reading.try_read_buf(buffer);
+        }
+        let mut one = BytesMut::with_capacity(1);
+        let read = self.reading.try_read_buf(&mut one)?;
+        buffer.extend_from_slice(&one);
+        Ok(read)
+    }
+}
+
+impl AsyncRead for FailingStream {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buffer: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        if buffer.remaining() == 0 || !self.host.is_short(SystemCall::Read) {
+            return Pin::new(&mut self.stream).poll_read(cx, buffer);
+        }
+        let mut one = [0];
+        let mut one = ReadBuf::new(&mut one);
+        ready!(Pin::new(&mut self.stream).poll_read(cx, &mut one))?;
+        buffer.put_slice(one.filled());
+        Poll::Ready(Ok(()))
+    }
+}
+
+impl AsyncWrite for FailingStream {
+    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+        if let Some(full) = &mut self.full {
+            ready!(full.as_mut().poll(cx));
+            self.full = None;
+        }
+        let was_short = std::mem::take(&mut self.was_short);
+        if was_short || bytes.len() < 2 || !self.host.is_short(SystemCall::Write) {
+            return Pin::new(&mut self.stream).poll_write(cx, bytes);
+        }
+        let few = 1 + self.host.calls.below(SHORT_WRITE.min(bytes.len() - 1));
+        let written = ready!(Pin::new(&mut self.stream).poll_write(cx, &bytes[..few]))?;
+        let full = Duration::from_millis(1 + self.host.calls.below(FULL_MS) as u64);
+        (self.full, self.was_short) = (Some(Box::pin(sleep(full))), true);
+        Poll::Ready(Ok(written))
+    }
+
+    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_flush(cx)
+    }
+
+    /// The other side has just gone where it fails: there is nothing left to shut down.
+    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        ready!(Pin::new(&mut self.stream).poll_shutdown(cx))?;
+        Poll::Ready(self.host.error(SystemCall::Shutdown).map_or(Ok(()), Err))
+    }
+}
+
+/// A UDP socket of such a machine.
+pub struct FailingDatagrams {
+    datagrams: SimDatagrams,
+    host: FailingHost,
+}
+
+impl Datagrams for FailingDatagrams {
+    async fn recv_from(&self, buffer: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
+        self.host.may_fail(SystemCall::Receive).await?;
+        self.datagrams.recv_from(buffer).await
+    }
+
+    /// A datagram whose sending fails is lost.
+    fn try_send_to(&self, bytes: &[u8], to: SocketAddr) -> io::Result<usize> {
+        self.host.error(SystemCall::Send).map_or(Ok(()), Err)?;
+        self.datagrams.try_send_to(bytes, to)
+    }
+}
--- a/crates/world/src/faults.rs
+++ b/crates/world/src/faults.rs
@@ -7,6 +7,7 @@
 
 use crate::observe::{BoxNo, NodeNo};
 use crate::scenario::Scenario;
+use crate::system_calls::{self, Failure, SystemCall};
 
 /// The largest filling of a value: what it says of itself comes on top.
 pub const LARGEST: usize = (4 << 20) - 64;
@@ -67,11 +68,13 @@
     ZonesApart,
     /// Several nodes are killed at once, those that vote among them.
     NodesKilled,
+    /// System calls of a node fail.
+    SystemCalls,
 }
 
 impl Kind {
     /// All kinds, in the order in which the documents name them.
-    pub const ALL: [Kind; 26] = [
+    pub const ALL: [Kind; 27] = [
         Kind::Crash,
         Kind::Deploy,
         Kind::NodeKill,
@@ -98,6 +101,7 @@
         Kind::ZoneSilent,
         Kind::ZonesApart,
         Kind::NodesKilled,
+        Kind::SystemCalls,
     ];
 }
 
@@ -294,6 +298,19 @@
         /// After how long.
         down_ms: u64,
     },
+    /// A part of the system calls of a node fails.
+    SystemCalls {
+        /// Which node.
+        node: NodeNo,
+        /// Which call. Where it opens a socket the node is killed, and starts while it fails.
+        call: SystemCall,
+        /// How it fails.
+        failure: Failure,
+        /// The part of the calls.
+        part: f64,
+        /// For how long.
+        for_ms: u64,
+    },
     /// A box is declared gone, and listed so at once, when so many packets have been carried.
     GoneAtPacket {
         /// Which.
@@ -351,6 +368,10 @@
                 Err(format!("a value of {bytes} bytes, {LARGEST} at most"))
             }
             What::Large { part: p, .. } => part(*p),
+            What::SystemCalls { call, failure, .. } if !call.failures().contains(failure) => {
+                Err(format!("{call:?} does not fail with {failure:?}"))
+            }
+            What::SystemCalls { node, part: p, .. } => is_node(*node).and_then(|()| part(*p)),
             _ => Ok(()),
         }
     }
@@ -425,6 +446,7 @@
             // Those that vote have the lowest numbers.
             What::NodesKilled { nodes: (0..many).collect(), down_ms: rng.random_range(100..3_000) }
         }
+        Kind::SystemCalls => system_calls::draw(node, rng),
         Kind::Drain => What::Drain { node, for_ms },
         Kind::Upgrade => What::Upgrade {
             node,
--- a/crates/world/src/mutant.rs
+++ b/crates/world/src/mutant.rs
@@ -23,6 +23,7 @@
 
 use crate::rules::Rule;
 use crate::scenario::{Effect, Scenario};
+use crate::system_calls::{Failure, SystemCall};
 use crate::time_told::TimesAsTheyCame;
 
 /// One answer in so many is touched.
@@ -62,10 +63,16 @@
     AsksNoMore,
     /// It tells servers and the origin the time that its client came with, however much of that is over.
     TellsAllTime,
+    /// It takes a passing error of a bind for a lasting one.
+    GivesUpBind,
+    /// It takes a lasting error of receiving for one that is told once.
+    ReceivesAtOnce,
+    /// It takes a failed connect for one that its server refused, whatever the error.
+    BlamesServers,
 }
 
 impl Mutant {
-    /// All of them, with the rule that each breaks.
+    /// All of them that break a rule, with that rule.
     pub const ALL: [(Mutant, Rule); 15] = [
         (Mutant::AnswersTwice, Rule::OneAnswer),
         (Mutant::NeverAnswers, Rule::OneAnswer),
@@ -126,6 +133,25 @@
     }
 }
 
+impl Mutant {
+    /// Whether it garbles the errors of system calls.
+    pub fn garbles_errors(self) -> bool {
+        matches!(self, Mutant::GivesUpBind | Mutant::ReceivesAtOnce | Mutant::BlamesServers)
+    }
+
+    /// What its node is told in place of an error, where that is something else.
+    pub fn disguised(self, call: SystemCall, failure: Failure) -> Option<io::Error> {
+        match self {
+            Mutant::GivesUpBind if call.opens() => Some(io::ErrorKind::PermissionDenied.into()),
+            Mutant::ReceivesAtOnce if call == SystemCall::Receive => Some(Failure::Econnrefused.error()),
+            Mutant::BlamesServers if call == SystemCall::Connect && failure.is_local() => {
+                Some(Failure::Econnrefused.error())
+            }
+            _ => None,
+        }
+    }
+}
+
 /// Writes other bytes in place of those that the node gave. Where they do not fit all at once the connection is broken: an
 /// attempt is small, and half of one can't be named in the node's own bytes.
 fn write_for(
--- a/crates/world/src/observe.rs
+++ b/crates/world/src/observe.rs
@@ -8,6 +8,7 @@
 use tokio::time::Instant;
 
 use crate::agreement::Told;
+use crate::system_calls::SystemCall;
 
 /// Numbers a request of a client, a retry having its own.
 pub type RequestNo = u64;
@@ -281,6 +282,22 @@
         /// Whether it does.
         decides: bool,
     },
+    /// A node whose system calls may fail has started, or still has not.
+    Started {
+        /// The node.
+        node: NodeNo,
+        /// How long its start has taken.
+        after: Duration,
+        /// Whether it is ready and listens.
+        ready: bool,
+    },
+    /// A failing system call is made again and again, without a pause between.
+    BusyLoop {
+        /// The node.
+        node: NodeNo,
+        /// The call.
+        call: SystemCall,
+    },
 }
 
 /// Something seen, and when, counted from the beginning of the world.
--- a/crates/world/src/rules.rs
+++ b/crates/world/src/rules.rs
@@ -17,6 +17,8 @@
 //! 11. **Over.** What has been answered, or whose client has gone, is not sent on: no attempt begins later.
 //! 12. **Time left.** The time that an attempt tells is at most what is left to its client: what the client told, counted
 //!     from when its last byte was written, with a slack of 50 ms and the ways from the client and to the server.
+//! 13. **Ready.** A node whose system calls fail at its start is ready within seconds of it.
+//! 14. **Backoff.** A system call that goes on failing is not made again and again without a pause.
 //!
 //! The caps of rule 5 are those of the decision module's gate (its constants are no part of its interface): a part of
 //! 80 calls out, or of a tenth of all quotas a second, for each node, 2 to 20 of them, and in a window the greater of
@@ -55,6 +57,8 @@
 const LOOKS: Duration = Duration::from_millis(300);
 /// A zone may be given up so many times within such a time: its hold doubles with each return that fails.
 const SWINGS: (usize, Duration) = (3, Duration::from_secs(10));
+/// A node is ready so long after its start, though its sockets can't be opened for half of that.
+const READY: Duration = Duration::from_secs(3);
 /// Requests that ended are remembered for attempts that come late.
 const REMEMBERED: Duration = Duration::from_secs(40);
 
@@ -86,6 +90,10 @@
     Over,
     /// An attempt tells no more time than is left.
     TimeLeft,
+    /// Ready in time after a start.
+    Ready,
+    /// A pause between calls that fail.
+    Backoff,
 }
 
 /// A rule that was broken.
@@ -402,6 +410,15 @@
                     self.broken(now, Rule::NoEffectTwice, format!("request {request:x} ran twice"));
                 }
             }
+            Seen::Started { node, after, ready } if !ready || *after > READY => {
+                let what = format!("node {node} is ready {ready} {after:?} after its start");
+                self.broken(now, Rule::Ready, what);
+            }
+            Seen::BusyLoop { node, call } => {
+                let what = format!("node {node} makes {call:?} again and again while it fails");
+                self.broken(now, Rule::Backoff, what);
+            }
+            Seen::Started { .. } => {}
             Seen::Acts { node, plan } => self.acts(now, *node, plan),
             Seen::Decides { node, decides: false } => drop(self.deciding.remove(node)),
             Seen::Decides { node, decides: true } => {
--- a/crates/world/src/sim.rs
+++ b/crates/world/src/sim.rs
@@ -1,5 +1,7 @@
 //! One run on the virtual clock: nodes, stand-ins, faults, the checker, and the digest of everything.
 
+mod failing;
+
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -23,6 +25,7 @@
 use crate::cache::Cache;
 use crate::clients::Clients;
 use crate::discovery::Discovery;
+use crate::failing_host::FailingHost;
 use crate::faults::{self, Ends, Fault, Kind, What};
 use crate::fleet::{Fleet, Member};
 use crate::mutant::{Mutant, MutantHost};
@@ -32,6 +35,7 @@
 use crate::report::{Collector, Report};
 use crate::rules::Checker;
 use crate::scenario::Scenario;
+use crate::system_calls::{FailingCall, FailingCalls};
 use crate::tape::{Recording, Tape, Tapes};
 
 /// The time of day at which every simulated world begins.
@@ -112,6 +116,8 @@
     tapes: Option<Tapes>,
     /// The platform holds the nodes' sockets.
     sockets: bool,
+    /// Where system calls of nodes may fail.
+    failing: Option<FailingCalls>,
 }
 
 fn node_ip(node: NodeNo) -> IpAddr {
@@ -248,6 +254,7 @@
         tapes,
         sockets: scenario.faults.kinds.contains(&Kind::Upgrade)
             || plan.script().iter().any(|f| matches!(f.what, What::Upgrade { .. })),
+        failing: failing::calls(&plan, &fleet),
     });
     for number in 0..origin {
         world.start_box(number, scenario.boxes.start_cold).await;
@@ -353,7 +360,9 @@
     /// A node starts with the list that it last held, as the platform would start it.
     fn start_node(self: &Rc<Self>, node: NodeNo) {
         if let Some(run) = self.run_node(node, None) {
+            let life = run.number;
             self.nodes.borrow_mut().insert(node, run);
+            self.watch_start(node, life);
         }
     }
 
@@ -405,12 +414,19 @@
         let (found, successors) = mpsc::channel(1);
         let handover = self.sockets.then_some(Handover { before, successors });
         let lives = desk.clone();
-        let running = match self.mutant {
-            None => {
+        let garbles_errors = self.mutant.is_none_or(Mutant::garbles_errors);
+        let running = match (self.mutant, self.failing.clone().filter(|_| garbles_errors)) {
+            (mutant, Some(calls)) => {
+                let runs = FailingHost::new(runs, node, calls, mutant);
+                let listener = listener.map(|l| runs.listener(l));
+                let start = Start { recorder, listener, handover };
+                local.spawn_local(mothpier_node::run(runs, config, lives, told, start))
+            }
+            (None, None) => {
                 let start = Start { recorder, listener, handover };
                 local.spawn_local(mothpier_node::run(runs, config, lives, told, start))
             }
-            Some(mutant) => {
+            (Some(mutant), None) => {
                 let runs = MutantHost::new(runs, mutant);
                 let listener = listener.map(|l| runs.listener(l));
                 let start = Start { recorder, listener, handover };
@@ -814,6 +830,10 @@
                     let _ = one.await;
                 }
             }
+            What::SystemCalls { node, call, failure, part, for_ms } => {
+                let failing = FailingCall { node, call, failure, part };
+                self.fail_calls(failing, Duration::from_millis(for_ms)).await;
+            }
             What::GoneAtPacket { at, packet, drains } => {
                 self.net.packet(packet).await;
                 if let Some(mut member) = self.discovery.member(at) {
