--- a/crates/world/src/failing_host.rs
+++ b/crates/world/src/failing_host.rs
@@ -57,11 +57,15 @@
 
     /// Fails a call that can wait, or lets it through.
     async fn may_fail(&self, call: SystemCall) -> io::Result<()> {
-        let Some(error) = self.error(call) else { return Ok(()) };
-        if self.calls.is_busy_loop(self.node, call) {
-            sleep(GRAIN).await;
+        while let Some(error) = self.error(call) {
+            if self.calls.is_busy_loop(self.node, call) {
+                sleep(GRAIN).await;
+            }
+            if !self.mutant.is_some_and(|mutant| mutant.retries_at_once(call)) {
+                return Err(error);
+            }
         }
-        Err(error)
+        Ok(())
     }
 
     fn is_short(&self, call: SystemCall) -> bool {
--- a/crates/world/src/mutant.rs
+++ b/crates/world/src/mutant.rs
@@ -65,7 +65,7 @@
     TellsAllTime,
     /// It takes a passing error of a bind for a lasting one.
     GivesUpBind,
-    /// It takes a lasting error of receiving for one that is told once.
+    /// A datagram that can't be received is asked for again and again, without a pause.
     ReceivesAtOnce,
     /// It takes a failed connect for one that its server refused, whatever the error.
     BlamesServers,
@@ -73,7 +73,7 @@
 
 impl Mutant {
     /// All of them that break a rule, with that rule.
-    pub const ALL: [(Mutant, Rule); 15] = [
+    pub const ALL: [(Mutant, Rule); 17] = [
         (Mutant::AnswersTwice, Rule::OneAnswer),
         (Mutant::NeverAnswers, Rule::OneAnswer),
         (Mutant::WrongValue, Rule::OneAnswer),
@@ -89,6 +89,8 @@
         (Mutant::DeafToLeaving, Rule::Over),
         (Mutant::AsksNoMore, Rule::Drains),
         (Mutant::TellsAllTime, Rule::TimeLeft),
+        (Mutant::GivesUpBind, Rule::Ready),
+        (Mutant::ReceivesAtOnce, Rule::Backoff),
     ];
 
     /// The settings that its node is told.
@@ -139,11 +141,15 @@
         matches!(self, Mutant::GivesUpBind | Mutant::ReceivesAtOnce | Mutant::BlamesServers)
     }
 
+    /// Whether it makes a call that fails again and again, without a pause.
+    pub fn retries_at_once(self, call: SystemCall) -> bool {
+        self == Mutant::ReceivesAtOnce && call == SystemCall::Receive
+    }
+
     /// What its node is told in place of an error, where that is something else.
     pub fn disguised(self, call: SystemCall, failure: Failure) -> Option<io::Error> {
         match self {
             Mutant::GivesUpBind if call.opens() => Some(io::ErrorKind::PermissionDenied.into()),
-            Mutant::ReceivesAtOnce if call == SystemCall::Receive => Some(Failure::Econnrefused.error()),
             Mutant::BlamesServers if call == SystemCall::Connect && failure.is_local() => {
                 Some(Failure::Econnrefused.error())
             }
--- a/crates/world/tests/seeds.rs
+++ b/crates/world/tests/seeds.rs
@@ -8,6 +8,7 @@
 use chalksill_world::mutant::Mutant;
 use chalksill_world::scenario::Scenario;
 use chalksill_world::sim::{Plan, run};
+use chalksill_world::system_calls::{Failure, SystemCall};
 use common::{drawn, kept, scenario};
 
 #[test]
@@ -154,6 +155,15 @@
         let what = What::Clients { leavers: 0.5, slow: 0.0, for_ms: 9_000 };
         return (scenario, Some(vec![Fault { at_ms: 0, what }]));
     }
+    if matches!(mutant, Mutant::GivesUpBind | Mutant::ReceivesAtOnce) {
+        // Nodes tell each other something every few seconds.
+        let (call, failure, for_ms) = match mutant {
+            Mutant::GivesUpBind => (SystemCall::Listen, Failure::Enobufs, 500),
+            _ => (SystemCall::Receive, Failure::Enomem, 6_000),
+        };
+        let what = What::SystemCalls { node: 0, call, failure, part: 1.0, for_ms };
+        return (scenario, Some(vec![Fault { at_ms: 1000, what }]));
+    }
     if mutant == Mutant::IgnoresCold {
         // One box comes back cold into a fleet that is well loaded, and all are told at once.
         (scenario.load.rate, scenario.load.keys, scenario.boxes.keys) = (520.0, 400, 600);
