--- a/crates/world/src/faults.rs
+++ b/crates/world/src/faults.rs
@@ -7,6 +7,7 @@
 
 use crate::observe::{BoxNo, NodeNo};
 use crate::scenario::Scenario;
+use crate::system_calls::{self, Failure, SystemCall};
 use crate::wall_clock::WallClockStep;
 
 /// The largest filling of a value: what it says of itself comes on top.
@@ -70,11 +71,13 @@
     NodesKilled,
     /// Wall clocks are stepped by seconds or an hour: of a node, of all, of discovery.
     WallClockStep,
+    /// System calls of a node fail.
+    SystemCalls,
 }
 
 impl Kind {
     /// All kinds, in the order in which the documents name them.
-    pub const ALL: [Kind; 27] = [
+    pub const ALL: [Kind; 28] = [
         Kind::Crash,
         Kind::Deploy,
         Kind::NodeKill,
@@ -102,6 +105,7 @@
         Kind::ZonesApart,
         Kind::NodesKilled,
         Kind::WallClockStep,
+        Kind::SystemCalls,
     ];
 }
 
@@ -298,6 +302,19 @@
         /// After how long.
         down_ms: u64,
     },
+    /// A part of the system calls of a node fails.
+    SystemCalls {
+        /// Which node.
+        node: NodeNo,
+        /// Which call. Where it opens a socket the node is killed, and starts while it fails.
+        call: SystemCall,
+        /// How it fails.
+        failure: Failure,
+        /// The part of the calls.
+        part: f64,
+        /// For how long.
+        for_ms: u64,
+    },
     /// A box is declared gone, and listed so at once, when so many packets have been carried.
     GoneAtPacket {
         /// Which.
@@ -358,6 +375,10 @@
                 Err(format!("a value of {bytes} bytes, {LARGEST} at most"))
             }
             What::Large { part: p, .. } => part(*p),
+            What::SystemCalls { call, failure, .. } if !call.failures().contains(failure) => {
+                Err(format!("{call:?} does not fail with {failure:?}"))
+            }
+            What::SystemCalls { node, part: p, .. } => is_node(*node).and_then(|()| part(*p)),
             _ => Ok(()),
         }
     }
@@ -433,6 +454,7 @@
             What::NodesKilled { nodes: (0..many).collect(), down_ms: rng.random_range(100..3_000) }
         }
         Kind::WallClockStep => What::WallClockStep(WallClockStep::draw(scenario.nodes.count, rng)),
+        Kind::SystemCalls => system_calls::draw(node, rng),
         Kind::Drain => What::Drain { node, for_ms },
         Kind::Upgrade => What::Upgrade {
             node,
