--- a/crates/mothpier/tests/system_calls.rs
+++ b/crates/mothpier/tests/system_calls.rs
@@ -226,6 +226,23 @@
     play("interrupted", &cases);
 }
 
+#[test]
+fn a_lack_of_memory_for_a_transfer_passes() {
+    let mut cases = Vec::new();
+    for sockets in [Sockets::Incoming, Sockets::Outgoing] {
+        cases.push(under_load("recv", "ENOMEM", 7, sockets, ALL));
+        cases.push(under_load("send,writev", "ENOBUFS", 7, sockets, ALL));
+        cases.push(under_load("send,writev", "ENOMEM", 7, sockets, ALL));
+    }
+    play("memory", &cases);
+}
+
+#[test]
+fn a_lack_of_memory_for_watching_a_connection_passes() {
+    let cases = ["ENOMEM", "ENOSPC"].map(|error| under_load("epoll_ctl", error, 5, Sockets::Incoming, ALL));
+    play("watching", &cases);
+}
+
 #[test]
 fn errors_of_connect_are_tried_again() {
     let mut cases = Vec::new();
--- a/crates/node/src/clients/answers.rs
+++ b/crates/node/src/clients/answers.rs
@@ -8,7 +8,7 @@
 
 use brassrouter::RequestId;
 use bytes::{Bytes, BytesMut};
-use mothpier_host::{Host, Reading, Stream};
+use mothpier_host::{Host, Reading};
 use mothpier_ops::{End, Ticket};
 use mothpier_resp::{self as resp, Malformed};
 use redis_protocol::resp2::types::BytesFrame;
@@ -16,6 +16,7 @@
 use tokio::sync::{OwnedSemaphorePermit, oneshot};
 use tokio::time::timeout;
 
+use super::ClientWriting;
 use super::grammar::Rejected;
 use super::reading::Inbox;
 use super::session::Session;
@@ -87,7 +88,7 @@
     pub(super) async fn pass_on<R: Reading>(
         &mut self,
         inbox: &mut Inbox<'_, R>,
-        writing: &mut <H::Stream as Stream>::Writing,
+        writing: &mut ClientWriting<H>,
     ) -> bool {
         let Some(Slot { wait: Wait::Stream(mut value), memory, ticket }) = self.pending.pop_front() else {
             return false;
@@ -123,7 +124,7 @@
         &mut self,
         ready: usize,
         inbox: &mut Inbox<'_, R>,
-        writing: &mut <H::Stream as Stream>::Writing,
+        writing: &mut ClientWriting<H>,
     ) -> bool {
         let bytes = self.take_answers(ready);
         let whole = self.deliver(&bytes, inbox, writing).await;
@@ -142,7 +143,7 @@
         &mut self,
         bytes: &[u8],
         inbox: &mut Inbox<'_, R>,
-        writing: &mut <H::Stream as Stream>::Writing,
+        writing: &mut ClientWriting<H>,
     ) -> bool {
         let mut written = std::pin::pin!(timeout(SLOW_READER, writing.write_all(bytes)));
         loop {
--- a/crates/node/src/clients/listening.rs
+++ b/crates/node/src/clients/listening.rs
@@ -23,6 +23,7 @@
 use super::state::State;
 use crate::accepting::{self, Failures, Reaction};
 use crate::crowd::Activity;
+use crate::shortage::Outlasting;
 use crate::stream::{CLOSE_TIMEOUT, close_in_order};
 
 /// Pauses in a row at the end of the listening, at most: what is in the queue then is to be answered before the process
@@ -131,7 +132,8 @@
     fn turn_away(self: Rc<Self>, stream: H::Stream, after: Duration, place: Option<OwnedSemaphorePermit>) {
         self.connections.set(self.connections.get() + 1);
         tokio::task::spawn_local(async move {
-            let (reading, mut writing) = stream.into_halves();
+            let (reading, writing) = stream.into_halves();
+            let mut writing = Outlasting::new(writing);
             let line = resp::error(&format!("BUSY {}", after.as_millis().max(1)));
             if let Ok(Ok(())) = timeout(CLOSE_TIMEOUT, writing.write_all(&line)).await {
                 close_in_order(&reading, &mut writing).await;
--- a/crates/node/src/clients/mod.rs
+++ b/crates/node/src/clients/mod.rs
@@ -7,7 +7,7 @@
 
 use brassrouter::settings::Site;
 use brassrouter::{Micros, RequestId};
-use mothpier_host::Host;
+use mothpier_host::{Host, Stream};
 use mothpier_ops::Desk;
 use mothpier_storm::Door;
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore, mpsc};
@@ -16,6 +16,7 @@
 use crate::command::Ids;
 use crate::input::Input;
 use crate::keys::Keys;
+use crate::shortage::Outlasting;
 
 mod answers;
 mod eviction;
@@ -31,6 +32,9 @@
 pub use grammar::Grammar;
 pub use retiring::{Leaving, Listening, Retiring};
 
+/// The half of a client's connection that is written to.
+type ClientWriting<H> = Outlasting<<<H as Host>::Stream as Stream>::Writing>;
+
 /// Connections that are being told to come back at once, as a part of all that there may be; while there are so many no
 /// other is accepted.
 const TURNED_AWAY: usize = 8;
--- a/crates/node/src/clients/session.rs
+++ b/crates/node/src/clients/session.rs
@@ -10,12 +10,13 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until};
 
-use super::Clients;
 use super::answers::{Ready, Slot, ready_answers};
 use super::reading::{Inbox, quiet};
 use super::retiring::Leaving;
 use super::state::State;
 use super::timing::{Limits, Progress, Situation, last_before};
+use super::{ClientWriting, Clients};
+use crate::shortage::Outlasting;
 use crate::stream::{close_in_order, read};
 
 /// Answers of one connection that may wait, refusals and errors too; a client that goes on beyond is cut off.
@@ -66,7 +67,8 @@
 impl<H: Host> Session<H> {
     /// Serves a connection until its end.
     pub(super) async fn run(&mut self, stream: H::Stream, evict: Rc<Notify>) {
-        let (reading, mut writing) = stream.into_halves();
+        let (reading, writing) = stream.into_halves();
+        let mut writing = Outlasting::new(writing);
         if self.serve(&reading, &mut writing, evict).await == Closing::InOrder {
             close_in_order(&reading, &mut writing).await;
         }
@@ -75,7 +77,7 @@
     async fn serve(
         &mut self,
         reading: &<H::Stream as Stream>::Reading,
-        writing: &mut <H::Stream as Stream>::Writing,
+        writing: &mut ClientWriting<H>,
         evict: Rc<Notify>,
     ) -> Closing {
         let clients = self.clients.clone();
--- a/crates/node/src/command.rs
+++ b/crates/node/src/command.rs
@@ -83,12 +83,15 @@
         self.attempt_ends
     }
 
+    /// The time that can be told now, in whole milliseconds; `None` where there is none left.
+    pub fn milliseconds_left(&self) -> Option<u128> {
+        let left = self.attempt_ends.saturating_duration_since(Instant::now()).as_millis();
+        (left > 0).then_some(left)
+    }
+
     /// The list to be written now; `None` where not one whole millisecond is left, the least that can be told.
     pub fn to_write_now(&self) -> Option<Bytes> {
-        let left = self.attempt_ends.saturating_duration_since(Instant::now()).as_millis();
-        if left == 0 {
-            return None;
-        }
+        let left = self.milliseconds_left()?;
         let as_received = String::from_utf8_lossy(&self.as_received);
         let mut list = String::with_capacity(self.as_received.len() + MOST_DIGITS);
         for part in as_received.split(',') {
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -125,6 +125,14 @@
         }
     }
 
+    /// Whether it may still be written.
+    fn has_time(&self) -> bool {
+        match self {
+            Payload::Request { extras, .. } => extras.milliseconds_left().is_some(),
+            Payload::Probe => true,
+        }
+    }
+
     /// The bytes to be written now; `None` where the attempt has no time left.
     fn encode_now(&self) -> Option<Bytes> {
         match self {
@@ -200,7 +208,10 @@
     /// Whether a command ahead may be dropped without a word: the answer to one behind it would be taken for its own.
     fn may_skip_an_answer(&self) -> bool {
         self.sent.iter().any(Sent::may_be_dropped)
-            || self.unsent.iter().any(|command| has_little_time(command.payload.ends()))
+            || self.unsent.iter().any(|command| {
+                // One without any time left is never written.
+                has_little_time(command.payload.ends()) && command.payload.has_time()
+            })
     }
 
     /// Whether the answer that comes next may be that of the second command: the first may have been dropped.
--- a/crates/node/src/servers/driver.rs
+++ b/crates/node/src/servers/driver.rs
@@ -20,7 +20,7 @@
 use super::{Command, ConnectionEnd, Event, Payload, Sent, Shared, Writing};
 use crate::command::{AttemptId, PIECE, STANDSTILL, Stream as LargeValue};
 use crate::input::Input;
-use crate::retrying_write::RetryingWrite;
+use crate::shortage::Outlasting;
 use crate::stream::{READ, more};
 
 /// An answer that has begun goes on within this time, however small its pieces are. One that does not is spoilt, and
@@ -72,7 +72,7 @@
         return ConnectionEnd::Broken;
     }
     let (reading, writing) = stream.into_halves();
-    let mut writing = RetryingWrite::new(writing);
+    let mut writing = Outlasting::new(writing);
     let reader = async {
         let mut buffer = BytesMut::new();
         loop {
--- a/crates/node/src/stream.rs
+++ b/crates/node/src/stream.rs
@@ -6,7 +6,9 @@
 use bytes::BytesMut;
 use mothpier_host::Reading;
 use tokio::io::{AsyncWrite, AsyncWriteExt};
-use tokio::time::timeout;
+use tokio::time::{Instant, sleep, timeout};
+
+use crate::shortage::{LONGEST, PAUSE, is_shortage};
 
 /// Read from a connection at once.
 pub const READ: usize = 4096;
@@ -14,11 +16,12 @@
 pub const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Reads what has come, up to the room made for it; that is made only once something is there. Safe to drop and call
-/// again.
+/// again. Where this machine is short of memory for it, it is tried again for a while.
 ///
 /// # Errors
 /// `UnexpectedEof` at the end of the connection, or what ended it.
 pub async fn more(reading: &impl Reading, buffer: &mut BytesMut, room: usize) -> io::Result<()> {
+    let mut failing_since: Option<Instant> = None;
     loop {
         reading.readable().await?;
         buffer.reserve(room);
@@ -26,6 +29,12 @@
             Ok(0) => return Err(ErrorKind::UnexpectedEof.into()),
             Ok(_) => return Ok(()),
             Err(e) if e.kind() == ErrorKind::WouldBlock => {}
+            Err(e) if is_shortage(&e) => {
+                if failing_since.get_or_insert_with(Instant::now).elapsed() >= LONGEST {
+                    return Err(e);
+                }
+                sleep(PAUSE).await;
+            }
             Err(e) => return Err(e),
         }
     }
