--- /dev/null
+++ b/crates/mothpier/tests/client_gone.rs
@@ -0,0 +1,121 @@
+//! No attempt begins for a client that has gone.
+#![allow(missing_docs)]
+
+mod world;
+
+use std::sync::mpsc::{Receiver, Sender, channel};
+use std::sync::{Arc, Mutex};
+use std::thread;
+use std::time::{Duration, Instant};
+
+use world::{Discovery, HUNG, Reaction, call, command, http, member, miss, node, serve};
+
+/// A value that is passed on as it comes, and the part of it that comes.
+const LENGTH: usize = 4 << 20;
+const PART: usize = 1 << 20;
+/// An attempt may still begin for so long after its client has closed.
+const GRACE: Duration = Duration::from_millis(100);
+/// From the close until the servers react: past that time, with room for a busy machine.
+const BEFORE_REACTION: Duration = Duration::from_millis(500);
+/// Time left to the request behind the large answer; a server may stand still in a value for longer (10 s).
+const DEADLINE: Duration = Duration::from_millis(4000);
+/// The class allows a request this much, so that no attempt is given up before the test wants it to end.
+const CLASS: [(&str, &str); 1] =
+    [(r#""deadlineUs":20000000,"goalTimeUs":2000000,"#, r#""deadlineUs":20000000,"goalTimeUs":20000000,"#)];
+
+/// When something was asked of a stand-in, and its words.
+type Seen = (Instant, Vec<String>);
+
+fn get(id: &str) -> String {
+    let options = format!("c=read,t=acme,d={}", DEADLINE.as_millis());
+    format!("*4\r\n$9\r\nCACHE.GET\r\n$6\r\n{id}\r\n$6\r\n{id}\r\n${}\r\n{options}\r\n", options.len())
+}
+
+/// A stand-in that tells when it was asked what.
+fn note(seen: &Sender<Seen>) -> impl Fn(&[String]) + Send + Sync + 'static {
+    let seen = Mutex::new(seen.clone());
+    move |asked| seen.lock().unwrap().send((Instant::now(), asked.to_vec())).unwrap_or_default()
+}
+
+/// The connection ends after the command was read.
+fn reset() -> Reaction {
+    Reaction::Reset
+}
+
+/// A cache server whose large value stands still, and which reacts to other commands only when told to.
+fn cache_server(
+    seen: &Sender<Seen>,
+    react: fn() -> Reaction,
+    go: Arc<Mutex<Receiver<()>>>,
+) -> std::net::SocketAddr {
+    let note = note(seen);
+    serve(command, move |asked| {
+        note(asked);
+        if asked[1] == "large-" {
+            let head = format!("*3\r\n${LENGTH}\r\n");
+            return Reaction::Answer([head.as_bytes(), &[b'v'; PART]].concat());
+        }
+        let _ = go.lock().unwrap().recv();
+        react()
+    })
+}
+
+/// A client closes (or, for comparison, stays) while a large answer to it stands still, and a server then ends
+/// the attempt of the request behind that in a way that calls for another. Gives the attempts that began too
+/// late, as time after the close and words.
+fn attempts_after_close(name: &str, react: fn() -> Reaction, close: bool) -> Vec<(Duration, Vec<String>)> {
+    let (seen, asked) = channel();
+    let (go, wait) = channel();
+    let wait = Arc::new(Mutex::new(wait));
+    let servers = [(); 2].map(|()| cache_server(&seen, react, wait.clone()));
+    let noted = note(&seen);
+    let origin = serve(call, move |asked| {
+        noted(asked);
+        http("200 OK", "v")
+    });
+    let members = [
+        member("s-1", servers[0], "m", "ready"),
+        member("s-2", servers[1], "m", "ready"),
+        member("o-1", origin, "origin", "ready"),
+    ];
+    let node = node(name, &Discovery::start(&members.join(",")), &CLASS);
+    let mut client = node.client();
+    // Both at once: what comes behind a large answer that is on its way is taken up after it.
+    let begun = Instant::now();
+    client.write(get("large-") + &get("behind"));
+    client.take(PART);
+    // Its first attempt has begun.
+    while !asked.recv_timeout(HUNG).expect("no command for the request behind").1.contains(&"behind".into()) {
+    }
+    let closed = Instant::now();
+    let _stays = (!close).then_some(client);
+    // The servers react only once no attempt may begin any more.
+    thread::sleep(BEFORE_REACTION);
+    drop(go);
+    let mut late = Vec::new();
+    while let Some(left) = DEADLINE.checked_sub(begun.elapsed()) {
+        if let Ok((at, words)) = asked.recv_timeout(left)
+            && words.iter().any(|word| word.contains("behind"))
+            && at > closed + GRACE
+        {
+            late.push((at - closed, words));
+        }
+    }
+    late
+}
+
+#[test]
+fn no_origin_is_asked_after_a_miss_that_comes_when_the_client_has_gone() {
+    // For a client that stays the miss does lead to a call.
+    assert!(!attempts_after_close("miss-stays", miss, false).is_empty(), "no call though the client stays");
+    assert_eq!(attempts_after_close("miss-gone", miss, true), []);
+}
+
+#[test]
+fn no_retry_begins_after_a_reset_that_comes_when_the_client_has_gone() {
+    assert!(
+        !attempts_after_close("reset-stays", reset, false).is_empty(),
+        "no retry though the client stays"
+    );
+    assert_eq!(attempts_after_close("reset-gone", reset, true), []);
+}
--- a/crates/node/src/clients/answers.rs
+++ b/crates/node/src/clients/answers.rs
@@ -102,7 +102,8 @@
                 break;
             }
             // Longer than its server may stand still, which ends it there.
-            match timeout(STANDSTILL * 2, value.pieces.recv()).await {
+            let next = timeout(STANDSTILL * 2, value.pieces.recv());
+            match self.read_meanwhile(inbox, next).await {
                 Ok(Some(next)) if next.len() <= left => piece = next,
                 _ => break,
             }
@@ -136,20 +137,30 @@
         whole
     }
 
-    /// Writes to the client; whether it has taken all of it. What it sends meanwhile is read, so that it is noticed at once
-    /// when it goes: it may do so with an answer half read and other requests open.
+    /// Writes to the client; whether it has taken all of it.
     async fn deliver<R: Reading>(
         &mut self,
         bytes: &[u8],
         inbox: &mut Inbox<'_, R>,
         writing: &mut <H::Stream as Stream>::Writing,
     ) -> bool {
-        let mut written = std::pin::pin!(timeout(SLOW_READER, writing.write_all(bytes)));
+        let written = timeout(SLOW_READER, writing.write_all(bytes));
+        matches!(self.read_meanwhile(inbox, written).await, Ok(Ok(())))
+    }
+
+    /// Waits for a part of an answer to come or to be written. What the client sends meanwhile is read, so that
+    /// it is noticed at once when it goes: it may do so with an answer half read and other requests open.
+    async fn read_meanwhile<R: Reading, W: Future>(
+        &mut self,
+        inbox: &mut Inbox<'_, R>,
+        wait: W,
+    ) -> W::Output {
+        let mut wait = std::pin::pin!(wait);
         loop {
             let ahead = self.state.awaits_commands() && inbox.buffer.len() < AHEAD;
             tokio::select! {
                 biased;
-                written = &mut written => return matches!(written, Ok(Ok(()))),
+                done = &mut wait => return done,
                 more = read(inbox.reading, &mut inbox.buffer), if ahead => {
                     inbox.received = (self.clients.now)();
                     if !more {
