--- a/crates/mothpier/tests/client_gone.rs
+++ b/crates/mothpier/tests/client_gone.rs
@@ -60,7 +60,7 @@
     })
 }
 
-/// A client closes (or, for comparison, stays) while a large answer to it stands still, and a server then ends
+/// A client closes (or, for comparison, stays) while a large answer to it stands still; a server then ends
 /// the attempt of the request behind that in a way that calls for another. Gives the attempts that began too
 /// late, as time after the close and words.
 fn attempts_after_close(name: &str, react: fn() -> Reaction, close: bool) -> Vec<(Duration, Vec<String>)> {
--- /dev/null
+++ b/crates/mothpier/tests/turned_away.rs
@@ -0,0 +1,91 @@
+//! Connections that are rejected as they arrive are told so, and end in order.
+#![allow(missing_docs)]
+
+mod world;
+
+use std::io::{Read, Write};
+use std::net::TcpStream;
+use std::time::{Duration, Instant};
+
+use world::{Discovery, HUNG, Node, Reaction, command, member, node_command, serve};
+
+/// One connection is accepted a second.
+const ADMISSION: &str =
+    "[storm]\ndetect = true\n[storm.figures]\naccepts_per_s = 1.0\naccepts_at_once = 1.0\n";
+/// Connections that are to be rejected, one after the other.
+const REJECTED: usize = 20;
+/// Connections at most: those for which there happens to be a place show nothing.
+const COMING: usize = 60;
+/// A rejected connection takes what its client still sends for this long at least (the node: for 200 ms).
+const LINGERS: Duration = Duration::from_millis(150);
+/// No client is told to stay away for longer.
+const LONGEST: Duration = Duration::from_secs(30);
+
+/// A node that accepts few connections.
+fn node(name: &str, discovery: &Discovery) -> Node {
+    let mut command = node_command(name, discovery.address, 1024, "");
+    let file = format!("{}/{name}.toml", env!("CARGO_TARGET_TMPDIR"));
+    std::fs::write(&file, ADMISSION).unwrap();
+    command.env("ROUTER_OPERATOR", file);
+    Node::run(command, discovery)
+}
+
+/// Sends a PING and so many requests right with the connection, and gives what comes up to an orderly end;
+/// `None` where the connection is accepted, or the test was held up.
+fn ask_at_once(node: &Node, number: usize, requests: usize) -> Option<String> {
+    let request = |at| {
+        let id = format!("{number:04}-{at:05}");
+        format!("*4\r\n$9\r\nCACHE.GET\r\n$1\r\nk\r\n$10\r\n{id}\r\n$20\r\nc=read,t=acme,d=9000\r\n")
+    };
+    let all: String =
+        std::iter::once("*1\r\n$4\r\nPING\r\n".into()).chain((0..requests).map(request)).collect();
+    let begun = Instant::now();
+    let mut stream = TcpStream::connect(node.address).unwrap();
+    stream.set_read_timeout(Some(HUNG)).unwrap();
+    stream.write_all(all.as_bytes()).unwrap();
+    let mut told = String::new();
+    let mut first = [0];
+    stream.read_exact(&mut first).unwrap_or_else(|error| panic!("client {number}: {error}"));
+    if first == *b"+" {
+        return None;
+    }
+    told.push(first[0].into());
+    stream
+        .read_to_string(&mut told)
+        .unwrap_or_else(|error| panic!("client {number}: {error} behind {told:?}"));
+    // A reset behind the end would make this fail. What is still sent is read for a while, and dropped.
+    let more = stream.write_all(b"*1\r\n$4\r\nPING\r\n");
+    if begun.elapsed() > LINGERS {
+        return None;
+    }
+    more.unwrap_or_else(|error| panic!("client {number}: reset behind {told:?}: {error}"));
+    Some(told)
+}
+
+fn rejects_in_order(name: &str, requests: usize) {
+    let server = serve(command, |_| Reaction::Silence);
+    let discovery = Discovery::start(&member("s-1", server, "m", "ready"));
+    let node = node(name, &discovery);
+    // It takes the first place, and goes on being served.
+    let mut first = node.client();
+    assert_eq!(first.ask(&["PING"]), "+PONG");
+    let mut rejected = 0;
+    for told in (0..COMING).filter_map(|number| ask_at_once(&node, number, requests)).take(REJECTED) {
+        let after = told.strip_prefix("-BUSY ").and_then(|told| told.strip_suffix("\r\n"));
+        let after: u128 = after.and_then(|ms| ms.parse().ok()).unwrap_or_else(|| panic!("{told:?}"));
+        assert!((1..=LONGEST.as_millis()).contains(&after), "{after} ms");
+        rejected += 1;
+    }
+    assert_eq!(rejected, REJECTED, "the others were accepted, or held up");
+    assert_eq!(first.ask(&["PING"]), "+PONG");
+}
+
+#[test]
+fn a_request_sent_right_with_a_rejected_connection_gets_busy_and_no_reset() {
+    rejects_in_order("turned-away-one", 1);
+}
+
+#[test]
+fn much_that_lies_unread_makes_the_end_of_a_rejected_connection_no_reset() {
+    rejects_in_order("turned-away-many", 2000);
+}
