--- a/crates/world/src/clients.rs
+++ b/crates/world/src/clients.rs
@@ -226,6 +226,9 @@
             let rate = scenario.load.rate * self.fleet.knobs.burst.get();
             let pause: f64 = Exp::new(rate).map_or(1.0, |e| e.sample(&mut rng));
             due += Duration::from_secs_f64(pause);
+            if let Some(quiet_until) = self.fleet.knobs.quiet_until.get() {
+                due = due.max(quiet_until);
+            }
             if due - begin >= span {
                 return;
             }
--- a/crates/world/src/faults.rs
+++ b/crates/world/src/faults.rs
@@ -153,6 +153,11 @@
         /// For how long.
         for_ms: u64,
     },
+    /// No client asks anything.
+    Quiet {
+        /// For how long.
+        for_ms: u64,
+    },
     /// Messages between nodes are lost.
     PeersLost {
         /// The part that is lost.
@@ -307,6 +312,14 @@
         /// Whether it drains only.
         drains: bool,
     },
+    /// Discovery moves: nodes are given new configurations in a row, of which only the last names an address that
+    /// answers.
+    DiscoveryMoves {
+        /// How many.
+        configurations: usize,
+        /// The time between two.
+        apart_ms: u64,
+    },
     /// Wall clocks are stepped, and stay so; monotonic clocks run on.
     WallClockStep(WallClockStep),
 }
--- a/crates/world/src/fleet.rs
+++ b/crates/world/src/fleet.rs
@@ -7,6 +7,7 @@
 
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
+use tokio::time::Instant;
 
 use crate::cache::Cache;
 use crate::observe::{BoxNo, NodeNo, Phase, RequestNo, Witness};
@@ -44,6 +45,8 @@
 pub struct Knobs {
     /// The load is so many times the usual.
     pub burst: Cell<f64>,
+    /// No request is due before this.
+    pub quiet_until: Cell<Option<Instant>>,
     /// Part of the clients that leave before their time.
     pub leavers: Cell<f64>,
     /// Part of the clients that read their answer slowly.
@@ -68,6 +71,7 @@
     fn default() -> Self {
         Knobs {
             burst: Cell::new(1.0),
+            quiet_until: Cell::new(None),
             leavers: Cell::new(0.0),
             slow_readers: Cell::new(0.0),
             slow_heads: Cell::new(0.0),
--- a/crates/world/src/scenario.rs
+++ b/crates/world/src/scenario.rs
@@ -247,11 +247,13 @@
     pub lag_ms: [u64; 2],
     /// A call takes this long; calls are taken in turn.
     pub call_ms: f64,
+    /// Lists are pushed: each node has a watch from its start on. Else it asks when it wants to.
+    pub pushed: bool,
 }
 
 impl Default for Discovery {
     fn default() -> Self {
-        Discovery { lag_ms: [200, 1500], call_ms: 1.0 }
+        Discovery { lag_ms: [200, 1500], call_ms: 1.0, pushed: false }
     }
 }
 
@@ -612,7 +614,7 @@
         let rules = &self.rules;
         json!({
             "balancers": self.nodes.count, "me": me, "classes": classes, "realms": realms,
-            "discovery": "ask", "zones": self.zones, "machineTypes": ["box", "origin"],
+            "discovery": if self.discovery.pushed { "push" } else { "ask" }, "zones": self.zones, "machineTypes": ["box", "origin"],
             "zone": me % self.zones.len(), "weightSource": "silent", "periodUs": 1000,
             "specifics": {"mode": "aside", "originKind": 1}, "report": {"fields": [], "via": "silent"},
             "limits": {"maxAttempts": rules.max_attempts, "mayDuplicate": true, "mayCancel": true,
--- a/crates/world/src/sim.rs
+++ b/crates/world/src/sim.rs
@@ -128,6 +128,10 @@
 const FRONT_LOOKS: Duration = Duration::from_millis(300);
 
 const DISCOVERY: IpAddr = IpAddr::V4(Ipv4Addr::new(10, 3, 0, 1));
+/// Where discovery answers, the port to which it can move, and one at which nothing ever listens.
+const DISCOVERY_PORT: u16 = 8500;
+const DISCOVERY_MOVED: u16 = 8501;
+const DISCOVERY_NOWHERE: u16 = 8502;
 const CLIENTS: IpAddr = IpAddr::V4(Ipv4Addr::new(10, 4, 0, 1));
 
 /// Two ends between which messages go through their bytes, as between two processes.
@@ -257,8 +261,10 @@
     }
     fleet.fill(&discovery.ready());
     world.start_origin().await;
-    if let Ok(listener) = world.discovery_host.listen(SocketAddr::new(DISCOVERY, 8500)).await {
-        spawn_local(discovery.serve::<SimHost>(listener, node_of));
+    for port in [DISCOVERY_PORT, DISCOVERY_MOVED] {
+        if let Ok(listener) = world.discovery_host.listen(SocketAddr::new(DISCOVERY, port)).await {
+            spawn_local(discovery.clone().serve::<SimHost>(listener, node_of));
+        }
     }
     let mut platform = Vec::new();
     for node in 0..scenario.nodes.count {
@@ -370,7 +376,8 @@
         let host = self.net.process(node_ip(node), zone as u8, &format!("node {node}"));
         let seed: u64 = self.fleet.random("node", life).random();
         let peers: Vec<_> = (0..scenario.nodes.count).map(|n| SocketAddr::new(node_ip(n), 7946)).collect();
-        let (listen, discovery) = (SocketAddr::new(node_ip(node), 6379), SocketAddr::new(DISCOVERY, 8500));
+        let (listen, discovery) =
+            (SocketAddr::new(node_ip(node), 6379), SocketAddr::new(DISCOVERY, DISCOVERY_PORT));
         let at = process::Addresses { listen, discovery, peers: &peers, staff: None };
         let mut text = process::configuration(scenario, node, &at, seed, self.discovery.known(node));
         if let Some(mutant) = self.mutant {
@@ -587,6 +594,14 @@
         self.discovery_host.unix_time().as_millis() as u64
     }
 
+    /// Every node is given a configuration that names this port of discovery's machine.
+    async fn move_discovery(&self, port: u16) {
+        let controls: Vec<_> = self.nodes.borrow().values().map(|run| run.control.clone()).collect();
+        for control in controls {
+            let _ = control.send(Control::Discovery(SocketAddr::new(DISCOVERY, port))).await;
+        }
+    }
+
     /// Steps the wall clocks of machines; what runs there is not told.
     fn step_wall_clocks(&self, step: &WallClockStep) {
         step.nodes.iter().for_each(|node| self.net.step_wall_clock(node_ip(*node), step.by_ms));
@@ -691,6 +706,11 @@
                 wait(for_ms).await;
                 knobs.burst.set(1.0);
             }
+            What::Quiet { for_ms } => {
+                knobs.quiet_until.set(Some(Instant::now() + Duration::from_millis(for_ms)));
+                wait(for_ms).await;
+                knobs.quiet_until.set(None);
+            }
             What::PeersLost { part, for_ms } => {
                 self.net.lose_datagrams(part);
                 wait(for_ms).await;
@@ -825,6 +845,15 @@
                     let _ = one.await;
                 }
             }
+            What::DiscoveryMoves { configurations, apart_ms } => {
+                self.sound(false);
+                for number in 1..=configurations {
+                    let last = number == configurations;
+                    self.move_discovery(if last { DISCOVERY_MOVED } else { DISCOVERY_NOWHERE }).await;
+                    wait(apart_ms).await;
+                }
+                self.sound(true);
+            }
             What::WallClockStep(step) => self.step_wall_clocks(&step),
             What::GoneAtPacket { at, packet, drains } => {
                 self.net.packet(packet).await;
--- /dev/null
+++ b/crates/world/tests/long_times.rs
@@ -0,0 +1,138 @@
+//! Troubles that last long, or come after a long time: outages of discovery, an hour without a request.
+#![allow(missing_docs)]
+
+#[path = "common/mod.rs"]
+mod common;
+
+use std::ops::Range;
+
+use chalksill_world::faults::{Fault, What};
+use chalksill_world::mutant::Mutant;
+use chalksill_world::report::Report;
+use chalksill_world::rules::Rule;
+use chalksill_world::scenario::Scenario;
+use chalksill_world::sim::{Plan, run};
+use common::{kept, play, scenario};
+
+/// Cache servers at the start; the origin has the next number, the first successor of a deployment the one after.
+const SERVERS: usize = 6;
+const FIRST_SUCCESSOR: usize = SERVERS + 1;
+/// When discovery fails, in milliseconds.
+const FAILS_AT: u64 = 3_000;
+/// Every change counts as told so many seconds after discovery's return.
+const TOLD_S: usize = 6;
+/// A run goes on for so long after the return that a change that nobody has heard of breaks a rule.
+const AFTER_MS: u64 = 16_000;
+/// The time of a report's second 0 before the first request, in milliseconds.
+const WARM_UP_MS: u64 = 1_200;
+
+/// Two nodes and six cache servers; nodes have a watch from the start on, or ask.
+fn ground(pushed: bool, seconds: f64) -> Scenario {
+    let mut scenario = scenario("small");
+    (scenario.seconds, scenario.boxes.count) = (seconds, SERVERS);
+    (scenario.discovery.pushed, scenario.discovery.lag_ms) = (pushed, [0, 20]);
+    scenario
+}
+
+/// Cache servers are replaced, drain and crash, and nodes restart, in the middle of a time and right at its end.
+fn changes(from: u64, for_ms: u64) -> Vec<(u64, What)> {
+    let (middle, end) = (from + for_ms / 2, from + for_ms);
+    let stays = for_ms + AFTER_MS;
+    vec![
+        // The successor comes, and the server drains that goes on until the run's end, while nobody can hear of it.
+        (from + 500, What::Deploy { batch: 1, most: 1, drain_ms: 1_500 }),
+        (from + 1_000, What::Deploy { batch: 1, most: 1, drain_ms: stays }),
+        (middle, What::Crash { boxes: vec![3], down_ms: 1_500 }),
+        (middle, What::Node { node: 0, planned: true, down_ms: 500 }),
+        (middle + 200, What::Deploy { batch: 1, most: 1, drain_ms: stays }),
+        (end - 300, What::Crash { boxes: vec![4], down_ms: 500 }),
+        (end - 100, What::Node { node: 1, planned: false, down_ms: 300 }),
+    ]
+}
+
+/// Plays the changes in a trouble of discovery's.
+fn in_trouble(pushed: bool, seed: u64, for_ms: u64, trouble: What) -> Report {
+    let scenario = ground(pushed, (FAILS_AT + for_ms + AFTER_MS) as f64 / 1e3);
+    let mut script = vec![(FAILS_AT, trouble)];
+    script.extend(changes(FAILS_AT, for_ms));
+    play(&scenario, seed, &script)
+}
+
+/// The seconds of the report in which everything has to become known.
+fn told_within(for_ms: u64) -> Range<usize> {
+    let returned = ((WARM_UP_MS + FAILS_AT + for_ms) / 1000) as usize;
+    returned..returned + TOLD_S + 1
+}
+
+/// The rules are kept, which has drains known in time; so is the successor, and requests are served all the time.
+fn known_in_time_and_served(report: &Report, for_ms: u64) {
+    kept(report);
+    let told = told_within(for_ms);
+    let asked = report.seconds[told.clone()].iter().any(|s| s.boxes.contains_key(&FIRST_SUCCESSOR));
+    assert!(asked, "seed {}, {for_ms} ms: the successor is not known {TOLD_S} s later", report.seed);
+    assert!(report.all.share() > 0.9, "seed {}, {for_ms} ms: {:?}", report.seed, report.all);
+    let after = &report.seconds[told.end..told.end + 5];
+    let (served, offered) = after
+        .iter()
+        .fold((0, 0), |(served, offered), s| (served + s.counts.in_time, offered + s.counts.offered));
+    assert!(served * 100 > offered * 95, "seed {}, {for_ms} ms: {served} of {offered} after", report.seed);
+}
+
+/// Discovery fails for 10, 30 or 60 s, while cache servers are replaced, drain and crash; a node restarts in the middle of
+/// it, the other is killed right at its end. Lists are pushed, or asked for.
+#[test]
+fn what_changes_in_a_long_outage_of_discovery_is_known_soon_after_it() {
+    for pushed in [false, true] {
+        for for_ms in [10_000, 30_000, 60_000] {
+            for seed in 0..3 {
+                let report = in_trouble(pushed, seed, for_ms, What::ListDown { for_ms });
+                known_in_time_and_served(&report, for_ms);
+            }
+        }
+    }
+}
+
+/// A server drains in an outage, and nodes ask discovery no more: they are found out.
+#[test]
+fn a_node_that_hears_nothing_after_an_outage_breaks_the_rule_of_drains() {
+    let for_ms = 10_000;
+    for pushed in [false, true] {
+        let script = [
+            (FAILS_AT, What::ListDown { for_ms }),
+            (FAILS_AT + 1_000, What::Deploy { batch: 1, most: 1, drain_ms: for_ms + AFTER_MS }),
+        ];
+        let scenario = ground(pushed, (FAILS_AT + for_ms + AFTER_MS) as f64 / 1e3);
+        let script = script.into_iter().map(|(at_ms, what)| Fault { at_ms, what }).collect();
+        let mutant = Some(Mutant::AsksNoMore);
+        let report = run(&Plan { scenario, seed: 1, script: Some(script), mutant }, None);
+        let drains = report.violations.iter().any(|v| v.rule == Rule::Drains);
+        assert!(drains, "pushed {pushed}: {:?}", report.violations);
+    }
+}
+
+/// Discovery answers seconds late and out of order, or with an old list, for long.
+#[test]
+fn what_changes_while_discovery_is_slow_or_old_is_known_soon_after() {
+    let for_ms = 30_000;
+    for pushed in [false, true] {
+        for trouble in [What::ListLate { late_ms: 3_000, for_ms }, What::ListOld { back: 3, for_ms }] {
+            for seed in 0..3 {
+                let report = in_trouble(pushed, seed, for_ms, trouble.clone());
+                known_in_time_and_served(&report, for_ms);
+            }
+        }
+    }
+}
+
+/// Forty nodes share a discovery that takes 40 ms for a call, one after another: when it comes back all call at once.
+#[test]
+fn what_changes_is_known_soon_after_the_return_of_a_crowded_discovery() {
+    let for_ms = 10_000;
+    for pushed in [false, true] {
+        let mut scenario = ground(pushed, (FAILS_AT + for_ms + AFTER_MS) as f64 / 1e3);
+        (scenario.nodes.count, scenario.discovery.call_ms) = (40, 40.0);
+        let mut script = vec![(FAILS_AT, What::ListDown { for_ms })];
+        script.extend(changes(FAILS_AT, for_ms));
+        known_in_time_and_served(&play(&scenario, 2, &script), for_ms);
+    }
+}
