--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -228,6 +228,9 @@
 ) {
     let (mut connection, mut revision, mut calls, mut failing) = (None, known, 0, false);
     let mut failing_locally = false;
+    // The module takes a list for the answer to its watch, also one that was asked for because discovery had moved: the
+    // watch goes on until a call fails, though a failure told before the list may still be taking back what is wanted.
+    let mut goes_on = false;
     // What was held at the start may be old. An agent gives the whole list at no cost; where discovery is one
     // service for all, only what changed since is asked for.
     let mut first = teller == Teller::Agent;
@@ -244,7 +247,8 @@
             // and what the old one has still to say is not waited for.
             (connection, revision, failing, stage) = (None, None, false, Stage::Opens);
         }
-        if !now.watch && now.calls == calls && !moved {
+        let watch = now.watch || goes_on;
+        if !watch && now.calls == calls && !moved {
             tokio::select! {
                 biased;
                 changed = wanted.changed() => if changed.is_err() { return },
@@ -252,7 +256,7 @@
             }
             continue;
         }
-        let whole = first || !now.watch;
+        let whole = first || !watch;
         let answer = tokio::select! {
             biased;
             Ok(()) = addresses.changed() => {
@@ -273,10 +277,12 @@
             }
             continue;
         }
+        let opened = watch || moved;
         (moved, calls) = (false, now.calls);
         let heard = match answer {
             Ok(list) => {
                 (first, failing, stage, failing_locally) = (false, false, Stage::Goes, false);
+                goes_on = opened;
                 revision = Some(list.revision);
                 Heard::List(list)
             }
@@ -288,7 +294,7 @@
             }
             Err(e) => {
                 // A broken one must not hang the watch: begin again on a new connection.
-                (connection, stage) = (None, Stage::Opens);
+                (connection, stage, goes_on) = (None, Stage::Opens, false);
                 if !failing {
                     host.log(format_args!("discovery: {e}; trying again until it answers"));
                 }
--- a/crates/world/tests/long_times.rs
+++ b/crates/world/tests/long_times.rs
@@ -136,3 +136,19 @@
         known_in_time_and_served(&play(&scenario, 2, &script), for_ms);
     }
 }
+
+/// Discovery moves, by six configurations in a row of which only the last answers, and cache servers change meanwhile.
+#[test]
+fn of_configurations_in_quick_succession_the_last_one_holds() {
+    for pushed in [false, true] {
+        for apart_ms in [0, 5, 300] {
+            let moves = What::DiscoveryMoves { configurations: 6, apart_ms };
+            let for_ms = 6 * apart_ms;
+            let scenario = ground(pushed, (FAILS_AT + for_ms + AFTER_MS) as f64 / 1e3);
+            let stays = What::Deploy { batch: 1, most: 1, drain_ms: AFTER_MS };
+            let goes = What::Deploy { batch: 1, most: 1, drain_ms: 1_500 };
+            let script = [(FAILS_AT, moves), (FAILS_AT + for_ms, goes), (FAILS_AT + for_ms + 50, stays)];
+            known_in_time_and_served(&play(&scenario, 4, &script), for_ms + 2_000);
+        }
+    }
+}
