--- a/crates/world/tests/long_times.rs
+++ b/crates/world/tests/long_times.rs
@@ -10,7 +10,7 @@
 use chalksill_world::mutant::Mutant;
 use chalksill_world::report::Report;
 use chalksill_world::rules::Rule;
-use chalksill_world::scenario::Scenario;
+use chalksill_world::scenario::{Scenario, Tenant};
 use chalksill_world::sim::{Plan, run};
 use common::{kept, play, scenario};
 
@@ -152,3 +152,68 @@
         }
     }
 }
+
+/// An hour in which nobody asks anything, long enough for idle connections to be closed by either side.
+const HOUR_MS: u64 = 3_600_000;
+/// Requests come for so long before and after it.
+const BUSY_MS: u64 = 4_000;
+
+/// Plays a trouble after some seconds of requests, with an hour between them and it or without.
+fn after_quiet(quiet_ms: u64, pushed: bool, seed: u64, trouble: &What) -> Report {
+    let (before, after) = (BUSY_MS, 4 * BUSY_MS);
+    let scenario = ground(pushed, (before + quiet_ms + after) as f64 / 1e3);
+    let mut script = vec![(before + quiet_ms, trouble.clone())];
+    if quiet_ms > 0 {
+        script.push((before, What::Quiet { for_ms: quiet_ms }));
+    }
+    play(&scenario, seed, &script)
+}
+
+/// After an hour without a request a zone or a third of the cache servers dies, servers drain, or a burst comes: what is
+/// served is what is served without the hour.
+#[test]
+fn trouble_after_a_quiet_hour_costs_no_more_than_without_it() {
+    let troubles = [
+        What::ZoneLost { zone: 0, down_ms: 4_000 },
+        What::Crash { boxes: vec![0, 3], down_ms: 4_000 },
+        What::Deploy { batch: 2, most: 2, drain_ms: 2_000 },
+        What::Burst { factor: 4.0, for_ms: 5_000 },
+    ];
+    for pushed in [false, true] {
+        for trouble in &troubles {
+            let [quiet, without] = [HOUR_MS, 0].map(|quiet_ms| after_quiet(quiet_ms, pushed, 3, trouble));
+            kept(&quiet);
+            kept(&without);
+            assert!(quiet.virtual_s > without.virtual_s + 3_590.0, "{} s", quiet.virtual_s);
+            let (share, usual) = (quiet.all.share(), without.all.share());
+            assert!(
+                share > usual - 0.02 && share > 0.9,
+                "{trouble:?}: {share} after an hour, {usual} without"
+            );
+        }
+    }
+}
+
+/// Caches begin cold and empty in calm times: what they lack is fetched from the origin, and no read is turned away.
+#[test]
+fn what_cold_caches_lack_is_fetched_in_calm_times() {
+    for seed in 0..3 {
+        let mut scenario = ground(false, 30.0);
+        (scenario.boxes.start_cold, scenario.origin.fails) = (true, 0.0);
+        (scenario.origin.slots, scenario.origin.room) = (40, 200);
+        // Empty, but at full speed: what slow start holds back is no matter of what caches lack.
+        (scenario.rules.cold_share, scenario.rules.warm_ms) = (1.0, 1);
+        scenario.class.retain(|class| class.name == "read");
+        // Calm by the quota, too, from which the gate before the origin has its room.
+        scenario.tenant = vec![Tenant { name: "calm".into(), share: 1.0, quota: 400.0 }];
+        let report = play(&scenario, seed, &[]);
+        kept(&report);
+        let c = report.all;
+        assert_eq!((c.refused, c.failed, c.unanswered), (0, 0, 0), "seed {seed}: {c:?}");
+        assert!(c.share() > 0.99, "seed {seed}: {c:?}");
+        assert!(report.misses > 100 && report.origin_calls > 100, "seed {seed}: {report:?}");
+        // What was fetched is held: later less is asked of the origin.
+        let calls = |seconds: Range<usize>| report.seconds[seconds].iter().map(|s| s.origin).sum::<u64>();
+        assert!(calls(25..30) * 2 < calls(2..7), "seed {seed}: {} then {}", calls(2..7), calls(25..30));
+    }
+}
