--- a/crates/world/tests/long_times.rs
+++ b/crates/world/tests/long_times.rs
@@ -176,7 +176,7 @@
     let troubles = [
         What::ZoneLost { zone: 0, down_ms: 4_000 },
         What::Crash { boxes: vec![0, 3], down_ms: 4_000 },
-        What::Deploy { batch: 2, most: 2, drain_ms: 2_000 },
+        What::Deploy { batch: 2, most: 2, drain_ms: 10_000 },
         What::Burst { factor: 4.0, for_ms: 5_000 },
     ];
     for pushed in [false, true] {
