--- a/crates/node/tests/unit/discovery.rs
+++ b/crates/node/tests/unit/discovery.rs
@@ -77,3 +77,44 @@
         drop(answer.join());
     });
 }
+
+/// Reads the head of a call, and answers it.
+async fn answer_call(stream: &mut tokio::net::TcpStream, status: &str, body: &str) -> String {
+    use tokio::io::{AsyncReadExt, AsyncWriteExt};
+    let mut head = Vec::new();
+    while !head.ends_with(b"\r\n\r\n") {
+        head.push(stream.read_u8().await.unwrap());
+    }
+    let answer = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    stream.write_all(answer.as_bytes()).await.unwrap();
+    String::from_utf8(head).unwrap()
+}
+
+/// A node that was held up takes back what it wants when it reads of the failure, after the next call has been answered;
+/// it reads of that answer next, and takes itself for subscribed.
+#[test]
+fn a_failure_that_is_read_late_does_not_end_the_watch_that_went_on_after_it() {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    tokio::task::LocalSet::new().block_on(&runtime, async {
+        let service = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let (host, address) = (FailingHost::with(EMFILE), service.local_addr().unwrap());
+        host.error.set(None);
+        let (events, mut inputs) = mpsc::channel(8);
+        let (_address, addresses) = watch::channel(address);
+        let (wanted_by_node, wanted) = watch::channel(Wanted { watch: true, calls: 1 });
+        tokio::task::spawn_local(run(host, Teller::Service, addresses, Some(2), wanted, events));
+        let calls = async {
+            let mut stream = service.accept().await.unwrap().0;
+            answer_call(&mut stream, "503 Service Unavailable", "").await;
+            let mut stream = service.accept().await.unwrap().0;
+            answer_call(&mut stream, "200 OK", r#"{"revision":3,"complete":false,"members":[]}"#).await;
+            assert!(matches!(inputs.recv().await, Some(Input::Discovery(Heard::Failed))));
+            assert!(matches!(inputs.recv().await, Some(Input::Discovery(Heard::List(_)))));
+            wanted_by_node.send_modify(|wanted| wanted.watch = false);
+            answer_call(&mut stream, "200 OK", r#"{"revision":4,"complete":false,"members":[]}"#).await;
+            answer_call(&mut stream, "200 OK", r#"{"revision":5,"complete":false,"members":[]}"#).await
+        };
+        let last = timeout(HUNG, calls).await.expect("the watch has ended");
+        assert!(last.contains("after=4"), "{last}");
+    });
+}
