--- a/crates/world/tests/long_times.rs
+++ b/crates/world/tests/long_times.rs
@@ -14,7 +14,8 @@
 use chalksill_world::sim::{Plan, run};
 use common::{kept, play, scenario};
 
-/// Cache servers at the start; the origin has the next number, the first successor of a deployment the one after.
+/// Cache servers at the start; the origin has the next number, the first successor of a deployment the one
+/// after.
 const SERVERS: usize = 6;
 const FIRST_SUCCESSOR: usize = SERVERS + 1;
 /// When discovery fails, in milliseconds.
@@ -34,12 +35,14 @@
     scenario
 }
 
-/// Cache servers are replaced, drain and crash, and nodes restart, in the middle of a time and right at its end.
+/// Cache servers are replaced, drain and crash, and nodes restart, in the middle of a time and right at its
+/// end.
 fn changes(from: u64, for_ms: u64) -> Vec<(u64, What)> {
     let (middle, end) = (from + for_ms / 2, from + for_ms);
     let stays = for_ms + AFTER_MS;
     vec![
-        // The successor comes, and the server drains that goes on until the run's end, while nobody can hear of it.
+        // The successor comes, and the server drains that goes on until the run's end, while nobody can hear
+        // of it.
         (from + 500, What::Deploy { batch: 1, most: 1, drain_ms: 1_500 }),
         (from + 1_000, What::Deploy { batch: 1, most: 1, drain_ms: stays }),
         (middle, What::Crash { boxes: vec![3], down_ms: 1_500 }),
@@ -64,7 +67,8 @@
     returned..returned + TOLD_S + 1
 }
 
-/// The rules are kept, which has drains known in time; so is the successor, and requests are served all the time.
+/// The rules are kept, which has drains known in time; so is the successor, and requests are served all the
+/// time.
 fn known_in_time_and_served(report: &Report, for_ms: u64) {
     kept(report);
     let told = told_within(for_ms);
@@ -78,8 +82,8 @@
     assert!(served * 100 > offered * 95, "seed {}, {for_ms} ms: {served} of {offered} after", report.seed);
 }
 
-/// Discovery fails for 10, 30 or 60 s, while cache servers are replaced, drain and crash; a node restarts in the middle of
-/// it, the other is killed right at its end. Lists are pushed, or asked for.
+/// Discovery fails for 10, 30 or 60 s, while cache servers are replaced, drain and crash; a node restarts in
+/// the middle of it, the other is killed right at its end. Lists are pushed, or asked for.
 #[test]
 fn what_changes_in_a_long_outage_of_discovery_is_known_soon_after_it() {
     for pushed in [false, true] {
@@ -124,7 +128,8 @@
     }
 }
 
-/// Forty nodes share a discovery that takes 40 ms for a call, one after another: when it comes back all call at once.
+/// Forty nodes share a discovery that takes 40 ms for a call, one after another: when it comes back all call
+/// at once.
 #[test]
 fn what_changes_is_known_soon_after_the_return_of_a_crowded_discovery() {
     let for_ms = 10_000;
@@ -137,7 +142,8 @@
     }
 }
 
-/// Discovery moves, by six configurations in a row of which only the last answers, and cache servers change meanwhile.
+/// Discovery moves, by six configurations in a row of which only the last answers, and cache servers change
+/// meanwhile.
 #[test]
 fn of_configurations_in_quick_succession_the_last_one_holds() {
     for pushed in [false, true] {
@@ -169,8 +175,8 @@
     play(&scenario, seed, &script)
 }
 
-/// After an hour without a request a zone or a third of the cache servers dies, servers drain, or a burst comes: what is
-/// served is what is served without the hour.
+/// After an hour without a request a zone or a third of the cache servers dies, servers drain, or a burst
+/// comes: what is served is what is served without the hour.
 #[test]
 fn trouble_after_a_quiet_hour_costs_no_more_than_without_it() {
     let troubles = [
@@ -194,7 +200,8 @@
     }
 }
 
-/// Caches begin cold and empty in calm times: what they lack is fetched from the origin, and no read is turned away.
+/// Caches begin cold and empty in calm times: what they lack is fetched from the origin, and no read is
+/// turned away.
 #[test]
 fn what_cold_caches_lack_is_fetched_in_calm_times() {
     for seed in 0..3 {
