--- a/crates/mothpier/tests/accepting.rs
+++ b/crates/mothpier/tests/accepting.rs
@@ -64,9 +64,11 @@
 fn without_a_descriptor_one_that_rests_gives_way_and_all_who_come_are_answered() {
     let discovery = discovery();
     for error in [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM] {
-        // Past the calls that the clients at rest need.
-        let node = node("short", &discovery, 1024, &format!("accept4:{error}:{}:2", RESTING + 10));
+        // Past the calls that the clients at rest need: each takes one, and one more that finds the queue empty.
+        let node = node("short", &discovery, 1024, &format!("accept4:{error}:{}:2", 2 * RESTING + 10));
         let rested = resting(&node);
+        // So many that the second failure comes though no call finds the queue empty.
+        come(&node);
         come(&node);
         let ended = rested.iter().filter(|client| client.has_ended()).count();
         assert_eq!(ended, 2, "errno {error}: so many resting clients gave way");
