--- a/crates/accord/src/lib.rs
+++ b/crates/accord/src/lib.rs
@@ -29,7 +29,7 @@
 mod succession;
 
 pub use member::{Config, Effect, Member, Mutant, Timing};
-pub use message::{Ballot, MOST, Message, Number, Question, Unreadable, VERSION};
+pub use message::{Ballot, MAX_MESSAGE_BYTES, Message, PlanNumber, Question, Unreadable, VERSION};
 
 /// A value of a member's own clock, in milliseconds; it only advances.
 pub type Millis = u64;
--- a/crates/accord/src/member.rs
+++ b/crates/accord/src/member.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::message::{Ballot, Message, Number, Question};
+use crate::message::{Ballot, Message, PlanNumber, Question};
 use crate::succession::Succession;
 use crate::{MemberId, Millis};
 
@@ -17,20 +17,27 @@
     /// A decider's lease, from before it asks for it.
     pub lease: Millis,
     /// For how long a voter keeps to a grant; longer than the lease by more than two clocks can differ over it.
-    pub hold: Millis,
+    pub grant: Millis,
     /// A follower acts on a plan for this long after the question that was last answered.
-    pub life: Millis,
+    pub plan_validity: Millis,
     /// Between two questions of a follower.
-    pub ask: Millis,
+    pub query_interval: Millis,
     /// A campaign asks voters that have not answered again after this long.
-    pub again: Millis,
+    pub retry_interval: Millis,
     /// The part of a lease, in thousandths, by which a follower's clock may run slower than the decider's.
     pub drift: u64,
 }
 
 impl Default for Timing {
     fn default() -> Self {
-        Timing { lease: 2_000, hold: 2_200, life: 8_000, ask: 500, again: 120, drift: 20 }
+        Timing {
+            lease: 2_000,
+            grant: 2_200,
+            plan_validity: 8_000,
+            query_interval: 500,
+            retry_interval: 120,
+            drift: 20,
+        }
     }
 }
 
@@ -51,19 +58,19 @@
     /// Send a message to a member.
     Send(MemberId, Message),
     /// From now on act on this plan.
-    Act(Number, Vec<u8>),
+    ApplyPlan(PlanNumber, Vec<u8>),
     /// From now on act on no plan: nothing was heard for too long.
-    FallBack,
+    DropPlan,
     /// This member decides from now on.
-    Decides(Ballot),
+    BecameLeader(Ballot),
     /// It no longer does.
-    Resigns,
+    SteppedDown,
     /// What another member sees; told to a decider only.
     Evidence(MemberId, Vec<u8>),
     /// Another member has acted on this decider's plan of this sequence number, or on a later one.
-    Follows(MemberId, u32),
+    PlanApplied(MemberId, u32),
     /// An earlier decider's plan, newer than any that this decider knew; told while it may choose nothing of its own yet.
-    Learns(Vec<u8>),
+    RecoveredPlan(Vec<u8>),
 }
 
 /// A guard that is left out: for tests, which must catch each.
@@ -117,7 +124,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Known {
-    number: Number,
+    number: PlanNumber,
     plan: Vec<u8>,
     /// The question that was last answered with it.
     confirmed: Millis,
@@ -143,7 +150,7 @@
     succession: Succession,
     // As a follower.
     known: Option<Known>,
-    highest: Number,
+    highest: PlanNumber,
     guess: usize,
     /// The voter that is asked next to pass a question on.
     relay: usize,
@@ -156,12 +163,12 @@
 impl Member {
     /// A member that starts from nothing; `life` is a number that no other life of it has had.
     pub fn start(config: Config, life: u32, now: Millis) -> Member {
-        let hold = config.timing.hold;
+        let hold = config.timing.grant;
         // Each voter waits otherwise before it campaigns: by its place, and by a draw that follows from its life.
         let place = config.voters.iter().position(|v| *v == config.me).unwrap_or(0) as u64;
         let wait = hold
-            + (place * config.timing.ask)
-            + u64::from(life).wrapping_mul(0x9e37_79b9) % config.timing.ask.max(1);
+            + (place * config.timing.query_interval)
+            + u64::from(life).wrapping_mul(0x9e37_79b9) % config.timing.query_interval.max(1);
         Member {
             life,
             now,
@@ -176,7 +183,7 @@
             plan: (0, Vec::new()),
             succession: Succession::default(),
             known: None,
-            highest: Number::default(),
+            highest: PlanNumber::default(),
             guess: 0,
             relay: 0,
             ask_at: now,
@@ -233,7 +240,7 @@
     }
 
     /// Whether it holds a lease, and with which ballot its tenure began.
-    pub fn decides(&self) -> Option<Ballot> {
+    pub fn leader_ballot(&self) -> Option<Ballot> {
         self.tenure.filter(|t| self.now < t.until).map(|t| t.began)
     }
 
@@ -243,33 +250,33 @@
     }
 
     /// Until when it learns its predecessor's plan, where it decides: it should choose nothing of its own before.
-    pub fn learns_until(&self) -> Option<Millis> {
+    pub fn recovery_ends(&self) -> Option<Millis> {
         self.tenure.map(|_| self.succession.until())
     }
 
     /// The plan that it acts on.
-    pub fn acts_on(&self) -> Option<(Number, &[u8])> {
+    pub fn applied_plan(&self) -> Option<(PlanNumber, &[u8])> {
         self.known.as_ref().map(|k| (k.number, k.plan.as_slice()))
     }
 
     /// When the question was asked whose answer last confirmed that plan.
-    pub fn confirmed(&self) -> Option<Millis> {
+    pub fn confirmed_at(&self) -> Option<Millis> {
         self.known.as_ref().map(|k| k.confirmed)
     }
 
     /// The highest number that it has acted on in this life.
-    pub fn highest(&self) -> Number {
+    pub fn highest(&self) -> PlanNumber {
         self.highest
     }
 
     /// What it tells the decider that it sees, from now on.
-    pub fn sees(&mut self, evidence: Vec<u8>) {
+    pub fn set_evidence(&mut self, evidence: Vec<u8>) {
         self.evidence = evidence;
     }
 
     /// Something is the matter, or a plan is moving: until told otherwise it asks three times as often.
-    pub fn hurries(&mut self, hurries: bool) {
-        let ask = self.config.timing.ask;
+    pub fn set_urgent(&mut self, hurries: bool) {
+        let ask = self.config.timing.query_interval;
         if hurries && !self.hurries {
             self.ask_at = self.ask_at.min(self.now + ask / 3);
         }
@@ -277,7 +284,7 @@
     }
 
     /// When it next has something to do by itself.
-    pub fn due(&self) -> Millis {
+    pub fn next_due(&self) -> Millis {
         let mut due = self.ask_at;
         if self.votes() {
             due = due.min(self.campaign_at);
@@ -289,7 +296,7 @@
             due = due.min(campaign.again);
         }
         if let Some(known) = &self.known {
-            due = due.min(known.confirmed + self.config.timing.life);
+            due = due.min(known.confirmed + self.config.timing.plan_validity);
         }
         due.max(self.now + 1)
     }
@@ -332,7 +339,7 @@
     /// Of a majority that is just one every answer counts: what was lost is asked for again.
     fn campaign_again(&mut self, out: &mut Vec<Effect>) {
         let Some(campaign) = self.campaign.as_mut().filter(|c| self.now >= c.again) else { return };
-        campaign.again = self.now + self.config.timing.again;
+        campaign.again = self.now + self.config.timing.retry_interval;
         let ballot = campaign.ballot;
         let message =
             if campaign.proposed { Message::Propose { ballot } } else { Message::Prepare { ballot } };
@@ -346,10 +353,10 @@
         self.now = self.now.max(now);
         if self.tenure.is_some_and(|t| self.now >= t.until) && !self.lacks(Mutant::AnswersLate) {
             self.tenure = None;
-            out.push(Effect::Resigns);
+            out.push(Effect::SteppedDown);
         }
         let hold = match self.mutant {
-            Some(Mutant::HoldsTooShort) => self.config.timing.hold - self.config.timing.lease,
+            Some(Mutant::HoldsTooShort) => self.config.timing.grant - self.config.timing.lease,
             _ => 0,
         };
         if self.granted.is_some_and(|(_, until)| self.now + hold >= until) {
@@ -360,11 +367,11 @@
         if self.campaign.as_ref().is_some_and(|c| self.now >= c.until) && !goes_on {
             self.campaign = None;
         }
-        let life = self.config.timing.life;
+        let life = self.config.timing.plan_validity;
         let over = self.known.as_ref().is_some_and(|k| self.now >= k.confirmed + life);
         if over && !self.lacks(Mutant::NeverFallsBack) {
             self.known = None;
-            out.push(Effect::FallBack);
+            out.push(Effect::DropPlan);
         }
     }
 
@@ -379,31 +386,31 @@
         let held = self.granted.map(|(ballot, _)| ballot).filter(|b| !self.is_own(*b));
         self.campaign = None;
         // A decider renews long before its lease ends; others look again when the present grant may have run out.
-        let spread = timing.ask * (1 + u64::from(self.config.me) % 4) / 2;
+        let spread = timing.query_interval * (1 + u64::from(self.config.me) % 4) / 2;
         self.campaign_at =
-            self.now + if self.tenure.is_some() { timing.lease / 3 } else { timing.hold / 2 + spread };
+            self.now + if self.tenure.is_some() { timing.lease / 3 } else { timing.grant / 2 + spread };
         if held.is_some() || self.now < self.abstains_until {
             return;
         }
         self.seen += 1;
-        let ballot = Ballot { round: self.seen, voter: self.config.me, life: self.life };
+        let ballot = Ballot { round: self.seen, voter: self.config.me, incarnation: self.life };
         // From the campaign's beginning: a voter that restarts forgets what it has promised, not only what it has granted. A
         // campaign that could go on with an old promise for longer than that voter abstains would meet a grant which the
         // promise should have prevented.
         let until = self.now + timing.lease;
-        let again = self.now + timing.again;
+        let again = self.now + timing.retry_interval;
         self.campaign = Some(Campaign { ballot, voters: BTreeSet::new(), until, proposed: false, again });
         self.ask_voters(Message::Prepare { ballot }, out);
     }
 
     fn is_own(&self, ballot: Ballot) -> bool {
-        ballot.voter == self.config.me && ballot.life == self.life
+        ballot.voter == self.config.me && ballot.incarnation == self.life
     }
 
     /// This member wants another plan, which counts only while it decides.
-    pub fn decide(&mut self, now: Millis, plan: Vec<u8>, out: &mut Vec<Effect>) {
+    pub fn set_plan(&mut self, now: Millis, plan: Vec<u8>, out: &mut Vec<Effect>) {
         self.advance(now, out);
-        if self.decides().is_some() && plan != self.plan.1 {
+        if self.leader_ballot().is_some() && plan != self.plan.1 {
             self.plan = (self.plan.0 + 1, plan);
             self.act_on_own(out);
         }
@@ -412,17 +419,17 @@
     /// A decider needs nobody to tell it what it has decided.
     fn act_on_own(&mut self, out: &mut Vec<Effect>) {
         let Some(tenure) = self.tenure else { return };
-        let number = Number { tenure: tenure.began, sequence: self.plan.0 };
+        let number = PlanNumber { term: tenure.began, sequence: self.plan.0 };
         if number >= self.highest {
             self.take(number, self.plan.1.clone(), self.now, out);
         }
     }
 
-    fn take(&mut self, number: Number, plan: Vec<u8>, confirmed: Millis, out: &mut Vec<Effect>) {
+    fn take(&mut self, number: PlanNumber, plan: Vec<u8>, confirmed: Millis, out: &mut Vec<Effect>) {
         let before = self.known.as_ref().map(|k| k.number);
         self.highest = self.highest.max(number);
         if before != Some(number) {
-            out.push(Effect::Act(number, plan.clone()));
+            out.push(Effect::ApplyPlan(number, plan.clone()));
         }
         self.known = Some(Known { number, plan, confirmed });
     }
@@ -436,7 +443,7 @@
     pub fn question(&mut self, now: Millis, to: MemberId, out: &mut Vec<Effect>) {
         self.advance(now, out);
         let Question { stamp, life, number, evidence } = self.puts();
-        out.push(Effect::Send(to, Message::Ask { stamp, life, number, evidence }));
+        out.push(Effect::Send(to, Message::Query { asked_at: stamp, incarnation: life, number, evidence }));
     }
 
     /// Asks one voter to pass its question on, now; [`tick`](Self::tick) does so by itself where it gets no answer.
@@ -446,8 +453,8 @@
     }
 
     fn ask(&mut self, out: &mut Vec<Effect>) {
-        self.ask_at = self.now + self.config.timing.ask / if self.hurries { 3 } else { 1 };
-        if self.decides().is_some() {
+        self.ask_at = self.now + self.config.timing.query_interval / if self.hurries { 3 } else { 1 };
+        if self.leader_ballot().is_some() {
             return self.act_on_own(out);
         }
         let (me, now) = (self.config.me, self.now);
@@ -483,10 +490,10 @@
             Message::Propose { ballot } => self.propose(from, ballot, out),
             Message::Accepted { ballot } => self.accepted(from, ballot, out),
             Message::Refused { seen } => self.hear_of(seen),
-            Message::Ask { stamp, life, number, evidence } => {
+            Message::Query { asked_at: stamp, incarnation: life, number, evidence } => {
                 self.asked(from, stamp, life, number, evidence, out)
             }
-            Message::Told { stamp, life, number, left, plan } => {
+            Message::Reply { asked_at: stamp, incarnation: life, number, lease_left: left, plan } => {
                 self.told((stamp, life), number, left, plan, out)
             }
             Message::Pass { ask } => self.pass(from, ask, out),
@@ -494,7 +501,11 @@
             Message::Answer { asker, stamp, life, number, left, plan } => {
                 // It keeps nothing of what it passes on: the asker knows whether it has asked this.
                 if self.config.voters.contains(&from) {
-                    self.send(asker, Message::Told { stamp, life, number, left, plan }, out);
+                    self.send(
+                        asker,
+                        Message::Reply { asked_at: stamp, incarnation: life, number, lease_left: left, plan },
+                        out,
+                    );
                 }
             }
             Message::Elsewhere { voter } => {
@@ -571,7 +582,7 @@
             return self.send(from, Message::Refused { seen: self.promised }, out);
         }
         self.promised = self.promised.max(ballot);
-        self.granted = Some((ballot, self.now + self.config.timing.hold));
+        self.granted = Some((ballot, self.now + self.config.timing.grant));
         self.send(from, Message::Accepted { ballot }, out);
     }
 
@@ -605,11 +616,11 @@
                 self.campaign_at = self.campaign_at.min(self.now + self.config.timing.lease / 3);
                 let known = self.known.as_ref().map(|k| k.number);
                 // A member that sees trouble, or acts on a plan that moves, asks twice in this.
-                let learns_until = self.now + self.config.timing.ask * 2 / 3;
+                let learns_until = self.now + self.config.timing.query_interval * 2 / 3;
                 self.succession = Succession::begin(known, learns_until);
                 // It goes on from what it has acted on last.
                 self.plan = (0, self.known.as_ref().map(|k| k.plan.clone()).unwrap_or_default());
-                out.push(Effect::Decides(ballot));
+                out.push(Effect::BecameLeader(ballot));
                 self.act_on_own(out);
             }
         }
@@ -625,11 +636,11 @@
         from: MemberId,
         stamp: Millis,
         life: u32,
-        number: Number,
+        number: PlanNumber,
         evidence: Vec<u8>,
         out: &mut Vec<Effect>,
     ) {
-        self.hear_of(number.tenure);
+        self.hear_of(number.term);
         if self.tenure.is_none() {
             match self.granted_to() {
                 Some(voter) if voter != from => out.push(Effect::Send(from, Message::Elsewhere { voter })),
@@ -641,12 +652,15 @@
         if self.must_learn_from(from, number) {
             return self.question(self.now, from, out);
         }
-        out.push(Effect::Send(from, Message::Told { stamp, life, number: own, left, plan }));
+        out.push(Effect::Send(
+            from,
+            Message::Reply { asked_at: stamp, incarnation: life, number: own, lease_left: left, plan },
+        ));
     }
 
     /// Whether a member knows a plan of an earlier tenure that this decider doesn't: it keeps that one until it has told it.
-    fn must_learn_from(&mut self, member: MemberId, number: Number) -> bool {
-        let earlier = self.tenure.is_some_and(|t| number.tenure != t.began);
+    fn must_learn_from(&mut self, member: MemberId, number: PlanNumber) -> bool {
+        let earlier = self.tenure.is_some_and(|t| number.term != t.began);
         earlier && self.succession.queries(self.now, member, number)
     }
 
@@ -654,20 +668,23 @@
     fn tell_known(&self, to: MemberId, (stamp, life): (Millis, u32), out: &mut Vec<Effect>) {
         let Some(Known { number, plan, .. }) = self.known.clone() else { return };
         if self.config.voters.contains(&to) {
-            out.push(Effect::Send(to, Message::Told { stamp, life, number, left: 0, plan }));
+            out.push(Effect::Send(
+                to,
+                Message::Reply { asked_at: stamp, incarnation: life, number, lease_left: 0, plan },
+            ));
         }
     }
 
     /// What a member acts on, told by it to this decider.
-    fn learn(&mut self, tenure: Tenure, number: Number, plan: Vec<u8>, out: &mut Vec<Effect>) {
-        if number.tenure < tenure.began && self.succession.learns(self.now, number) {
-            out.push(Effect::Learns(plan));
+    fn learn(&mut self, tenure: Tenure, number: PlanNumber, plan: Vec<u8>, out: &mut Vec<Effect>) {
+        if number.term < tenure.began && self.succession.learns(self.now, number) {
+            out.push(Effect::RecoveredPlan(plan));
         }
     }
 
     /// A member gets no answer: its question goes on to the decider, or is answered where this is it.
     fn pass(&mut self, from: MemberId, ask: Question, out: &mut Vec<Effect>) {
-        self.hear_of(ask.number.tenure);
+        self.hear_of(ask.number.term);
         if self.tenure.is_some() {
             self.asked(from, ask.stamp, ask.life, ask.number, ask.evidence, out);
         } else if let Some(decider) = self.granted_to() {
@@ -678,7 +695,7 @@
     /// A voter has passed a question on: it passes on the answer, too. One that no longer decides says nothing: there would be no
     /// end to passing on.
     fn passed(&mut self, from: MemberId, asker: MemberId, ask: Question, out: &mut Vec<Effect>) {
-        self.hear_of(ask.number.tenure);
+        self.hear_of(ask.number.term);
         if self.tenure.is_none() || !self.config.voters.contains(&from) || asker == self.config.me {
             return;
         }
@@ -695,21 +712,21 @@
     fn answers(
         &mut self,
         asker: MemberId,
-        number: Number,
+        number: PlanNumber,
         evidence: Vec<u8>,
         out: &mut Vec<Effect>,
-    ) -> Option<(Number, Millis, Vec<u8>)> {
+    ) -> Option<(PlanNumber, Millis, Vec<u8>)> {
         let tenure = self.tenure?;
-        if number.tenure == tenure.began {
-            out.push(Effect::Follows(asker, number.sequence));
+        if number.term == tenure.began {
+            out.push(Effect::PlanApplied(asker, number.sequence));
         }
         out.push(Effect::Evidence(asker, evidence));
-        let own = Number { tenure: tenure.began, sequence: self.plan.0 };
-        if number > own && number.tenure.round < MOST_ROUNDS {
+        let own = PlanNumber { term: tenure.began, sequence: self.plan.0 };
+        if number > own && number.term.round < MOST_ROUNDS {
             // It has acted on a plan of a tenure that nobody here remembers: ours must begin anew, above it.
             self.tenure = None;
             self.campaign_at = self.now;
-            out.push(Effect::Resigns);
+            out.push(Effect::SteppedDown);
             return None;
         }
         let left = tenure.until.saturating_sub(self.now);
@@ -720,7 +737,7 @@
     fn told(
         &mut self,
         (stamp, life): (Millis, u32),
-        number: Number,
+        number: PlanNumber,
         left: Millis,
         plan: Vec<u8>,
         out: &mut Vec<Effect>,
@@ -737,10 +754,10 @@
         if !in_time && !self.lacks(Mutant::TakesLate) {
             return;
         }
-        if number.tenure.round >= MOST_ROUNDS || number < self.highest && !self.lacks(Mutant::GoesBack) {
+        if number.term.round >= MOST_ROUNDS || number < self.highest && !self.lacks(Mutant::GoesBack) {
             return;
         }
-        self.hear_of(number.tenure);
+        self.hear_of(number.term);
         self.unanswered = 0;
         let confirmed =
             self.known.as_ref().filter(|k| k.number == number).map_or(stamp, |k| k.confirmed.max(stamp));
--- a/crates/accord/src/message.rs
+++ b/crates/accord/src/message.rs
@@ -7,7 +7,7 @@
 use crate::{MemberId, Millis};
 
 /// The longest message, in bytes: what a datagram between nodes may hold.
-pub const MOST: usize = 256;
+pub const MAX_MESSAGE_BYTES: usize = 256;
 /// The version of messages that this program writes and reads.
 pub const VERSION: u8 = 1;
 /// What stands before each message, so that nothing else is taken for one.
@@ -21,14 +21,14 @@
     /// Whose it is.
     pub voter: MemberId,
     /// Which life of that voter: a number that is new with each start.
-    pub life: u32,
+    pub incarnation: u32,
 }
 
 /// The number of a plan: when its decider's tenure began, and the so manyth plan of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Number {
+pub struct PlanNumber {
     /// The ballot with which the tenure began.
-    pub tenure: Ballot,
+    pub term: Ballot,
     /// Counts the plans of the tenure, from 0.
     pub sequence: u32,
 }
@@ -64,26 +64,26 @@
         seen: Ballot,
     },
     /// A member asks the decider for the plan, and tells what it sees.
-    Ask {
+    Query {
         /// Its own clock: an answer must give it back.
-        stamp: Millis,
+        asked_at: Millis,
         /// Its life, likewise.
-        life: u32,
+        incarnation: u32,
         /// The highest number of a plan that it has acted on.
-        number: Number,
+        number: PlanNumber,
         /// What it sees; the accord does not read it.
         evidence: Vec<u8>,
     },
     /// The decider answers.
-    Told {
+    Reply {
         /// The question's stamp.
-        stamp: Millis,
+        asked_at: Millis,
         /// The asker's life.
-        life: u32,
+        incarnation: u32,
         /// The plan's number.
-        number: Number,
+        number: PlanNumber,
         /// What the decider's lease had left when it answered, in milliseconds.
-        left: Millis,
+        lease_left: Millis,
         /// The plan; the accord does not read it.
         plan: Vec<u8>,
     },
@@ -113,7 +113,7 @@
         /// The asker's life.
         life: u32,
         /// The plan's number.
-        number: Number,
+        number: PlanNumber,
         /// What the decider's lease had left when it answered, in milliseconds.
         left: Millis,
         /// The plan.
@@ -129,7 +129,7 @@
     /// Its life, likewise.
     pub life: u32,
     /// The highest number of a plan that it has acted on.
-    pub number: Number,
+    pub number: PlanNumber,
     /// What it sees.
     pub evidence: Vec<u8>,
 }
@@ -150,7 +150,9 @@
 impl fmt::Display for Unreadable {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Unreadable::Length(length) => write!(f, "{length} bytes are no message: 7 to {MOST} are allowed"),
+            Unreadable::Length(length) => {
+                write!(f, "{length} bytes are no message: 7 to {MAX_MESSAGE_BYTES} are allowed")
+            }
             Unreadable::Foreign => f.write_str("no message of a member"),
             Unreadable::Version(version) => {
                 write!(f, "a message of version {version}; this is version {VERSION}")
@@ -173,7 +175,7 @@
         let mut bytes = vec![MARK, VERSION];
         bytes.extend(postcard::to_allocvec(self).ok()?);
         bytes.extend(checksum(&bytes).to_le_bytes());
-        (bytes.len() <= MOST).then_some(bytes)
+        (bytes.len() <= MAX_MESSAGE_BYTES).then_some(bytes)
     }
 
     /// Reads a message.
@@ -181,7 +183,7 @@
     /// # Errors
     /// Why it is none; nothing of it counts then.
     pub fn decode(bytes: &[u8]) -> Result<Message, Unreadable> {
-        if bytes.len() < 7 || bytes.len() > MOST {
+        if bytes.len() < 7 || bytes.len() > MAX_MESSAGE_BYTES {
             return Err(Unreadable::Length(bytes.len()));
         }
         if bytes[0] != MARK {
--- a/crates/accord/src/succession.rs
+++ b/crates/accord/src/succession.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::{MemberId, Millis, Number};
+use crate::{MemberId, Millis, PlanNumber};
 
 /// One member is asked so often at most, then it is answered: it may not know how to tell.
 const MOST_QUERIES: u8 = 2;
@@ -16,14 +16,14 @@
     /// When learning ends.
     until: Millis,
     /// The highest number of a plan that this decider knows.
-    known: Number,
+    known: PlanNumber,
     /// Queries by member.
     queries: BTreeMap<MemberId, u8>,
 }
 
 impl Succession {
     /// Begins to learn, knowing the plan of a number.
-    pub(crate) fn begin(known: Option<Number>, until: Millis) -> Succession {
+    pub(crate) fn begin(known: Option<PlanNumber>, until: Millis) -> Succession {
         Succession { until, known: known.unwrap_or_default(), queries: BTreeMap::new() }
     }
 
@@ -33,7 +33,7 @@
     }
 
     /// Whether a member that has acted on a plan of another tenure is to be asked for it now; counts the query.
-    pub(crate) fn queries(&mut self, now: Millis, member: MemberId, number: Number) -> bool {
+    pub(crate) fn queries(&mut self, now: Millis, member: MemberId, number: PlanNumber) -> bool {
         if now >= self.until || number <= self.known {
             return false;
         }
@@ -43,7 +43,7 @@
     }
 
     /// Whether a plan of an earlier tenure is newer than all that is known; it is known from now on.
-    pub(crate) fn learns(&mut self, now: Millis, number: Number) -> bool {
+    pub(crate) fn learns(&mut self, now: Millis, number: PlanNumber) -> bool {
         let learns = now < self.until && number > self.known;
         if learns {
             self.known = number;
--- a/crates/accord/tests/explore.rs
+++ b/crates/accord/tests/explore.rs
@@ -10,7 +10,7 @@
 use std::hash::{Hash, Hasher};
 use std::rc::Rc;
 
-use mothpier_accord::{Ballot, Config, Effect, Member, Message, Millis, Mutant, Number, Timing};
+use mothpier_accord::{Ballot, Config, Effect, Member, Message, Millis, Mutant, PlanNumber, Timing};
 
 /// What may happen in an exploration, at most; by member where there are several figures.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
@@ -28,9 +28,11 @@
 }
 
 /// A lease of two ticks, and grants that are kept for three.
-const STEADY: Timing = Timing { lease: 2, hold: 3, life: 4, ask: 100, again: 100, drift: 0 };
+const STEADY: Timing =
+    Timing { lease: 2, grant: 3, plan_validity: 4, query_interval: 100, retry_interval: 100, drift: 0 };
 /// A lease of two ticks where a clock may run ahead by one over it, and another by one more.
-const DRIFTING: Timing = Timing { lease: 2, hold: 4, life: 6, ask: 100, again: 100, drift: 500 };
+const DRIFTING: Timing =
+    Timing { lease: 2, grant: 4, plan_validity: 6, query_interval: 100, retry_interval: 100, drift: 500 };
 
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct World<const N: usize> {
@@ -41,7 +43,7 @@
     messages: Rc<BTreeSet<(u16, u16, Message)>>,
     left: Bounds<N>,
     /// What plan each number stands for, as far as anybody has acted on it.
-    plans: Rc<BTreeMap<Number, Vec<u8>>>,
+    plans: Rc<BTreeMap<PlanNumber, Vec<u8>>>,
     /// When each tenure's lease ends, in the time of the world, at the latest.
     leases: Rc<BTreeMap<Ballot, Millis>>,
 }
@@ -87,7 +89,7 @@
         World {
             time: 0,
             // All have been up for as long as they abstain: the exploration begins where they may vote.
-            clocks: [self.bounds.timing.hold; N],
+            clocks: [self.bounds.timing.grant; N],
             members: std::array::from_fn(|me| self.member(me, me as u32 + 1, 0)),
             messages: Rc::default(),
             left: self.bounds,
@@ -103,7 +105,7 @@
             if w.left.stands[i] > 0 {
                 steps.push(Step::Stand(i));
             }
-            if w.left.plans > 0 && w.members[i].decides().is_some() {
+            if w.left.plans > 0 && w.members[i].leader_ballot().is_some() {
                 steps.push(Step::Plan(i));
             }
             if w.left.restarts[i] > 0 {
@@ -160,7 +162,7 @@
                 w.left.plans -= 1;
                 at = Some(*i);
                 // A plan of its own: nobody else ever decides on this one.
-                w.members[*i].decide(
+                w.members[*i].set_plan(
                     w.clocks[*i],
                     vec![*i as u8 + 1, w.left.plans, w.left.restarts[*i]],
                     &mut out,
@@ -211,18 +213,18 @@
         w: &World<N>,
         i: usize,
         message: &Message,
-        before: Number,
+        before: PlanNumber,
         out: &[Effect],
     ) -> Result<(), String> {
-        let Message::Told { number, .. } = message else { return Ok(()) };
-        let took =
-            w.members[i].acts_on().is_some_and(|(n, _)| n == *number) && w.members[i].highest() == *number;
-        let acted = out.iter().any(|e| matches!(e, Effect::Act(n, _) if n == number));
+        let Message::Reply { number, .. } = message else { return Ok(()) };
+        let took = w.members[i].applied_plan().is_some_and(|(n, _)| n == *number)
+            && w.members[i].highest() == *number;
+        let acted = out.iter().any(|e| matches!(e, Effect::ApplyPlan(n, _) if n == number));
         if acted {
             if *number < before {
                 return Err(format!("member {i} went back from {before:?} to {number:?}"));
             }
-            let until = w.leases.get(&number.tenure).copied().unwrap_or(0);
+            let until = w.leases.get(&number.term).copied().unwrap_or(0);
             if took && w.time >= until {
                 return Err(format!("member {i} acts on {number:?} when its decider's lease is over"));
             }
@@ -237,7 +239,7 @@
                 Effect::Send(to, message) => {
                     Rc::make_mut(&mut w.messages).insert((i as u16, to, message));
                 }
-                Effect::Act(number, plan) => {
+                Effect::ApplyPlan(number, plan) => {
                     if !w.plans.contains_key(&number) {
                         Rc::make_mut(&mut w.plans).insert(number, plan.clone());
                     }
@@ -249,17 +251,17 @@
                 _ => {}
             }
         }
-        if let (Some(began), Some(until)) = (w.members[i].decides(), w.members[i].lease_until()) {
+        if let (Some(began), Some(until)) = (w.members[i].leader_ballot(), w.members[i].lease_until()) {
             let until = w.time + until - w.clocks[i];
             if w.leases.get(&began).is_none_or(|known| *known < until) {
                 Rc::make_mut(&mut w.leases).insert(began, until);
             }
         }
-        if w.members[i].acts_on().is_some() {
+        if w.members[i].applied_plan().is_some() {
             let mut looked = w.members[i].clone();
-            looked.tick(w.clocks[i] + self.bounds.timing.life, &mut Vec::new());
+            looked.tick(w.clocks[i] + self.bounds.timing.plan_validity, &mut Vec::new());
             // It hears nothing from here on: a plan that it was told, and that it does not renew itself, must end.
-            if looked.acts_on().is_some() {
+            if looked.applied_plan().is_some() {
                 return Err(format!("member {i} acts on a plan for ever"));
             }
         }
@@ -289,8 +291,10 @@
                         return found;
                     }
                     Ok(next) if seen.insert(fingerprint(&next)) => {
-                        let acting =
-                            next.members.iter().filter(|m| m.acts_on().is_some_and(|(_, p)| !p.is_empty()));
+                        let acting = next
+                            .members
+                            .iter()
+                            .filter(|m| m.applied_plan().is_some_and(|(_, p)| !p.is_empty()));
                         found.agreed |= acting.count() > 1;
                         found.states += 1;
                         parents.push((place, number as u16));
--- a/crates/accord/tests/fleet.rs
+++ b/crates/accord/tests/fleet.rs
@@ -8,7 +8,7 @@
 use std::cmp::Reverse;
 
 use mothpier_accord::{Config, Effect, Member, Message, Millis, Timing};
-use mothpier_plan::{Evidence, Figures, Plan, Planner, Seen, Step};
+use mothpier_plan::{AttemptCounts, Evidence, Plan, Planner, RecentAttempts, Tuning};
 use oorandom::Rand64;
 
 const ZONES: usize = 3;
@@ -28,8 +28,8 @@
 struct Node {
     member: Member,
     planner: Option<Planner>,
-    seen: Seen,
-    steps: [Step; ZONES],
+    seen: RecentAttempts,
+    steps: [AttemptCounts; ZONES],
     /// When attempts at the lost zone were sent that nobody has answered.
     waiting: Vec<Millis>,
     plan: Plan,
@@ -59,7 +59,7 @@
         Node {
             member: Member::start(config, me as u32 + 1, 0),
             planner: None,
-            seen: Seen::new(ZONES),
+            seen: RecentAttempts::new(ZONES),
             steps: Default::default(),
             waiting: Vec::new(),
             plan: Plan::default(),
@@ -80,13 +80,13 @@
         for (i, node) in nodes.iter_mut().enumerate() {
             if rng.rand_float() < per_s / 1000.0 {
                 let zone = rng.rand_range(0..ZONES as u64) as usize;
-                if rng.rand_float() < node.plan.open(zone) {
+                if rng.rand_float() < node.plan.open_share(zone) {
                     if lost && zone == LOST.0 && now >= LOST.1 {
                         node.waiting.push(now);
                     } else if rng.rand_float() < silent {
-                        node.steps[zone].silent += 1;
+                        node.steps[zone].unanswered += 1;
                     } else {
-                        node.steps[zone].came += 1;
+                        node.steps[zone].answered += 1;
                     }
                 }
             }
@@ -94,12 +94,12 @@
                 node.look_at = now + LOOK * 3 / 4 + rng.rand_range(0..LOOK / 2);
                 let before = node.waiting.len();
                 node.waiting.retain(|at| at + SILENT > now);
-                node.steps[LOST.0].silent += (before - node.waiting.len()) as u32;
-                let open: Vec<f64> = (0..ZONES).map(|z| node.plan.open(z)).collect();
-                node.seen.step(&node.steps, &open);
+                node.steps[LOST.0].unanswered += (before - node.waiting.len()) as u32;
+                let open: Vec<f64> = (0..ZONES).map(|z| node.plan.open_share(z)).collect();
+                node.seen.record(&node.steps, &open);
                 node.steps = Default::default();
                 due.push((i as u16, None));
-            } else if now >= node.member.due() || node.planner.is_some() && now >= node.plans_at {
+            } else if now >= node.member.next_due() || node.planner.is_some() && now >= node.plans_at {
                 due.push((i as u16, None));
             }
         }
@@ -111,20 +111,20 @@
                 Some((from, message)) => node.member.handle(now, from, message, &mut out),
                 None => {
                     let seen = node.seen.evidence();
-                    node.member.sees(seen.encode());
+                    node.member.set_evidence(seen.encode());
                     let bad = seen.zones.iter().any(|(_, silent)| *silent >= HURRY);
-                    let moving = node.plan.zones.iter().any(|z| z.state != mothpier_plan::State::Serving);
-                    node.member.hurries(bad || moving);
+                    let moving = node.plan.zones.iter().any(|z| z.state != mothpier_plan::ZoneState::Serving);
+                    node.member.set_urgent(bad || moving);
                     node.member.tick(now, &mut out);
                     if now >= node.plans_at
                         && let Some(planner) = &mut node.planner
                     {
                         node.plans_at = now + PLANS;
-                        planner.hear(now, to, seen);
+                        planner.add_evidence(now, to, seen);
                         let plan = planner.step(now);
-                        node.member.decide(now, plan.encode(), &mut out);
-                        if let Some((number, _)) = node.member.acts_on() {
-                            planner.published(to, number.sequence);
+                        node.member.set_plan(now, plan.encode(), &mut out);
+                        if let Some((number, _)) = node.member.applied_plan() {
+                            planner.plan_published(to, number.sequence);
                         }
                     }
                 }
@@ -133,13 +133,16 @@
                 match effect {
                     Effect::Evidence(from, bytes) => {
                         if let (Some(planner), Ok(seen)) = (&mut node.planner, Evidence::decode(bytes)) {
-                            planner.hear(now, *from, seen);
+                            planner.add_evidence(now, *from, seen);
                         }
                     }
-                    Effect::Act(_, bytes) => {
+                    Effect::ApplyPlan(_, bytes) => {
                         let plan = Plan::decode(bytes).unwrap();
-                        let away = plan.open(LOST.0) < 0.5;
-                        if away && node.plan.open(LOST.0) >= 0.5 && node.member.decides().is_some() {
+                        let away = plan.open_share(LOST.0) < 0.5;
+                        if away
+                            && node.plan.open_share(LOST.0) >= 0.5
+                            && node.member.leader_ballot().is_some()
+                        {
                             moves += 1;
                         }
                         if away && now >= LOST.1 {
@@ -147,21 +150,21 @@
                         }
                         node.plan = plan;
                     }
-                    Effect::Decides(_) => {
-                        let learns_until = node.member.learns_until().unwrap();
+                    Effect::BecameLeader(_) => {
+                        let learns_until = node.member.recovery_ends().unwrap();
                         let times = (now, learns_until);
                         node.planner =
-                            Some(Planner::takes_over(Figures::default(), ZONES, &node.plan, times));
+                            Some(Planner::for_new_leader(Tuning::default(), ZONES, &node.plan, times));
                     }
-                    Effect::Resigns => node.planner = None,
-                    Effect::FallBack => node.plan = Plan::default(),
-                    Effect::Follows(from, sequence) => {
+                    Effect::SteppedDown => node.planner = None,
+                    Effect::DropPlan => node.plan = Plan::default(),
+                    Effect::PlanApplied(from, sequence) => {
                         if let Some(planner) = &mut node.planner {
-                            planner.follows(*from, *sequence);
+                            planner.plan_applied(*from, *sequence);
                         }
                     }
                     // Nobody is killed here: whoever begins to decide knows the plan.
-                    Effect::Learns(_) | Effect::Send(..) => {}
+                    Effect::RecoveredPlan(_) | Effect::Send(..) => {}
                 }
             }
             let sends = out.into_iter().filter_map(|e| match e {
--- a/crates/accord/tests/messages.rs
+++ b/crates/accord/tests/messages.rs
@@ -2,7 +2,8 @@
 #![allow(missing_docs)]
 
 use mothpier_accord::{
-    Ballot, Config, Effect, MOST, Member, Message, Mutant, Number, Question, Timing, Unreadable,
+    Ballot, Config, Effect, MAX_MESSAGE_BYTES, Member, Message, Mutant, PlanNumber, Question, Timing,
+    Unreadable,
 };
 use oorandom::Rand64;
 
@@ -13,13 +14,13 @@
 fn ballot(rng: &mut Rand64) -> Ballot {
     // Also figures that no member would send.
     let wide = |rng: &mut Rand64| if draw(rng, 8) == 0 { u64::MAX >> draw(rng, 64) } else { draw(rng, 4) };
-    Ballot { round: wide(rng) as u32, voter: wide(rng) as u16, life: wide(rng) as u32 }
+    Ballot { round: wide(rng) as u32, voter: wide(rng) as u16, incarnation: wide(rng) as u32 }
 }
 
 fn message(rng: &mut Rand64) -> Message {
     let bytes = |rng: &mut Rand64| (0..draw(rng, 150)).map(|_| draw(rng, 256) as u8).collect::<Vec<u8>>();
     let stamp = |rng: &mut Rand64| if draw(rng, 8) == 0 { u64::MAX } else { draw(rng, 10_000) };
-    let number = |rng: &mut Rand64| Number { tenure: ballot(rng), sequence: draw(rng, 3) as u32 };
+    let number = |rng: &mut Rand64| PlanNumber { term: ballot(rng), sequence: draw(rng, 3) as u32 };
     let ask = |rng: &mut Rand64| {
         let (stamp, number, evidence) = (stamp(rng), number(rng), bytes(rng));
         Question { stamp, life: draw(rng, 9) as u32, number, evidence }
@@ -40,17 +41,17 @@
         2 => Message::Propose { ballot: ballot(rng) },
         3 => Message::Accepted { ballot: ballot(rng) },
         4 => Message::Refused { seen: ballot(rng) },
-        5 => Message::Ask {
-            stamp: stamp(rng),
-            life: draw(rng, 9) as u32,
+        5 => Message::Query {
+            asked_at: stamp(rng),
+            incarnation: draw(rng, 9) as u32,
             number: number(rng),
             evidence: bytes(rng),
         },
-        6 => Message::Told {
-            stamp: stamp(rng),
-            life: draw(rng, 9) as u32,
+        6 => Message::Reply {
+            asked_at: stamp(rng),
+            incarnation: draw(rng, 9) as u32,
             number: number(rng),
-            left: stamp(rng),
+            lease_left: stamp(rng),
             plan: bytes(rng),
         },
         _ => Message::Elsewhere { voter: draw(rng, 70_000) as u16 },
@@ -65,7 +66,7 @@
         let message = message(&mut rng);
         let Some(bytes) = message.encode() else { continue };
         written += 1;
-        assert!(bytes.len() <= MOST);
+        assert!(bytes.len() <= MAX_MESSAGE_BYTES);
         assert_eq!(Message::decode(&bytes).as_ref(), Ok(&message));
         for length in 0..bytes.len() {
             assert!(Message::decode(&bytes[..length]).is_err());
@@ -83,7 +84,8 @@
 
 #[test]
 fn each_reason_is_told() {
-    let long = Message::Ask { stamp: 1, life: 1, number: Number::default(), evidence: vec![7; 250] };
+    let long =
+        Message::Query { asked_at: 1, incarnation: 1, number: PlanNumber::default(), evidence: vec![7; 250] };
     assert_eq!(long.encode(), None, "what would be longer than a datagram is not sent");
     assert_eq!(Message::decode(&[0xac; 257]), Err(Unreadable::Length(257)));
     assert_eq!(Message::decode(&[]), Err(Unreadable::Length(0)));
@@ -112,8 +114,8 @@
             // Nobody answers its campaigns as they are, so it never decides, and what it acts on ends by itself.
             assert!(out.len() < 16, "{out:?}");
         }
-        member.tick(now + timing.life, &mut Vec::new());
-        assert_eq!(member.acts_on(), None);
+        member.tick(now + timing.plan_validity, &mut Vec::new());
+        assert_eq!(member.applied_plan(), None);
     }
 }
 
@@ -123,7 +125,7 @@
     let config = Config { me: 1, voters: vec![0, 1, 2], timing };
     let member = Member::start(config, 5, 0);
     let mut member = mutant.map_or(member.clone(), |m| member.with_mutant(m));
-    let now = timing.hold + 1;
+    let now = timing.grant + 1;
     let mut out = Vec::new();
     member.stand(now, &mut out);
     let Some(Effect::Send(_, Message::Prepare { ballot })) = out.first().cloned() else {
@@ -131,7 +133,7 @@
     };
     member.handle(now, from[0], Message::Promise { ballot, held: None }, &mut out);
     member.handle(now, from[1], Message::Accepted { ballot }, &mut out);
-    member.decides().is_some()
+    member.leader_ballot().is_some()
 }
 
 #[test]
--- a/crates/accord/tests/stable.rs
+++ b/crates/accord/tests/stable.rs
@@ -5,7 +5,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use mothpier_accord::{Config, Effect, Member, MemberId, Message, Millis, Number, Timing};
+use mothpier_accord::{Config, Effect, Member, MemberId, Message, Millis, PlanNumber, Timing};
 use oorandom::Rand64;
 
 /// When it comes, its place among all, from and to whom, and what it says.
@@ -24,7 +24,7 @@
     rng: Rand64,
     now: Millis,
     loss: f64,
-    plans: BTreeMap<Number, Vec<u8>>,
+    plans: BTreeMap<PlanNumber, Vec<u8>>,
     wishes: u8,
     messages: u64,
 }
@@ -93,7 +93,7 @@
         }
         for i in 0..self.members.len() {
             let now = self.clock(i);
-            if self.stopped[i].is_none() && now >= self.members[i].due() {
+            if self.stopped[i].is_none() && now >= self.members[i].next_due() {
                 let mut out = Vec::new();
                 self.members[i].tick(now, &mut out);
                 self.did(i, out);
@@ -123,7 +123,7 @@
                         self.queue.push(Reverse((at, self.sent, i as u16, to, message.clone())));
                     }
                 }
-                Effect::Act(number, plan) => {
+                Effect::ApplyPlan(number, plan) => {
                     let known = self.plans.entry(number).or_insert_with(|| plan.clone());
                     assert_eq!(*known, plan, "{number:?}");
                 }
@@ -135,10 +135,10 @@
     /// Somebody decides on something new, now and then.
     fn wish(&mut self) {
         for i in 0..self.members.len() {
-            if self.stopped[i].is_none() && self.members[i].decides().is_some() {
+            if self.stopped[i].is_none() && self.members[i].leader_ballot().is_some() {
                 self.wishes = self.wishes.wrapping_add(1);
                 let (plan, now, mut out) = (vec![self.wishes, i as u8], self.clock(i), Vec::new());
-                self.members[i].decide(now, plan, &mut out);
+                self.members[i].set_plan(now, plan, &mut out);
                 self.did(i, out);
             }
         }
@@ -155,7 +155,7 @@
     fn tell(&self) -> String {
         let one = |i: usize| {
             let m = &self.members[i];
-            let (number, lease) = (m.acts_on().map(|(n, _)| n), m.lease_until());
+            let (number, lease) = (m.applied_plan().map(|(n, _)| n), m.lease_until());
             let (clock, group) = (self.clock(i), self.group[i]);
             format!(
                 "{i} in {group}, clock {clock}: acts on {number:?}, highest {:?}, lease {lease:?}",
@@ -166,9 +166,10 @@
     }
 
     /// The one plan that all of these act on, if they do.
-    fn agreed(&self, among: impl Fn(usize) -> bool) -> Option<Number> {
-        let mut numbers =
-            (0..self.members.len()).filter(|i| among(*i)).map(|i| self.members[i].acts_on().map(|(n, _)| n));
+    fn agreed(&self, among: impl Fn(usize) -> bool) -> Option<PlanNumber> {
+        let mut numbers = (0..self.members.len())
+            .filter(|i| among(*i))
+            .map(|i| self.members[i].applied_plan().map(|(n, _)| n));
         let first = numbers.next()??;
         numbers.all(|n| n == Some(first)).then_some(first)
     }
@@ -226,8 +227,8 @@
     net.run(15_000);
     let first = net.agreed(|_| true).expect("a plan");
     net.group[8] = 3;
-    net.run(Timing::default().life + 2_000);
-    assert_eq!(net.members[8].acts_on(), None, "it is alone");
+    net.run(Timing::default().plan_validity + 2_000);
+    assert_eq!(net.members[8].applied_plan(), None, "it is alone");
     assert!(net.agreed(|i| i != 8).is_some());
     net.group[8] = 0;
     net.run(5_000);
--- a/crates/accord/tests/succession.rs
+++ b/crates/accord/tests/succession.rs
@@ -1,7 +1,7 @@
 //! What a new decider learns of its predecessor's plan from members that have acted on it, and what it does meanwhile.
 #![allow(missing_docs)]
 
-use mothpier_accord::{Ballot, Config, Effect, Member, MemberId, Message, Millis, Number, Timing};
+use mothpier_accord::{Ballot, Config, Effect, Member, MemberId, Message, Millis, PlanNumber, Timing};
 
 const FOLLOWER: MemberId = 5;
 /// A plan that the former decider's followers act on.
@@ -18,9 +18,9 @@
 /// The one voter, which decides.
 fn decider(life: u32, began: Millis) -> (Member, Millis) {
     let mut member = member(0, life, began);
-    let now = began + timing().hold;
+    let now = began + timing().grant;
     member.stand(now, &mut Vec::new());
-    assert!(member.decides().is_some());
+    assert!(member.leader_ballot().is_some());
     (member, now)
 }
 
@@ -53,10 +53,10 @@
 /// A follower that acts on a plan of a decider which is gone, and its successor, which has forgotten all.
 fn succession() -> (Member, Member, Millis) {
     let (mut former, now) = decider(1, 0);
-    former.decide(now, FORMER.to_vec(), &mut Vec::new());
+    former.set_plan(now, FORMER.to_vec(), &mut Vec::new());
     let mut follower = member(FOLLOWER, 9, 0);
     talk(now, &mut former, &mut follower);
-    assert_eq!(follower.acts_on().unwrap().1, FORMER);
+    assert_eq!(follower.applied_plan().unwrap().1, FORMER);
     // It hears of the former round from the follower's questions while it abstains.
     let began = now + 300;
     let mut next = member(0, 2, began);
@@ -67,9 +67,9 @@
             next.handle(began + 1, FOLLOWER, message, &mut Vec::new());
         }
     }
-    let now = began + timing().hold;
+    let now = began + timing().grant;
     next.stand(now, &mut Vec::new());
-    assert!(next.decides().is_some_and(|began| began.round > 1));
+    assert!(next.leader_ballot().is_some_and(|began| began.round > 1));
     (next, follower, now)
 }
 
@@ -77,17 +77,17 @@
 fn a_new_decider_learns_what_its_predecessor_had_decided_before_a_follower_is_told_otherwise() {
     let (mut next, mut follower, now) = succession();
     let (did, acted) = talk(now + 10, &mut next, &mut follower);
-    assert!(did.contains(&Effect::Learns(FORMER.to_vec())), "{did:?}");
+    assert!(did.contains(&Effect::RecoveredPlan(FORMER.to_vec())), "{did:?}");
     assert!(acted.is_empty(), "it goes on with what it acts on: {acted:?}");
-    assert_eq!(follower.acts_on().unwrap().1, FORMER);
+    assert_eq!(follower.applied_plan().unwrap().1, FORMER);
     // Now that it knows, it decides so, and tells.
-    next.decide(now + 20, FORMER.to_vec(), &mut Vec::new());
+    next.set_plan(now + 20, FORMER.to_vec(), &mut Vec::new());
     let (did, acted) = talk(now + 30, &mut next, &mut follower);
-    assert!(!did.iter().any(|e| matches!(e, Effect::Learns(_))), "once: {did:?}");
-    assert!(matches!(&acted[..], [Effect::Act(_, plan)] if plan == FORMER), "{acted:?}");
+    assert!(!did.iter().any(|e| matches!(e, Effect::RecoveredPlan(_))), "once: {did:?}");
+    assert!(matches!(&acted[..], [Effect::ApplyPlan(_, plan)] if plan == FORMER), "{acted:?}");
     // The next question tells the decider that its plan is acted on.
     let (did, _) = talk(now + 40, &mut next, &mut follower);
-    assert!(did.contains(&Effect::Follows(FOLLOWER, 1)), "{did:?}");
+    assert!(did.contains(&Effect::PlanApplied(FOLLOWER, 1)), "{did:?}");
 }
 
 #[test]
@@ -101,14 +101,14 @@
                 next.handle(now, FOLLOWER, message, &mut out);
             }
         }
-        out.iter().any(|e| matches!(e, Effect::Send(FOLLOWER, Message::Told { .. })))
+        out.iter().any(|e| matches!(e, Effect::Send(FOLLOWER, Message::Reply { .. })))
     };
     let answers: Vec<bool> = (1..5).map(|i| told(&mut next, now + i, &mut follower)).collect();
     assert_eq!(answers, [false, false, true, true]);
     // And one that is first heard when learning is over, at once.
     let (mut next, mut follower, now) = succession();
-    let over = next.learns_until().unwrap();
-    assert!(over > now && over <= now + timing().ask);
+    let over = next.recovery_ends().unwrap();
+    assert!(over > now && over <= now + timing().query_interval);
     assert!(told(&mut next, over, &mut follower));
 }
 
@@ -122,31 +122,41 @@
     let [Effect::Send(_, Message::Pass { ask })] = &asks[..] else { panic!("{asks:?}") };
     next.handle(now, 0, Message::Passed { asker: FOLLOWER, ask: ask.clone() }, &mut out);
     let sent: Vec<&Effect> = out.iter().filter(|e| matches!(e, Effect::Send(..))).collect();
-    assert!(matches!(sent[..], [Effect::Send(FOLLOWER, Message::Ask { .. })]), "{out:?}");
+    assert!(matches!(sent[..], [Effect::Send(FOLLOWER, Message::Query { .. })]), "{out:?}");
 }
 
 #[test]
 fn what_has_no_time_left_is_acted_on_by_nobody_and_learned_only_by_a_decider_and_of_earlier_tenures() {
-    let earlier = Number { tenure: Ballot { round: 1, voter: 0, life: 1 }, sequence: 3 };
-    let told = |number, life, stamp| Message::Told { stamp, life, number, left: 0, plan: FORMER.to_vec() };
+    let earlier = PlanNumber { term: Ballot { round: 1, voter: 0, incarnation: 1 }, sequence: 3 };
+    let told = |number, life, stamp| Message::Reply {
+        asked_at: stamp,
+        incarnation: life,
+        number,
+        lease_left: 0,
+        plan: FORMER.to_vec(),
+    };
     // A follower that gets it.
     let mut follower = member(FOLLOWER, 9, 0);
     let mut out = Vec::new();
     follower.handle(5, 0, told(earlier, 9, 5), &mut out);
-    assert_eq!((out, follower.acts_on()), (vec![], None));
+    assert_eq!((out, follower.applied_plan()), (vec![], None));
     // A decider: of an earlier tenure, meant for this life, and newer than what it knows already.
     let (mut next, _, now) = succession();
-    let own = Number { tenure: next.decides().unwrap(), sequence: 9 };
+    let own = PlanNumber { term: next.leader_ballot().unwrap(), sequence: 9 };
     for (number, life, learns) in
         [(own, 2, false), (earlier, 1, false), (earlier, 2, true), (earlier, 2, false)]
     {
         let mut out = Vec::new();
         next.handle(now, FOLLOWER, told(number, life, now), &mut out);
-        assert_eq!(out == [Effect::Learns(FORMER.to_vec())], learns, "{number:?} for life {life}: {out:?}");
+        assert_eq!(
+            out == [Effect::RecoveredPlan(FORMER.to_vec())],
+            learns,
+            "{number:?} for life {life}: {out:?}"
+        );
     }
-    let over = next.learns_until().unwrap();
+    let over = next.recovery_ends().unwrap();
     let mut out = Vec::new();
-    let later = Number { sequence: 4, ..earlier };
+    let later = PlanNumber { sequence: 4, ..earlier };
     next.handle(over, FOLLOWER, told(later, 2, over), &mut out);
     assert_eq!(out, []);
 }
--- a/crates/accord/tests/wall_clock.rs
+++ b/crates/accord/tests/wall_clock.rs
@@ -4,7 +4,7 @@
 
 use std::collections::VecDeque;
 
-use mothpier_accord::{Config, Effect, Member, MemberId, Message, Millis, Number, Timing};
+use mothpier_accord::{Config, Effect, Member, MemberId, Message, Millis, PlanNumber, Timing};
 
 /// When the first lives begin by the wall clock, in milliseconds of a day.
 const BEGIN: i64 = 43_200_000;
@@ -26,7 +26,7 @@
     members: Vec<Member>,
     net: VecDeque<(Millis, MemberId, MemberId, Message)>,
     /// Deciders that hold a lease, and numbers acted on, in order.
-    acted: Vec<(MemberId, Number)>,
+    acted: Vec<(MemberId, PlanNumber)>,
 }
 
 fn start(me: usize, wall: i64) -> Member {
@@ -46,14 +46,14 @@
                 Effect::Send(to, message) => {
                     self.net.push_back((self.now + DELAY, me as MemberId, to, message));
                 }
-                Effect::Act(number, _) => self.acted.push((me as MemberId, number)),
+                Effect::ApplyPlan(number, _) => self.acted.push((me as MemberId, number)),
                 _ => {}
             }
         }
     }
 
     fn deciders(&self) -> Vec<usize> {
-        (0..MEMBERS).filter(|i| self.members[*i].decides().is_some()).collect()
+        (0..MEMBERS).filter(|i| self.members[*i].leader_ballot().is_some()).collect()
     }
 
     /// Goes on; whoever decides has this plan.
@@ -75,7 +75,7 @@
                 if self.now >= self.began[me] {
                     let (own, mut out) = (self.now - self.began[me], Vec::new());
                     self.members[me].tick(own, &mut out);
-                    self.members[me].decide(own, plan.to_vec(), &mut out);
+                    self.members[me].set_plan(own, plan.to_vec(), &mut out);
                     self.carry_out(me, out);
                 }
             }
@@ -90,7 +90,7 @@
     }
 
     fn all_act_on(&self, plan: &[u8]) -> bool {
-        self.members.iter().all(|member| member.acts_on().is_some_and(|(_, acts_on)| acts_on == plan))
+        self.members.iter().all(|member| member.applied_plan().is_some_and(|(_, acts_on)| acts_on == plan))
     }
 }
 
@@ -122,7 +122,7 @@
         fleet.run(SETTLED, &[2]);
         assert!(fleet.all_act_on(&[2]), "a step of {step} ms");
         assert!(fleet.members[3].highest() > before, "a step of {step} ms");
-        let of_follower: Vec<Number> =
+        let of_follower: Vec<PlanNumber> =
             fleet.acted.iter().filter(|(me, _)| *me == 3).map(|(_, n)| *n).collect();
         assert!(of_follower.windows(2).all(|w| w[0] < w[1]), "{of_follower:?}");
     }
@@ -138,7 +138,7 @@
         let (mut former, mut out) = (start(0, BEGIN), Vec::new());
         // It stands several times, and is promised to: its round is ahead of what a new life begins with.
         for i in 0..3 {
-            former.stand(timing.hold + i, &mut out);
+            former.stand(timing.grant + i, &mut out);
         }
         let prepares = |out: &[Effect]| -> Vec<Message> {
             let sent = out.iter().filter_map(|e| match e {
@@ -148,16 +148,16 @@
             sent.collect()
         };
         for message in prepares(&out) {
-            voter.handle(timing.hold + 5, 0, message, &mut Vec::new());
+            voter.handle(timing.grant + 5, 0, message, &mut Vec::new());
         }
         let mut candidate = start(0, BEGIN + step);
         let (mut promised, mut tries) = (false, 0);
-        let mut now = timing.hold;
+        let mut now = timing.grant;
         while !promised && tries < 3 {
             let (mut out, mut answers) = (Vec::new(), Vec::new());
             candidate.stand(now, &mut out);
             for message in prepares(&out) {
-                voter.handle(now + timing.hold, 0, message, &mut answers);
+                voter.handle(now + timing.grant, 0, message, &mut answers);
             }
             for effect in answers {
                 if let Effect::Send(_, message) = effect {
@@ -165,7 +165,7 @@
                     candidate.handle(now, 1, message, &mut Vec::new());
                 }
             }
-            (now, tries) = (now + timing.again, tries + 1);
+            (now, tries) = (now + timing.retry_interval, tries + 1);
         }
         assert!(promised && tries <= 2, "a step of {step} ms: promised {promised} after {tries} tries");
     }
--- a/crates/allowance/tests/gates.rs
+++ b/crates/allowance/tests/gates.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use brassrouter::{
-    Action, Class, Condition, Event, ListKind, Load, Note, OriginAllowance, Outcome, Policy, Request,
-    RequestId, ServerLine, Settings, Status,
+    Action, CacheResult, Class, Condition, Event, ListKind, LoadReport, OriginAllowance, Outcome, Policy,
+    Request, RequestId, ServerEntry, Settings, Status,
 };
 use mothpier_allowance::{
     Fence, Message, Millis, Node, Offer, Permit, Permits, Root, Rotation, Source, Tenure, Timing,
@@ -58,12 +58,12 @@
 }
 
 fn daemon(i: usize, life: u64, now: Millis) -> Daemon {
-    let class = Class { aim: WAITS * 1_000, deadline: WAITS * 1_000, ..Class::default() };
+    let class = Class { target_latency: WAITS * 1_000, deadline: WAITS * 1_000, ..Class::default() };
     let settings = Settings {
         classes: vec![class],
-        origin_kind: Some(ORIGIN_KIND),
-        balancers: NODES as u32,
-        me: i as u32,
+        origin_machine_type: Some(ORIGIN_KIND),
+        node_count: NODES as u32,
+        node_index: i as u32,
         ..Settings::default()
     };
     let rotation = Rotation::new(NODES as u32, ROTATING, TIMING.window, WAITS, 20);
@@ -78,8 +78,8 @@
     // Before anything else: without an allowance the module would act on its settings.
     let nothing = Event::OriginAllowance(Some(OriginAllowance::default()));
     daemon.policy.handle(now * 1_000, nothing, &mut Vec::new());
-    let origin = ServerLine { id: ORIGIN, kind: ORIGIN_KIND, ..ServerLine::default() };
-    let cache = ServerLine { id: 1, condition: Condition::Ready, ..ServerLine::default() };
+    let origin = ServerEntry { id: ORIGIN, machine_type: ORIGIN_KIND, ..ServerEntry::default() };
+    let cache = ServerEntry { id: 1, condition: Condition::Ready, ..ServerEntry::default() };
     let list = Event::ServerList { kind: ListKind::Cached, servers: vec![origin, cache] };
     let mut out = Vec::new();
     daemon.policy.handle(now * 1_000, list, &mut out);
@@ -95,7 +95,7 @@
         for action in out {
             match action {
                 Action::Timer { after, .. } => self.timers.push(now + after.div_ceil(1_000).max(1)),
-                Action::Send { request, server: ORIGIN, give_up_after } => {
+                Action::Send { request, server: ORIGIN, timeout: give_up_after } => {
                     let attempt = self.attempts.entry(request).or_default();
                     let source = self.offer.expect("nothing is sent without an offer").source;
                     let gives_up_at = now + (give_up_after / 1_000).min(WAITS);
@@ -121,7 +121,9 @@
             OriginAllowance::new(permits.outstanding, permits.calls, offer.until * 1_000)
         });
         self.offer = offer;
-        if (told.outstanding, told.calls, told.until) != (wanted.outstanding, wanted.calls, wanted.until) {
+        if (told.outstanding, told.calls_left, told.expires_at)
+            != (wanted.outstanding, wanted.calls_left, wanted.expires_at)
+        {
             self.event(i, now, Event::OriginAllowance(Some(wanted)), origin);
         }
     }
@@ -132,8 +134,17 @@
         self.node.end(request << 8 | u64::from(attempt));
         let late = now >= permit.gives_up_at;
         let status = if late { Status::TimedOut } else { Status::Served };
-        let (over, note, load) = (!late, Note::None, Load::default());
-        let outcome = Outcome { request, attempt, server: ORIGIN, status, over, note, took: 1_000, load };
+        let (over, note, load) = (!late, CacheResult::None, LoadReport::default());
+        let outcome = Outcome {
+            request,
+            attempt,
+            server: ORIGIN,
+            status,
+            request_finished: over,
+            cache_result: note,
+            duration: 1_000,
+            load,
+        };
         self.event(i, now, Event::Outcome(outcome), origin);
     }
 }
@@ -184,10 +195,10 @@
             if one_in(3) {
                 request += 1;
                 let write =
-                    Request { id: request, write: true, time_left: WAITS * 1_000, ..Request::default() };
+                    Request { id: request, is_write: true, time_left: WAITS * 1_000, ..Request::default() };
                 daemon_i.event(i, now, Event::Request(write), &mut origin);
             }
-            let wanted = daemon_i.policy.origin_wanted();
+            let wanted = daemon_i.policy.origin_calls_wanted();
             let asked = daemon_i.node.tick(now, Permits { outstanding: wanted, calls: 4 * wanted });
             let lost = one_in(20);
             messages.extend(asked.filter(|_| !lost).map(|(_, asked)| (now + 10, i, asked, true)));
--- a/crates/brassrouter/src/gate.rs
+++ b/crates/brassrouter/src/gate.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::interface::{Legacy, Micros, OriginAllowance};
+use crate::interface::{InheritedState, Micros, OriginAllowance};
 use crate::state::Call;
 
 /// Calls out and calls in the present window, of all kinds and fetches alone.
@@ -39,7 +39,7 @@
     /// How many calls may be out at present, of this process alone.
     pub fn most_outstanding(&self, now: Micros, sharers: u32) -> u32 {
         match self.allowance {
-            Some(allowance) if now < allowance.until => self.outstanding_of(&allowance),
+            Some(allowance) if now < allowance.expires_at => self.outstanding_of(&allowance),
             Some(_) => 0,
             None => (self.limit / f64::from(sharers.max(1))).max(1.0) as u32,
         }
@@ -48,7 +48,7 @@
     /// For how long a call that is begun now is waited for at most: to the end of the allowance; 0 for the
     /// client's own limit.
     pub fn give_up_after(&self, now: Micros) -> Micros {
-        self.allowance.map_or(0, |allowance| allowance.until.saturating_sub(now).max(1))
+        self.allowance.map_or(0, |allowance| allowance.expires_at.saturating_sub(now).max(1))
     }
 
     /// Raises the counters just before a call.
@@ -56,7 +56,7 @@
         self.carry(call);
         self.tally[..=usize::from(call == Call::Fetch)].iter_mut().for_each(|tally| *tally += 1);
         if let Some(allowance) = &mut self.allowance {
-            allowance.calls = allowance.calls.saturating_sub(1);
+            allowance.calls_left = allowance.calls_left.saturating_sub(1);
         }
     }
 
@@ -82,10 +82,13 @@
 
     /// Goes on from another life's window and limit, a lower one only: a start is careful anyhow. The calls
     /// of both lives count in it.
-    pub fn inherit(&mut self, left: &Legacy, sharers: u32) {
-        self.window = self.window.max(left.window);
-        self.tally.iter_mut().zip(left.tally).for_each(|(own, left)| *own += left.div_ceil(sharers));
-        self.limit = self.limit.min(left.limit).max(self.most_out * 0.1);
+    pub fn inherit(&mut self, left: &InheritedState, sharers: u32) {
+        self.window = self.window.max(left.window_start);
+        self.tally
+            .iter_mut()
+            .zip(left.calls_in_window)
+            .for_each(|(own, left)| *own += left.div_ceil(sharers));
+        self.limit = self.limit.min(left.outstanding_limit).max(self.most_out * 0.1);
     }
 
     /// Lowers the counters after any outcome of a call.
--- a/crates/brassrouter/src/interface.rs
+++ b/crates/brassrouter/src/interface.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::pools::Pool;
+use crate::pools::ZoneRouting;
 
 /// A point in time or a span, in microseconds.
 pub type Micros = u64;
@@ -19,21 +19,21 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
     /// How many balancers share the fleet.
-    pub balancers: u32,
+    pub node_count: u32,
     /// The number of this balancer among them, from 0.
-    pub me: u32,
+    pub node_index: u32,
     /// The classes of requests.
     pub classes: Vec<Class>,
     /// The tenants; empty where a deployment has none.
     pub tenants: Vec<Tenant>,
     /// Whether the server list must be asked for (subscription or whole list) or comes by itself.
-    pub ask_discovery: bool,
+    pub subscribes_to_discovery: bool,
     /// Without a subscription, the balancer counts as told of changes this long after they happened.
-    pub ask_within: Micros,
+    pub resubscribe_within: Micros,
     /// Machine kind of the origin in the server list; `None` where servers fetch for themselves.
-    pub origin_kind: Option<u16>,
+    pub origin_machine_type: Option<u16>,
     /// Whether weights in the list tell the size of a server.
-    pub weights_are_sizes: bool,
+    pub weights_are_capacities: bool,
     /// The figures that load reports carry, in their order.
     pub load_fields: Vec<LoadField>,
     /// Attempts that one request may make, not counting those that this machine could not make
@@ -44,67 +44,67 @@
     /// Whether an attempt may be cancelled.
     pub may_cancel: bool,
     /// Whether balancers may send each other messages.
-    pub may_tell_peers: bool,
+    pub may_send_to_peers: bool,
     /// A connection that is not made within this time fails.
     pub connect_timeout: Micros,
     /// Shortest time between two calls of the module.
     pub tick: Micros,
     /// A server starts with at least this part of its capacity.
-    pub cold_share: f64,
+    pub cold_capacity_share: f64,
     /// A started server is warm after this time at the latest.
-    pub warm_up: Micros,
+    pub warm_up_time: Micros,
     /// A cold server falls over when sent more than this multiple of what it can do ...
-    pub fall_multiple: f64,
+    pub collapse_multiple: f64,
     /// ... for this long.
-    pub fall_after: Micros,
+    pub collapse_window: Micros,
     /// Idle connections to a draining server must be closed within this time; `None` where no rule says so.
-    pub drain_close: Option<Micros>,
+    pub drain_close_within: Option<Micros>,
     /// The longest time that a client keeps away when told to; 0 where that is not known.
-    pub longest_advice: Micros,
+    pub max_retry_after: Micros,
     /// What is done in a storm, once the node tells of one.
-    pub damping: Damping,
+    pub storm_mitigation: StormMitigation,
 }
 
 /// What the module does while the node tells of a storm ([`Event::Storm`]); each part can be left out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Damping {
+pub struct StormMitigation {
     /// Those refused are given places in a line that moves as capacity returns.
-    pub advice: bool,
+    pub virtual_queue: bool,
     /// Repeats of a tenant's requests are held to a part of its first tries.
-    pub repeats: bool,
+    pub limit_retries: bool,
 }
 
-impl Default for Damping {
+impl Default for StormMitigation {
     fn default() -> Self {
-        Damping { advice: true, repeats: true }
+        StormMitigation { virtual_queue: true, limit_retries: true }
     }
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Settings {
-            balancers: 1,
-            me: 0,
+            node_count: 1,
+            node_index: 0,
             classes: vec![Class::default()],
             tenants: Vec::new(),
-            ask_discovery: false,
-            ask_within: 10_000_000,
-            origin_kind: None,
-            weights_are_sizes: false,
+            subscribes_to_discovery: false,
+            resubscribe_within: 10_000_000,
+            origin_machine_type: None,
+            weights_are_capacities: false,
             load_fields: Vec::new(),
             max_attempts: 3,
             may_duplicate: true,
             may_cancel: false,
-            may_tell_peers: false,
+            may_send_to_peers: false,
             connect_timeout: 250_000,
             tick: 1_000,
-            cold_share: 0.25,
-            warm_up: 10_000_000,
-            fall_multiple: 3.0,
-            fall_after: 2_000_000,
-            drain_close: None,
-            longest_advice: 0,
-            damping: Damping::default(),
+            cold_capacity_share: 0.25,
+            warm_up_time: 10_000_000,
+            collapse_multiple: 3.0,
+            collapse_window: 2_000_000,
+            drain_close_within: None,
+            max_retry_after: 0,
+            storm_mitigation: StormMitigation::default(),
         }
     }
 }
@@ -113,26 +113,26 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Class {
     /// An answer within this time earns the full worth.
-    pub aim: Micros,
+    pub target_latency: Micros,
     /// A client waits this long in all.
     pub deadline: Micros,
     /// Worth of one request.
-    pub worth: f64,
+    pub value: f64,
     /// Part of the worth that an answer after the aim still earns.
-    pub late_worth: f64,
+    pub late_value: f64,
     /// What a repeat of such a request does.
     pub effect: Effect,
     /// The only zones whose cache servers it may be sent to; `None` for all.
-    pub only_zones: Option<Vec<u8>>,
+    pub allowed_zones: Option<Vec<u8>>,
     /// The only machine kinds that it may be sent to, besides the origin; `None` for all.
-    pub only_kinds: Option<Vec<u16>>,
+    pub allowed_machine_types: Option<Vec<u16>>,
 }
 
 impl Class {
     /// For how long repeats are dropped, from the sending of the earliest attempt; `None` where none are.
-    pub fn window(&self) -> Option<Micros> {
+    pub fn dedup_window(&self) -> Option<Micros> {
         match self.effect {
-            Effect::Keyed { window, .. } => Some(window),
+            Effect::Deduplicated { window, .. } => Some(window),
             _ => None,
         }
     }
@@ -141,13 +141,13 @@
 impl Default for Class {
     fn default() -> Self {
         Class {
-            aim: 250_000,
+            target_latency: 250_000,
             deadline: 1_000_000,
-            worth: 1.0,
-            late_worth: 0.0,
-            effect: Effect::Safe,
-            only_zones: None,
-            only_kinds: None,
+            value: 1.0,
+            late_value: 0.0,
+            effect: Effect::Idempotent,
+            allowed_zones: None,
+            allowed_machine_types: None,
         }
     }
 }
@@ -156,21 +156,21 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub enum Effect {
     /// Nothing: it may be sent as often as wanted.
-    Safe,
+    Idempotent,
     /// Servers of one group drop a repeat for a while after the first attempt.
-    Keyed {
+    Deduplicated {
         /// Which servers drop a repeat.
-        group: Group,
+        scope: DedupScope,
         /// For how long, from the sending of the earliest attempt that may have run.
         window: Micros,
     },
     /// The effect happens again.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// A group of cache servers that knows which keyed requests its members have seen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Group {
+pub enum DedupScope {
     /// Every cache server.
     All,
     /// Those of one zone.
@@ -207,16 +207,16 @@
 
 /// A load report: figures in the order of [`Settings::load_fields`].
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
-pub struct Load {
+pub struct LoadReport {
     /// How many of `values` are there.
     pub count: u8,
     /// The figures.
     pub values: [f32; 4],
 }
 
-impl Load {
+impl LoadReport {
     /// A figure of the report, where the site's reports carry it and this one does.
-    pub fn figure(&self, fields: &[LoadField], wanted: LoadField) -> Option<f64> {
+    pub fn value_of(&self, fields: &[LoadField], wanted: LoadField) -> Option<f64> {
         let at = fields.iter().position(|f| *f == wanted).filter(|at| *at < usize::from(self.count))?;
         self.values.get(at).map(|v| f64::from(*v)).filter(|v| v.is_finite())
     }
@@ -224,7 +224,7 @@
 
 /// One line of the server list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ServerLine {
+pub struct ServerEntry {
     /// The server.
     pub id: ServerId,
     /// Its zone.
@@ -232,18 +232,26 @@
     /// Its cell, a small group that shares which keyed requests it has seen.
     pub cell: u16,
     /// Its machine kind.
-    pub kind: u16,
+    pub machine_type: u16,
     /// Its weight.
     pub weight: f32,
     /// When its process last started; 0 for long ago.
-    pub started: Micros,
+    pub started_at: Micros,
     /// Whether it runs, drains or is gone.
     pub condition: Condition,
 }
 
-impl Default for ServerLine {
+impl Default for ServerEntry {
     fn default() -> Self {
-        ServerLine { id: 0, zone: 0, cell: 0, kind: 0, weight: 1.0, started: 0, condition: Condition::Ready }
+        ServerEntry {
+            id: 0,
+            zone: 0,
+            cell: 0,
+            machine_type: 0,
+            weight: 1.0,
+            started_at: 0,
+            condition: Condition::Ready,
+        }
     }
 }
 
@@ -283,9 +291,9 @@
     /// Its key, 0 for none.
     pub key: Key,
     /// Whether it writes (and so goes to the origin).
-    pub write: bool,
+    pub is_write: bool,
     /// Whether the client said that it repeats an earlier try.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// Time until the client gives this try up.
     pub time_left: Micros,
     /// Expected work, where told.
@@ -335,7 +343,7 @@
 
 /// What a server said of the key in its answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub enum Note {
+pub enum CacheResult {
     /// Nothing.
     #[default]
     None,
@@ -359,28 +367,28 @@
     /// How it ended.
     pub status: Status,
     /// Whether the request has its final answer (by this outcome or before).
-    pub over: bool,
+    pub request_finished: bool,
     /// What the server said of the key.
-    pub note: Note,
+    pub cache_result: CacheResult,
     /// Time from sending to this end.
-    pub took: Micros,
+    pub duration: Micros,
     /// Load report of the server, if one came along.
-    pub load: Load,
+    pub load: LoadReport,
 }
 
 /// What an earlier life of a balancer left behind: a start from nothing would count none of it.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct Legacy {
+pub struct InheritedState {
     /// Calls at the origin that may still run: whether it is a fetch, and when it will have ended.
-    pub calls: Vec<(bool, Micros)>,
+    pub origin_calls: Vec<(bool, Micros)>,
     /// When the window of the tally began.
-    pub window: Micros,
+    pub window_start: Micros,
     /// The calls counted in it: of all kinds, and fetches.
-    pub tally: [u32; 2],
+    pub calls_in_window: [u32; 2],
     /// The gate's limit of calls out.
-    pub limit: f64,
+    pub outstanding_limit: f64,
     /// Keyed writes that may have run, and when the earliest attempt of each was sent.
-    pub writes: Vec<(Key, Micros)>,
+    pub keyed_writes: Vec<(Key, Micros)>,
 }
 
 /// What this process may call at the origin, of what all processes may together.
@@ -389,18 +397,23 @@
     /// Calls that may be outstanding at once, those that are out already included; 0 is possible.
     pub outstanding: u32,
     /// Calls that may still be begun: once they are, the next allowance must say how many more.
-    pub calls: u32,
+    pub calls_left: u32,
     /// So many of them are kept for writes.
-    pub kept_for_writes: u32,
+    pub reserved_for_writes: u32,
     /// When it ends: every call that is begun under it has been given up by then, and none is begun later.
-    pub until: Micros,
+    pub expires_at: Micros,
 }
 
 impl OriginAllowance {
     /// An allowance that keeps as great a part for writes as the gate does without one.
     pub fn new(outstanding: u32, calls: u32, until: Micros) -> OriginAllowance {
         let fetches = (f64::from(calls) * crate::policy::GATE_FETCHES).ceil() as u32;
-        OriginAllowance { outstanding, calls, kept_for_writes: calls - fetches.min(calls), until }
+        OriginAllowance {
+            outstanding,
+            calls_left: calls,
+            reserved_for_writes: calls - fetches.min(calls),
+            expires_at: until,
+        }
     }
 }
 
@@ -412,14 +425,14 @@
         /// How it relates to the list held.
         kind: ListKind,
         /// Its lines.
-        servers: Vec<ServerLine>,
+        servers: Vec<ServerEntry>,
     },
     /// A client's request arrived; one final answer is owed from now on.
     Request(Request),
     /// An attempt ended.
     Outcome(Outcome),
     /// A streamed answer began; the attempt belongs to the client now.
-    AnswerBegan {
+    ResponseStarted {
         /// Its request.
         request: RequestId,
         /// The attempt that began to answer.
@@ -434,21 +447,21 @@
         /// The server probed.
         server: ServerId,
         /// Whether it answered well.
-        ok: bool,
+        succeeded: bool,
         /// Time from sending to this end.
-        took: Micros,
+        duration: Micros,
         /// Load report of the server, if one came along.
-        load: Load,
+        load: LoadReport,
     },
     /// The node judges that what fails comes back and makes more fail, or that this is over.
     Storm(bool),
     /// What an earlier life of this balancer left behind, told at the start of the next, or at the end of one that went on
     /// beside it.
-    Legacy(Legacy),
+    Inherited(InheritedState),
     /// So many processes are this balancer from now on, and share what it may do.
-    Sharing(u32),
+    ProcessCount(u32),
     /// Which zones are near from now on, and how many keys stay there; `None` for no difference.
-    Pool(Option<Pool>),
+    ZoneRouting(Option<ZoneRouting>),
     /// What this process may call at the origin from now on, in place of its part by settings; `None` for that part.
     OriginAllowance(Option<OriginAllowance>),
     /// A message of another balancer.
@@ -470,7 +483,7 @@
         /// The server.
         server: ServerId,
         /// Give the attempt up after this time; 0 for the client's own limit.
-        give_up_after: Micros,
+        timeout: Micros,
     },
     /// Final answer: turned away, a retry is harmless.
     Refuse {
@@ -504,7 +517,7 @@
     /// Close idle connections to a server.
     CloseIdle(ServerId),
     /// Send at most 256 bytes to one balancer, or to all.
-    Tell {
+    SendToPeers {
         /// Number of the balancer; `None` for every peer.
         to: Option<u32>,
         /// The bytes.
--- a/crates/brassrouter/src/lib.rs
+++ b/crates/brassrouter/src/lib.rs
@@ -4,7 +4,7 @@
 //! to do ([`Action`]). It has no clock, no threads and no I/O: the node that embeds it owns the sockets.
 //!
 //! ```
-//! use brassrouter::{Action, Condition, Event, ListKind, Policy, Request, ServerLine, Settings};
+//! use brassrouter::{Action, Condition, Event, ListKind, Policy, Request, ServerEntry, Settings};
 //!
 //! let settings = Settings::default();
 //! let mut policy = Policy::new(settings, 42);
@@ -12,8 +12,8 @@
 //!
 //! // The balancer starts at some clock value (microseconds) with the server list it last held.
 //! let servers = vec![
-//!     ServerLine { id: 7, condition: Condition::Ready, ..ServerLine::default() },
-//!     ServerLine { id: 9, condition: Condition::Ready, ..ServerLine::default() },
+//!     ServerEntry { id: 7, condition: Condition::Ready, ..ServerEntry::default() },
+//!     ServerEntry { id: 9, condition: Condition::Ready, ..ServerEntry::default() },
 //! ];
 //! policy.handle(1_000_000, Event::ServerList { kind: ListKind::Cached, servers }, &mut actions);
 //!
@@ -37,10 +37,10 @@
 pub use interface::*;
 pub use policy::Policy;
 pub use policy::view::{ServerView, View};
-pub use pools::Pool;
+pub use pools::ZoneRouting;
 
 /// Changes whenever the layout of the saved state ([`Policy`] through serde) or of the types that it is told in does.
-pub const STATE: u32 = 2;
+pub const STATE_VERSION: u32 = 2;
 
 /// Runs the example of the README as a test.
 #[cfg(doctest)]
--- a/crates/brassrouter/src/policy.rs
+++ b/crates/brassrouter/src/policy.rs
@@ -135,18 +135,18 @@
 impl Policy {
     /// A balancer that knows its settings and nothing else yet.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let aims = settings.classes.iter().map(|c| c.aim);
+        let aims = settings.classes.iter().map(|c| c.target_latency);
         let quotas: f64 = settings.tenants.iter().map(|t| t.quota_per_s).sum();
-        let quota_share = quotas / f64::from(settings.balancers.max(1));
+        let quota_share = quotas / f64::from(settings.node_count.max(1));
         let all_out = GATE_OUT.1.max(quotas * GATE_OUT.2);
         // The note's cap holds calls of seconds; where quotas let so many through that those out in a call's
         // usual time are more, it would hold them below what both limits are meant to admit.
         let one = GATE_OUT.0.max(quota_share * GATE_OUT.2);
-        let most_out = (all_out / f64::from(settings.balancers.max(1))).clamp(2.0, one);
+        let most_out = (all_out / f64::from(settings.node_count.max(1))).clamp(2.0, one);
         let mut policy = Policy {
             aim: aims.clone().max().unwrap_or(1_000_000).max(1),
             origin_aim: aims.min().unwrap_or(1_000_000),
-            least_worth: settings.classes.iter().map(|c| c.worth).fold(f64::INFINITY, f64::min).max(1e-9),
+            least_worth: settings.classes.iter().map(|c| c.value).fold(f64::INFINITY, f64::min).max(1e-9),
             senders: vec![Sender::default(); settings.tenants.len().max(1)],
             weights: vec![0.0; settings.classes.len()],
             weights_lately: vec![0.0; settings.classes.len()],
@@ -173,14 +173,14 @@
             Event::Request(request) => self.request(request, out),
             Event::Outcome(outcome) => self.outcome(outcome, out),
             // A streamed answer belongs to the client: nothing is owed from here on.
-            Event::AnswerBegan { request, .. } | Event::ClientGone(request) => self.forget(request),
+            Event::ResponseStarted { request, .. } | Event::ClientGone(request) => self.forget(request),
             Event::Timer(_) => self.wakes.timer_came(now),
             Event::PeerMessage { from, bytes } => self.peers.told(now, from, &bytes, self.senders.len()),
             Event::Storm(on) => self.storm = on,
-            Event::Legacy(left) => self.inherit(left),
-            Event::Sharing(processes) => self.sharers = processes,
+            Event::Inherited(left) => self.inherit(left),
+            Event::ProcessCount(processes) => self.sharers = processes,
             Event::OriginAllowance(allowance) => self.gate.allowance = allowance,
-            Event::Pool(pool) => {
+            Event::ZoneRouting(pool) => {
                 self.pools.set(pool);
                 self.sum_weights();
             }
@@ -202,16 +202,16 @@
 
     /// Calls of an earlier life count until they have ended at the latest; a keyed write stays known. A life
     /// that goes on counts its own by its half: half of them here keep the sum, were all it may have out.
-    fn inherit(&mut self, left: Legacy) {
+    fn inherit(&mut self, left: InheritedState) {
         let both = self.sharers.max(1);
         self.gate.inherit(&left, both);
-        let run = left.calls.into_iter().filter(|(_, until)| *until > self.now);
+        let run = left.origin_calls.into_iter().filter(|(_, until)| *until > self.now);
         for (fetch, until) in run.step_by(both as usize) {
             let call = if fetch { Call::Fetch } else { Call::Write };
             self.gate.carry(call);
             self.wakes.at(until, Wake::Inherited(call));
         }
-        self.writes.inherit(left.writes);
+        self.writes.inherit(left.keyed_writes);
     }
 
     fn wake(&mut self, after: Micros, wake: Wake) {
@@ -224,21 +224,23 @@
         let part = (parts * self.rng.unit()) as u64;
         // A repeat at the end of its window may run again, as every later one: it is not sent, and fails.
         let class = &self.settings.classes[r.class];
-        let again = r.repeat && r.write && self.writes.over(r.key, class.window(), self.now + class.aim);
+        let again = r.is_retry
+            && r.is_write
+            && self.writes.over(r.key, class.dedup_window(), self.now + class.target_latency);
         // Ends some ticks before its time is up, so that the answer is in time when a call comes late.
         let held = Held {
             class: r.class,
             key: r.key,
             order: if r.key == 0 { r.id } else { r.key ^ part.wrapping_mul(0x9e37_79b9_7f4a_7c15) },
-            write: r.write,
-            repeat: r.repeat,
+            write: r.is_write,
+            repeat: r.is_retry,
             may_have_run: u16::from(again),
-            aim_at: self.now + class.aim,
+            aim_at: self.now + class.target_latency,
             ends: self.now + r.time_left.saturating_sub(2 * self.settings.tick),
             ..Held::default()
         };
         let ends = held.ends;
-        let allowed = self.allow_repeat(r.tenant, r.repeat);
+        let allowed = self.allow_repeat(r.tenant, r.is_retry);
         let admitted = allowed && self.admit(r.class, r.tenant) && self.now < ends;
         self.held.insert(r.id, held);
         if !admitted {
@@ -257,7 +259,7 @@
         if !repeat {
             sender.repeats = (sender.repeats + STORM.0).min(STORM.1);
         }
-        if !repeat || !self.storm || !self.settings.damping.repeats {
+        if !repeat || !self.storm || !self.settings.storm_mitigation.limit_retries {
             return true;
         }
         let allowed = sender.repeats >= 1.0;
@@ -270,10 +272,11 @@
     fn admit(&mut self, class: usize, tenant: usize) -> bool {
         let Some(sender) = self.senders.get_mut(tenant) else { return true };
         sender.rate.count();
-        let worth = (self.settings.classes[class].worth / self.least_worth).max(1.0);
+        let worth = (self.settings.classes[class].value / self.least_worth).max(1.0);
         let mut share = 1.0;
         if let Some(quota) = self.settings.tenants.get(tenant) {
-            let whole = self.peers.whole(tenant, sender.rate.per_s, self.settings.balancers, TELL.1 * TELL.2);
+            let whole =
+                self.peers.whole(tenant, sender.rate.per_s, self.settings.node_count, TELL.1 * TELL.2);
             share = quota.quota_per_s / whole.max(1.0);
         }
         // Below 1 the level bites at once, also on tenants that are far below their quotas.
@@ -304,7 +307,7 @@
     }
 
     fn useful_until(&self, h: &Held) -> Micros {
-        if self.settings.classes[h.class].late_worth > 0.0 { h.ends } else { h.aim_at.min(h.ends) }
+        if self.settings.classes[h.class].late_value > 0.0 { h.ends } else { h.aim_at.min(h.ends) }
     }
 
     /// The first server in order within the load bound, or else the first; none if that is full under strain.
@@ -312,9 +315,9 @@
     fn pick(&self, id: RequestId) -> Option<ServerId> {
         let h = &self.held[&id];
         let left = self.useful_until(h).saturating_sub(self.now) as f64;
-        let aim = self.settings.classes[h.class].aim; // The span over which answers are counted.
+        let aim = self.settings.classes[h.class].target_latency; // The span over which answers are counted.
         let full = |s: &Server| s.backlog(self.now, aim, FULL.1) > left * FULL.0;
-        let floor = (BOUND.1 / f64::from(self.settings.balancers.max(2))).max(2.0);
+        let floor = (BOUND.1 / f64::from(self.settings.node_count.max(2))).max(2.0);
         let mut best = None;
         for s in self.ready(false).filter(|s| self.may_use(h.class, s) && !h.tried.contains(&s.line.id)) {
             if !self.warm_enough(h.order, h.tried.is_empty(), s, h.class) {
@@ -342,13 +345,14 @@
     fn may_use(&self, class: usize, s: &Server) -> bool {
         let c = &self.settings.classes[class];
         let among = |zones: &Option<Vec<u8>>| zones.as_ref().is_none_or(|z| z.contains(&s.line.zone));
-        let kind = |kinds: &Option<Vec<u16>>| kinds.as_ref().is_none_or(|k| k.contains(&s.line.kind));
-        s.origin || (among(&c.only_zones) && kind(&c.only_kinds))
+        let kind = |kinds: &Option<Vec<u16>>| kinds.as_ref().is_none_or(|k| k.contains(&s.line.machine_type));
+        s.origin || (among(&c.allowed_zones) && kind(&c.allowed_machine_types))
     }
 
     fn weight(&self, s: &Server) -> f64 {
-        let size = if self.settings.weights_are_sizes { f64::from(s.line.weight).max(0.01) } else { 1.0 };
-        size * self.kinds.get(&s.line.kind).map_or(1.0, |k| k.weight)
+        let size =
+            if self.settings.weights_are_capacities { f64::from(s.line.weight).max(0.01) } else { 1.0 };
+        size * self.kinds.get(&s.line.machine_type).map_or(1.0, |k| k.weight)
     }
 
     /// The part of the attempts of a class that is due to a server (its weight, in its pools), as a fraction.
@@ -366,7 +370,7 @@
         let (key, call) = (self.held[&id].key, if self.held[&id].write { Call::Write } else { Call::Fetch });
         let order = |a: &&Server, b: &&Server| self.place(id, a).total_cmp(&self.place(id, b));
         let origin = self.ready(true).min_by(order).map(|s| s.line.id);
-        let target = if self.settings.origin_kind.is_some() { origin } else { self.pick(id) };
+        let target = if self.settings.origin_machine_type.is_some() { origin } else { self.pick(id) };
         let target = target.filter(|_| self.gate_open(call));
         let Some(target) = target else { return self.postpone(id, Why::GateShut, out) };
         if !self.send(id, target, call, out) {
@@ -393,18 +397,18 @@
     /// Whether an allowance lets one more call through. It is this process's alone: nobody shares it. None is
     /// begun that would be given up before it is late.
     fn allowed(&self, told: &OriginAllowance, call: Call) -> bool {
-        let kept = if call == Call::Write { 0 } else { told.kept_for_writes };
+        let kept = if call == Call::Write { 0 } else { told.reserved_for_writes };
         let most_out = self.gate.outstanding_of(told);
         let most_fetches = (f64::from(most_out) * GATE_FETCHES).ceil() as u32;
-        self.now + self.origin_aim <= told.until
-            && told.calls > kept
+        self.now + self.origin_aim <= told.expires_at
+            && told.calls_left > kept
             && self.gate.out[0] < most_out
             && (call == Call::Write || self.gate.out[1] < most_fetches)
     }
 
     /// Parks a request that a shut gate stops, for a random delay, while its answer can still earn.
     fn postpone(&mut self, id: RequestId, why: Why, out: &mut Vec<Action>) {
-        let aim = self.settings.classes[self.held[&id].class].aim;
+        let aim = self.settings.classes[self.held[&id].class].target_latency;
         let delay = (aim as f64 * self.rng.between(DELAY)) as Micros + 1;
         self.postpone_for(delay, id, why, out);
     }
@@ -414,7 +418,8 @@
     fn postpone_local_failure(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let h = &self.held[&id];
         let doublings = u32::from(h.sent.local_failures.saturating_sub(1)).min(LOCAL_DOUBLINGS);
-        let first = (self.settings.classes[h.class].aim as f64 * self.rng.between(DELAY)) as Micros;
+        let first =
+            (self.settings.classes[h.class].target_latency as f64 * self.rng.between(DELAY)) as Micros;
         self.postpone_for((first + LOCAL_PAUSE) << doublings, id, Why::TimeUp, out);
     }
 
@@ -423,7 +428,7 @@
         let h = &self.held[&id];
         let class = &self.settings.classes[h.class];
         // A keyed repeat may be near the end of its window, which only its client knows: it goes now or not.
-        let near_window = h.repeat && h.write && class.window().is_some();
+        let near_window = h.repeat && h.write && class.dedup_window().is_some();
         if near_window || self.now + delay >= self.useful_until(h) {
             return self.end(id, why, out);
         }
@@ -442,12 +447,12 @@
             && self.may_use(h.class, s)
             && (h.out == 0 || self.settings.may_duplicate)
             // No effect twice: only what is safe is repeated after it may have run.
-            && (h.may_have_run == 0 || self.settings.classes[h.class].effect == Effect::Safe);
+            && (h.may_have_run == 0 || self.settings.classes[h.class].effect == Effect::Idempotent);
         if !allowed {
             return false;
         }
         let cold_level = self.cold_bucket(s, h.class).0 + 1.0;
-        let (attempt, sent, aim) = (h.sent.begun, self.now, self.settings.classes[h.class].aim);
+        let (attempt, sent, aim) = (h.sent.begun, self.now, self.settings.classes[h.class].target_latency);
         let slow_after = (aim as f64 * PATIENCE) as Micros;
         if let (Some(h), Some(s)) = (self.held.get_mut(&id), self.servers.get_mut(&server)) {
             (h.sent.begun, h.out, h.may_have_run) = (h.sent.begun + 1, h.out + 1, h.may_have_run + 1);
@@ -459,12 +464,12 @@
         } else {
             self.gate.enter(call);
             if let Some(h) = self.held.get(&id).filter(|h| h.write) {
-                self.writes.sent(h.key, self.settings.classes[h.class].window(), self.now, h.repeat);
+                self.writes.sent(h.key, self.settings.classes[h.class].dedup_window(), self.now, h.repeat);
             }
         }
         self.flights.insert((id, attempt), Flight { server, call, sent, aim, slow_after, overtaken: false });
         let give_up_after = if call == Call::Cache { 0 } else { self.gate.give_up_after(self.now) };
-        out.push(Action::Send { request: id, server, give_up_after });
+        out.push(Action::Send { request: id, server, timeout: give_up_after });
         true
     }
 
@@ -495,7 +500,7 @@
             let by = usize::from(flight.call != Call::Cache);
             self.served[..=by].iter_mut().for_each(Rate::count);
         }
-        if o.over || o.status == Status::Served {
+        if o.request_finished || o.status == Status::Served {
             return self.forget(o.request);
         }
         if others_out && o.status != Status::Miss {
@@ -518,7 +523,7 @@
 
     /// Takes a retry from the budget, where the class allows one: of what may run, only of what is safe.
     fn may_retry(&mut self, class: usize, not_run: bool) -> bool {
-        let allowed = not_run || self.settings.classes[class].effect == Effect::Safe;
+        let allowed = not_run || self.settings.classes[class].effect == Effect::Idempotent;
         let granted = allowed && self.retry_budget >= 1.0;
         self.retry_budget -= f64::from(u8::from(granted));
         granted
@@ -535,16 +540,16 @@
             return; // It tells nothing of the server or the origin.
         }
         s.connected |= !matches!(o.status, Status::Reset | Status::ConnectFailed);
-        let not_made = o.status == Status::ConnectFailed && o.took >= self.settings.connect_timeout;
+        let not_made = o.status == Status::ConnectFailed && o.duration >= self.settings.connect_timeout;
         self.slow_connects.add(f64::from(u8::from(not_made)), 1.0);
         if flight.call != Call::Cache {
             return self.learn_origin(flight, o, out);
         }
         if o.status == Status::Served {
-            self.kinds.entry(s.line.kind).or_default().pace.took(o.took);
+            self.kinds.entry(s.line.machine_type).or_default().pace.took(o.duration);
         }
-        if let Some(busy) = o.load.figure(&self.settings.load_fields, LoadField::Busy) {
-            self.kinds.entry(s.line.kind).or_default().busy.add(busy, 1.0);
+        if let Some(busy) = o.load.value_of(&self.settings.load_fields, LoadField::Busy) {
+            self.kinds.entry(s.line.machine_type).or_default().busy.add(busy, 1.0);
         }
         if matches!(o.status, Status::Served | Status::Miss | Status::Full) {
             s.answered = 1.0 + s.answered_lately(self.now, flight.aim);
@@ -598,7 +603,7 @@
         // When most look bad together the cause is shared: moving their keys would crowd the rest.
         let shared = self.ready(false).map(|s| s.part - PART.2).sum::<f64>() < 0.0;
         let heard = self.peers.signs();
-        let step = period as f64 / self.settings.warm_up.max(1) as f64;
+        let step = period as f64 / self.settings.warm_up_time.max(1) as f64;
         let each = strain.all / self.ready(false).count().max(1) as f64;
         for (id, s) in &mut self.servers {
             let mut signs = s.signs;
@@ -619,7 +624,7 @@
         let (mut all, mut pace) = (Ratio::default(), Pace::default());
         self.kinds.values().for_each(|k| all.add(k.busy.cases, k.busy.all));
         self.kinds.values_mut().for_each(|k| k.weigh(all.value(), KINDS));
-        if all.all == 0.0 && !self.settings.weights_are_sizes {
+        if all.all == 0.0 && !self.settings.weights_are_capacities {
             let paces =
                 self.kinds.iter().map(|(kind, k)| self.peers.pace(*kind, &k.pace)).collect::<Vec<_>>();
             paces.iter().for_each(|p| pace.join(p));
@@ -688,12 +693,12 @@
     fn end(&mut self, id: RequestId, why: Why, out: &mut Vec<Action>) {
         let Some(repeat) = self.held.get(&id).map(|h| h.repeat) else { return };
         self.unserved.count(why);
-        let damped = self.storm && self.settings.damping.advice;
+        let damped = self.storm && self.settings.storm_mitigation.virtual_queue;
         let later = if damped { self.place_in_line(why, repeat) } else { 0 };
         let h = &self.held[&id];
         let class = &self.settings.classes[h.class];
-        let retry_after = (class.aim as f64 * self.rng.between(DELAY)) as Micros + 1 + later;
-        let harmless = class.effect == Effect::Safe || h.may_have_run == 0;
+        let retry_after = (class.target_latency as f64 * self.rng.between(DELAY)) as Micros + 1 + later;
+        let harmless = class.effect == Effect::Idempotent || h.may_have_run == 0;
         out.push(if harmless { Action::Refuse { request: id, retry_after } } else { Action::Fail(id) });
         self.forget(id);
     }
@@ -703,7 +708,7 @@
     fn place_in_line(&mut self, why: Why, repeat: bool) -> Micros {
         let origin = usize::from(matches!(why, Why::GateShut | Why::FetchOut | Why::OriginFull));
         let pace = (self.served[origin].per_s * LINE.0, if repeat { LINE.1 } else { 1.0 });
-        let most = if self.settings.longest_advice == 0 { self.aim } else { self.settings.longest_advice };
+        let most = if self.settings.max_retry_after == 0 { self.aim } else { self.settings.max_retry_after };
         self.lines[origin].advise(self.now, pace, most, LINE.2, &mut self.rng)
     }
 
@@ -713,7 +718,7 @@
         }
     }
 
-    fn server_list(&mut self, kind: ListKind, lines: Vec<ServerLine>, out: &mut Vec<Action>) {
+    fn server_list(&mut self, kind: ListKind, lines: Vec<ServerEntry>, out: &mut Vec<Action>) {
         if kind != ListKind::Cached {
             (self.subscribed, self.ask_again) = (true, Backoff::default());
         }
@@ -722,16 +727,16 @@
         }
         for line in lines {
             let s = self.servers.entry(line.id).or_insert_with(|| Server { part: 1.0, ..Server::default() });
-            s.origin = self.settings.origin_kind == Some(line.kind);
+            s.origin = self.settings.origin_machine_type == Some(line.machine_type);
             // A new process starts with a clean record.
-            if line.started > s.line.started {
+            if line.started_at > s.line.started_at {
                 s.part = 1.0;
                 // Many balancers that may each send one at once would be a burst: they begin out of step.
                 (s.cold_level, s.used) = (slow_start::LEAST_DEPTH - self.rng.unit(), self.now);
             }
             let id = line.id;
             if !s.origin {
-                self.kinds.entry(line.kind).or_default(); // Peers may tell of its pace first.
+                self.kinds.entry(line.machine_type).or_default(); // Peers may tell of its pace first.
             }
             s.line = line;
             self.close_drained(id, true, out);
@@ -742,7 +747,7 @@
     /// Closing on drains: idle connections to a server that is not ready are closed at the notice, after each
     /// outcome there, and once more for one that was being opened then.
     fn close_drained(&mut self, server: ServerId, again: bool, out: &mut Vec<Action>) {
-        let Some(time) = self.settings.drain_close else { return };
+        let Some(time) = self.settings.drain_close_within else { return };
         if self.servers.get(&server).is_some_and(|s| s.line.condition != Condition::Ready) {
             out.push(Action::CloseIdle(server));
             if again {
@@ -753,16 +758,16 @@
 
     /// Asks for changes of the list, again when none come: not asking counts as told after a while.
     fn subscribe(&mut self, out: &mut Vec<Action>) {
-        if self.settings.ask_discovery && !self.subscribed && self.now >= self.ask_at {
+        if self.settings.subscribes_to_discovery && !self.subscribed && self.now >= self.ask_at {
             out.push(Action::Subscribe(true));
-            self.ask_at = self.now + self.settings.ask_within.max(ASK_AGAIN / 16); // Never without a pause.
+            self.ask_at = self.now + self.settings.resubscribe_within.max(ASK_AGAIN / 16); // Never without a pause.
             self.wakes.at(self.ask_at, Wake::Subscribe);
         }
     }
 
     /// Discovery has little capacity: it is asked again later each time, and not by all at once.
     fn discovery_failed(&mut self, out: &mut Vec<Action>) {
-        let delay = self.ask_again.pause(self.settings.ask_within / 16, ASK_AGAIN, &mut self.rng);
+        let delay = self.ask_again.pause(self.settings.resubscribe_within / 16, ASK_AGAIN, &mut self.rng);
         (self.subscribed, self.ask_at) = (false, self.now + delay);
         self.wake(delay, Wake::Subscribe);
         out.push(Action::Log("discovery call failed or subscription lost: asking again".into()));
@@ -774,13 +779,17 @@
         let was = self.level;
         let strain = self.peers.strain(&self.strain);
         self.review_servers(strain, period);
-        let keep = (-(period as f64) / self.settings.warm_up.max(1) as f64).exp();
+        let keep = (-(period as f64) / self.settings.warm_up_time.max(1) as f64).exp();
         self.weights_lately.iter_mut().for_each(|w| *w *= keep);
         self.pools.fade(keep);
         self.weigh_kinds();
         let strain = strain.value();
         let (floor, hold) = if strain > STRAIN.1 { (LEVEL.0, false) } else { (LEVEL.1, strain > STRAIN.0) };
-        let rise = if self.storm && self.settings.damping.repeats { STORM_RISE } else { LEVEL_STEPS.1 };
+        let rise = if self.storm && self.settings.storm_mitigation.limit_retries {
+            STORM_RISE
+        } else {
+            LEVEL_STEPS.1
+        };
         self.level = match strain > STRAIN.1 || (hold && was > LEVEL.1) {
             true => (was * LEVEL_STEPS.0).max(floor),
             false => (was * rise).min(if hold { LEVEL.1 } else { LEVEL.2 }),
@@ -795,11 +804,11 @@
         self.senders.iter_mut().for_each(|s| s.rate.roll(period));
         self.reviews += 1;
         self.peers.forget_silent_since(self.now.saturating_sub(period * Micros::from(TELL.0 * TELL.1)));
-        if self.settings.may_tell_peers && self.reviews.is_multiple_of(TELL.0) {
+        if self.settings.may_send_to_peers && self.reviews.is_multiple_of(TELL.0) {
             self.tell(out);
         }
         self.close_rested(strain, out);
-        let windows = self.settings.classes.iter().filter_map(Class::window).max().unwrap_or(0);
+        let windows = self.settings.classes.iter().filter_map(Class::dedup_window).max().unwrap_or(0);
         self.writes.forget_before(self.now.saturating_sub(2 * windows));
         self.unserved.report(self.now, self.level, self.gate.limit, out);
         self.servers.retain(|_, s| s.line.condition != Condition::Gone || s.in_flight > 0);
@@ -829,7 +838,8 @@
     /// Tells the next few peers of the traffic and the strain here.
     fn tell(&mut self, out: &mut Vec<Action>) {
         let bytes = Peers::message(&self.strain, &self.senders, &self.kinds, &self.servers);
-        let next = Peers::next(&mut self.last_told, self.settings.me, self.settings.balancers, TELL.2);
-        out.extend(next.into_iter().map(|to| Action::Tell { to: Some(to), bytes: bytes.clone() }));
+        let next =
+            Peers::next(&mut self.last_told, self.settings.node_index, self.settings.node_count, TELL.2);
+        out.extend(next.into_iter().map(|to| Action::SendToPeers { to: Some(to), bytes: bytes.clone() }));
     }
 }
--- a/crates/brassrouter/src/policy/slow_start.rs
+++ b/crates/brassrouter/src/policy/slow_start.rs
@@ -42,8 +42,8 @@
 
     /// Budget of the window that ends now, as a multiple of what is due to the server when it is warm.
     fn window_budget(&self, s: &Server) -> f64 {
-        let began = self.now.saturating_sub(self.settings.fall_after).max(s.line.started);
-        self.settings.fall_multiple.max(1.0) * s.warmth(began, &self.settings)
+        let began = self.now.saturating_sub(self.settings.collapse_window).max(s.line.started_at);
+        self.settings.collapse_multiple.max(1.0) * s.warmth(began, &self.settings)
     }
 
     /// Level and depth of the bucket of attempts at a server, as cold as it is. Its part is one of the fleet
@@ -51,10 +51,10 @@
     pub(super) fn cold_bucket(&self, s: &Server, class: usize) -> (f64, f64) {
         let (due, of) = self.due(s, class, true);
         let due_per_us = due / of * self.admitted.per_s / 1e6 / f64::from(self.sharers.max(1));
-        let fall_multiple = self.settings.fall_multiple.max(1.0);
+        let fall_multiple = self.settings.collapse_multiple.max(1.0);
         let fastest = FASTEST.0.min(fall_multiple * FASTEST.1) * s.warmth(self.now, &self.settings);
         let budget = BUCKET * self.window_budget(s);
-        let held = due_per_us * self.settings.fall_after as f64 * budget * DEPTH;
+        let held = due_per_us * self.settings.collapse_window as f64 * budget * DEPTH;
         // Below the least depth a balancer sends too little for its bucket to hold the sum.
         let fills = if held < LEAST_DEPTH { fastest } else { fastest.min(budget * (1.0 - DEPTH)) };
         let rate = due_per_us * fills;
--- a/crates/brassrouter/src/policy/succession.rs
+++ b/crates/brassrouter/src/policy/succession.rs
@@ -1,12 +1,12 @@
 //! Going on from what another process of the same balancer knew. What belongs to that process alone is left to it: its
-//! requests, its attempts, its timers. What it may still have out comes as [`Event::Legacy`].
+//! requests, its attempts, its timers. What it may still have out comes as [`Event::Inherited`].
 
 use super::*;
 
 impl Policy {
     /// The balancer that takes the place of this one: it knows the servers, kinds, tenants and peers as they were, and
     /// has nothing of its own out yet.
-    pub fn succeeded(mut self, seed: u64) -> Policy {
+    pub fn into_successor(mut self, seed: u64) -> Policy {
         for s in self.servers.values_mut() {
             (s.in_flight, s.overtaken, s.connected) = (0, 0, false);
         }
--- a/crates/brassrouter/src/policy/view.rs
+++ b/crates/brassrouter/src/policy/view.rs
@@ -8,11 +8,14 @@
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct View {
     /// Requests without their final answer.
-    pub open: usize,
+    #[serde(rename = "open")]
+    pub open_requests: usize,
     /// Multiple of its quota that a tenant may send.
-    pub level: f64,
+    #[serde(rename = "level")]
+    pub admission_level: f64,
     /// Signs of overload an attempt, here and at the peers heard lately.
-    pub strain: f64,
+    #[serde(rename = "strain")]
+    pub overload: f64,
     /// Whether the node has told of a storm.
     pub storm: bool,
     /// Attempts that may still be made again.
@@ -20,9 +23,11 @@
     /// Limit of calls at the origin that may be out.
     pub gate_limit: f64,
     /// Calls at the origin that are out: of all kinds, and fetches.
-    pub gate_out: [u32; 2],
+    #[serde(rename = "gate_out")]
+    pub gate_outstanding: [u32; 2],
     /// Calls at the origin in this window: of all kinds, and fetches.
-    pub gate_tally: [u32; 2],
+    #[serde(rename = "gate_tally")]
+    pub gate_calls_in_window: [u32; 2],
     /// The servers of the list, in the order of the key where one was asked for.
     pub servers: Vec<ServerView>,
 }
@@ -41,19 +46,24 @@
     /// How many of them were overtaken by later ones.
     pub overtaken: u32,
     /// Attempts in flight from which it is passed over.
-    pub bound: f64,
+    #[serde(rename = "bound")]
+    pub load_bound: f64,
     /// The part of its keys that it keeps while in trouble.
-    pub part: f64,
+    #[serde(rename = "part")]
+    pub key_share: f64,
     /// The part of its capacity that it has at the least.
-    pub warmth: f64,
+    #[serde(rename = "warmth")]
+    pub capacity_share: f64,
     /// Level of the bucket that holds bursts while it is cold, and its depth.
-    pub cold: (f64, f64),
+    #[serde(rename = "cold")]
+    pub slow_start_bucket: (f64, f64),
     /// Time until it has answered what is in flight there.
     pub backlog: Micros,
     /// Its weight.
     pub weight: f64,
     /// Whether the request has been there, or its class may not go there.
-    pub ruled_out: bool,
+    #[serde(rename = "ruled_out")]
+    pub excluded: bool,
 }
 
 impl Policy {
@@ -68,17 +78,17 @@
     }
 
     /// How many requests ended unserved since its last line about them, by the reason.
-    pub fn unserved(&self) -> impl Iterator<Item = (&'static str, u32)> {
+    pub fn refusal_counts(&self) -> impl Iterator<Item = (&'static str, u32)> {
         Unserved::NAMES.into_iter().zip(self.unserved.0)
     }
 
     /// The server list that it holds.
-    pub fn list(&self) -> Vec<ServerLine> {
+    pub fn listed_servers(&self) -> Vec<ServerEntry> {
         self.servers.values().map(|s| s.line.clone()).filter(|l| l.condition != Condition::Gone).collect()
     }
 
     /// What the cache servers can do now, as a part of what they can when all are warm that were here lately.
-    pub fn capacity(&self) -> f64 {
+    pub fn fleet_capacity_share(&self) -> f64 {
         let now: f64 = self.ready(false).map(|s| self.weight(s) * s.warmth(self.now, &self.settings)).sum();
         let all = self.weights_lately.iter().copied().fold(0.0, f64::max);
         if all > 0.0 { (now / all).min(1.0) } else { 0.0 }
@@ -86,7 +96,7 @@
 
     /// How many cache servers the list has, and how many of them it avoids now: those that drain, and those in trouble
     /// that keep less than half of their keys.
-    pub fn avoided(&self) -> (usize, usize) {
+    pub fn known_and_avoided_servers(&self) -> (usize, usize) {
         let listed = self.servers.values().filter(|s| !s.origin && s.line.condition != Condition::Gone);
         listed.fold((0, 0), |(known, avoided), s| {
             let avoids = s.line.condition != Condition::Ready || s.part < PART.2;
@@ -100,7 +110,7 @@
     }
 
     /// How many calls at the origin it could use now: those that are out, and those that wait for one.
-    pub fn origin_wanted(&self) -> u32 {
+    pub fn origin_calls_wanted(&self) -> u32 {
         let waits = |h: &&Held| h.out == 0 && (h.write || h.missed);
         self.gate.out[0] + self.held.values().filter(waits).count() as u32
     }
@@ -111,7 +121,7 @@
     }
 
     /// What it would leave behind if it ended now: what a next life should count.
-    pub fn legacy(&self) -> Legacy {
+    pub fn inheritable_state(&self) -> InheritedState {
         let longest = self.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
         let origin = self.flights.iter().filter(|(_, f)| f.call != Call::Cache);
         let calls = origin.map(|((request, _), f)| {
@@ -120,12 +130,12 @@
             (f.call == Call::Fetch, until)
         });
         let g = &self.gate;
-        Legacy {
-            calls: calls.collect(),
-            window: g.window,
-            tally: g.tally,
-            limit: g.limit,
-            writes: self.writes.all(),
+        InheritedState {
+            origin_calls: calls.collect(),
+            window_start: g.window,
+            calls_in_window: g.tally,
+            outstanding_limit: g.limit,
+            keyed_writes: self.writes.all(),
         }
     }
 
@@ -133,8 +143,8 @@
     pub fn view(&self, request: Option<RequestId>) -> View {
         let held = request.and_then(|id| self.held.get(&id));
         let (class, order) = held.map_or((0, 0), |h| (h.class, h.order));
-        let floor = (BOUND.1 / f64::from(self.settings.balancers.max(2))).max(2.0);
-        let span = self.settings.classes.get(class).map_or(self.aim, |c| c.aim);
+        let floor = (BOUND.1 / f64::from(self.settings.node_count.max(2))).max(2.0);
+        let span = self.settings.classes.get(class).map_or(self.aim, |c| c.target_latency);
         let mut servers: Vec<(f64, ServerView)> = Vec::new();
         for s in self.servers.values().filter(|s| s.line.condition != Condition::Gone) {
             let (due, of) = if class < self.weights.len() { self.due(s, class, false) } else { (0.0, 1.0) };
@@ -145,13 +155,17 @@
                 condition: s.line.condition,
                 in_flight: s.in_flight,
                 overtaken: s.overtaken,
-                bound: bound.max(floor),
-                part: s.part,
-                warmth: s.warmth(self.now, &self.settings),
-                cold: if class < self.weights_lately.len() { self.cold_bucket(s, class) } else { (0.0, 0.0) },
+                load_bound: bound.max(floor),
+                key_share: s.part,
+                capacity_share: s.warmth(self.now, &self.settings),
+                slow_start_bucket: if class < self.weights_lately.len() {
+                    self.cold_bucket(s, class)
+                } else {
+                    (0.0, 0.0)
+                },
                 backlog: s.backlog(self.now, span, FULL.1) as Micros,
                 weight: self.weight(s),
-                ruled_out: held.is_some_and(|h| h.tried.contains(&s.line.id) || !self.may_use(h.class, s)),
+                excluded: held.is_some_and(|h| h.tried.contains(&s.line.id) || !self.may_use(h.class, s)),
             };
             servers.push((self.place(order, s), seen));
         }
@@ -159,14 +173,14 @@
             servers.sort_by(|a, b| a.0.total_cmp(&b.0));
         }
         View {
-            open: self.held.len(),
-            level: self.level,
-            strain: self.peers.strain(&self.strain).value(),
+            open_requests: self.held.len(),
+            admission_level: self.level,
+            overload: self.peers.strain(&self.strain).value(),
             storm: self.storm,
             retry_budget: self.retry_budget,
             gate_limit: self.gate.limit,
-            gate_out: self.gate.out,
-            gate_tally: self.gate.tally,
+            gate_outstanding: self.gate.out,
+            gate_calls_in_window: self.gate.tally,
             servers: servers.into_iter().map(|(_, s)| s).collect(),
         }
     }
--- a/crates/brassrouter/src/pools.rs
+++ b/crates/brassrouter/src/pools.rs
@@ -1,5 +1,5 @@
 //! Which servers a key's order is taken over first. A balancer is told how far each zone is and how many of its keys stay
-//! near ([`Pool`]); this is the bookkeeping that makes ranks and parts of it. Without a pool every server is near, and all
+//! near ([`ZoneRouting`]); this is the bookkeeping that makes ranks and parts of it. Without a pool every server is near, and all
 //! figures are what they were.
 
 use serde::{Deserialize, Serialize};
@@ -28,38 +28,39 @@
 
 /// How far zones are, and how many keys stay near.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Pool {
+pub struct ZoneRouting {
     /// The ring of each zone by its number; zones beyond it are far.
-    pub rings: Vec<u8>,
+    pub zone_rings: Vec<u8>,
     /// The part of the keys whose pool is the near ring, and the part whose pool is that or the next; the pool of the rest is
     /// what is far. The same keys at every balancer that is told the same.
-    pub keep: [f64; 2],
+    pub cumulative_key_shares: [f64; 2],
     /// The part of its keys that goes to each zone, by its number; all of them to those beyond it. The rest of a zone's keys go as
     /// if it were given up.
-    pub open: Vec<f64>,
+    pub zone_key_shares: Vec<f64>,
 }
 
-impl Pool {
+impl ZoneRouting {
     /// The ring of a zone.
     pub fn ring(&self, zone: u8) -> u8 {
-        self.rings.get(usize::from(zone)).copied().unwrap_or(2).min(GIVEN_UP)
+        self.zone_rings.get(usize::from(zone)).copied().unwrap_or(2).min(GIVEN_UP)
     }
 
     /// The part of its keys that goes to a zone.
     fn open(&self, zone: u8) -> f64 {
-        self.open.get(usize::from(zone)).map_or(1.0, |open| open.clamp(0.0, 1.0))
+        self.zone_key_shares.get(usize::from(zone)).map_or(1.0, |open| open.clamp(0.0, 1.0))
     }
 
     /// The ring that is a key's pool.
     fn reach(&self, key: Key, request: RequestId) -> u8 {
-        let draw = unit_hash(if self.keep[0] <= SCOUTS { request } else { key }, 0, REACH);
-        u8::from(draw >= self.keep[0]) + u8::from(draw >= self.keep[1].max(self.keep[0]))
+        let draw = unit_hash(if self.cumulative_key_shares[0] <= SCOUTS { request } else { key }, 0, REACH);
+        u8::from(draw >= self.cumulative_key_shares[0])
+            + u8::from(draw >= self.cumulative_key_shares[1].max(self.cumulative_key_shares[0]))
     }
 
     /// Parts of the keys by the ring that is their pool.
     fn parts(&self) -> [f64; 3] {
-        let near = self.keep[0].clamp(0.0, 1.0);
-        let next = self.keep[1].clamp(near, 1.0);
+        let near = self.cumulative_key_shares[0].clamp(0.0, 1.0);
+        let next = self.cumulative_key_shares[1].clamp(near, 1.0);
         [near, next - near, 1.0 - next]
     }
 }
@@ -70,16 +71,18 @@
 /// A pool, and the weights of the servers in it.
 #[derive(Default)]
 pub struct Pools {
-    pool: Option<Pool>,
+    pool: Option<ZoneRouting>,
     /// By class: of the servers that are ready, the same falling no faster than servers warm, and that with every zone open.
     sums: Vec<[Sums; 3]>,
 }
 
 impl Pools {
     /// From now on this one holds, or none.
-    pub fn set(&mut self, pool: Option<Pool>) {
+    pub fn set(&mut self, pool: Option<ZoneRouting>) {
         // Which servers are near may have changed: what was there lately is counted anew.
-        if self.pool.as_ref().map(|p| (&p.rings, &p.open)) != pool.as_ref().map(|p| (&p.rings, &p.open)) {
+        if self.pool.as_ref().map(|p| (&p.zone_rings, &p.zone_key_shares))
+            != pool.as_ref().map(|p| (&p.zone_rings, &p.zone_key_shares))
+        {
             self.sums.clear();
         }
         self.pool = pool;
@@ -151,7 +154,7 @@
 
 /// The part of all attempts that goes to a weight in a zone, where so many keys have each ring as their pool; `None` where no ring
 /// has any weight.
-fn part(pool: &Pool, zone: u8, weight: f64, sums: &Sums, parts: [f64; 3]) -> Option<f64> {
+fn part(pool: &ZoneRouting, zone: u8, weight: f64, sums: &Sums, parts: [f64; 3]) -> Option<f64> {
     let ring = usize::from(pool.ring(zone));
     // By the order of a pool: the first ring that has any servers.
     let first = |order: &[u8; 3]| (0..3).filter(|ring| sums[*ring] > 0.0).min_by_key(|ring| order[*ring]);
@@ -167,7 +170,11 @@
     /// Zones 0 and 1 near and next, zone 2 far, zone 3 given up; four servers of weight 1 in each.
     fn pools(keep: [f64; 2]) -> Pools {
         let mut pools = Pools::default();
-        pools.set(Some(Pool { rings: vec![0, 1, 2, 3], keep, ..Pool::default() }));
+        pools.set(Some(ZoneRouting {
+            zone_rings: vec![0, 1, 2, 3],
+            cumulative_key_shares: keep,
+            ..ZoneRouting::default()
+        }));
         pools.count(0, (0..4u8).flat_map(|zone| [(zone, 1.0); 4]));
         pools
     }
@@ -204,7 +211,11 @@
     #[test]
     fn where_nobody_is_near_the_next_ring_has_the_near_part_too() {
         let mut pools = Pools::default();
-        pools.set(Some(Pool { rings: vec![0, 1, 2], keep: [0.9, 0.9], ..Pool::default() }));
+        pools.set(Some(ZoneRouting {
+            zone_rings: vec![0, 1, 2],
+            cumulative_key_shares: [0.9, 0.9],
+            ..ZoneRouting::default()
+        }));
         pools.count(0, [(1, 1.0), (2, 1.0)].into_iter());
         assert!((share(&pools, 1, 1.0, (2.0, false)) - 0.9).abs() < 1e-9);
         assert!((share(&pools, 2, 1.0, (2.0, false)) - 0.1).abs() < 1e-9);
@@ -237,7 +248,11 @@
     #[test]
     fn a_zone_that_is_open_to_a_part_of_its_keys_gets_that_part_and_the_others_the_rest() {
         let mut pools = Pools::default();
-        pools.set(Some(Pool { rings: vec![0, 0, 0], keep: [1.0, 1.0], open: vec![1.0, 1.0, 0.4] }));
+        pools.set(Some(ZoneRouting {
+            zone_rings: vec![0, 0, 0],
+            cumulative_key_shares: [1.0, 1.0],
+            zone_key_shares: vec![1.0, 1.0, 0.4],
+        }));
         pools.count(0, (0..3u8).flat_map(|zone| [(zone, 1.0); 4]));
         let all: f64 = [0, 1, 2].map(|zone| 4.0 * share(&pools, zone, 1.0, (12.0, false))).iter().sum();
         assert!((all - 1.0).abs() < 1e-9, "{all}");
@@ -250,7 +265,11 @@
         let cold = |zone: u8| share(&pools, zone, 1.0, (12.0, true));
         assert!((cold(2) - 1.0 / 12.0).abs() < 1e-9 && (cold(0) - 1.0 / 9.6).abs() < 1e-9);
         // Scouts are so many of each key's requests, the hottest key's as well.
-        pools.set(Some(Pool { rings: vec![0, 0, 0], keep: [1.0, 1.0], open: vec![1.0, 1.0, 0.04] }));
+        pools.set(Some(ZoneRouting {
+            zone_rings: vec![0, 0, 0],
+            cumulative_key_shares: [1.0, 1.0],
+            zone_key_shares: vec![1.0, 1.0, 0.04],
+        }));
         let goes =
             (1..20_000).filter(|id| pools.rank((7, *id), 2, false, || false) == 0).count() as f64 / 20_000.0;
         assert!((goes - 0.04).abs() < 0.01, "{goes}");
--- a/crates/brassrouter/src/settings.rs
+++ b/crates/brassrouter/src/settings.rs
@@ -1,32 +1,32 @@
 //! The settings text, read into the module's own [`Settings`] and into what a node round it needs besides. The
 //! adapter and the node share this reader, so that both decide by the same figures.
 
-use crate::interface::{Class, Damping, Effect, Group, LoadField, Micros, Settings, Tenant};
+use crate::interface::{Class, DedupScope, Effect, LoadField, Micros, Settings, StormMitigation, Tenant};
 use serde::Deserialize;
 
 /// A deployment's settings: what the module acts on, and the names and limits that only a node on sockets needs.
 #[derive(Debug, Clone)]
-pub struct Site {
+pub struct DeploymentSettings {
     /// What the module acts on.
-    pub decisions: Settings,
+    pub policy: Settings,
     /// Names of the classes, in the order of [`Settings::classes`].
-    pub classes: Vec<String>,
+    pub class_names: Vec<String>,
     /// Names of the tenants, in the order of [`Settings::tenants`].
-    pub tenants: Vec<String>,
+    pub tenant_names: Vec<String>,
     /// Names of the zones; a zone's number is its place.
-    pub zones: Vec<String>,
+    pub zone_names: Vec<String>,
     /// The number of this balancer's zone, where it is one of them.
     pub zone: Option<u8>,
     /// Names of the machine kinds; a kind's number is its place.
-    pub kinds: Vec<String>,
+    pub machine_type_names: Vec<String>,
     /// Names of the figures in load reports, in the order of [`Settings::load_fields`].
-    pub load_fields: Vec<String>,
+    pub load_field_names: Vec<String>,
     /// Attempts carried together on one connection.
-    pub multiplex: usize,
+    pub attempts_per_connection: usize,
     /// A server closes a connection that has been idle for this long.
-    pub idle_close: Micros,
+    pub server_idle_timeout: Micros,
     /// Requests that a node may have open.
-    pub max_open: usize,
+    pub max_open_requests: usize,
     /// The longest wait that a client honours.
     pub max_retry_after: Micros,
 }
@@ -117,8 +117,8 @@
     fn default() -> Self {
         let base = Settings::default();
         Wire {
-            balancers: base.balancers,
-            me: base.me,
+            balancers: base.node_count,
+            me: base.node_index,
             classes: Vec::new(),
             realms: Vec::new(),
             discovery: "push".into(),
@@ -140,10 +140,10 @@
         let base = Class::default();
         WireClass {
             name: String::new(),
-            goal_time_us: base.aim as f64,
+            goal_time_us: base.target_latency as f64,
             deadline_us: base.deadline as f64,
-            gain: base.worth,
-            late_value: base.late_worth,
+            gain: base.value,
+            late_value: base.late_value,
             effect: "side_effect".into(),
             dedup_scope: "cell".into(),
             dedup_window_us: 0.0,
@@ -179,18 +179,18 @@
     fn default() -> Self {
         let base = Settings::default();
         Guarantees {
-            ask_within_us: base.ask_within as f64,
-            cold_share: base.cold_share,
-            cold_us: base.warm_up as f64,
+            ask_within_us: base.resubscribe_within as f64,
+            cold_share: base.cold_capacity_share,
+            cold_us: base.warm_up_time as f64,
             drain_release_us: None,
-            fall_multiple: base.fall_multiple,
-            tip_after_us: base.fall_after as f64,
+            fall_multiple: base.collapse_multiple,
+            tip_after_us: base.collapse_window as f64,
         }
     }
 }
 
 /// Reads a settings text; the error is one plain line.
-pub fn read(text: &[u8]) -> Result<Site, String> {
+pub fn parse(text: &[u8]) -> Result<DeploymentSettings, String> {
     let wire: Wire = serde_json::from_slice(text).map_err(|e| format!("unreadable settings: {e}"))?;
     let mut classes = Vec::with_capacity(wire.classes.len());
     for c in &wire.classes {
@@ -199,66 +199,66 @@
     let origin = (wire.specifics.mode == "aside").then(|| u16::try_from(wire.specifics.origin_kind).ok());
     let limits = wire.limits;
     let decisions = Settings {
-        balancers: wire.balancers,
-        me: wire.me,
+        node_count: wire.balancers,
+        node_index: wire.me,
         classes,
         tenants: wire.realms.iter().map(|r| Tenant { quota_per_s: r.quota_per_s }).collect(),
-        ask_discovery: wire.discovery == "ask",
-        ask_within: micros(wire.guarantees.ask_within_us),
-        origin_kind: origin.flatten(),
-        weights_are_sizes: matches!(wire.weight_source.as_str(), "nominal" | "rough"),
+        subscribes_to_discovery: wire.discovery == "ask",
+        resubscribe_within: micros(wire.guarantees.ask_within_us),
+        origin_machine_type: origin.flatten(),
+        weights_are_capacities: matches!(wire.weight_source.as_str(), "nominal" | "rough"),
         load_fields: wire.report.fields.iter().map(|f| load_field(f)).collect(),
         max_attempts: limits.max_attempts,
         may_duplicate: limits.may_duplicate,
         may_cancel: limits.may_cancel,
-        may_tell_peers: limits.peers,
+        may_send_to_peers: limits.peers,
         connect_timeout: micros(limits.connect_timeout_us),
         tick: micros(wire.period_us),
-        cold_share: wire.guarantees.cold_share,
-        warm_up: micros(wire.guarantees.cold_us),
-        fall_multiple: wire.guarantees.fall_multiple,
-        fall_after: micros(wire.guarantees.tip_after_us),
-        drain_close: wire.guarantees.drain_release_us.filter(|t| *t > 0.0).map(micros),
-        longest_advice: micros(limits.max_retry_after_us),
-        damping: Damping::default(),
+        cold_capacity_share: wire.guarantees.cold_share,
+        warm_up_time: micros(wire.guarantees.cold_us),
+        collapse_multiple: wire.guarantees.fall_multiple,
+        collapse_window: micros(wire.guarantees.tip_after_us),
+        drain_close_within: wire.guarantees.drain_release_us.filter(|t| *t > 0.0).map(micros),
+        max_retry_after: micros(limits.max_retry_after_us),
+        storm_mitigation: StormMitigation::default(),
     };
-    Ok(Site {
-        decisions,
-        classes: wire.classes.into_iter().map(|c| c.name).collect(),
-        tenants: wire.realms.into_iter().map(|r| r.name).collect(),
+    Ok(DeploymentSettings {
+        policy: decisions,
+        class_names: wire.classes.into_iter().map(|c| c.name).collect(),
+        tenant_names: wire.realms.into_iter().map(|r| r.name).collect(),
         zone: wire.zone.filter(|z| *z < wire.zones.len() as u64).and_then(|z| u8::try_from(z).ok()),
-        zones: wire.zones,
-        kinds: wire.machine_types,
-        load_fields: wire.report.fields,
-        multiplex: limits.multiplex.max(1.0) as usize,
-        idle_close: micros(limits.idle_close_us),
-        max_open: limits.max_open.max(1.0) as usize,
+        zone_names: wire.zones,
+        machine_type_names: wire.machine_types,
+        load_field_names: wire.report.fields,
+        attempts_per_connection: limits.multiplex.max(1.0) as usize,
+        server_idle_timeout: micros(limits.idle_close_us),
+        max_open_requests: limits.max_open.max(1.0) as usize,
         max_retry_after: micros(limits.max_retry_after_us),
     })
 }
 
 fn class(c: &WireClass) -> Result<Class, String> {
     let group = match c.dedup_scope.as_str() {
-        "all" => Group::All,
-        "zone" => Group::Zone,
-        _ => Group::Cell,
+        "all" => DedupScope::All,
+        "zone" => DedupScope::Zone,
+        _ => DedupScope::Cell,
     };
     let effect = match c.effect.as_str() {
-        "pure" => Effect::Safe,
-        "token" => Effect::Keyed { group, window: micros(c.dedup_window_us) },
-        "side_effect" => Effect::Unsafe,
+        "pure" => Effect::Idempotent,
+        "token" => Effect::Deduplicated { scope: group, window: micros(c.dedup_window_us) },
+        "side_effect" => Effect::NonIdempotent,
         other => {
             return Err(format!("unreadable settings: unknown effect {other:?} of a class"));
         }
     };
     Ok(Class {
-        aim: micros(c.goal_time_us),
+        target_latency: micros(c.goal_time_us),
         deadline: micros(c.deadline_us),
-        worth: c.gain,
-        late_worth: c.late_value,
+        value: c.gain,
+        late_value: c.late_value,
         effect,
-        only_zones: c.runs_in.clone(),
-        only_kinds: c.bound_to.clone(),
+        allowed_zones: c.runs_in.clone(),
+        allowed_machine_types: c.bound_to.clone(),
     })
 }
 
--- a/crates/brassrouter/src/state.rs
+++ b/crates/brassrouter/src/state.rs
@@ -8,7 +8,7 @@
 
 use crate::attempts::Attempts;
 use crate::estimate::{Pace, Rate, Ratio};
-use crate::interface::{Action, Key, Micros, RequestId, ServerId, ServerLine, Settings};
+use crate::interface::{Action, Key, Micros, RequestId, ServerEntry, ServerId, Settings};
 use crate::random::Random;
 
 /// Why an attempt is out.
@@ -35,7 +35,7 @@
 /// A server of the list, and what this balancer has seen of it.
 #[derive(Default, Serialize, Deserialize)]
 pub struct Server {
-    pub line: ServerLine,
+    pub line: ServerEntry,
     pub origin: bool,
     pub in_flight: u32,
     /// How many of them were found overtaken: lost or long, and not in a queue.
@@ -75,9 +75,9 @@
 
     /// Part of its capacity that it has at the least, some time after its start.
     pub fn warmth(&self, now: Micros, settings: &Settings) -> f64 {
-        let age = now.saturating_sub(self.line.started) as f64 / settings.warm_up.max(1) as f64;
-        let share = settings.cold_share;
-        if self.line.started == 0 { 1.0 } else { (share + (1.0 - share) * age).min(1.0) }
+        let age = now.saturating_sub(self.line.started_at) as f64 / settings.warm_up_time.max(1) as f64;
+        let share = settings.cold_capacity_share;
+        if self.line.started_at == 0 { 1.0 } else { (share + (1.0 - share) * age).min(1.0) }
     }
 
     /// Time until it has answered what this balancer has in flight there, at the pace of its latest answers
--- a/crates/brassrouter/tests/cold.rs
+++ b/crates/brassrouter/tests/cold.rs
@@ -89,18 +89,18 @@
 
 impl Fleet {
     fn new(day: Day) -> Fleet {
-        let class = Class { aim: 750 * MS, deadline: 2500 * MS, ..Class::default() };
+        let class = Class { target_latency: 750 * MS, deadline: 2500 * MS, ..Class::default() };
         let settings = Settings {
-            balancers: day.nodes,
+            node_count: day.nodes,
             classes: vec![class],
-            cold_share: day.cold_share,
-            warm_up: 8 * SECOND,
-            fall_multiple: day.multiple,
-            fall_after: day.fall_after,
+            cold_capacity_share: day.cold_share,
+            warm_up_time: 8 * SECOND,
+            collapse_multiple: day.multiple,
+            collapse_window: day.fall_after,
             ..Settings::default()
         };
         let nodes = (0..day.nodes)
-            .map(|me| Policy::new(Settings { me, ..settings.clone() }, day.seed + u64::from(me)));
+            .map(|me| Policy::new(Settings { node_index: me, ..settings.clone() }, day.seed + u64::from(me)));
         let many = day.nodes as usize;
         Fleet {
             day,
@@ -129,7 +129,7 @@
             match action {
                 Action::Timer { after, .. } => self.at(now + after.max(1), Due::Timer(node, life)),
                 Action::Send { request, server, .. } => {
-                    if (STARTS..STARTS + self.settings.warm_up).contains(&now) {
+                    if (STARTS..STARTS + self.settings.warm_up_time).contains(&now) {
                         self.warming[0] += u32::from(server == 0);
                         self.warming[1] += 1;
                     }
@@ -147,7 +147,7 @@
     fn list(&mut self, now: Micros, node: usize, kind: ListKind) {
         let started = if self.knows[node] { STARTS } else { 0 };
         let line =
-            |id| ServerLine { id, started: if id == 0 { started } else { 0 }, ..ServerLine::default() };
+            |id| ServerEntry { id, started_at: if id == 0 { started } else { 0 }, ..ServerEntry::default() };
         let servers = (0..SERVERS).map(line).collect();
         self.event(now, node, Event::ServerList { kind, servers });
     }
@@ -184,12 +184,21 @@
                 }
                 Due::Timer(node, life) if self.lives[node] == life => self.event(now, node, Event::Timer(0)),
                 Due::Answer(node, life, request, attempt, server) if self.lives[node] == life => {
-                    let (status, over, note, took) = (Status::Served, true, Note::None, 60 * MS);
-                    let load = Load::default();
+                    let (status, over, note, took) = (Status::Served, true, CacheResult::None, 60 * MS);
+                    let load = LoadReport::default();
                     self.event(
                         now,
                         node,
-                        Event::Outcome(Outcome { request, attempt, server, status, over, note, took, load }),
+                        Event::Outcome(Outcome {
+                            request,
+                            attempt,
+                            server,
+                            status,
+                            request_finished: over,
+                            cache_result: note,
+                            duration: took,
+                            load,
+                        }),
                     );
                 }
                 Due::Hears(node) => {
@@ -198,7 +207,7 @@
                 }
                 Due::Restarts(node) => {
                     self.lives[node] += 1;
-                    let settings = Settings { me: node as u32, ..self.settings.clone() };
+                    let settings = Settings { node_index: node as u32, ..self.settings.clone() };
                     self.nodes[node] = Policy::new(settings, self.day.seed ^ 77 ^ node as u64);
                     // What a process that starts is given is as new as its node heard.
                     self.list(now, node, ListKind::Cached);
@@ -210,7 +219,7 @@
     }
 
     fn most(&self) -> Most {
-        let span = self.settings.fall_after;
+        let span = self.settings.collapse_window;
         let mut most = Most {
             roots: f64::NEG_INFINITY,
             calls: f64::NEG_INFINITY,
@@ -218,7 +227,7 @@
         };
         for (i, from) in self.sent.iter().enumerate() {
             let count = self.sent[i..].partition_point(|t| *t < from + span) as f64;
-            let age = (*from - STARTS) as f64 / self.settings.warm_up as f64;
+            let age = (*from - STARTS) as f64 / self.settings.warm_up_time as f64;
             let share = (self.day.cold_share + (1.0 - self.day.cold_share) * age).min(1.0);
             let budget = self.day.multiple * share * self.day.capacity * span as f64 / 1e6;
             most.roots = most.roots.max((count - budget) / budget.sqrt());
--- a/crates/brassrouter/tests/common/mod.rs
+++ b/crates/brassrouter/tests/common/mod.rs
@@ -16,25 +16,30 @@
 }
 
 pub fn settings() -> Settings {
-    let read = Class { aim: 750 * MS, deadline: 1500 * MS, ..Class::default() };
-    let keyed = Effect::Keyed { group: Group::All, window: 200 * MS };
-    let write = Class { aim: 150 * MS, deadline: 300 * MS, effect: keyed, ..Class::default() };
-    let once =
-        Class { aim: 300 * MS, deadline: SECOND, effect: Effect::Unsafe, worth: 8.0, ..Class::default() };
+    let read = Class { target_latency: 750 * MS, deadline: 1500 * MS, ..Class::default() };
+    let keyed = Effect::Deduplicated { scope: DedupScope::All, window: 200 * MS };
+    let write = Class { target_latency: 150 * MS, deadline: 300 * MS, effect: keyed, ..Class::default() };
+    let once = Class {
+        target_latency: 300 * MS,
+        deadline: SECOND,
+        effect: Effect::NonIdempotent,
+        value: 8.0,
+        ..Class::default()
+    };
     Settings {
         classes: vec![read, write, once],
-        origin_kind: Some(ORIGIN_KIND),
+        origin_machine_type: Some(ORIGIN_KIND),
         max_attempts: 4,
         ..Settings::default()
     }
 }
 
-pub fn server(id: ServerId) -> ServerLine {
-    ServerLine { id, ..ServerLine::default() }
+pub fn server(id: ServerId) -> ServerEntry {
+    ServerEntry { id, ..ServerEntry::default() }
 }
 
-pub fn origin() -> ServerLine {
-    ServerLine { id: ORIGIN, kind: ORIGIN_KIND, ..ServerLine::default() }
+pub fn origin() -> ServerEntry {
+    ServerEntry { id: ORIGIN, machine_type: ORIGIN_KIND, ..ServerEntry::default() }
 }
 
 pub fn read(id: RequestId, key: Key) -> Request {
@@ -42,7 +47,7 @@
 }
 
 pub fn write(id: RequestId, class: usize) -> Request {
-    Request { id, key: 5, class, write: true, time_left: 300 * MS, ..Request::default() }
+    Request { id, key: 5, class, is_write: true, time_left: 300 * MS, ..Request::default() }
 }
 
 impl Node {
@@ -55,7 +60,7 @@
 
     /// A node with cache servers 1 to `servers` and an origin, a minute after their start.
     pub fn just_started(settings: Settings, servers: u32) -> Self {
-        let seed = 7 + u64::from(settings.me);
+        let seed = 7 + u64::from(settings.node_index);
         let policy = Policy::new(settings, seed);
         let mut node = Node { policy, now: 60 * SECOND, actions: Vec::new(), timers: Vec::new() };
         let mut lines: Vec<_> = (1..=servers).map(server).collect();
@@ -72,7 +77,7 @@
             node.event(Event::PeerMessage { from: 1, bytes: bytes.clone() });
             node.pass(95 * MS);
         }
-        let level = node.policy.view(None).level;
+        let level = node.policy.view(None).admission_level;
         assert!(level <= 1.0, "no strain at a level of {level}");
         node.actions.clear();
         node
@@ -91,7 +96,7 @@
         out
     }
 
-    pub fn list(&mut self, kind: ListKind, servers: Vec<ServerLine>) -> Vec<Action> {
+    pub fn list(&mut self, kind: ListKind, servers: Vec<ServerEntry>) -> Vec<Action> {
         self.event(Event::ServerList { kind, servers })
     }
 
@@ -118,8 +123,17 @@
         took: Micros,
     ) -> Vec<Action> {
         let over = status == Status::Served;
-        let (note, load) = (Note::None, Load::default());
-        self.event(Event::Outcome(Outcome { request, attempt, server, status, over, note, took, load }))
+        let (note, load) = (CacheResult::None, LoadReport::default());
+        self.event(Event::Outcome(Outcome {
+            request,
+            attempt,
+            server,
+            status,
+            request_finished: over,
+            cache_result: note,
+            duration: took,
+            load,
+        }))
     }
 
     /// Lets time pass, with the timers that come due, and returns what the policy answered meanwhile.
@@ -137,7 +151,7 @@
 
 /// What a peer tells of which every fourth attempt is turned away.
 fn told_of_strain() -> Vec<u8> {
-    let settings = Settings { balancers: 2, me: 1, may_tell_peers: true, ..settings() };
+    let settings = Settings { node_count: 2, node_index: 1, may_send_to_peers: true, ..settings() };
     let mut peer = Node::just_started(settings, 2);
     for id in 1..=200 {
         if let Some(server) = sent_to(&peer.request(read(id, id))) {
@@ -147,7 +161,7 @@
         peer.pass(5 * MS);
     }
     let told = peer.actions.iter().rev().find_map(|a| match a {
-        Action::Tell { bytes, .. } => Some(bytes.clone()),
+        Action::SendToPeers { bytes, .. } => Some(bytes.clone()),
         _ => None,
     });
     told.expect("a message")
--- a/crates/brassrouter/tests/gate.rs
+++ b/crates/brassrouter/tests/gate.rs
@@ -32,7 +32,7 @@
 /// For how long each attempt of these actions may be waited for.
 fn waits(actions: &[Action]) -> Vec<Micros> {
     let wait = |a: &Action| match a {
-        Action::Send { give_up_after, .. } => Some(*give_up_after),
+        Action::Send { timeout: give_up_after, .. } => Some(*give_up_after),
         _ => None,
     };
     actions.iter().filter_map(wait).collect()
@@ -47,7 +47,7 @@
     assert_eq!((sends(&answers), refused(&answers, 1)), (0, false), "it waits, as at a shut gate");
     assert!(refused(&node.pass(SECOND), 1), "what was never sent is refused, not failed");
     // A keyed repeat may be near the end of its window: it cannot wait.
-    let repeat = Request { repeat: true, ..write(2, 1) };
+    let repeat = Request { is_retry: true, ..write(2, 1) };
     assert!(refused(&node.request(repeat), 2));
     // With an allowance again, what waits goes.
     node.request(write(3, 1));
@@ -72,16 +72,16 @@
 #[test]
 fn it_tells_how_many_calls_it_could_use() {
     let mut node = node();
-    assert_eq!(node.policy.origin_wanted(), 0);
+    assert_eq!(node.policy.origin_calls_wanted(), 0);
     allow(&mut node, 2, 100, 60 * SECOND);
     assert_eq!(writes(&mut node, 1..6), 2);
-    assert_eq!(node.policy.origin_wanted(), 5, "two are out, three wait");
+    assert_eq!(node.policy.origin_calls_wanted(), 5, "two are out, three wait");
     let first = sent_to(&node.request(read(20, 7))).expect("a cache server");
-    assert_eq!(node.policy.origin_wanted(), 5, "what a cache server has been asked for is none");
+    assert_eq!(node.policy.origin_calls_wanted(), 5, "what a cache server has been asked for is none");
     node.outcome(20, 0, first, Status::Miss);
-    assert_eq!(node.policy.origin_wanted(), 6);
+    assert_eq!(node.policy.origin_calls_wanted(), 6);
     node.outcome(1, 0, ORIGIN, Status::Served);
-    assert_eq!(node.policy.origin_wanted(), 5);
+    assert_eq!(node.policy.origin_calls_wanted(), 5);
 }
 
 #[test]
@@ -102,14 +102,14 @@
         sent
     });
     assert_eq!(begun.sum::<usize>(), 3, "though windows of the tally begin anew meanwhile");
-    assert_eq!(node.policy.origin_allowance().map(|left| left.calls), Some(0));
+    assert_eq!(node.policy.origin_allowance().map(|left| left.calls_left), Some(0));
     allow(&mut node, 10, 2, 60 * SECOND);
     assert_eq!(writes(&mut node, 30..40), 2);
 }
 
 #[test]
 fn a_part_of_the_calls_is_kept_for_writes() {
-    let allowance = |calls| OriginAllowance::new(10, calls, 0).kept_for_writes;
+    let allowance = |calls| OriginAllowance::new(10, calls, 0).reserved_for_writes;
     assert_eq!([0, 1, 2, 3, 4, 10, 100].map(allowance), [0, 0, 0, 0, 1, 3, 30]);
     let mut node = node();
     allow(&mut node, 10, 4, 60 * SECOND);
@@ -225,12 +225,12 @@
             node.request(write(id, random.rand_range(0..3) as usize));
             node.pass(Micros::from(random.rand_range(0..9)) * MS);
             for action in &node.actions[before..] {
-                if let Action::Send { request, server: ORIGIN, give_up_after } = action {
+                if let Action::Send { request, server: ORIGIN, timeout: give_up_after } = action {
                     let attempt = out.iter().filter(|(of, ..)| of == request).count() as u16;
                     out.push((*request, attempt, node.now + give_up_after));
                     (begun, all) = (begun + 1, all + 1);
                     assert!(*give_up_after > 0 && out.len() as u32 <= told.outstanding, "{told:?}");
-                    assert!(begun <= told.calls, "{told:?}");
+                    assert!(begun <= told.calls_left, "{told:?}");
                 }
             }
             // Some are answered; what is not is given up in time.
--- a/crates/brassrouter/tests/local_failures.rs
+++ b/crates/brassrouter/tests/local_failures.rs
@@ -36,9 +36,9 @@
         node.pass(5 * MS);
     }
     let after = node.policy.view(None);
-    assert_eq!((after.strain, after.level), (before.strain, before.level));
+    assert_eq!((after.overload, after.admission_level), (before.overload, before.admission_level));
     assert_eq!(after.retry_budget, before.retry_budget, "no retry was paid for");
-    assert!(after.servers.iter().all(|s| s.part == 1.0 && s.in_flight == 0), "{:?}", after.servers);
+    assert!(after.servers.iter().all(|s| s.key_share == 1.0 && s.in_flight == 0), "{:?}", after.servers);
     assert_eq!(sent_to(&node.request(read(2, KEY))), Some(first), "it keeps its keys");
 }
 
@@ -52,7 +52,7 @@
         node.event(Event::ClientGone(id));
         node.pass(5 * MS);
     }
-    assert!(node.policy.view(None).strain > 0.1, "the test above would see nothing");
+    assert!(node.policy.view(None).overload > 0.1, "the test above would see nothing");
 }
 
 #[test]
@@ -138,7 +138,7 @@
 fn a_keyed_repeat_that_this_machine_could_not_send_is_refused_at_once() {
     // A keyed repeat is not parked: its window may end meanwhile.
     let mut node = Node::new(settings(), 3);
-    node.request(Request { repeat: true, ..write(1, 1) });
+    node.request(Request { is_retry: true, ..write(1, 1) });
     let answer = node.outcome(1, 0, ORIGIN, Status::LocalFailure);
     assert!(refused(&answer, 1) && sends(&answer) == 0, "{answer:?}");
 }
@@ -156,7 +156,7 @@
         node.pass(200 * MS);
     }
     let after = node.policy.view(None);
-    assert_eq!((after.gate_limit, after.gate_out), (before.gate_limit, [0, 0]));
+    assert_eq!((after.gate_limit, after.gate_outstanding), (before.gate_limit, [0, 0]));
 }
 
 #[test]
--- a/crates/brassrouter/tests/policy.rs
+++ b/crates/brassrouter/tests/policy.rs
@@ -61,7 +61,7 @@
 #[test]
 fn one_of_many_balancers_skips_only_beyond_two_in_flight() {
     // Full size, manila-later: with a floor of one from each, every second request of a key was scattered.
-    let mut node = Node::new(Settings { balancers: 8, ..settings() }, 4);
+    let mut node = Node::new(Settings { node_count: 8, ..settings() }, 4);
     let first = sent_to(&node.request(read(101, 9))).unwrap();
     assert_eq!(sent_to(&node.request(read(102, 9))), Some(first), "two are within the floor");
     assert_ne!(sent_to(&node.request(read(103, 9))), Some(first), "a third goes on");
@@ -96,7 +96,7 @@
 fn the_windowed_tally_holds_calls_that_the_outstanding_cap_would_let_through() {
     let mut config = settings();
     config.tenants = vec![Tenant { quota_per_s: 40.0 }];
-    config.balancers = 1;
+    config.node_count = 1;
     let mut node = Node::new(config, 3);
     let mut through = 0;
     for id in 1..=12 {
@@ -136,7 +136,7 @@
 /// each other though half of the cap was free.
 #[test]
 fn one_of_a_hundred_balancers_may_have_both_of_its_two_calls_out_for_fetches() {
-    let mut node = Node::new(Settings { balancers: 100, ..settings() }, 3);
+    let mut node = Node::new(Settings { node_count: 100, ..settings() }, 3);
     // The gate of one that has just begun opens gradually.
     node.request(write(1, 1));
     node.outcome(1, 0, ORIGIN, Status::Served);
@@ -298,7 +298,7 @@
         let first = sent_to(&node.request(read(1, 9))).unwrap();
         let lines = match kind {
             ListKind::Full => (1..=3).filter(|id| *id != first).map(server).chain([origin()]).collect(),
-            _ => vec![ServerLine { condition, ..server(first) }],
+            _ => vec![ServerEntry { condition, ..server(first) }],
         };
         node.list(kind, lines);
         for id in 2..=40 {
@@ -313,7 +313,7 @@
     for id in 1..=6 {
         node.request(write(id, 1));
     }
-    node.list(ListKind::Delta, vec![ServerLine { condition: Condition::Draining, ..origin() }]);
+    node.list(ListKind::Delta, vec![ServerEntry { condition: Condition::Draining, ..origin() }]);
     node.outcome(1, 0, ORIGIN, Status::Served);
     let after = node.pass(SECOND);
     assert_eq!(sends(&after), 0);
@@ -325,7 +325,7 @@
     let share_at = |age: Micros| {
         let mut node = Node::new(settings(), 4);
         let started = node.now;
-        node.list(ListKind::Delta, vec![ServerLine { started, ..server(2) }]);
+        node.list(ListKind::Delta, vec![ServerEntry { started_at: started, ..server(2) }]);
         node.now += age;
         let mut at_cold = 0;
         for id in 1..=2000 {
@@ -374,7 +374,7 @@
     // Full size, manila-later big-2: a balancer that sends a silent server one request in seconds never
     // sees three failures in a row; its peers' signs of trouble count as well.
     let share = |cases: f32| {
-        let mut config = Settings { balancers: 4, may_tell_peers: true, ..settings() };
+        let mut config = Settings { node_count: 4, may_send_to_peers: true, ..settings() };
         config.tenants = Vec::new();
         let mut node = Node::new(config, 4);
         let victim = sent_to(&node.request(read(1, 9))).unwrap();
@@ -450,14 +450,14 @@
     // Incident i2b5824: a burst of one from each of 120 balancers pushed servers over that had just started.
     let mut sent = 0;
     for me in 0..100 {
-        let mut node = Node::new(Settings { balancers: 100, me, ..settings() }, 4);
+        let mut node = Node::new(Settings { node_count: 100, node_index: me, ..settings() }, 4);
         for id in 1..=100 {
             let to = sent_to(&node.request(read(id, id))).unwrap();
             node.outcome(id, 0, to, Status::Served);
             node.pass(10 * MS);
         }
         let now = node.now;
-        let servers = vec![ServerLine { id: 2, started: now, ..ServerLine::default() }];
+        let servers = vec![ServerEntry { id: 2, started_at: now, ..ServerEntry::default() }];
         node.event(Event::ServerList { kind: ListKind::Delta, servers });
         for id in 200..=204 {
             let to = sent_to(&node.request(read(id, id))).unwrap();
@@ -475,7 +475,7 @@
     // Servers that are replaced stayed empty and cold, and the others carried their load.
     let (mut sent, mut due) = (0.0, 0.0);
     for me in 0..100 {
-        let mut node = Node::new(Settings { balancers: 100, me, ..settings() }, 60);
+        let mut node = Node::new(Settings { node_count: 100, node_index: me, ..settings() }, 60);
         let mut id = 0;
         let mut ask = |node: &mut Node| {
             id += 1;
@@ -487,7 +487,7 @@
         for _ in 0..60 {
             ask(&mut node);
         }
-        node.list(ListKind::Delta, vec![ServerLine { started: node.now, ..server(2) }]);
+        node.list(ListKind::Delta, vec![ServerEntry { started_at: node.now, ..server(2) }]);
         for step in 0..140 {
             sent += f64::from(u8::from(ask(&mut node) == 2));
             // A sixtieth of the requests, by the part of its capacity that it has by then.
@@ -548,7 +548,7 @@
 fn calls_out_at_the_origin_grow_with_what_the_quotas_let_through() {
     let most = |quota| {
         let tenants = vec![Tenant { quota_per_s: quota }];
-        Node::just_started(Settings { tenants, balancers: 2, ..settings() }, 2).policy.view(None).gate_limit
+        Node::just_started(Settings { tenants, node_count: 2, ..settings() }, 2).policy.view(None).gate_limit
             * 2.0
     };
     // The note's figure, and above it what is out in a call's usual time.
@@ -558,8 +558,8 @@
 #[test]
 fn a_server_that_keeps_pace_is_not_taken_for_full_where_another_class_has_a_longer_aim() {
     let mut settings = settings();
-    settings.classes[0].aim = 190 * MS;
-    settings.classes[1].aim = 630 * MS;
+    settings.classes[0].target_latency = 190 * MS;
+    settings.classes[1].target_latency = 630 * MS;
     let mut node = Node::just_started(settings, 1);
     // One read in 30 ms, each answered 55 ms later: two at a time, a third of the read's aim.
     for id in 1..=100 {
@@ -713,8 +713,8 @@
     // Found on incident iad1b83: an equal part of the quota for each balancer refused uneven tenants.
     let mut config = settings();
     config.tenants = vec![Tenant { quota_per_s: 100.0 }];
-    config.balancers = 4;
-    config.may_tell_peers = true;
+    config.node_count = 4;
+    config.may_send_to_peers = true;
     let mut node = Node::new(config, 20);
     let mut served = 0;
     for id in 1..=1000u64 {
@@ -729,7 +729,10 @@
         }
     }
     assert!(served > 990, "71 a second here and 15 elsewhere are within 100: {served}");
-    assert!(node.actions.iter().any(|a| matches!(a, Action::Tell { to: Some(3), .. })), "and peers are told");
+    assert!(
+        node.actions.iter().any(|a| matches!(a, Action::SendToPeers { to: Some(3), .. })),
+        "and peers are told"
+    );
 }
 
 /// A peer's message: figures as the upper halves of 32-bit floats.
@@ -742,13 +745,13 @@
     // Found on the first full-size days: told to all, 300 balancers sent more than the network takes.
     let mut config = settings();
     config.tenants = vec![Tenant { quota_per_s: 100.0 }];
-    (config.balancers, config.me, config.may_tell_peers) = (301, 7, true);
+    (config.node_count, config.node_index, config.may_send_to_peers) = (301, 7, true);
     let mut node = Node::new(config, 21);
     for _ in 0..1000 {
         node.pass(10 * MS);
     }
     let told: Vec<u32> = (node.actions.iter())
-        .filter_map(|a| if let Action::Tell { to, .. } = a { to.as_ref().copied() } else { None })
+        .filter_map(|a| if let Action::SendToPeers { to, .. } = a { to.as_ref().copied() } else { None })
         .collect();
     assert!(!told.contains(&7) && told.iter().all(|&to| to < 301));
     assert!((300..1000).contains(&told.len()), "{} messages in 10 s", told.len());
@@ -781,7 +784,7 @@
     // Incident ib6953e: with figures of twice that age the level kept falling after the overload was over.
     let mut config = settings();
     config.tenants = vec![Tenant { quota_per_s: 10.0 }];
-    (config.balancers, config.may_tell_peers) = (2, true);
+    (config.node_count, config.may_send_to_peers) = (2, true);
     let mut node = Node::new(config, 4);
     for id in 1..=200u64 {
         if id == 150 {
@@ -802,7 +805,7 @@
     let refused = |cases: f32| {
         let mut config = settings();
         config.tenants = vec![Tenant { quota_per_s: 10.0 }];
-        (config.balancers, config.may_tell_peers) = (4, true);
+        (config.node_count, config.may_send_to_peers) = (4, true);
         let mut node = Node::new(config, 22);
         for id in 1..=400u64 {
             for peer in 1..4 {
@@ -821,7 +824,7 @@
 
 #[test]
 fn a_failed_call_to_discovery_is_repeated_later_and_not_at_once() {
-    let config = Settings { ask_discovery: true, ..settings() };
+    let config = Settings { subscribes_to_discovery: true, ..settings() };
     let mut node = Node::new(config, 3);
     assert!(node.actions.contains(&Action::Subscribe(true)), "subscribes at the start");
     node.actions.clear();
@@ -846,7 +849,8 @@
 #[test]
 fn a_discovery_that_has_failed_often_is_asked_again_within_three_seconds() {
     for seed in 0..20 {
-        let config = Settings { ask_discovery: true, ask_within: 60 * SECOND, ..settings() };
+        let config =
+            Settings { subscribes_to_discovery: true, resubscribe_within: 60 * SECOND, ..settings() };
         let mut node = Node::new(config, seed);
         for failures in 1..=12 {
             node.actions.clear();
@@ -866,8 +870,8 @@
     assert!(node.actions.len() < 1500, "{} actions in an idle minute", node.actions.len());
 }
 
-fn in_zone(id: ServerId, zone: u8, kind: u16) -> ServerLine {
-    ServerLine { zone, kind, ..server(id) }
+fn in_zone(id: ServerId, zone: u8, kind: u16) -> ServerEntry {
+    ServerEntry { zone, machine_type: kind, ..server(id) }
 }
 
 #[test]
@@ -875,7 +879,7 @@
     // The first score: requests of a class bound to one zone went to the other on every day.
     for (zones, kinds, permitted) in [(Some(vec![1]), None, [2, 3]), (None, Some(vec![7]), [1, 3])] {
         let mut config = settings();
-        (config.classes[0].only_zones, config.classes[0].only_kinds) = (zones, kinds);
+        (config.classes[0].allowed_zones, config.classes[0].allowed_machine_types) = (zones, kinds);
         let mut node = Node::new(config, 0);
         let lines = vec![in_zone(1, 0, 7), in_zone(2, 1, 8), in_zone(3, 1, 7), in_zone(4, 0, 8), origin()];
         node.list(ListKind::Full, lines);
@@ -888,7 +892,7 @@
                 attempt += 1;
             }
         }
-        let gone = permitted.map(|id| ServerLine { condition: Condition::Gone, ..server(id) });
+        let gone = permitted.map(|id| ServerEntry { condition: Condition::Gone, ..server(id) });
         node.list(ListKind::Delta, gone.to_vec());
         let answer = node.request(read(100, 9));
         assert!(sends(&answer) == 0 && refused(&answer, 100), "held or ended, never sent elsewhere");
@@ -898,7 +902,7 @@
 #[test]
 fn a_miss_of_a_bound_class_is_fetched_from_the_origin_wherever_that_stands() {
     let mut config = settings();
-    config.classes[0].only_zones = Some(vec![1]);
+    config.classes[0].allowed_zones = Some(vec![1]);
     let mut node = Node::new(config, 0);
     node.list(ListKind::Full, vec![in_zone(2, 1, 0), origin()]);
     node.request(read(1, 9));
@@ -910,26 +914,26 @@
     // First score of a site with this rule: a connection was open 0.82 s after the notice.
     let close = 800 * MS;
     let closes = |actions: &[Action], id| actions.contains(&Action::CloseIdle(id));
-    let mut node = Node::new(Settings { drain_close: Some(close), ..settings() }, 3);
+    let mut node = Node::new(Settings { drain_close_within: Some(close), ..settings() }, 3);
     let to = sent_to(&node.request(read(1, 9))).unwrap();
-    let draining = ServerLine { condition: Condition::Draining, ..server(to) };
+    let draining = ServerEntry { condition: Condition::Draining, ..server(to) };
     assert!(closes(&node.list(ListKind::Delta, vec![draining.clone()]), to), "at the notice");
     assert!(closes(&node.pass(close - MS), to), "again, for one that was being opened then");
     node.list(ListKind::Delta, vec![draining]);
     node.pass(2 * SECOND);
     assert!(closes(&node.outcome(1, 0, to, Status::TimedOut), to), "after an outcome that comes late");
     assert!(closes(&node.pass(close - MS), to));
-    let restarted = |condition| ServerLine { condition, ..server(8) };
+    let restarted = |condition| ServerEntry { condition, ..server(8) };
     assert!(closes(&node.list(ListKind::Cached, vec![restarted(Condition::Draining)]), 8), "in an old list");
     let mut other = Node::new(settings(), 3);
     let notice =
-        other.list(ListKind::Delta, vec![ServerLine { condition: Condition::Draining, ..server(2) }]);
+        other.list(ListKind::Delta, vec![ServerEntry { condition: Condition::Draining, ..server(2) }]);
     assert!(!closes(&notice, 2), "only where a rule asks for it");
 }
 
 #[test]
 fn a_subscription_that_is_neither_answered_nor_refused_is_asked_for_again() {
-    let config = Settings { ask_discovery: true, ask_within: 6 * SECOND, ..settings() };
+    let config = Settings { subscribes_to_discovery: true, resubscribe_within: 6 * SECOND, ..settings() };
     let asks = |actions: &[Action]| actions.iter().filter(|a| **a == Action::Subscribe(true)).count();
     let mut node = Node::just_started(config, 3);
     assert_eq!(asks(&node.actions), 1);
@@ -947,16 +951,26 @@
     let share = |busy: f32| {
         let mut node =
             Node::new(Settings { load_fields: vec![LoadField::Other, LoadField::Busy], ..settings() }, 0);
-        let kinds = (1..=8).map(|id| ServerLine { kind: 2 + (id % 2) as u16, ..server(id) });
+        let kinds = (1..=8).map(|id| ServerEntry { machine_type: 2 + (id % 2) as u16, ..server(id) });
         node.list(ListKind::Full, kinds.chain([origin()]).collect());
         let mut odd = 0;
         for id in 1..=1500u64 {
             node.pass(20 * MS);
             let server = sent_to(&node.request(read(id, id))).unwrap();
             odd += usize::from(server % 2 == 1 && id > 1000);
-            let load = Load { count: 2, values: [9.0, if server % 2 == 1 { busy } else { 0.3 }, 0.0, 0.0] };
-            let (status, note) = (Status::Served, Note::None);
-            let o = Outcome { request: id, attempt: 0, server, status, over: true, note, took: MS, load };
+            let load =
+                LoadReport { count: 2, values: [9.0, if server % 2 == 1 { busy } else { 0.3 }, 0.0, 0.0] };
+            let (status, note) = (Status::Served, CacheResult::None);
+            let o = Outcome {
+                request: id,
+                attempt: 0,
+                server,
+                status,
+                request_finished: true,
+                cache_result: note,
+                duration: MS,
+                load,
+            };
             node.event(Event::Outcome(o));
         }
         odd
@@ -968,8 +982,8 @@
 /// The part of requests that go to the faster half of eight servers, of a kind that answers in 60 ms, not 120, of a node
 /// that asks every so often and is told of the kinds' paces by as many peers.
 fn share_of_the_faster(every: Micros, peers: u32, config: Settings) -> f64 {
-    let mut node = Node::new(Settings { balancers: 100, may_tell_peers: true, ..config }, 0);
-    let kinds = (1..=8).map(|id| ServerLine { kind: 2 + (id % 2) as u16, ..server(id) });
+    let mut node = Node::new(Settings { node_count: 100, may_send_to_peers: true, ..config }, 0);
+    let kinds = (1..=8).map(|id| ServerEntry { machine_type: 2 + (id % 2) as u16, ..server(id) });
     node.list(ListKind::Full, kinds.chain([origin()]).collect());
     let (mut faster, mut all) = (0.0, 0.0);
     let requests = 10 * SECOND / every;
@@ -1002,13 +1016,13 @@
     assert!((0.62..0.72).contains(&busy), "a node that sees enough knows by itself: {busy}");
     let told = share_of_the_faster(20 * MS, 20, Settings { tenants: Vec::new(), ..settings() });
     assert!((0.62..0.72).contains(&told), "and so does one that is told: {told}");
-    let sized = share_of_the_faster(10 * MS, 0, Settings { weights_are_sizes: true, ..settings() });
+    let sized = share_of_the_faster(10 * MS, 0, Settings { weights_are_capacities: true, ..settings() });
     assert!((0.45..0.55).contains(&sized), "sizes that are told tell of the pace, too: {sized}");
 }
 
 #[test]
 fn one_of_many_balancers_tells_its_peers_how_fast_each_kind_answers() {
-    let config = Settings { balancers: 2, may_tell_peers: true, ..settings() };
+    let config = Settings { node_count: 2, may_send_to_peers: true, ..settings() };
     let mut node = Node::new(config, 4);
     for id in 1..=40u64 {
         node.pass(20 * MS);
@@ -1016,7 +1030,7 @@
         node.outcome(id, 0, to, Status::Served);
     }
     let told = |a: &Action| match a {
-        Action::Tell { bytes, .. } => Some(bytes.clone()),
+        Action::SendToPeers { bytes, .. } => Some(bytes.clone()),
         _ => None,
     };
     let bytes = node.pass(2 * SECOND).iter().find_map(told).expect("peers are told");
@@ -1125,7 +1139,7 @@
 fn of_many_balancers_each_has_its_part_of_what_quotas_send_in_a_tenth_of_a_second() {
     let through = |quota_per_s: f64| {
         let tenants = vec![Tenant { quota_per_s }];
-        let mut node = Node::new(Settings { tenants, balancers: 20, ..settings() }, 3);
+        let mut node = Node::new(Settings { tenants, node_count: 20, ..settings() }, 3);
         // Every answer is quick: the limit rises to the most that it may.
         for id in 1..=400 {
             node.request(write(id, 1));
@@ -1143,14 +1157,14 @@
 fn a_list_that_shrinks_to_a_cold_server_does_not_send_it_the_whole_load() {
     // World `large`, seed 18: the list became empty but for two that had just started; both fell over.
     let at_cold = |warm_up: Micros| {
-        let mut node = Node::new(Settings { warm_up, ..settings() }, 10);
+        let mut node = Node::new(Settings { warm_up_time: warm_up, ..settings() }, 10);
         for id in 1..=1000 {
             let to = sent_to(&node.request(read(id, id))).unwrap();
             node.outcome(id, 0, to, Status::Served);
             node.pass(2 * MS);
         }
         let started = node.now;
-        node.list(ListKind::Full, vec![ServerLine { started, ..server(2) }]);
+        node.list(ListKind::Full, vec![ServerEntry { started_at: started, ..server(2) }]);
         let mut at_cold = 0;
         for id in 2001..=2500 {
             if let Some(to) = sent_to(&node.request(read(id, id))) {
@@ -1173,13 +1187,13 @@
 #[test]
 fn a_cold_server_that_falls_over_early_is_sent_less() {
     let at_cold = |fall_multiple: f64| {
-        let mut node = Node::new(Settings { fall_multiple, ..settings() }, 4);
+        let mut node = Node::new(Settings { collapse_multiple: fall_multiple, ..settings() }, 4);
         let (mut at_cold, mut id) = (0, 0);
         let mut started = 0;
         for second in 0..6 {
             if second == 3 {
                 started = node.now;
-                node.list(ListKind::Delta, vec![ServerLine { started, ..server(2) }]);
+                node.list(ListKind::Delta, vec![ServerEntry { started_at: started, ..server(2) }]);
             }
             for _ in 0..200 {
                 id += 1;
@@ -1196,9 +1210,12 @@
 }
 
 /// A node in a storm that serves little: ten reads a second.
-fn in_a_storm(damping: Damping) -> Node {
+fn in_a_storm(damping: StormMitigation) -> Node {
     let tenants = vec![Tenant { quota_per_s: 1e3 }];
-    let mut node = Node::new(Settings { tenants, damping, longest_advice: 2 * SECOND, ..settings() }, 3);
+    let mut node = Node::new(
+        Settings { tenants, storm_mitigation: damping, max_retry_after: 2 * SECOND, ..settings() },
+        3,
+    );
     for id in 1..=100 {
         let to = sent_to(&node.request(read(id, id))).unwrap();
         node.outcome(id, 0, to, Status::Served);
@@ -1217,28 +1234,28 @@
 
 #[test]
 fn in_a_storm_repeats_are_held_to_half_of_the_first_tries_and_first_tries_are_not() {
-    let sent = |damping: Damping| {
+    let sent = |damping: StormMitigation| {
         let mut node = in_a_storm(damping);
         let (mut first, mut again) = (0, 0);
         for id in 1001..=1040 {
             first += sends(&node.request(read(id, id)));
             for repeat in 0..4 {
                 let id = id * 10 + repeat;
-                again += sends(&node.request(Request { repeat: true, ..read(id, id) }));
+                again += sends(&node.request(Request { is_retry: true, ..read(id, id) }));
             }
         }
         (first, again)
     };
-    let (first, again) = sent(Damping::default());
+    let (first, again) = sent(StormMitigation::default());
     assert_eq!(first, 40);
     assert!((20..=30).contains(&again), "{again} of 160 repeats: half a first try each, and ten saved up");
-    assert_eq!(sent(Damping { repeats: false, ..Damping::default() }), (40, 160));
+    assert_eq!(sent(StormMitigation { limit_retries: false, ..StormMitigation::default() }), (40, 160));
 }
 
 #[test]
 fn those_refused_in_a_storm_come_back_one_behind_the_other_and_not_in_step() {
-    let mut node = in_a_storm(Damping::default());
-    let mut spend = (0..40).map(|i| node.request(Request { repeat: true, ..read(2000 + i, 7) }));
+    let mut node = in_a_storm(StormMitigation::default());
+    let mut spend = (0..40).map(|i| node.request(Request { is_retry: true, ..read(2000 + i, 7) }));
     let told: Vec<_> = spend.by_ref().filter_map(|actions| told(&actions)).collect();
     assert!(told.len() >= 28, "{told:?}");
     // Half of ten a second may come back, a repeat taking two places: 0.4 s each, until 2 s, which is all that a client
@@ -1259,7 +1276,7 @@
     }
     assert!(!refused(&node.request(write(21, 1)), 21), "the gate is shut, a first try waits");
     assert!(
-        refused(&node.request(Request { repeat: true, ..write(22, 1) }), 22),
+        refused(&node.request(Request { is_retry: true, ..write(22, 1) }), 22),
         "its window may end meanwhile"
     );
 }
@@ -1270,13 +1287,14 @@
 fn a_keyed_repeat_whose_answer_would_come_after_its_window_fails_at_once() {
     let window = 12 * SECOND;
     let classes = settings().classes;
-    let keyed = classes.iter().position(|c| matches!(c.effect, Effect::Keyed { .. })).expect("a keyed class");
-    let aim = classes[keyed].aim;
+    let keyed =
+        classes.iter().position(|c| matches!(c.effect, Effect::Deduplicated { .. })).expect("a keyed class");
+    let aim = classes[keyed].target_latency;
     let mut classes = classes;
-    classes[keyed].effect = Effect::Keyed { group: Group::All, window };
+    classes[keyed].effect = Effect::Deduplicated { scope: DedupScope::All, window };
     let node = || Node::new(Settings { classes: classes.clone(), ..settings() }, 3);
     let keyed = |id, key| Request { key, ..write(id, keyed) };
-    let again = |id, key| Request { repeat: true, ..keyed(id, key) };
+    let again = |id, key| Request { is_retry: true, ..keyed(id, key) };
     let fails = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Fail(_)));
     for (pass, sent) in [(window - aim - SECOND, true), (window - aim + MS, false), (window + SECOND, false)]
     {
--- a/crates/brassrouter/tests/properties.rs
+++ b/crates/brassrouter/tests/properties.rs
@@ -65,34 +65,37 @@
             (window, aim, ask_within),
             (turned, kept),
         )| {
-            let group = [Group::All, Group::Zone, Group::Cell][usize::from(group)];
+            let group = [DedupScope::All, DedupScope::Zone, DedupScope::Cell][usize::from(group)];
             let class = |effect| Class {
-                aim,
+                target_latency: aim,
                 deadline: 900_000,
                 effect,
-                only_zones: (bound == 1).then(|| vec![1]),
-                only_kinds: (bound == 2).then(|| vec![0]),
+                allowed_zones: (bound == 1).then(|| vec![1]),
+                allowed_machine_types: (bound == 2).then(|| vec![0]),
                 ..Class::default()
             };
-            let mut classes =
-                vec![class(Effect::Safe), class(Effect::Keyed { group, window }), class(Effect::Unsafe)];
+            let mut classes = vec![
+                class(Effect::Idempotent),
+                class(Effect::Deduplicated { scope: group, window }),
+                class(Effect::NonIdempotent),
+            ];
             classes.rotate_left(turned);
             classes.truncate(kept);
             Settings {
-                balancers,
+                node_count: balancers,
                 classes,
                 tenants: vec![Tenant { quota_per_s: 5.0 }; tenants],
-                ask_discovery: ask,
-                ask_within,
-                origin_kind: aside.then_some(ORIGIN_KIND),
-                weights_are_sizes: sizes,
+                subscribes_to_discovery: ask,
+                resubscribe_within: ask_within,
+                origin_machine_type: aside.then_some(ORIGIN_KIND),
+                weights_are_capacities: sizes,
                 max_attempts,
                 may_duplicate: duplicate,
                 may_cancel: cancel,
-                drain_close: close.then_some(400_000),
-                may_tell_peers: peers,
-                cold_share,
-                warm_up: 2_000_000,
+                drain_close_within: close.then_some(400_000),
+                may_send_to_peers: peers,
+                cold_capacity_share: cold_share,
+                warm_up_time: 2_000_000,
                 ..Settings::default()
             }
         },
@@ -121,7 +124,7 @@
     policy: Policy,
     now: u64,
     next: RequestId,
-    lines: BTreeMap<ServerId, ServerLine>,
+    lines: BTreeMap<ServerId, ServerEntry>,
     owed: BTreeMap<RequestId, Owed>,
     /// Attempts out: request, number, server.
     out: Vec<(RequestId, u16, ServerId)>,
@@ -136,13 +139,13 @@
 impl World {
     fn new(settings: Settings) -> Self {
         let policy = Policy::new(settings.clone(), 3);
-        let line = |id: ServerId| ServerLine {
+        let line = |id: ServerId| ServerEntry {
             id,
             zone: (id % 2) as u8,
             cell: (id % 3) as u16,
-            kind: if id >= 6 { ORIGIN_KIND } else { 0 },
+            machine_type: if id >= 6 { ORIGIN_KIND } else { 0 },
             weight: id as f32,
-            ..ServerLine::default()
+            ..ServerEntry::default()
         };
         let mut world = World {
             settings,
@@ -170,8 +173,8 @@
         self.note_drains(&event);
         if let Event::ServerList { kind, .. } = &event {
             let unsubscribed =
-                matches!(kind, ListKind::Cached | ListKind::Failed) && self.settings.ask_discovery;
-            self.ask_by = unsubscribed.then_some(self.now + self.settings.ask_within);
+                matches!(kind, ListKind::Cached | ListKind::Failed) && self.settings.subscribes_to_discovery;
+            self.ask_by = unsubscribed.then_some(self.now + self.settings.resubscribe_within);
         }
         let mut actions = Vec::new();
         self.policy.handle(self.now, event, &mut actions);
@@ -183,7 +186,7 @@
 
     /// The rule on closing: from a notice, and from the last outcome at a server known to drain.
     fn note_drains(&mut self, event: &Event) {
-        let Some(close) = self.settings.drain_close else { return };
+        let Some(close) = self.settings.drain_close_within else { return };
         let told: Vec<ServerId> = match event {
             Event::ServerList { servers, .. } => {
                 servers.iter().filter(|l| l.condition == Condition::Draining).map(|l| l.id).collect()
@@ -209,9 +212,9 @@
                 let line = &self.lines[server];
                 assert_eq!(line.condition, Condition::Ready, "a send to a draining or gone server");
                 let class = &self.settings.classes[owed.class];
-                let open = class.only_zones.as_ref().is_none_or(|z| z.contains(&line.zone))
-                    && class.only_kinds.as_ref().is_none_or(|k| k.contains(&line.kind));
-                let origin = self.settings.origin_kind == Some(line.kind);
+                let open = class.allowed_zones.as_ref().is_none_or(|z| z.contains(&line.zone))
+                    && class.allowed_machine_types.as_ref().is_none_or(|k| k.contains(&line.machine_type));
+                let origin = self.settings.origin_machine_type == Some(line.machine_type);
                 assert!(open || origin, "a send to a server that is not open to the class");
                 let made = owed.sent.iter().filter(|a| !a.local_failure).count();
                 assert!(made < self.settings.max_attempts as usize, "too many attempts");
@@ -219,15 +222,15 @@
                 assert!(self.settings.may_duplicate || owed.sent.iter().all(|a| !a.out), "two copies out");
                 let running: Vec<_> = owed.sent.iter().filter(|a| a.may_have_run).collect();
                 match self.settings.classes[owed.class].effect {
-                    Effect::Safe => {}
-                    Effect::Unsafe => assert!(running.is_empty(), "an unsafe request sent twice"),
-                    Effect::Keyed { group, window } => {
+                    Effect::Idempotent => {}
+                    Effect::NonIdempotent => assert!(running.is_empty(), "an unsafe request sent twice"),
+                    Effect::Deduplicated { scope: group, window } => {
                         for a in running {
                             let first = &self.lines[&a.server];
                             let same = match group {
-                                Group::All => true,
-                                Group::Zone => first.zone == line.zone,
-                                Group::Cell => first.cell == line.cell,
+                                DedupScope::All => true,
+                                DedupScope::Zone => first.zone == line.zone,
+                                DedupScope::Cell => first.cell == line.cell,
                             };
                             assert!(same && self.now < a.at + window, "a keyed request outside its group");
                         }
@@ -246,21 +249,23 @@
             }
             Action::Refuse { request, .. } => {
                 let owed = self.owed.remove(request).expect("a second final answer");
-                let safe = self.settings.classes[owed.class].effect == Effect::Safe;
+                let safe = self.settings.classes[owed.class].effect == Effect::Idempotent;
                 assert!(safe || owed.sent.iter().all(|a| !a.may_have_run), "a refusal of what may have run");
             }
             Action::Fail(request) => {
                 self.owed.remove(request).expect("a second final answer");
             }
             Action::Timer { after, .. } => self.timers.push(self.now + (*after).max(1)),
-            Action::Tell { bytes, .. } => assert!(self.settings.may_tell_peers && bytes.len() <= 256),
+            Action::SendToPeers { bytes, .. } => {
+                assert!(self.settings.may_send_to_peers && bytes.len() <= 256)
+            }
             Action::Cancel { request, attempt } => {
                 assert!(self.settings.may_cancel, "a cancel where none is allowed");
                 let known = self.out.iter().any(|(r, a, _)| r == request && a == attempt);
                 assert!(known, "a cancel of an attempt that is not out");
             }
             Action::CloseIdle(server) => drop(self.to_close.remove(server)),
-            Action::Subscribe(true) => self.ask_by = Some(self.now + self.settings.ask_within),
+            Action::Subscribe(true) => self.ask_by = Some(self.now + self.settings.resubscribe_within),
             Action::Probe(_) => panic!("not allowed here"),
             _ => {}
         }
@@ -292,7 +297,7 @@
                     class,
                     tenant,
                     key: *key,
-                    write: *write,
+                    is_write: *write,
                     time_left: *budget,
                     ..Request::default()
                 };
@@ -326,16 +331,16 @@
                     self.owed.remove(&request);
                 }
                 let over = !self.owed.contains_key(&request);
-                let (note, load) = (Note::None, Load::default());
+                let (note, load) = (CacheResult::None, LoadReport::default());
                 let before = self.log.len();
                 self.event(Event::Outcome(Outcome {
                     request,
                     attempt,
                     server,
                     status,
-                    over,
-                    note,
-                    took: 1,
+                    request_finished: over,
+                    cache_result: note,
+                    duration: 1,
                     load,
                 }));
                 let again = |a: &Action| matches!(a, Action::Send { request: of, .. } if *of == request);
@@ -347,7 +352,7 @@
             Step::Begin { which } if !self.out.is_empty() => {
                 let (request, attempt, _) = self.out[which % self.out.len()];
                 self.owed.remove(&request);
-                self.event(Event::AnswerBegan { request, attempt });
+                self.event(Event::ResponseStarted { request, attempt });
             }
             Step::Leave { which } if !self.owed.is_empty() => {
                 let id = *self.owed.keys().nth(which % self.owed.len()).unwrap();
@@ -359,7 +364,7 @@
                 let line = self.lines.get_mut(&id).unwrap();
                 line.condition =
                     [Condition::Ready, Condition::Draining, Condition::Gone][usize::from(*condition)];
-                line.started = if *restarted { self.now } else { line.started };
+                line.started_at = if *restarted { self.now } else { line.started_at };
                 let servers = vec![line.clone()];
                 self.event(Event::ServerList { kind: ListKind::Delta, servers });
             }
@@ -414,11 +419,16 @@
     let mut runner = TestRunner::new_with_rng(config, rng);
     let strategy = (3..9u32, 0.12..0.5f64, 10..40u64, any::<u64>());
     let result = runner.run(&strategy, |(servers, cold_share, gap_ms, seed)| {
-        let settings = Settings { cold_share, origin_kind: Some(ORIGIN_KIND), ..Settings::default() };
-        let (multiple, span, warm_up) = (settings.fall_multiple, settings.fall_after, settings.warm_up);
+        let settings = Settings {
+            cold_capacity_share: cold_share,
+            origin_machine_type: Some(ORIGIN_KIND),
+            ..Settings::default()
+        };
+        let (multiple, span, warm_up) =
+            (settings.collapse_multiple, settings.collapse_window, settings.warm_up_time);
         let mut policy = Policy::new(settings, seed);
         let (mut now, mut out, mut sends) = (60_000_000, Vec::new(), Vec::new());
-        let line = |id, started| ServerLine { id, started, ..ServerLine::default() };
+        let line = |id, started| ServerEntry { id, started_at: started, ..ServerEntry::default() };
         let all = (0..servers).map(|id| line(id, 0)).collect();
         policy.handle(now, Event::ServerList { kind: ListKind::Cached, servers: all }, &mut out);
         let started = now + 10_000_000;
@@ -439,8 +449,17 @@
             let Some(server) = to else { continue };
             sends.extend((server == 1 && now >= started).then_some(now));
             let (status, over) = (Status::Served, true);
-            let (note, load) = (Note::None, Load::default());
-            let o = Outcome { request: id, attempt: 0, server, status, over, note, took: 1_000, load };
+            let (note, load) = (CacheResult::None, LoadReport::default());
+            let o = Outcome {
+                request: id,
+                attempt: 0,
+                server,
+                status,
+                request_finished: over,
+                cache_result: note,
+                duration: 1_000,
+                load,
+            };
             policy.handle(now, Event::Outcome(o), &mut out);
         }
         let warm = span as f64 / (gap_ms as f64 * 1e3) / f64::from(servers);
--- a/crates/brassrouter/tests/quick_succession.rs
+++ b/crates/brassrouter/tests/quick_succession.rs
@@ -91,7 +91,7 @@
         node.pass(5 * MS);
     }
     let started = node.now;
-    let cold = ServerLine { started, ..server(2) };
+    let cold = ServerEntry { started_at: started, ..server(2) };
     node.list(ListKind::Delta, vec![cold.clone()]);
     // The first request that goes to one that stays is left out there.
     let (id, busy) = (1_000..1_100)
@@ -104,7 +104,7 @@
         })
         .expect("a request at a server that stays");
     let known = |node: &Node| {
-        let seen = |s: &ServerView| (s.id, s.part, s.cold.0, s.in_flight, s.condition);
+        let seen = |s: &ServerView| (s.id, s.key_share, s.slow_start_bucket.0, s.in_flight, s.condition);
         let mut servers: Vec<_> = node.policy.view(None).servers.iter().map(seen).collect();
         servers.retain(|s| s.0 != 6);
         servers
@@ -114,7 +114,7 @@
     assert!(before.iter().any(|s| s.0 == busy && s.3 > 0));
     for turn in 0..100 {
         // The sixth comes and goes; each list is whole, in another order.
-        let mut lines: Vec<ServerLine> =
+        let mut lines: Vec<ServerEntry> =
             all.iter().filter(|id| turn % 2 == 1 || **id != 6).map(|id| line(*id)).collect();
         lines.iter_mut().filter(|l| l.id == 2).for_each(|l| *l = cold.clone());
         lines.rotate_left(turn % 5);
--- a/crates/brassrouter/tests/succession.rs
+++ b/crates/brassrouter/tests/succession.rs
@@ -8,7 +8,7 @@
 
 /// A balancer that may have a good many calls out.
 fn busy() -> Node {
-    let settings = Settings { tenants: vec![Tenant { quota_per_s: 1000.0 }], balancers: 2, ..settings() };
+    let settings = Settings { tenants: vec![Tenant { quota_per_s: 1000.0 }], node_count: 2, ..settings() };
     Node::new(settings, 4)
 }
 
@@ -20,11 +20,11 @@
 
 /// A second process that goes on from the first, beside it.
 fn successor(old: &mut Node) -> Node {
-    let policy = handed_over(old).succeeded(99);
+    let policy = handed_over(old).into_successor(99);
     let mut new = Node { policy, now: old.now, actions: Vec::new(), timers: Vec::new() };
-    old.event(Event::Sharing(2));
-    new.event(Event::Sharing(2));
-    new.event(Event::Legacy(old.policy.legacy()));
+    old.event(Event::ProcessCount(2));
+    new.event(Event::ProcessCount(2));
+    new.event(Event::Inherited(old.policy.inheritable_state()));
     new
 }
 
@@ -46,10 +46,10 @@
     let view = old.policy.view(None);
     let new = successor(&mut old);
     let seen = new.policy.view(None);
-    assert_eq!(seen.level, view.level, "what was learned goes on");
-    assert!(seen.level < Node::just_started(settings(), 4).policy.view(None).level);
-    assert_eq!(new.policy.list(), old.policy.list());
-    assert_eq!((view.open, seen.open), (1, 0));
+    assert_eq!(seen.admission_level, view.admission_level, "what was learned goes on");
+    assert!(seen.admission_level < Node::just_started(settings(), 4).policy.view(None).admission_level);
+    assert_eq!(new.policy.listed_servers(), old.policy.listed_servers());
+    assert_eq!((view.open_requests, seen.open_requests), (1, 0));
     assert_eq!(view.servers.iter().map(|s| s.in_flight).sum::<u32>(), 1);
     assert_eq!(seen.servers.iter().map(|s| s.in_flight).sum::<u32>(), 0);
 }
@@ -96,8 +96,8 @@
         let out = fetches(&mut old, 1, 400);
         assert!(out > 0);
         // Killed: what was last heard of it may still run, until its time is over.
-        new.event(Event::Sharing(1));
-        new.event(Event::Legacy(old.policy.legacy()));
+        new.event(Event::ProcessCount(1));
+        new.event(Event::Inherited(old.policy.inheritable_state()));
         new.pass(later);
         let more = fetches(&mut new, 10_000, 400);
         if later == 0 {
@@ -115,7 +115,7 @@
     assert_eq!(sent_to(&old.request(first.clone())), Some(ORIGIN));
     let mut new = successor(&mut old);
     new.pass(150 * MS);
-    let repeat = Request { id: 2, repeat: true, ..first };
+    let repeat = Request { id: 2, is_retry: true, ..first };
     let told = new.request(repeat.clone());
     assert!(sends(&told) == 0 && failed(&told, 2), "sent again past its window: {told:?}");
     // A process that was told nothing sends it: that is what the handover is for.
--- a/crates/chalksill/src/explore.rs
+++ b/crates/chalksill/src/explore.rs
@@ -184,7 +184,7 @@
         };
         let mut inherited = 0;
         let (outcome, policy) = replay::play(&mut open()?, Start::Recorded, swap, |step| {
-            inherited += u64::from(matches!(step.entry.body, Body::Told { event: Event::Legacy(_), .. }));
+            inherited += u64::from(matches!(step.entry.body, Body::Told { event: Event::Inherited(_), .. }));
         })
         .map_err(named)?;
         if let Some(e) = unreadable {
--- a/crates/chalksill/src/record.rs
+++ b/crates/chalksill/src/record.rs
@@ -610,9 +610,9 @@
                         s.id,
                         s.condition,
                         s.in_flight,
-                        s.bound,
-                        s.part * 100.0,
-                        s.warmth * 100.0,
+                        s.load_bound,
+                        s.key_share * 100.0,
+                        s.capacity_share * 100.0,
                         tell::ms(s.backlog)
                     );
                 }
