--- a/crates/drill/src/codec.rs
+++ b/crates/drill/src/codec.rs
@@ -1,7 +1,8 @@
 //! Frames of the wire: batches of event records in, replies of action records out.
 
 use brassrouter::{
-    Action, Condition, ListKind, Load, Micros, Note, Outcome, Request, ServerId, ServerLine, Status,
+    Action, CacheResult, Condition, ListKind, LoadReport, Micros, Outcome, Request, ServerEntry, ServerId,
+    Status,
 };
 
 /// Size of a batch header.
@@ -57,7 +58,7 @@
         /// Number of the list.
         number: u16,
         /// Its lines.
-        lines: Vec<ServerLine>,
+        lines: Vec<ServerEntry>,
     },
     /// An instance is killed.
     Stop(u16),
@@ -89,13 +90,13 @@
             return Ok(Record::Start { node, seed: u64_at(r, 3), settings });
         }
         6 => brassrouter::Event::Probed {
-            ok: u16_at(r, 3) == 200,
-            took: u32_at(r, 5).into(),
+            succeeded: u16_at(r, 3) == 200,
+            duration: u32_at(r, 5).into(),
             server: u32_at(r, 9),
             load: load(r, 13),
         },
         7 => return Ok(Record::Stop(node)),
-        8 => brassrouter::Event::AnswerBegan { request: u64_at(r, 3), attempt: u16_at(r, 15) },
+        8 => brassrouter::Event::ResponseStarted { request: u64_at(r, 3), attempt: u16_at(r, 15) },
         9 => {
             let part = tail_part(tail, r, 3, LINE_SIZE)?;
             let lines = part.chunks_exact(LINE_SIZE).map(line).collect::<Result<_, _>>()?;
@@ -126,8 +127,8 @@
         id: u64_at(r, 3),
         tenant: u16_at(r, 11).into(),
         cost: (marks & 1 != 0).then(|| u32_at(r, 15).into()),
-        repeat: marks & 2 != 0,
-        write: marks & 4 != 0,
+        is_retry: marks & 2 != 0,
+        is_write: marks & 4 != 0,
         class: r[14].into(),
         key: u64_at(r, 19),
         size: f32_at(r, 27),
@@ -149,42 +150,42 @@
         other => return Err(format!("unknown outcome {other}")),
     };
     let note = match u32_at(r, 11) {
-        1 => Note::Hit,
-        2 => Note::Miss,
-        3 => Note::MissBeingFetched,
-        _ => Note::None,
+        1 => CacheResult::Hit,
+        2 => CacheResult::Miss,
+        3 => CacheResult::MissBeingFetched,
+        _ => CacheResult::None,
     };
     Ok(Outcome {
         request: u64_at(r, 3),
-        note,
-        took: u32_at(r, 15).into(),
+        cache_result: note,
+        duration: u32_at(r, 15).into(),
         attempt: u16_at(r, 19),
-        over: r[21] != 0,
+        request_finished: r[21] != 0,
         status,
         server: u32_at(r, 24),
         load: load(r, 28),
     })
 }
 
-fn load(r: &[u8], at: usize) -> Load {
+fn load(r: &[u8], at: usize) -> LoadReport {
     let values = std::array::from_fn(|i| f32_at(r, at + 1 + 4 * i));
-    Load { count: r[at].min(4), values }
+    LoadReport { count: r[at].min(4), values }
 }
 
-fn line(r: &[u8]) -> Result<ServerLine, String> {
+fn line(r: &[u8]) -> Result<ServerEntry, String> {
     let condition = match r[9] {
         0 => Condition::Gone,
         1 => Condition::Ready,
         2 => Condition::Draining,
         other => return Err(format!("census line with unknown condition {other}")),
     };
-    Ok(ServerLine {
+    Ok(ServerEntry {
         zone: r[0],
-        started: u64_at(r, 1),
+        started_at: u64_at(r, 1),
         condition,
         id: u32_at(r, 10),
         cell: u16_at(r, 14),
-        kind: u16_at(r, 16),
+        machine_type: u16_at(r, 16),
         weight: f32_at(r, 18),
     })
 }
@@ -231,7 +232,7 @@
         let mut r = [0u8; ACTION_SIZE];
         r[1..3].copy_from_slice(&node.to_le_bytes());
         match action {
-            Action::Send { request, server, give_up_after } => {
+            Action::Send { request, server, timeout: give_up_after } => {
                 r[0] = 1;
                 put(&mut r, 3, &request.to_le_bytes());
                 put(&mut r, 11, &server.to_le_bytes());
@@ -258,7 +259,7 @@
             }
             Action::Probe(server) => self.name_server(&mut r, 6, *server),
             Action::CloseIdle(server) => self.name_server(&mut r, 7, *server),
-            Action::Tell { to, bytes } => {
+            Action::SendToPeers { to, bytes } => {
                 r[0] = 8;
                 put(&mut r, 3, &to.unwrap_or(u32::MAX).to_le_bytes());
                 self.put_tail(&mut r, 7, bytes);
@@ -342,7 +343,7 @@
         let (i, s) = (id.to_le_bytes(), server.to_le_bytes());
         let cases = [
             (
-                Action::Send { request: id, server, give_up_after: 80_000 },
+                Action::Send { request: id, server, timeout: 80_000 },
                 record(1, &[(3, &i), (11, &s), (15, &80_000u32.to_le_bytes())]),
             ),
             (
@@ -357,8 +358,11 @@
             ),
             (Action::Probe(server), record(6, &[(3, &s)])),
             (Action::CloseIdle(server), record(7, &[(3, &s)])),
-            (Action::Tell { to: None, bytes: b"hi".to_vec() }, record(8, &[(3, &[0xff; 4]), (7, &tail)])),
-            (Action::Tell { to: Some(4), bytes: b"hi".to_vec() }, record(8, &[(3, &[4]), (7, &tail)])),
+            (
+                Action::SendToPeers { to: None, bytes: b"hi".to_vec() },
+                record(8, &[(3, &[0xff; 4]), (7, &tail)]),
+            ),
+            (Action::SendToPeers { to: Some(4), bytes: b"hi".to_vec() }, record(8, &[(3, &[4]), (7, &tail)])),
             (Action::Log("hi".into()), record(9, &[(3, &tail)])),
             (Action::Fault("hi".into()), record(10, &[(3, &tail)])),
             (Action::Subscribe(true), record(11, &[(3, &[1])])),
@@ -368,7 +372,7 @@
         for (action, expected) in cases {
             let (got, rest) = encoded(action.clone());
             assert_eq!(got, expected, "{action:?}");
-            let text = matches!(action, Action::Tell { .. } | Action::Log(_) | Action::Fault(_));
+            let text = matches!(action, Action::SendToPeers { .. } | Action::Log(_) | Action::Fault(_));
             assert_eq!(rest, if text { b"hi".to_vec() } else { Vec::new() });
         }
     }
@@ -395,22 +399,22 @@
             class: 2,
             tenant: 1,
             key: 5,
-            write: true,
-            repeat: true,
+            is_write: true,
+            is_retry: true,
             time_left: 256,
             cost: Some(50),
             size: 0.0,
         };
         assert_eq!(read_record(&body, 2, 0), Ok(Record::Event(0, brassrouter::Event::Request(request))));
-        let load = Load { count: 1, values: [1.5, 0.0, 0.0, 0.0] };
+        let load = LoadReport { count: 1, values: [1.5, 0.0, 0.0, 0.0] };
         let outcome = Outcome {
             request: 9,
             attempt: 1,
             server: 6,
             status: Status::Full,
-            over: true,
-            note: Note::MissBeingFetched,
-            took: 40,
+            request_finished: true,
+            cache_result: CacheResult::MissBeingFetched,
+            duration: 40,
             load,
         };
         assert_eq!(read_record(&body, 2, 1), Ok(Record::Event(0, brassrouter::Event::Outcome(outcome))));
--- a/crates/drill/src/main.rs
+++ b/crates/drill/src/main.rs
@@ -6,7 +6,7 @@
 use std::io::{self, Read, Write};
 use std::process::ExitCode;
 
-use brassrouter::{Action, Event, ListKind, Micros, Policy, ServerLine, settings};
+use brassrouter::{Action, Event, ListKind, Micros, Policy, ServerEntry, settings};
 use codec::{BATCH_HEADER, BatchHeader, Record, Reply};
 
 /// Numbered lists run from 0 to this, exclusive.
@@ -22,7 +22,7 @@
 #[derive(Default)]
 struct Host {
     instances: HashMap<u16, Instance>,
-    lists: [Option<Vec<ServerLine>>; LISTS],
+    lists: [Option<Vec<ServerEntry>>; LISTS],
     actions: Vec<Action>,
     reply: Reply,
 }
@@ -40,7 +40,7 @@
     fn record(&mut self, now: Micros, record: Record<'_>) -> Result<(), String> {
         match record {
             Record::Start { node, seed, settings } => {
-                let settings = settings::read(settings)?.decisions;
+                let settings = settings::parse(settings)?.policy;
                 let (classes, tenants) = (settings.classes.len(), settings.tenants.len());
                 let policy = Policy::new(settings, seed);
                 self.instances.insert(node, Instance { policy, classes, tenants });
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -7,7 +7,7 @@
 
 use std::fmt;
 
-use brassrouter::Legacy;
+use brassrouter::InheritedState;
 use serde::{Deserialize, Serialize};
 
 /// Begins each frame.
@@ -25,43 +25,43 @@
     /// From the new process: it would take the place of the other.
     Hello {
         /// The name of its node.
-        name: String,
+        node_name: String,
         /// The layout of the module's state that it can go on from.
-        layout: u32,
+        state_layout: u32,
     },
     /// From the old process: what it knows.
-    State(State),
+    State(PredecessorState),
     /// From the old process: it hands nothing over, and why.
     Declined(String),
     /// From the old process: what it would leave behind if it ended now.
-    Left(Left),
+    Remaining(RemainingResources),
 }
 
 /// What the old process knows.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct State {
+pub struct PredecessorState {
     /// The version of its list of servers; told to the node itself also where nothing else of this is.
-    pub revision: u64,
+    pub list_revision: u64,
     /// The list, in discovery's form.
     pub list: Vec<u8>,
     /// The decision module's state, in the layout asked for; empty where it has another.
-    pub module: Vec<u8>,
+    pub module_state: Vec<u8>,
     /// What it would leave behind.
-    pub left: Left,
+    pub remaining: RemainingResources,
 }
 
 /// What a process would leave behind.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct Left {
+pub struct RemainingResources {
     /// Calls at the origin, its tally, and keyed writes in their window.
-    pub legacy: Legacy,
+    pub inherited: InheritedState,
     /// Descriptors that it holds.
     pub descriptors: u32,
 }
 
 /// What came is no message.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Bad {
+pub enum DecodeError {
     /// It does not begin as a frame does.
     Foreign,
     /// A frame of another version.
@@ -74,14 +74,14 @@
     Unreadable,
 }
 
-impl fmt::Display for Bad {
+impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Bad::Foreign => f.write_str("no frame of a handover"),
-            Bad::Version(version) => write!(f, "a frame of version {version}, not {VERSION}"),
-            Bad::TooLong(length) => write!(f, "a message of {length} bytes"),
-            Bad::Checksum => f.write_str("a wrong checksum"),
-            Bad::Unreadable => f.write_str("a message that can't be read"),
+            DecodeError::Foreign => f.write_str("no frame of a handover"),
+            DecodeError::Version(version) => write!(f, "a frame of version {version}, not {VERSION}"),
+            DecodeError::TooLong(length) => write!(f, "a message of {length} bytes"),
+            DecodeError::Checksum => f.write_str("a wrong checksum"),
+            DecodeError::Unreadable => f.write_str("a message that can't be read"),
         }
     }
 }
@@ -90,10 +90,10 @@
 ///
 /// # Errors
 /// It is longer than [`LONGEST`].
-pub fn encode(message: &Message) -> Result<Vec<u8>, Bad> {
-    let body = postcard::to_allocvec(message).map_err(|_| Bad::Unreadable)?;
+pub fn encode(message: &Message) -> Result<Vec<u8>, DecodeError> {
+    let body = postcard::to_allocvec(message).map_err(|_| DecodeError::Unreadable)?;
     if body.len() > LONGEST {
-        return Err(Bad::TooLong(body.len()));
+        return Err(DecodeError::TooLong(body.len()));
     }
     let mut frame = Vec::with_capacity(HEAD + body.len());
     frame.extend(MAGIC);
@@ -118,11 +118,11 @@
     ///
     /// # Errors
     /// What came is none. Nothing behind it can be read either.
-    pub fn message(&mut self) -> Result<Option<Message>, Bad> {
+    pub fn next_message(&mut self) -> Result<Option<Message>, DecodeError> {
         let here = &self.0;
         let begin = MAGIC.len().min(here.len());
         if here[..begin] != MAGIC[..begin] {
-            return Err(Bad::Foreign);
+            return Err(DecodeError::Foreign);
         }
         if here.len() < HEAD {
             return Ok(None);
@@ -130,19 +130,19 @@
         let four = |at: usize| u32::from_le_bytes([here[at], here[at + 1], here[at + 2], here[at + 3]]);
         let version = u16::from_le_bytes([here[4], here[5]]);
         if version != VERSION {
-            return Err(Bad::Version(version));
+            return Err(DecodeError::Version(version));
         }
         let (length, checksum) = (four(6) as usize, four(10));
         if length > LONGEST {
-            return Err(Bad::TooLong(length));
+            return Err(DecodeError::TooLong(length));
         }
         let Some(body) = here.get(HEAD..HEAD + length) else { return Ok(None) };
         if crc32fast::hash(body) != checksum {
-            return Err(Bad::Checksum);
+            return Err(DecodeError::Checksum);
         }
         let message = match postcard::take_from_bytes(body) {
             Ok((message, [])) => message,
-            _ => return Err(Bad::Unreadable),
+            _ => return Err(DecodeError::Unreadable),
         };
         self.0.drain(..HEAD + length);
         Ok(Some(message))
--- a/crates/host/src/failure.rs
+++ b/crates/host/src/failure.rs
@@ -48,7 +48,7 @@
 
 impl AcceptFailure {
     /// Reads the error of a call that accepts.
-    pub fn of(error: &io::Error) -> AcceptFailure {
+    pub fn from_error(error: &io::Error) -> AcceptFailure {
         match number(error) {
             // The client closed before it was accepted, or a signal came.
             Some(libc::ECONNABORTED | libc::ECONNRESET | libc::EINTR) => AcceptFailure::ThisConnection,
@@ -87,7 +87,7 @@
 
 impl ConnectFailure {
     /// Reads the error of a call that connects.
-    pub fn of(error: &io::Error) -> ConnectFailure {
+    pub fn from_error(error: &io::Error) -> ConnectFailure {
         match number(error) {
             // No memory for the socket or its buffers, no descriptor free (of this process, of the machine), no place in
             // epoll's table.
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -26,7 +26,7 @@
 use bytes::BytesMut;
 use tokio::io::{AsyncRead, AsyncWrite};
 
-pub use machine::Machine;
+pub use machine::SystemHost;
 
 /// A machine as a program sees it. A clone is the same machine.
 pub trait Host: Clone + 'static {
@@ -95,7 +95,7 @@
     fn acknowledge_at_once(&self) {}
 
     /// Whether the other side is known to have ended its sending, though there may be something left to read.
-    fn other_side_has_ended(&self) -> bool;
+    fn remote_end_closed(&self) -> bool;
 }
 
 /// A TCP socket that waits for connections.
--- a/crates/host/src/machine.rs
+++ b/crates/host/src/machine.rs
@@ -10,12 +10,12 @@
 
 /// The machine that the program runs on.
 #[derive(Clone, Copy, Debug)]
-pub struct Machine {
+pub struct SystemHost {
     /// Stands before each line of the log.
     pub program: &'static str,
 }
 
-impl Machine {
+impl SystemHost {
     /// Goes on with a listener that was made elsewhere. Must run inside the runtime that will drive it.
     ///
     /// # Errors
@@ -25,7 +25,7 @@
     }
 }
 
-impl Host for Machine {
+impl Host for SystemHost {
     type Stream = MachineStream;
     type Listener = MachineListener;
     type Datagrams = MachineDatagrams;
--- a/crates/host/src/sockets.rs
+++ b/crates/host/src/sockets.rs
@@ -200,7 +200,7 @@
         }
     }
 
-    fn other_side_has_ended(&self) -> bool {
+    fn remote_end_closed(&self) -> bool {
         let half = match &self.half {
             ReadingHalf::Opened(half) => half,
             ReadingHalf::Accepted(connection) => return connection.other_side_has_ended(),
--- a/crates/host/tests/failing_calls.rs
+++ b/crates/host/tests/failing_calls.rs
@@ -8,12 +8,12 @@
 
 use bytes::BytesMut;
 use interposed::run_with_failing_calls;
-use mothpier_host::{Datagrams, Host, Listener, Machine, Reading, Stream};
+use mothpier_host::{Datagrams, Host, Listener, Reading, Stream, SystemHost};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::task::{LocalSet, spawn_local, yield_now};
 use tokio::time::timeout;
 
-const HOST: Machine = Machine { program: "test" };
+const HOST: SystemHost = SystemHost { program: "test" };
 /// Only what has hung takes so long.
 const HUNG: Duration = Duration::from_secs(20);
 /// Sent in pieces over each connection: more than the buffers of a socket hold.
--- a/crates/host/tests/failure.rs
+++ b/crates/host/tests/failure.rs
@@ -40,10 +40,10 @@
         libc::EPERM,
         libc::EINTR,
     ];
-    all(AcceptFailure::of, &connection, AcceptFailure::ThisConnection);
+    all(AcceptFailure::from_error, &connection, AcceptFailure::ThisConnection);
     let short = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM];
-    all(AcceptFailure::of, &short, AcceptFailure::OutOfResources);
-    all(AcceptFailure::of, &[libc::EINVAL, libc::EBADF], AcceptFailure::Other);
+    all(AcceptFailure::from_error, &short, AcceptFailure::OutOfResources);
+    all(AcceptFailure::from_error, &[libc::EINVAL, libc::EBADF], AcceptFailure::Other);
 }
 
 #[test]
@@ -58,9 +58,9 @@
         libc::ENETDOWN,
         libc::EINTR,
     ];
-    all(ConnectFailure::of, &local, ConnectFailure::Local);
+    all(ConnectFailure::from_error, &local, ConnectFailure::Local);
     let remote = [libc::ECONNREFUSED, libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::ECONNRESET];
-    all(ConnectFailure::of, &remote, ConnectFailure::Remote);
+    all(ConnectFailure::from_error, &remote, ConnectFailure::Remote);
 }
 
 #[test]
@@ -72,8 +72,11 @@
 #[test]
 fn an_error_without_a_number_is_read_by_its_kind() {
     assert_eq!(BindFailure::of(&ErrorKind::AddrInUse.into()), BindFailure::AddressInUse);
-    assert_eq!(AcceptFailure::of(&ErrorKind::ConnectionAborted.into()), AcceptFailure::ThisConnection);
-    assert_eq!(ConnectFailure::of(&ErrorKind::AddrNotAvailable.into()), ConnectFailure::Local);
-    assert_eq!(ConnectFailure::of(&ErrorKind::ConnectionRefused.into()), ConnectFailure::Remote);
-    assert_eq!(ConnectFailure::of(&io::Error::other("no number")), ConnectFailure::Remote);
+    assert_eq!(
+        AcceptFailure::from_error(&ErrorKind::ConnectionAborted.into()),
+        AcceptFailure::ThisConnection
+    );
+    assert_eq!(ConnectFailure::from_error(&ErrorKind::AddrNotAvailable.into()), ConnectFailure::Local);
+    assert_eq!(ConnectFailure::from_error(&ErrorKind::ConnectionRefused.into()), ConnectFailure::Remote);
+    assert_eq!(ConnectFailure::from_error(&io::Error::other("no number")), ConnectFailure::Remote);
 }
--- a/crates/inquest/src/cut.rs
+++ b/crates/inquest/src/cut.rs
@@ -70,7 +70,7 @@
 
 fn begin(header: &Header, policy: &Policy, at: Micros) -> Result<Writer, String> {
     let mut writer =
-        Writer::begin(&Header { at, servers: policy.list(), monotonic: None, ..header.clone() })?;
+        Writer::begin(&Header { at, servers: policy.listed_servers(), monotonic: None, ..header.clone() })?;
     writer.state(at, policy)?;
     Ok(writer)
 }
--- a/crates/inquest/src/merge.rs
+++ b/crates/inquest/src/merge.rs
@@ -64,7 +64,7 @@
         let mut talk = Talk::default();
         for bytes in &record.segments {
             let segment = open(&record.name, bytes)?;
-            talk.me = segment.header.settings.me;
+            talk.me = segment.header.settings.node_index;
             listen(segment, &mut talk);
         }
         talks.push(talk);
@@ -116,9 +116,9 @@
         event,
         Event::ServerList { .. }
             | Event::Storm(_)
-            | Event::Legacy(_)
-            | Event::Sharing(_)
-            | Event::Pool(_)
+            | Event::Inherited(_)
+            | Event::ProcessCount(_)
+            | Event::ZoneRouting(_)
             | Event::OriginAllowance(None)
     ) || actions.iter().any(failed)
 }
--- a/crates/inquest/src/tell.rs
+++ b/crates/inquest/src/tell.rs
@@ -36,8 +36,8 @@
             format!(
                 "request {}: {}{} {class} of {tenant}, key {:016x}, {} left{reference}",
                 r.id,
-                if r.repeat { "repeated " } else { "" },
-                if r.write { "write" } else { "read" },
+                if r.is_retry { "repeated " } else { "" },
+                if r.is_write { "write" } else { "read" },
                 r.key,
                 ms(r.time_left)
             )
@@ -49,8 +49,8 @@
             o.server,
             o.status,
             if o.status.proves_not_run() { " (did not run)" } else { "" },
-            ms(o.took),
-            if o.over { ", over" } else { "" }
+            ms(o.duration),
+            if o.request_finished { ", over" } else { "" }
         ),
         Event::Timer(_) => "timer".into(),
         Event::ServerList { kind, servers } => {
@@ -63,33 +63,33 @@
         }
         Event::PeerMessage { from, bytes } => format!("message of node {from}, {} bytes", bytes.len()),
         Event::ClientGone(request) => format!("request {request}: its client has left"),
-        Event::AnswerBegan { request, attempt } => {
+        Event::ResponseStarted { request, attempt } => {
             format!("request {request}: attempt {attempt} begins to answer")
         }
-        Event::Probed { server, ok, took, .. } => {
+        Event::Probed { server, succeeded: ok, duration: took, .. } => {
             format!("probe of server {server}: {} after {}", if *ok { "well" } else { "not well" }, ms(*took))
         }
         Event::Storm(on) => if *on { "a storm begins" } else { "the storm is over" }.into(),
-        Event::Pool(None) => "all zones are near".into(),
-        Event::Pool(Some(pool)) => {
+        Event::ZoneRouting(None) => "all zones are near".into(),
+        Event::ZoneRouting(Some(pool)) => {
             format!(
                 "zones lie in rings {:?}, {:.2} and {:.2} of the keys stay near",
-                pool.rings, pool.keep[0], pool.keep[1]
+                pool.zone_rings, pool.cumulative_key_shares[0], pool.cumulative_key_shares[1]
             )
         }
         Event::OriginAllowance(None) => "the origin is called as settings say".into(),
         Event::OriginAllowance(Some(allowance)) => format!(
             "at the origin {} calls may be out, {} may be begun ({} of them writes) until {}",
             allowance.outstanding,
-            allowance.calls,
-            allowance.kept_for_writes,
-            ms(allowance.until)
+            allowance.calls_left,
+            allowance.reserved_for_writes,
+            ms(allowance.expires_at)
         ),
-        Event::Sharing(processes) => format!("{processes} processes are this node now"),
-        Event::Legacy(left) => format!(
+        Event::ProcessCount(processes) => format!("{processes} processes are this node now"),
+        Event::Inherited(left) => format!(
             "left by an earlier life: {} calls at the origin, {} keyed writes",
-            left.calls.len(),
-            left.writes.len()
+            left.origin_calls.len(),
+            left.keyed_writes.len()
         ),
     }
 }
--- a/crates/inquest/src/why.rs
+++ b/crates/inquest/src/why.rs
@@ -58,7 +58,7 @@
     play(
         segment,
         Start::Recorded,
-        |policy, _| *counts.borrow_mut() = policy.unserved().collect(),
+        |policy, _| *counts.borrow_mut() = policy.refusal_counts().collect(),
         |step| {
             if request.is_none() {
                 request = which.arrival(step.entry).map(|id| (id, step.entry.at));
@@ -76,7 +76,7 @@
                     Noted::Refuse { .. } | Noted::Fail(_) => {
                         let before = counts.borrow();
                         // Its line about them resets the counts: then the reason can't be told apart.
-                        let reasons = before.iter().zip(step.policy.unserved());
+                        let reasons = before.iter().zip(step.policy.refusal_counts());
                         let reason =
                             reasons.filter(|((_, was), (_, is))| is > was).map(|(_, (name, _))| name);
                         because.push(format!("because: {}", reason.collect::<Vec<_>>().join(", ")));
@@ -102,14 +102,14 @@
 pub fn state(known: &View) -> String {
     format!(
         "level {:.2}, strain {:.3}{}, retries {:.1}, gate {} of {:.1} out ({} in this window), {} open",
-        known.level,
-        known.strain,
+        known.admission_level,
+        known.overload,
         if known.storm { ", in a storm" } else { "" },
         known.retry_budget,
-        known.gate_out[0],
+        known.gate_outstanding[0],
         known.gate_limit,
-        known.gate_tally[0],
-        known.open
+        known.gate_calls_in_window[0],
+        known.open_requests
     )
 }
 
@@ -131,9 +131,9 @@
     format!(
         "{} in flight with this one (bound {:.1}), keeps {:.0}% of its keys, {:.0}% warm, backlog {}",
         s.in_flight,
-        s.bound,
-        s.part * 100.0,
-        s.warmth * 100.0,
+        s.load_bound,
+        s.key_share * 100.0,
+        s.capacity_share * 100.0,
         tell::ms(s.backlog)
     )
 }
@@ -145,17 +145,22 @@
         Condition::Draining => all.push("it drains".to_owned()),
         Condition::Gone => all.push("it is gone".to_owned()),
     }
-    if s.ruled_out {
+    if s.excluded {
         all.push("the request has been there or may not go there".into());
     }
-    if f64::from(s.in_flight.saturating_sub(s.overtaken)) >= s.bound {
-        all.push(format!("{} in flight, over its bound of {:.1}", s.in_flight, s.bound));
+    if f64::from(s.in_flight.saturating_sub(s.overtaken)) >= s.load_bound {
+        all.push(format!("{} in flight, over its bound of {:.1}", s.in_flight, s.load_bound));
     }
-    if s.warmth < 1.0 {
-        all.push(format!("{:.0}% warm, bucket {:.1} of {:.1}", s.warmth * 100.0, s.cold.0, s.cold.1));
+    if s.capacity_share < 1.0 {
+        all.push(format!(
+            "{:.0}% warm, bucket {:.1} of {:.1}",
+            s.capacity_share * 100.0,
+            s.slow_start_bucket.0,
+            s.slow_start_bucket.1
+        ));
     }
-    if s.part < 1.0 {
-        all.push(format!("in trouble, keeps {:.0}% of its keys", s.part * 100.0));
+    if s.key_share < 1.0 {
+        all.push(format!("in trouble, keeps {:.0}% of its keys", s.key_share * 100.0));
     }
     if all.is_empty() {
         all.push(format!("no ground can be seen now ({})", server_line(s)));
--- a/crates/inquest/tests/known.rs
+++ b/crates/inquest/tests/known.rs
@@ -49,7 +49,11 @@
         );
         let bytes = std::fs::read(format!("{folder}/{file}")).expect("the record");
         let mut segment = Segment::open(&bytes).expect("a header");
-        assert_eq!(segment.header.state, brassrouter::STATE, "{file}: made by a module of another layout");
+        assert_eq!(
+            segment.header.state,
+            brassrouter::STATE_VERSION,
+            "{file}: made by a module of another layout"
+        );
         let (parting, first) = part(&mut segment).expect("it can be played");
         assert_eq!(segment.torn(), None, "{file}");
         let first = first.unwrap_or_else(|| panic!("{file}: nothing differs: {what} is back"));
--- a/crates/mothpier/src/handover.rs
+++ b/crates/mothpier/src/handover.rs
@@ -4,8 +4,8 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use brassrouter::STATE;
-use mothpier_handover::{Decoder, Message, State, encode};
+use brassrouter::STATE_VERSION;
+use mothpier_handover::{Decoder, Message, PredecessorState, encode};
 use mothpier_host::Host;
 use mothpier_node::handover::{Handover, Link};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -55,18 +55,22 @@
             HOST.log(format_args!("handover: {}: {e}; no other process can take over", path.display()));
         }
     });
-    Handover { before, successors }
+    Handover { predecessor: before, successors }
 }
 
 /// Asks who listens at a path; none is no error.
-async fn ask(path: &Path, name: &str, ended: oneshot::Sender<()>) -> Result<Option<(State, Link)>, String> {
+async fn ask(
+    path: &Path,
+    name: &str,
+    ended: oneshot::Sender<()>,
+) -> Result<Option<(PredecessorState, Link)>, String> {
     let stream = match UnixStream::connect(path).await {
         Ok(stream) => stream,
         Err(e) if matches!(e.kind(), ErrorKind::NotFound | ErrorKind::ConnectionRefused) => return Ok(None),
         Err(e) => return Err(format!("{}: {e}", path.display())),
     };
     let mut link = link(stream, Some(ended));
-    let _ = link.outbox.send(Message::Hello { name: name.into(), layout: STATE }).await;
+    let _ = link.outbox.send(Message::Hello { node_name: name.into(), state_layout: STATE_VERSION }).await;
     match link.inbox.recv().await {
         Some(Message::State(state)) => Ok(Some((state, link))),
         Some(Message::Declined(why)) => Err(why),
@@ -114,7 +118,7 @@
         while let Ok(length @ 1..) = reading.read(&mut buffer).await {
             decoder.push(&buffer[..length]);
             loop {
-                match decoder.message() {
+                match decoder.next_message() {
                     Ok(Some(message)) => {
                         if heard.send(message).await.is_err() {
                             return;
--- a/crates/mothpier/src/main.rs
+++ b/crates/mothpier/src/main.rs
@@ -9,11 +9,11 @@
 use std::sync::Arc;
 
 use mothpier_host::opening::listen_with_retry;
-use mothpier_host::{Host, Listener, Machine, inherited};
+use mothpier_host::{Host, Listener, SystemHost, inherited};
 use mothpier_node::config::{self, Config, Environment, Precedence};
-use mothpier_node::keys::Keys;
-use mothpier_node::{Control, Start, operator, ops, run};
-use mothpier_ops::Desk;
+use mothpier_node::keys::KeyHasher;
+use mothpier_node::{Control, StartOptions, operator, ops, run};
+use mothpier_ops::OpsEndpoint;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
@@ -23,7 +23,7 @@
 /// With what each of them begins.
 const VARIABLES_BEGIN: &str = "ROUTER_";
 
-const HOST: Machine = Machine { program: "mothpier" };
+const HOST: SystemHost = SystemHost { program: "mothpier" };
 
 fn main() -> ExitCode {
     // Before anything is opened: what has this number now is what was left open for this process.
@@ -77,12 +77,12 @@
     if let Some(path) = env("ROUTER_OPERATOR") {
         let text = std::fs::read_to_string(&path).map_err(|e| format!("cannot read {path}: {e}"))?;
         config.operator = operator::read(&text).map_err(|e| format!("{path}: {e}"))?;
-        config.operator.fits(&text, &config.site).map_err(|e| format!("{path}: {e}"))?;
+        config.operator.check_against(&text, &config.site).map_err(|e| format!("{path}: {e}"))?;
     }
     if let Some(path) = &config.operator.record.key_file {
         let named = |e: String| format!("{}: {e}", path.display());
         let text = std::fs::read_to_string(path).map_err(|e| named(e.to_string()))?;
-        config.keys = Keys::secret(&text).map_err(named)?;
+        config.key_hasher = KeyHasher::from_hex_secret(&text).map_err(named)?;
     }
     Ok(config)
 }
@@ -91,7 +91,7 @@
 /// has more to do than it can.
 fn staff(
     address: SocketAddr,
-    desk: Arc<Desk>,
+    desk: Arc<OpsEndpoint>,
     control: mpsc::Sender<Control>,
     descriptors: usize,
 ) -> Result<(), String> {
@@ -126,11 +126,11 @@
     // Taken from the start on: unhandled, this signal would end the node.
     let mut hangup = signal(SignalKind::hangup()).map_err(|e| e.to_string())?;
     let (control, told) = mpsc::channel(8);
-    config.notes.iter().for_each(|note| HOST.log(format_args!("{note}")));
+    config.warnings.iter().for_each(|note| HOST.log(format_args!("{note}")));
     unknown_variables().iter().for_each(|name| HOST.log(format_args!("nothing reads the variable {name}")));
-    let desk = Desk::new(&config.site.classes);
-    if let Some(address) = config.ops {
-        staff(address, desk.clone(), control.clone(), config.sockets)?;
+    let desk = OpsEndpoint::new(&config.site.class_names);
+    if let Some(address) = config.ops_listen {
+        staff(address, desk.clone(), control.clone(), config.max_descriptors)?;
     }
     let listener =
         listener.map(|l| HOST.adopt(l)).transpose().map_err(|e| format!("inherited listener: {e}"))?;
@@ -141,7 +141,7 @@
         Some(folder) => Some(handover::begin(folder, &config.name).await),
         None => None,
     };
-    let start = Start { recorder: recording::recorder(HOST, &config), listener, handover };
+    let start = StartOptions { recorder: recording::recorder(HOST, &config), listener, handover };
     let mut node = std::pin::pin!(run(HOST, config, desk, told, start));
     // Told to end: that waits for room where other words are before it, and is said once.
     let (mut ends, mut said) = (false, false);
@@ -167,8 +167,8 @@
             // what it has.
             Some(()) = hangup.recv() => match read(Precedence::File) {
                 Ok(config) => {
-                    let _ = control.try_send(Control::Record(config.operator.record.on));
-                    Control::Discovery(config.discovery)
+                    let _ = control.try_send(Control::SetRecording(config.operator.record.on));
+                    Control::SetDiscoveryAddress(config.discovery)
                 }
                 Err(e) => {
                     HOST.log(format_args!("the configuration stays as it was: {e}"));
--- a/crates/mothpier/src/recording.rs
+++ b/crates/mothpier/src/recording.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use brassrouter::Settings;
-use mothpier_host::{Host, Machine};
+use mothpier_host::{Host, SystemHost};
 use mothpier_node::config::Config;
-use mothpier_node::keys::Keys;
+use mothpier_node::keys::KeyHasher;
 use mothpier_record::Recorder;
 use mothpier_record::monotonic::{Now, Reading};
 use mothpier_record::recover::{Found, Recovery, Unseen};
@@ -23,7 +23,7 @@
 const FOLDER_WAIT: Duration = Duration::from_secs(1);
 
 /// The recorder, where the operator's file names a folder.
-pub fn recorder(host: Machine, config: &Config) -> Option<Recorder> {
+pub fn recorder(host: SystemHost, config: &Config) -> Option<Recorder> {
     let record = &config.operator.record;
     let folder = record.folder.as_ref()?;
     let now = Now { clock: host.unix_time().as_micros() as u64, monotonic: monotonic() };
@@ -39,11 +39,11 @@
         }
         None => None,
     };
-    let store = Store::start(Folder(folder.clone()), &record.figures)
+    let store = Store::start(Folder(folder.clone()), &record.tuning)
         .inspect_err(|e| host.log(format_args!("nothing is recorded: {e}")))
         .ok()?;
-    let secret = matches!(config.keys, Keys::Secret(_));
-    let recorder = Recorder::new(record.figures.clone(), record.on, Box::new(store), legacy)
+    let secret = matches!(config.key_hasher, KeyHasher::Secret(_));
+    let recorder = Recorder::new(record.tuning.clone(), record.on, Box::new(store), legacy)
         .about(concat!("mothpier ", env!("CARGO_PKG_VERSION")), secret)
         .monotonic(monotonic)
         .recovered_at(now.clock)
@@ -65,8 +65,9 @@
     let wanted = record.on && record.recover;
     let node = config.name.clone();
     // As the node will act on them.
-    let settings = Settings { damping: config.operator.storm.damping(), ..config.site.decisions.clone() };
-    let unseen = Unseen { span: (record.figures.hand_over_ms * 1000.0) as u64 };
+    let settings =
+        Settings { storm_mitigation: config.operator.storm.damping(), ..config.site.policy.clone() };
+    let unseen = Unseen { span: (record.tuning.hand_over_ms * 1000.0) as u64 };
     let (done, result) = mpsc::sync_channel(1);
     let (its_node, its_settings) = (node.clone(), settings.clone());
     let reads = move || {
--- a/crates/node/src/accepting.rs
+++ b/crates/node/src/accept_failures.rs
@@ -10,7 +10,7 @@
 
 /// Before the next try to accept, where that can't succeed at once: what is short may be free again by then, and a client
 /// hardly notices.
-pub(crate) const PAUSE: Duration = Duration::from_millis(20);
+pub(crate) const RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Failures in a row that are each followed by another try at once. Each takes one connection out of the queue, which
 /// holds no more of them in a bad moment; after so many it is the network that is down, and lasts.
 const AT_ONCE: u32 = 64;
@@ -21,16 +21,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Reaction {
     /// Another try: only the connection that was next is lost.
-    RetryAtOnce,
+    RetryImmediately,
     /// A pause.
     Pause,
     /// A connection is to be closed, and a pause.
-    MakeRoom,
+    EvictAndPause,
 }
 
 /// The failures of one listener.
 #[derive(Default)]
-pub(crate) struct Failures {
+pub(crate) struct AcceptFailureTracker {
     /// Since a connection was last accepted.
     in_a_row: u32,
     logged: Option<Instant>,
@@ -38,14 +38,14 @@
     unlogged: u64,
 }
 
-impl Failures {
+impl AcceptFailureTracker {
     /// A connection was accepted.
-    pub(crate) fn accepted(&mut self) {
+    pub(crate) fn record_success(&mut self) {
         self.in_a_row = 0;
     }
 
     /// Counts a failure, logs it where the last line is not too young, and tells what follows.
-    pub(crate) fn failed(
+    pub(crate) fn record_failure(
         &mut self,
         host: &impl Host,
         listener: impl fmt::Display,
@@ -53,10 +53,10 @@
     ) -> Reaction {
         self.in_a_row = self.in_a_row.saturating_add(1);
         self.log(host, listener, error);
-        match AcceptFailure::of(error) {
-            AcceptFailure::ThisConnection if self.in_a_row <= AT_ONCE => Reaction::RetryAtOnce,
+        match AcceptFailure::from_error(error) {
+            AcceptFailure::ThisConnection if self.in_a_row <= AT_ONCE => Reaction::RetryImmediately,
             AcceptFailure::ThisConnection | AcceptFailure::Other => Reaction::Pause,
-            AcceptFailure::OutOfResources => Reaction::MakeRoom,
+            AcceptFailure::OutOfResources => Reaction::EvictAndPause,
         }
     }
 
--- a/crates/node/src/accord.rs
+++ b/crates/node/src/agreement.rs
@@ -8,16 +8,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use brassrouter::Pool;
+use brassrouter::ZoneRouting;
 use mothpier_accord::{Config, Effect, Member, MemberId, Message, Millis, Timing};
 use mothpier_host::{Datagrams, Host};
-use mothpier_plan::{Evidence, How, Orders, Plan, Planner, State, Wish};
+use mothpier_plan::{Evidence, OrderKind, Plan, Planner, ZoneOrder, ZoneOrders, ZoneState};
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, sleep};
 
 use crate::input::Input;
-use crate::near::Nearby;
+use crate::locality::LocalityController;
 use crate::operator::Accord as Settings;
 
 /// Between two looks of the decider at what all members see.
@@ -35,7 +35,7 @@
 #[derive(Default)]
 pub struct Wanted {
     /// Keys' orders are taken so from now on.
-    pub pool: Option<Pool>,
+    pub pool: Option<ZoneRouting>,
     /// Clients are to go elsewhere from now on, or may come again.
     pub away: Option<bool>,
     /// Lines for people.
@@ -43,7 +43,7 @@
 }
 
 /// This node as a member.
-pub struct Accord<H: Host> {
+pub struct Agreement<H: Host> {
     member: Member,
     /// Its address; while another process of this node has it, this one takes no part.
     socket: Rc<OnceCell<H::Datagrams>>,
@@ -51,7 +51,7 @@
     inbox: AbortHandle,
     members: Arc<[SocketAddr]>,
     me: MemberId,
-    figures: mothpier_plan::Figures,
+    figures: mothpier_plan::Tuning,
     zones: Vec<String>,
     start: Instant,
     planner: Option<Planner>,
@@ -59,18 +59,18 @@
     acts_on: Plan,
     /// This node's own zone.
     zone: Option<usize>,
-    orders: Orders,
+    orders: ZoneOrders,
     /// What this node does by itself about zones that it can't reach and the plan keeps.
     own: Planner,
     apart: Vec<bool>,
     /// By zone, the order that people were last told of, and when.
-    told: Vec<(Option<How>, Instant)>,
+    told: Vec<(Option<OrderKind>, Instant)>,
     /// What the module was last told of each zone, and whether clients were told to go elsewhere.
     opened: Vec<f64>,
     away: bool,
 }
 
-impl<H: Host> Drop for Accord<H> {
+impl<H: Host> Drop for Agreement<H> {
     fn drop(&mut self) {
         self.inbox.abort();
     }
@@ -94,7 +94,7 @@
         }
     }
     let Some(socket) = socket.get() else { return };
-    let mut buffer = [0; mothpier_accord::MOST + 1];
+    let mut buffer = [0; mothpier_accord::MAX_MESSAGE_BYTES + 1];
     loop {
         let (length, sender) = mothpier_host::receiving::receive_with_backoff(socket, &mut buffer).await;
         let Some(member) = members.iter().position(|a| *a == sender) else { continue };
@@ -106,7 +106,7 @@
     }
 }
 
-impl<H: Host> Accord<H> {
+impl<H: Host> Agreement<H> {
     /// Opens the socket and begins to listen; `None` where it is switched off. Datagrams of strangers, and what is no message,
     /// are dropped. Where another process of this node may have the address, it is tried for until it is free.
     ///
@@ -118,7 +118,7 @@
         (me, seed): (u32, u64),
         (zones, zone): (Vec<String>, Option<u8>),
         events: mpsc::Sender<Input>,
-    ) -> Result<Option<Accord<H>>, String> {
+    ) -> Result<Option<Agreement<H>>, String> {
         let Some(listen) = settings.listen.filter(|_| settings.on) else { return Ok(None) };
         let socket = Rc::new(OnceCell::new());
         let opened = mothpier_host::opening::datagrams_with_retry(host, listen, shared).await;
@@ -136,7 +136,7 @@
         let (start, site_zones) = (Instant::now(), zones.len());
         // A seed is new with each start; a life is never 0, which stands for none.
         let life = (seed ^ (seed >> 32)) as u32 | 1;
-        Ok(Some(Accord {
+        Ok(Some(Agreement {
             member: Member::start(config, life, 0),
             socket,
             takes_part,
@@ -151,8 +151,8 @@
             plans_at: start,
             acts_on: Plan::default(),
             zone: zone.map(usize::from),
-            orders: Orders::default(),
-            own: Planner::alone(&settings.plan, site_zones, 0),
+            orders: ZoneOrders::default(),
+            own: Planner::for_single_node(&settings.plan, site_zones, 0),
             apart: vec![false; site_zones],
             opened: Vec::new(),
             away: false,
@@ -177,7 +177,7 @@
         if !self.takes_part {
             return LONGEST;
         }
-        let due = Duration::from_millis(self.member.due().saturating_sub(self.now()));
+        let due = Duration::from_millis(self.member.next_due().saturating_sub(self.now()));
         let plans = match self.planner {
             Some(_) => self.plans_at.saturating_duration_since(Instant::now()),
             None => LONGEST,
@@ -186,34 +186,34 @@
     }
 
     /// Time has gone on.
-    pub fn tick(&mut self, near: &mut Nearby) -> Wanted {
+    pub fn tick(&mut self, near: &mut LocalityController) -> Wanted {
         let mut seen = near.seen().evidence();
-        let ordered = self.orders.beyond(&self.acts_on.orders);
+        let ordered = self.orders.has_newer_than(&self.acts_on.orders);
         if ordered {
-            seen.orders = self.orders.told(self.now());
+            seen.orders = self.orders.messages(self.now());
         }
-        let tells = self.own.tells(&seen, &self.acts_on);
-        self.member.sees(tells.encode());
+        let tells = self.own.evidence_to_report(&seen, &self.acts_on);
+        self.member.set_evidence(tells.encode());
         let silent = seen.zones.iter().any(|(_, silent)| *silent >= HURRY);
-        self.member.hurries(silent || ordered || self.moves());
+        self.member.set_urgent(silent || ordered || self.moves());
         let now = self.now();
         // Orders are no matter of its own: they go before all that nodes see.
-        self.own.hear(now, self.me, Evidence { orders: Vec::new(), ..seen.clone() });
+        self.own.add_evidence(now, self.me, Evidence { orders: Vec::new(), ..seen.clone() });
         self.own.step(now);
         let mut out = Vec::new();
         if !self.takes_part {
             return self.carry_out(out, near);
         }
         self.member.tick(self.now(), &mut out);
-        if self.member.decides().is_some() && Instant::now() >= self.plans_at {
+        if self.member.leader_ballot().is_some() && Instant::now() >= self.plans_at {
             self.plans_at = Instant::now() + PLANS;
             let now = self.now();
             if let Some(planner) = &mut self.planner {
-                planner.hear(now, self.me, tells);
+                planner.add_evidence(now, self.me, tells);
                 let plan = planner.step(now).encode();
-                self.member.decide(now, plan, &mut out);
-                if let Some((number, _)) = self.member.acts_on() {
-                    planner.published(self.me, number.sequence);
+                self.member.set_plan(now, plan, &mut out);
+                if let Some((number, _)) = self.member.applied_plan() {
+                    planner.plan_published(self.me, number.sequence);
                 }
             }
         }
@@ -223,14 +223,14 @@
     /// Whether some zone is on its way; one that staff keep out, and that has no keys left, is not.
     fn moves(&self) -> bool {
         let plan = &self.acts_on;
-        let rests = |zone: usize| plan.open(zone) == 0.0 && plan.ordered(zone).is_some();
-        plan.zones.iter().enumerate().any(|(zone, z)| z.state != State::Serving && !rests(zone))
+        let rests = |zone: usize| plan.open_share(zone) == 0.0 && plan.active_order(zone).is_some();
+        plan.zones.iter().enumerate().any(|(zone, z)| z.state != ZoneState::Serving && !rests(zone))
     }
 
     /// Staff order something of a zone at this node.
-    pub fn order(&mut self, wish: Wish, near: &mut Nearby) -> Wanted {
+    pub fn order(&mut self, wish: ZoneOrder, near: &mut LocalityController) -> Wanted {
         let now = self.now();
-        match self.orders.give(now, self.me, wish, self.zones.len()) {
+        match self.orders.issue(now, self.me, wish, self.zones.len()) {
             Ok(()) => self.tick(near),
             Err(why) => Wanted {
                 lines: vec![format!("accord: staff's order is not taken: {why}")],
@@ -240,13 +240,13 @@
     }
 
     /// A message of a member has come.
-    pub fn told(&mut self, from: MemberId, message: Message, near: &mut Nearby) -> Wanted {
+    pub fn told(&mut self, from: MemberId, message: Message, near: &mut LocalityController) -> Wanted {
         let mut out = Vec::new();
         self.member.handle(self.now(), from, message, &mut out);
         self.carry_out(out, near)
     }
 
-    fn carry_out(&mut self, out: Vec<Effect>, near: &mut Nearby) -> Wanted {
+    fn carry_out(&mut self, out: Vec<Effect>, near: &mut LocalityController) -> Wanted {
         let mut wanted = Wanted::default();
         let mut effects = VecDeque::from(out);
         while let Some(effect) = effects.pop_front() {
@@ -260,54 +260,54 @@
                         let _ = socket.try_send_to(&bytes, *address);
                     }
                 }
-                Effect::Act(number, bytes) => {
+                Effect::ApplyPlan(number, bytes) => {
                     let Ok(plan) = Plan::decode(&bytes) else {
                         wanted.lines.push(format!(
                             "accord: plan {} of node {} can't be read, and is not acted on",
-                            number.sequence, number.tenure.voter
+                            number.sequence, number.term.voter
                         ));
                         continue;
                     };
-                    if plan.tell(&self.zones) != self.acts_on.tell(&self.zones) {
+                    if plan.describe(&self.zones) != self.acts_on.describe(&self.zones) {
                         let (round, voter, what) =
-                            (number.tenure.round, number.tenure.voter, plan.tell(&self.zones));
+                            (number.term.round, number.term.voter, plan.describe(&self.zones));
                         let number = number.sequence;
                         wanted.lines.push(format!("accord: plan {round}.{number} of node {voter}: {what}"));
                     }
                     let now = self.now();
-                    self.orders.hear(now, &plan.orders, self.zones.len());
+                    self.orders.merge(now, &plan.orders, self.zones.len());
                     self.acts_on = plan;
                 }
-                Effect::FallBack => {
+                Effect::DropPlan => {
                     wanted.lines.push("accord: nothing heard for too long: no plan is acted on".into());
                     self.acts_on = Plan::default();
                 }
-                Effect::Decides(ballot) => {
+                Effect::BecameLeader(ballot) => {
                     wanted
                         .lines
                         .push(format!("accord: this node decides from now on (round {})", ballot.round));
                     let (zones, now) = (self.zones.len(), self.now());
-                    let learns_until = self.member.learns_until().unwrap_or(now);
+                    let learns_until = self.member.recovery_ends().unwrap_or(now);
                     let figures = self.figures.clone();
                     self.planner =
-                        Some(Planner::takes_over(figures, zones, &self.acts_on, (now, learns_until)));
+                        Some(Planner::for_new_leader(figures, zones, &self.acts_on, (now, learns_until)));
                 }
-                Effect::Resigns => {
+                Effect::SteppedDown => {
                     wanted.lines.push("accord: this node no longer decides".into());
                     self.planner = None;
                 }
-                Effect::Follows(from, sequence) => {
+                Effect::PlanApplied(from, sequence) => {
                     if let Some(planner) = &mut self.planner {
-                        planner.follows(from, sequence);
+                        planner.plan_applied(from, sequence);
                     }
                 }
-                Effect::Learns(bytes) => effects.extend(self.learn(&bytes)),
+                Effect::RecoveredPlan(bytes) => effects.extend(self.learn(&bytes)),
                 Effect::Evidence(from, bytes) => {
                     let now = self.now();
                     if let (Some(planner), Ok(evidence)) = (&mut self.planner, Evidence::decode(&bytes)) {
                         // What this node knows of orders lives on in the plan when it has ceased to decide.
-                        self.orders.hear(now, &evidence.orders, self.zones.len());
-                        planner.hear(now, from, evidence);
+                        self.orders.merge(now, &evidence.orders, self.zones.len());
+                        planner.add_evidence(now, from, evidence);
                     }
                 }
             }
@@ -320,9 +320,9 @@
     fn learn(&mut self, bytes: &[u8]) -> Vec<Effect> {
         let (mut out, now) = (Vec::new(), self.now());
         if let (Some(planner), Ok(plan)) = (&mut self.planner, Plan::decode(bytes))
-            && planner.adopt(now, &plan)
+            && planner.adopt_predecessor_plan(now, &plan)
         {
-            self.member.decide(now, planner.plan(now).encode(), &mut out);
+            self.member.set_plan(now, planner.plan(now).encode(), &mut out);
         }
         out
     }
@@ -330,15 +330,15 @@
     /// The part of its keys that goes to each zone: as the plan says, and without one as staff have ordered. A plan of somebody who
     /// has yet to hear of an order, or who begins anew with its steps, gives no keys back to what staff keep out.
     fn opens(&self) -> Vec<f64> {
-        let planned = self.member.acts_on().is_some();
+        let planned = self.member.applied_plan().is_some();
         let own = self.own.plan(self.now());
         let one = |zone: usize| {
-            let planned_open = if planned { self.acts_on.open(zone) } else { 1.0 };
-            let open = planned_open.min(own.open(zone));
-            match self.orders.of(zone, self.now()) {
+            let planned_open = if planned { self.acts_on.open_share(zone) } else { 1.0 };
+            let open = planned_open.min(own.open_share(zone));
+            match self.orders.active(zone, self.now()) {
                 Some((how, _)) if how.is_out() && !planned => 0.0,
                 Some((how, _)) if how.is_out() => open.min(self.opened.get(zone).copied().unwrap_or(1.0)),
-                Some((How::In, _)) => planned_open,
+                Some((OrderKind::KeepIn, _)) => planned_open,
                 _ => open,
             }
         };
@@ -347,12 +347,13 @@
 
     /// Whether clients are to leave this node. Where all zones are drained none is: somebody has to serve.
     fn leaves(&self) -> bool {
-        let drained = |z: usize| self.orders.of(z, self.now()).is_some_and(|(how, _)| how == How::Drained);
+        let drained =
+            |z: usize| self.orders.active(z, self.now()).is_some_and(|(how, _)| how == OrderKind::Drain);
         self.zone.is_some_and(drained) && !(0..self.zones.len()).all(drained)
     }
 
     /// Does what has changed by plans, by orders, or by time alone, and tells people of orders.
-    fn obey(&mut self, wanted: &mut Wanted, near: &mut Nearby) {
+    fn obey(&mut self, wanted: &mut Wanted, near: &mut LocalityController) {
         let open = self.opens();
         if open != self.opened {
             wanted.pool = Some(near.act_on(open.clone()));
@@ -360,7 +361,7 @@
         }
         let own = self.own.plan(self.now());
         for (zone, apart) in self.apart.iter_mut().enumerate() {
-            let now = own.zones.get(zone).is_some_and(|z| z.state == State::GivenUp);
+            let now = own.zones.get(zone).is_some_and(|z| z.state == ZoneState::GivenUp);
             if std::mem::replace(apart, now) != now {
                 let name = &self.zones[zone];
                 wanted.lines.push(match now {
@@ -375,19 +376,19 @@
         }
         let now = self.now();
         for (zone, (told, at)) in self.told.iter_mut().enumerate() {
-            let order = self.orders.of(zone, now);
+            let order = self.orders.active(zone, now);
             let how = order.map(|(how, _)| how);
             if how == *told && (how.is_none() || at.elapsed() < REMIND) {
                 continue;
             }
-            let (name, by) = (&self.zones[zone], self.orders.by(zone).unwrap_or_default());
+            let (name, by) = (&self.zones[zone], self.orders.issued_by(zone).unwrap_or_default());
             let still = if how == *told { "still " } else { "" };
             let what = match order {
                 None => "no longer kept in or out by staff: what nodes see decides".into(),
                 Some((how, left)) => {
                     let kept = match how {
-                        How::In => "kept in",
-                        How::Drained => "kept out, its clients sent elsewhere,",
+                        OrderKind::KeepIn => "kept in",
+                        OrderKind::Drain => "kept out, its clients sent elsewhere,",
                         _ => "kept out",
                     };
                     format!("{kept} by staff for {} s more (ordered at node {by})", left.div_ceil(1000))
@@ -401,27 +402,27 @@
     /// What holds, for the board: by zone whether staff keep it out, and all of it as a value.
     pub fn status(&self) -> (Vec<bool>, serde_json::Value) {
         let now = self.now();
-        let plan = self.member.acts_on().map(|(number, _)| {
-            let heard = now.saturating_sub(self.member.confirmed().unwrap_or(now));
+        let plan = self.member.applied_plan().map(|(number, _)| {
+            let heard = now.saturating_sub(self.member.confirmed_at().unwrap_or(now));
             serde_json::json!({
-                "round": number.tenure.round, "node": number.tenure.voter, "sequence": number.sequence,
-                "heard_ms": heard, "says": self.acts_on.tell(&self.zones),
+                "round": number.term.round, "node": number.term.voter, "sequence": number.sequence,
+                "heard_ms": heard, "says": self.acts_on.describe(&self.zones),
             })
         });
-        let orders: Vec<_> = (0..self.zones.len()).map(|z| self.orders.of(z, now)).collect();
+        let orders: Vec<_> = (0..self.zones.len()).map(|z| self.orders.active(z, now)).collect();
         let zones = self.zones.iter().enumerate().map(|(z, name)| {
-            let planned = self.acts_on.zones.get(z).map_or("serving", |zone| zone.state.word());
+            let planned = self.acts_on.zones.get(z).map_or("serving", |zone| zone.state.as_str());
             let order = orders[z].map(|(how, left)| {
                 let left_s = left.div_ceil(1000);
-                serde_json::json!({"how": how.word(), "left_s": left_s, "node": self.orders.by(z)})
+                serde_json::json!({"how": how.as_str(), "left_s": left_s, "node": self.orders.issued_by(z)})
             });
-            let why = self.planner.as_ref().and_then(|p| p.why(z));
+            let why = self.planner.as_ref().and_then(|p| p.vote_counts(z));
             let why = why.map(|(lost, well)| serde_json::json!({"lost": lost, "well": well}));
             let open = self.opened.get(z).copied().unwrap_or(1.0);
             serde_json::json!({"zone": name, "planned": planned, "open": open, "order": order, "seen": why})
         });
         let status = serde_json::json!({
-            "decides": self.member.decides().is_some(), "plan": plan, "away": self.away,
+            "decides": self.member.leader_ballot().is_some(), "plan": plan, "away": self.away,
             "zones": zones.collect::<Vec<_>>(),
         });
         let out = orders.iter().map(|o| o.is_some_and(|(how, _)| how.is_out())).collect();
--- a/crates/node/src/clients/answers.rs
+++ b/crates/node/src/clients/answers.rs
@@ -4,7 +4,7 @@
 
 use bytes::{Bytes, BytesMut};
 use mothpier_host::{Host, Reading};
-use mothpier_ops::{CloseReason, End, Ticket};
+use mothpier_ops::{CloseReason, RequestEnd, RequestTicket};
 use mothpier_resp::{self as resp, Malformed};
 use tokio::io::AsyncWriteExt;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
@@ -15,8 +15,8 @@
 use super::owed::{Slot, Wait};
 use super::session::Session;
 use super::shown::ConnectionState;
-use crate::command::STANDSTILL;
-use crate::input::{Asked, Input};
+use crate::command::STREAM_STALL_TIMEOUT;
+use crate::input::{ClientEvent, Input};
 
 /// A client that takes none of its answer for this long is cut off.
 const SLOW_READER: Duration = Duration::from_secs(10);
@@ -60,7 +60,7 @@
                 break;
             }
             // Longer than its server may stand still, which ends it there.
-            let next = timeout(STANDSTILL * 2, value.pieces.recv());
+            let next = timeout(STREAM_STALL_TIMEOUT * 2, value.chunks.recv());
             match self.read_meanwhile(inbox, Written::LargeValue, next).await {
                 Some(Ok(Some(next))) if next.len() <= left => piece = next,
                 _ => break,
@@ -77,7 +77,7 @@
         {
             // One that the client stopped reading was abandoned.
             self.answers += u64::from(whole.is_ok());
-            ticket.end(if whole.is_ok() { End::Served } else { End::Failed });
+            ticket.end(if whole.is_ok() { RequestEnd::Served } else { RequestEnd::Failed });
         }
         whole
     }
@@ -153,7 +153,7 @@
                     }
                 }
                 () = sleep(LOOK_FOR_END), if full && self.state.awaits_commands() => {
-                    if inbox.reading.other_side_has_ended() {
+                    if inbox.reading.remote_end_closed() {
                         self.state.hang_up();
                         self.abandon_requests().await;
                     }
@@ -174,7 +174,7 @@
     pub(super) async fn fail_open(&mut self) {
         self.abandon_requests().await;
         for slot in self.pending.iter_mut().filter(|slot| slot.waits()) {
-            slot.wait = Wait::Ready(resp::error("ERR failed"));
+            slot.wait = Wait::Ready(resp::encode_error("ERR failed"));
         }
     }
 
@@ -182,7 +182,7 @@
     pub(super) async fn abandon_requests(&self) {
         for slot in &self.pending {
             if let Wait::Node(id, _) = slot.wait {
-                let _ = self.clients.events.send(Input::Client(Asked::Gone(id))).await;
+                let _ = self.clients.events.send(Input::Client(ClientEvent::Disconnected(id))).await;
             }
         }
     }
@@ -202,22 +202,22 @@
     }
 
     /// Counts a request of a class, whatever becomes of it.
-    pub(super) fn take_request(&mut self, class: usize) -> Ticket {
+    pub(super) fn take_request(&mut self, class: usize) -> RequestTicket {
         self.requests += 1;
-        self.clients.desk.figures.taken(class)
+        self.clients.desk.metrics.request_started(class)
     }
 
     /// Answers a command with an error.
     pub(super) fn reject(&mut self, rejected: Rejected) {
-        let ticket = rejected.class.map(|class| (self.take_request(class), End::Failed));
-        let wait = Wait::Ready(resp::error(&format!("ERR {}", rejected.told)));
+        let ticket = rejected.class.map(|class| (self.take_request(class), RequestEnd::Failed));
+        let wait = Wait::Ready(resp::encode_error(&format!("ERR {}", rejected.told)));
         self.pending.push_back(Slot { wait, memory: None, ticket });
     }
 
     /// Says what is wrong, behind the answers that are owed, and reads no more.
     pub(super) fn protocol_error(&mut self, error: Malformed) {
         self.finish(CloseReason::Protocol);
-        self.answer(resp::error(&format!("ERR protocol: {error}")));
+        self.answer(resp::encode_error(&format!("ERR protocol: {error}")));
     }
 
     /// Answers a command that is no request.
--- a/crates/node/src/clients/eviction.rs
+++ b/crates/node/src/clients/eviction.rs
@@ -4,7 +4,7 @@
 
 use super::Clients;
 use super::shown::Entry;
-use crate::crowd::{Turn, turn};
+use crate::eviction_priority::{EvictionPriority, eviction_priority};
 
 impl<H: Host> Clients<H> {
     /// Whether half of the connections that there may be are open.
@@ -15,8 +15,8 @@
     /// Lets all connections go that will hardly end their command: another process of this node needs the descriptors.
     pub fn evict_stalled(&self) {
         for entry in self.open.borrow_mut().values_mut() {
-            let turn = entry.idle.and_then(|idle| turn(entry.activity, idle.elapsed(), false));
-            if turn == Some(Turn::Stalled) {
+            let turn = entry.idle.and_then(|idle| eviction_priority(entry.activity, idle.elapsed(), false));
+            if turn == Some(EvictionPriority::Stalled) {
                 entry.give_way();
             }
         }
@@ -25,7 +25,7 @@
     /// Lets the connection give way whose turn it is, if there is one.
     pub(super) fn evict(&self, no_room: bool) {
         let mut open = self.open.borrow_mut();
-        let place = |e: &Entry| Some((turn(e.activity, e.idle?.elapsed(), no_room)?, e.idle));
+        let place = |e: &Entry| Some((eviction_priority(e.activity, e.idle?.elapsed(), no_room)?, e.idle));
         let turns = open.values_mut().filter_map(|e| place(e).map(|at| (at, e)));
         if let Some((_, entry)) = turns.min_by_key(|(at, _)| *at) {
             entry.give_way();
--- a/crates/node/src/clients/grammar.rs
+++ b/crates/node/src/clients/grammar.rs
@@ -2,16 +2,16 @@
 
 use std::borrow::Cow;
 
-use brassrouter::settings::Site;
+use brassrouter::settings::DeploymentSettings;
 use brassrouter::{Micros, Request};
 use bytes::Bytes;
 use mothpier_host::Host;
-use mothpier_resp::WHOLE;
+use mothpier_resp::MAX_BUFFERED_VALUE_BYTES;
 use redis_protocol::resp2::types::BytesFrame;
 
 use super::Clients;
-use crate::command::{Claim, Command};
-use crate::keys::Keys;
+use crate::command::{Command, RequestIdGuard};
+use crate::keys::KeyHasher;
 
 /// The longest key and the longest id, bytes.
 const MAX_NAME: usize = 1024;
@@ -20,8 +20,8 @@
 
 /// By what commands are read.
 pub struct Grammar {
-    pub site: Site,
-    pub keys: Keys,
+    pub site: DeploymentSettings,
+    pub keys: KeyHasher,
 }
 
 /// A command that is answered with an error.
@@ -71,7 +71,7 @@
     }
 
     /// What goes on to servers. Copies: a slice would keep all that was read at once for as long as the request is open.
-    fn into_command(self, claim: Claim) -> Command {
+    fn into_command(self, claim: RequestIdGuard) -> Command {
         let write = self.is_write();
         Command {
             name: Bytes::from_static(if write { b"CACHE.SET" } else { b"CACHE.GET" }),
@@ -79,9 +79,11 @@
             id: claim.1.clone(),
             extras: Bytes::copy_from_slice(self.extras),
             // Read alone, and too large to be copied.
-            value: self.value.map(|v| if v.len() > WHOLE { v.clone() } else { Bytes::copy_from_slice(v) }),
+            value: self.value.map(|v| {
+                if v.len() > MAX_BUFFERED_VALUE_BYTES { v.clone() } else { Bytes::copy_from_slice(v) }
+            }),
             write,
-            _claim: claim,
+            _id_guard: claim,
         }
     }
 }
@@ -125,12 +127,12 @@
         let words = RequestWords::read(words)?;
         let text: Cow<'_, str> = String::from_utf8_lossy(words.extras);
         let extras = Extras::read(&text)?;
-        let class = extras.get("c").and_then(|c| self.site.classes.iter().position(|n| n == c));
+        let class = extras.get("c").and_then(|c| self.site.class_names.iter().position(|n| n == c));
         let class = class.ok_or("unknown class")?;
         let rejected = |told: String| Rejected { told, class: Some(class) };
         let request = self.request(&words, &extras, class, received).map_err(rejected)?;
         // Two open requests of one id could not be told apart by servers; the first one stays as it is.
-        let claim = Claim::of(&self.ids, &Bytes::copy_from_slice(words.id));
+        let claim = RequestIdGuard::acquire(&self.ids, &Bytes::copy_from_slice(words.id));
         let claim = claim.ok_or("a request of this id is open".into()).map_err(rejected)?;
         Ok((request, words.into_command(claim)))
     }
@@ -146,15 +148,15 @@
         let tenant = self.tenant(extras);
         let asked_for = extras.figure("d")?.ok_or("no d: how long the answer is waited for")?;
         // No longer than the class allows: what is kept for a request must not stay for as long as anyone says.
-        let deadline = self.site.decisions.classes[class].deadline;
+        let deadline = self.site.policy.classes[class].deadline;
         let time_left = ((asked_for * 1000.0) as Micros).min(deadline);
         Ok(Request {
             id: self.next_request.replace(self.next_request.get() + 1),
             class,
             tenant: tenant.ok_or("unknown tenant")?,
-            key: self.keys.number(words.key),
-            write: words.is_write(),
-            repeat: extras.get("r") == Some("1"),
+            key: self.keys.hash(words.key),
+            is_write: words.is_write(),
+            is_retry: extras.get("r") == Some("1"),
             // The client's wait began before its command was read whole.
             time_left: time_left.saturating_sub((self.now)() - received),
             cost: extras.figure("h")?.map(|us| us as Micros),
@@ -164,7 +166,7 @@
 
     /// The number of a request's tenant; `None` for one that the configuration does not name.
     fn tenant(&self, extras: &Extras<'_>) -> Option<usize> {
-        let tenants = &self.site.tenants;
+        let tenants = &self.site.tenant_names;
         if tenants.is_empty() {
             return Some(0);
         }
--- a/crates/node/src/clients/inbox.rs
+++ b/crates/node/src/clients/inbox.rs
@@ -6,10 +6,10 @@
 use brassrouter::Micros;
 use bytes::BytesMut;
 use mothpier_host::Reading;
-use mothpier_resp::{self as resp, Extent, MAX_VALUE};
+use mothpier_resp::{self as resp, FrameExtent, MAX_VALUE_BYTES};
 use tokio::time::Instant;
 
-use crate::stream::read;
+use crate::stream::read_some;
 
 /// The machine is asked when bytes arrived only where they may have waited for longer than this.
 const NOTICEABLE_WAIT: Duration = Duration::from_millis(5);
@@ -61,7 +61,7 @@
     /// Reads what has come; whether the client is still there. Safe to drop and call again.
     pub(super) async fn read(&mut self, now: impl Fn() -> Micros) -> bool {
         let holds_command = self.holds_command();
-        let more = read(self.reading, &mut self.buffer).await;
+        let more = read_some(self.reading, &mut self.buffer).await;
         if holds_command {
             // What came behind it must not make it younger.
             self.last_byte = Instant::now();
@@ -85,7 +85,8 @@
     }
 
     fn holds_command(&self) -> bool {
-        !self.buffer.is_empty() && matches!(resp::extent(&self.buffer, MAX_VALUE), Ok(Extent::Whole(_)))
+        !self.buffer.is_empty()
+            && matches!(resp::frame_extent(&self.buffer, MAX_VALUE_BYTES), Ok(FrameExtent::Complete(_)))
     }
 
     /// How long the bytes that were read just now had been waiting in the machine.
--- a/crates/node/src/clients/listening.rs
+++ b/crates/node/src/clients/listening.rs
@@ -21,10 +21,10 @@
 use super::retiring::Listening;
 use super::session::Session;
 use super::shown::Entry;
-use crate::accepting::{self, Failures, Reaction};
+use crate::accept_failures::{self, AcceptFailureTracker, Reaction};
 use crate::event_log::EventKind;
-use crate::shortage::Outlasting;
-use crate::stream::{CLOSE_TIMEOUT, close_in_order};
+use crate::memory_shortage::RetryingStream;
+use crate::stream::{CLOSE_TIMEOUT, close_gracefully};
 
 /// Pauses in a row at the end of the listening, at most: what is in the queue then is to be answered before the process
 /// ends.
@@ -85,7 +85,7 @@
 
     /// Accepts until nothing is to be accepted, for now or any more. Gives the number of the last connection.
     async fn accept_until_ended(self: &Rc<Self>, queue: &mut Queue<H::Listener>, mut number: u64) -> u64 {
-        let mut failures = Failures::default();
+        let mut failures = AcceptFailureTracker::default();
         loop {
             if self.count() >= self.most.get() {
                 if !self.wait_for_room().await {
@@ -102,7 +102,7 @@
             number += 1;
             match accepted {
                 Ok((stream, _)) => {
-                    failures.accepted();
+                    failures.record_success();
                     self.admit(stream, queue.unread(), number).await;
                 }
                 Err(error) => {
@@ -113,14 +113,14 @@
     }
 
     /// Does what lets the next try succeed: the listener must outlive every failure.
-    async fn outlive(&self, error: &io::Error, failures: &mut Failures) -> Reaction {
-        let reaction = failures.failed(&self.host, "clients", error);
+    async fn outlive(&self, error: &io::Error, failures: &mut AcceptFailureTracker) -> Reaction {
+        let reaction = failures.record_failure(&self.host, "clients", error);
         match reaction {
-            Reaction::RetryAtOnce => yield_now().await,
-            Reaction::Pause => sleep(accepting::PAUSE).await,
-            Reaction::MakeRoom => {
+            Reaction::RetryImmediately => yield_now().await,
+            Reaction::Pause => sleep(accept_failures::RETRY_DELAY).await,
+            Reaction::EvictAndPause => {
                 self.evict(true);
-                sleep(accepting::PAUSE).await;
+                sleep(accept_failures::RETRY_DELAY).await;
             }
         }
         reaction
@@ -132,15 +132,15 @@
         tokio::select! {
             biased;
             () = self.closed.notified() => true,
-            () = sleep(accepting::PAUSE) => true,
+            () = sleep(accept_failures::RETRY_DELAY) => true,
             () = self.retiring.listening_ended() => false,
         }
     }
 
     /// Lets a new connection in, or turns it away.
     async fn admit(self: &Rc<Self>, stream: H::Stream, unread: Unread, number: u64) {
-        let verdict = self.admission.borrow_mut().came(self.began.elapsed(), self.newcomers.get());
-        if let Verdict::TurnAway(after) = verdict {
+        let verdict = self.admission.borrow_mut().admit(self.began.elapsed(), self.newcomers.get());
+        if let Verdict::Reject(after) = verdict {
             // Each place is free again after a farewell at the latest.
             let place = self.turning_away.clone().acquire_owned().await.ok();
             return self.clone().turn_away(stream, after, place);
@@ -157,21 +157,21 @@
     /// Takes what the machine has accepted, where no other process would. One that was aborted before, or a moment without
     /// a descriptor, leaves those behind it no less to be answered.
     async fn take_rest(self: &Rc<Self>, queue: &mut Queue<H::Listener>, mut number: u64) {
-        let (mut failures, mut pauses) = (Failures::default(), 0);
+        let (mut failures, mut pauses) = (AcceptFailureTracker::default(), 0);
         // Once round the runtime, which looks at the sockets then.
         yield_now().await;
         while self.retiring.listening.get() == Listening::TakeRest && pauses < REST_PAUSES {
             match queue.next_by_now().await {
                 None => return,
                 Some(Ok((stream, _))) => {
-                    failures.accepted();
+                    failures.record_success();
                     pauses = 0;
                     number += 1;
                     self.clone().start(stream, queue.unread(), number);
                 }
                 Some(Err(error)) => {
                     let reaction = self.outlive(&error, &mut failures).await;
-                    pauses += usize::from(reaction != Reaction::RetryAtOnce);
+                    pauses += usize::from(reaction != Reaction::RetryImmediately);
                 }
             }
         }
@@ -182,7 +182,7 @@
     fn turn_away(self: Rc<Self>, stream: H::Stream, after: Duration, place: Option<OwnedSemaphorePermit>) {
         self.connections.set(self.connections.get() + 1);
         let reason = CloseReason::TurnedAway;
-        self.desk.figures.closed.count(reason);
+        self.desk.metrics.closed.increment(reason);
         let after_ms = after.as_millis().max(1);
         self.log.write(
             EventKind::ConnectionClosed,
@@ -190,10 +190,10 @@
         );
         tokio::task::spawn_local(async move {
             let (reading, writing) = stream.into_halves();
-            let mut writing = Outlasting::new(writing);
-            let line = resp::error(&format!("BUSY {after_ms}"));
+            let mut writing = RetryingStream::new(writing);
+            let line = resp::encode_error(&format!("BUSY {after_ms}"));
             if let Ok(Ok(())) = timeout(CLOSE_TIMEOUT, writing.write_all(&line)).await {
-                close_in_order(&reading, &mut writing).await;
+                close_gracefully(&reading, &mut writing).await;
             }
             drop(place);
         });
--- a/crates/node/src/clients/mod.rs
+++ b/crates/node/src/clients/mod.rs
@@ -5,19 +5,19 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use brassrouter::settings::Site;
+use brassrouter::settings::DeploymentSettings;
 use brassrouter::{Micros, RequestId};
 use mothpier_host::{Host, Stream};
-use mothpier_ops::Desk;
-use mothpier_storm::Door;
+use mothpier_ops::OpsEndpoint;
+use mothpier_storm::ConnectionAdmission;
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore, mpsc};
 use tokio::time::Instant;
 
-use crate::command::Ids;
+use crate::command::RequestIds;
 use crate::event_log::EventLog;
 use crate::input::Input;
-use crate::keys::Keys;
-use crate::shortage::Outlasting;
+use crate::keys::KeyHasher;
+use crate::memory_shortage::RetryingStream;
 
 mod answers;
 mod eviction;
@@ -41,7 +41,7 @@
 use shown::Entry;
 
 /// The half of a client's connection that is written to.
-type ClientWriting<H> = Outlasting<<<H as Host>::Stream as Stream>::Writing>;
+type ClientWriting<H> = RetryingStream<<<H as Host>::Stream as Stream>::Writing>;
 
 /// Connections that are being told to come back at once, as a part of all that there may be; while there are so many no
 /// other is accepted.
@@ -54,23 +54,23 @@
     /// Bytes of open requests.
     pub memory: usize,
     /// How connections are let in.
-    pub admission: Door,
+    pub admission: ConnectionAdmission,
 }
 
 /// What all client connections share.
 pub struct Clients<H> {
     host: H,
-    site: Site,
+    site: DeploymentSettings,
     now: Box<dyn Fn() -> Micros>,
-    desk: Arc<Desk>,
+    desk: Arc<OpsEndpoint>,
     next_request: Cell<RequestId>,
-    ids: Ids,
+    ids: RequestIds,
     /// Permits of a KB.
     memory: Arc<Semaphore>,
     memory_kb: usize,
     most: Cell<usize>,
-    keys: Keys,
-    admission: RefCell<Door>,
+    keys: KeyHasher,
+    admission: RefCell<ConnectionAdmission>,
     /// Open connections that have not sent a whole command yet.
     newcomers: Rc<Cell<usize>>,
     turning_away: Arc<Semaphore>,
@@ -89,7 +89,7 @@
         host: H,
         grammar: Grammar,
         now: Box<dyn Fn() -> Micros>,
-        desk: Arc<Desk>,
+        desk: Arc<OpsEndpoint>,
         bounds: Bounds,
         retiring: Rc<Retiring>,
         events: mpsc::Sender<Input>,
@@ -102,7 +102,7 @@
             now,
             desk,
             next_request: Cell::new(1),
-            ids: Ids::default(),
+            ids: RequestIds::default(),
             memory: Arc::new(Semaphore::new(bounds.memory / 1024)),
             memory_kb: bounds.memory / 1024,
             most: Cell::new(bounds.most),
--- a/crates/node/src/clients/owed.rs
+++ b/crates/node/src/clients/owed.rs
@@ -7,12 +7,12 @@
 
 use brassrouter::RequestId;
 use bytes::Bytes;
-use mothpier_ops::{End, Ticket};
+use mothpier_ops::{RequestEnd, RequestTicket};
 use mothpier_resp as resp;
 use redis_protocol::resp2::types::BytesFrame;
 use tokio::sync::{OwnedSemaphorePermit, oneshot};
 
-use crate::command::{Answer, Stream as LargeValue};
+use crate::command::{LargeValue, Reply};
 
 /// Answers that are ready are put into one write up to about this size.
 const WRITE: usize = 64 * 1024;
@@ -24,7 +24,7 @@
     /// A large value, which goes on as it comes.
     Stream(LargeValue),
     /// The node has yet to give it.
-    Node(RequestId, oneshot::Receiver<Answer>),
+    Node(RequestId, oneshot::Receiver<Reply>),
 }
 
 /// The place of one answer among those that a connection is owed.
@@ -33,7 +33,7 @@
     /// Held until the answer is written; only requests that went on have it.
     pub(super) memory: Option<OwnedSemaphorePermit>,
     /// Of a request: it ends, in this way, once its answer is written.
-    pub(super) ticket: Option<(Ticket, End)>,
+    pub(super) ticket: Option<(RequestTicket, RequestEnd)>,
 }
 
 impl Slot {
@@ -47,26 +47,26 @@
         let Wait::Node(_, receiver) = &mut self.wait else { return };
         let Poll::Ready(answer) = Pin::new(receiver).poll(cx) else { return };
         // The node gives up a request without an answer only as it ends.
-        let answer = answer.unwrap_or(Answer::Failed);
+        let answer = answer.unwrap_or(Reply::Failed);
         if let Some((_, end)) = &mut self.ticket {
             *end = end_of(&answer);
         }
         self.wait = match answer {
-            Answer::Stream(value) => Wait::Stream(value),
-            Answer::Value(value) => Wait::Ready(resp::encode(&BytesFrame::BulkString(value))),
-            Answer::Busy(0) => Wait::Ready(resp::error("BUSY")),
-            Answer::Busy(ms) => Wait::Ready(resp::error(&format!("BUSY {ms}"))),
-            Answer::Failed => Wait::Ready(resp::error("ERR failed")),
+            Reply::Stream(value) => Wait::Stream(value),
+            Reply::Value(value) => Wait::Ready(resp::encode(&BytesFrame::BulkString(value))),
+            Reply::Busy(0) => Wait::Ready(resp::encode_error("BUSY")),
+            Reply::Busy(ms) => Wait::Ready(resp::encode_error(&format!("BUSY {ms}"))),
+            Reply::Failed => Wait::Ready(resp::encode_error("ERR failed")),
         };
     }
 }
 
 /// How a request ends that is answered so.
-fn end_of(answer: &Answer) -> End {
+fn end_of(answer: &Reply) -> RequestEnd {
     match answer {
-        Answer::Value(_) | Answer::Stream(_) => End::Served,
-        Answer::Busy(_) => End::Refused,
-        Answer::Failed => End::Failed,
+        Reply::Value(_) | Reply::Stream(_) => RequestEnd::Served,
+        Reply::Busy(_) => RequestEnd::Refused,
+        Reply::Failed => RequestEnd::Failed,
     }
 }
 
--- a/crates/node/src/clients/reading.rs
+++ b/crates/node/src/clients/reading.rs
@@ -3,8 +3,8 @@
 use brassrouter::{Micros, Request};
 use bytes::{Bytes, BytesMut};
 use mothpier_host::{Host, Reading};
-use mothpier_ops::{CloseReason, End, Lifecycle, Phase, Reason, RefuseReason};
-use mothpier_resp::{self as resp, Extent, MAX_VALUE, Malformed, WHOLE};
+use mothpier_ops::{CloseReason, Lifecycle, Phase, Reason, RefuseReason, RequestEnd};
+use mothpier_resp::{self as resp, FrameExtent, MAX_BUFFERED_VALUE_BYTES, MAX_VALUE_BYTES, Malformed};
 use redis_protocol::resp2::types::BytesFrame;
 use tokio::sync::{OwnedSemaphorePermit, oneshot};
 use tokio::time::Instant;
@@ -14,14 +14,14 @@
 use super::session::Session;
 use crate::command::Command;
 use crate::event_log::EventKind;
-use crate::input::{Asked, Input};
+use crate::input::{ClientEvent, Input};
 use crate::stream::READ;
 
 /// Requests of one connection that may be open; those beyond are refused.
 const MAX_PIPELINE: usize = 128;
 /// Memory that an open request counts for until its answer is written, beside its own value: half of the largest
 /// answer that is held whole, for few are large; the pieces of one that passes are no more.
-const REQUEST_KB: usize = WHOLE / 2 / 1024;
+const REQUEST_KB: usize = MAX_BUFFERED_VALUE_BYTES / 2 / 1024;
 /// When a request that finds no room here may come back, milliseconds.
 const RETRY_MS: u64 = 100;
 
@@ -29,14 +29,15 @@
     /// Looks at a command of which a value is still coming. Room for a large one is reserved before it is read; where there
     /// is none it will be dropped and refused.
     pub(super) fn large(&mut self, buffer: &mut BytesMut, received: Micros) {
-        let Ok(Extent::InValue { header, end, last }) = resp::extent(buffer, MAX_VALUE) else {
+        let Ok(FrameExtent::InValue { header, end, last }) = resp::frame_extent(buffer, MAX_VALUE_BYTES)
+        else {
             return self.state.expect_head();
         };
         match last {
             true => self.state.expect_value(),
             false => self.state.expect_head(),
         }
-        if end - header <= WHOLE || self.state.has_reservation() {
+        if end - header <= MAX_BUFFERED_VALUE_BYTES || self.state.has_reservation() {
             return;
         }
         if !last {
@@ -55,7 +56,7 @@
 
     /// Refuses a command, given as it would be without its value: what is wrong with it is said, and a request has its class.
     fn refuse_large(&mut self, mut head: BytesMut, received: Micros) {
-        let Ok(Some(frame)) = resp::take_frame(&mut head, WHOLE) else { return };
+        let Ok(Some(frame)) = resp::take_frame(&mut head, MAX_BUFFERED_VALUE_BYTES) else { return };
         let class =
             words(frame).map(|words| self.clients.parse(&words, received).map(|(request, _)| request.class));
         match class {
@@ -91,7 +92,7 @@
                 self.finish(CloseReason::Quit);
                 self.answer(Bytes::from_static(b"+OK\r\n"));
             }
-            _ => self.answer(resp::error("ERR unknown command")),
+            _ => self.answer(resp::encode_error("ERR unknown command")),
         }
     }
 
@@ -101,7 +102,7 @@
         if self.asked >= MAX_PIPELINE {
             return Err(RefuseReason::Pipeline);
         }
-        if clients.ids.borrow().len() > clients.site.max_open {
+        if clients.ids.borrow().len() > clients.site.max_open_requests {
             return Err(RefuseReason::OpenRequests);
         }
         let memory = clients.memory.clone().try_acquire_many_owned(kilobytes as u32);
@@ -111,7 +112,7 @@
     /// Refuses a request.
     fn refuse(&mut self, class: usize, reason: RefuseReason) {
         let clients = &self.clients;
-        clients.desk.figures.refusals.count(reason);
+        clients.desk.metrics.refusals.increment(reason);
         clients.log.write(
             EventKind::RequestRefused,
             format_args!(
@@ -120,8 +121,8 @@
                 self.number
             ),
         );
-        let wait = Wait::Ready(resp::error(&format!("BUSY {RETRY_MS}")));
-        let ticket = Some((self.take_request(class), End::Refused));
+        let wait = Wait::Ready(resp::encode_error(&format!("BUSY {RETRY_MS}")));
+        let ticket = Some((self.take_request(class), RequestEnd::Refused));
         self.pending.push_back(Slot { wait, memory: None, ticket });
     }
 
@@ -143,12 +144,12 @@
         let ticket = self.take_request(request.class);
         let (answer, receiver) = oneshot::channel();
         let id = request.id;
-        let asked = Asked::Request { request, connection: self.number, command, answer };
+        let asked = ClientEvent::Request { request, connection: self.number, command, reply: answer };
         if self.clients.events.send(Input::Client(asked)).await.is_err() {
-            return self.answer(resp::error("ERR stopping"));
+            return self.answer(resp::encode_error("ERR stopping"));
         }
         self.asked += 1;
-        let ticket = Some((ticket, End::Failed));
+        let ticket = Some((ticket, RequestEnd::Failed));
         self.pending.push_back(Slot { wait: Wait::Node(id, receiver), memory: Some(memory), ticket });
     }
 }
@@ -156,10 +157,10 @@
 /// The answer to a PING.
 fn pong(lifecycle: &Lifecycle) -> Bytes {
     match lifecycle.phase() {
-        _ if lifecycle.serves() => Bytes::from_static(b"+PONG\r\n"),
-        Phase::Serving | Phase::Starting => resp::error("ERR not ready: no list of servers yet"),
-        Phase::Drained => resp::error("ERR drained"),
-        Phase::Stopping => resp::error("ERR stopping"),
+        _ if lifecycle.accepts_clients() => Bytes::from_static(b"+PONG\r\n"),
+        Phase::Serving | Phase::Starting => resp::encode_error("ERR not ready: no list of servers yet"),
+        Phase::Drained => resp::encode_error("ERR drained"),
+        Phase::Stopping => resp::encode_error("ERR stopping"),
     }
 }
 
--- a/crates/node/src/clients/serving.rs
+++ b/crates/node/src/clients/serving.rs
@@ -5,7 +5,7 @@
 use bytes::BytesMut;
 use mothpier_host::{Host, Reading, Stream};
 use mothpier_ops::{CloseReason, Reason};
-use mothpier_resp::{self as resp, MAX_VALUE, Malformed};
+use mothpier_resp::{self as resp, MAX_VALUE_BYTES, Malformed};
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
@@ -18,8 +18,8 @@
 use super::shown::ConnectionState;
 use super::timing::{Limits, Progress, Situation};
 use crate::event_log::EventKind;
-use crate::shortage::Outlasting;
-use crate::stream::{CLOSE_TIMEOUT, close_in_order};
+use crate::memory_shortage::RetryingStream;
+use crate::stream::{CLOSE_TIMEOUT, close_gracefully};
 
 /// Answers of one connection that may wait, refusals and errors too; a client that goes on beyond is cut off.
 const MAX_WAITING: usize = 1024;
@@ -45,7 +45,7 @@
     /// Serves a connection until its end. What it has sent may lie unread for so long.
     pub(super) async fn run(&mut self, stream: H::Stream, unread: Unread, evict: Rc<Notify>) {
         let (reading, writing) = stream.into_halves();
-        let mut writing = Outlasting::new(writing);
+        let mut writing = RetryingStream::new(writing);
         let mut progress = Progress::new(Instant::now());
         let mut inbox = Inbox::new(&reading, (self.clients.now)(), unread);
         let closing = self.serve(&mut inbox, &mut writing, &mut progress, evict).await;
@@ -54,7 +54,7 @@
             self.show_state(ConnectionState::Closing);
             let latest = Instant::now() + CLOSE_TIMEOUT;
             let latest = self.clients.retiring.plans().cut().map_or(latest, |cut| cut.min(latest));
-            let _ = timeout_at(latest, close_in_order(&reading, &mut writing)).await;
+            let _ = timeout_at(latest, close_gracefully(&reading, &mut writing)).await;
         }
     }
 
@@ -168,7 +168,7 @@
         // Wherever it was read: none of it is a command.
         self.state.discard_refused(&mut inbox.buffer);
         while self.state.reads_commands() && !inbox.buffer.is_empty() {
-            match resp::take_frame(&mut inbox.buffer, MAX_VALUE) {
+            match resp::take_frame(&mut inbox.buffer, MAX_VALUE_BYTES) {
                 Ok(Some(frame)) => {
                     progress.command_complete();
                     let reserved = self.state.command_complete();
@@ -259,7 +259,7 @@
 
     /// Counts the end of the connection, and logs it where it is the node that ends it.
     fn tell_closing(&self, reason: CloseReason, progress: &Progress) {
-        self.clients.desk.figures.closed.count(reason);
+        self.clients.desk.metrics.closed.increment(reason);
         if reason == CloseReason::Client {
             return;
         }
--- a/crates/node/src/clients/shown.rs
+++ b/crates/node/src/clients/shown.rs
@@ -6,7 +6,7 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use crate::crowd::Activity;
+use crate::eviction_priority::Activity;
 
 /// What a connection does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -80,7 +80,7 @@
         let now = Instant::now();
         Entry {
             idle: Some(now),
-            activity: Activity::Begins,
+            activity: Activity::Starting,
             evict,
             accepted: now,
             state: ConnectionState::Unasked,
--- a/crates/node/src/clients/timing.rs
+++ b/crates/node/src/clients/timing.rs
@@ -5,7 +5,7 @@
 
 use tokio::time::Instant;
 
-use crate::crowd::Activity;
+use crate::eviction_priority::Activity;
 
 /// A first command, and the rest of one that has begun, must come within this time: true clients may take 2 s, bad
 /// ones are owed an error or a close within 3 s. A value need only go on.
@@ -94,9 +94,9 @@
     /// What the connection does, for the choice of the one that gives way.
     pub(super) fn activity(&self, newcomer: bool) -> Activity {
         match self.begun {
-            None if !newcomer => Activity::Rests,
-            Some(_) if self.pieces > 1 => Activity::Writes,
-            _ => Activity::Begins,
+            None if !newcomer => Activity::Idle,
+            Some(_) if self.pieces > 1 => Activity::Writing,
+            _ => Activity::Starting,
         }
     }
 
--- a/crates/node/src/command.rs
+++ b/crates/node/src/command.rs
@@ -11,10 +11,10 @@
 use tokio::time::Instant;
 
 /// The largest piece of a large value, and how many of them may wait between its server and its client.
-pub const PIECE: usize = 16 * 1024;
+pub const MAX_CHUNK_BYTES: usize = 16 * 1024;
 const PIECES: usize = 2;
 /// A large value that does not go on for this long, on either side, is cut.
-pub const STANDSTILL: Duration = Duration::from_secs(10);
+pub const STREAM_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Digits by which `d` may grow when it is told anew; room for them saves a second allocation.
 const MOST_DIGITS: usize = 20;
@@ -32,23 +32,23 @@
     pub value: Option<Bytes>,
     pub write: bool,
     /// Given back with the command: no other request may bear its id meanwhile.
-    pub(crate) _claim: Claim,
+    pub(crate) _id_guard: RequestIdGuard,
 }
 
 /// The ids of all open requests.
-pub(crate) type Ids = Rc<RefCell<HashSet<Bytes>>>;
+pub(crate) type RequestIds = Rc<RefCell<HashSet<Bytes>>>;
 
 /// An id in use.
 #[derive(Debug)]
-pub(crate) struct Claim(Ids, pub(crate) Bytes);
+pub(crate) struct RequestIdGuard(RequestIds, pub(crate) Bytes);
 
-impl Claim {
-    pub(crate) fn of(ids: &Ids, id: &Bytes) -> Option<Claim> {
-        ids.borrow_mut().insert(id.clone()).then(|| Claim(ids.clone(), id.clone()))
+impl RequestIdGuard {
+    pub(crate) fn acquire(ids: &RequestIds, id: &Bytes) -> Option<RequestIdGuard> {
+        ids.borrow_mut().insert(id.clone()).then(|| RequestIdGuard(ids.clone(), id.clone()))
     }
 }
 
-impl Drop for Claim {
+impl Drop for RequestIdGuard {
     fn drop(&mut self) {
         self.0.borrow_mut().remove(&self.1);
     }
@@ -63,7 +63,7 @@
     /// The bytes for a cache server: the command as it came, with these extras.
     pub fn encode_with(&self, extras: Bytes) -> Bytes {
         let words = [self.name.clone(), self.key.clone(), self.id.clone(), extras];
-        resp::command(words.into_iter().chain(self.value.clone()))
+        resp::encode_command(words.into_iter().chain(self.value.clone()))
     }
 }
 
@@ -79,7 +79,7 @@
 
 impl AttemptExtras {
     /// Until when the attempt is waited for, which is what a cache server is told.
-    pub fn attempt_ends(&self) -> Instant {
+    pub fn deadline(&self) -> Instant {
         self.attempt_ends
     }
 
@@ -90,7 +90,7 @@
     }
 
     /// The list to be written now; `None` where not one whole millisecond is left, the least that can be told.
-    pub fn to_write_now(&self) -> Option<Bytes> {
+    pub fn encode_now(&self) -> Option<Bytes> {
         let left = self.milliseconds_left()?;
         let as_received = String::from_utf8_lossy(&self.as_received);
         let mut list = String::with_capacity(self.as_received.len() + MOST_DIGITS);
@@ -109,33 +109,33 @@
 
 /// A large value that has begun to come. One whose channel ends before its length has come is cut.
 #[derive(Debug)]
-pub struct Stream {
+pub struct LargeValue {
     pub length: usize,
-    pub pieces: mpsc::Receiver<Bytes>,
+    pub chunks: mpsc::Receiver<Bytes>,
 }
 
-impl Stream {
+impl LargeValue {
     /// A stream, and the end into which its pieces go.
-    pub fn new(length: usize) -> (mpsc::Sender<Bytes>, Stream) {
+    pub fn new(length: usize) -> (mpsc::Sender<Bytes>, LargeValue) {
         let (into, pieces) = mpsc::channel(PIECES);
-        (into, Stream { length, pieces })
+        (into, LargeValue { length, chunks: pieces })
     }
 }
 
 /// A final answer.
 #[derive(Debug)]
-pub enum Answer {
+pub enum Reply {
     Value(Bytes),
     /// A value that is passed on as it comes.
-    Stream(Stream),
+    Stream(LargeValue),
     /// Refused; come back after so many milliseconds.
     Busy(u64),
     Failed,
 }
 
-impl Answer {
+impl Reply {
     /// Whether it brings the value.
-    pub fn serves(&self) -> bool {
-        matches!(self, Answer::Value(_) | Answer::Stream(_))
+    pub fn carries_value(&self) -> bool {
+        matches!(self, Reply::Value(_) | Reply::Stream(_))
     }
 }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -4,14 +4,14 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use brassrouter::settings::{self, Site};
+use brassrouter::settings::{self, DeploymentSettings};
 use serde::Deserialize;
 use serde::de::IgnoredAny;
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::clamped;
-use crate::discovery::List;
-use crate::keys::Keys;
+use crate::discovery::ServerList;
+use crate::keys::KeyHasher;
 use crate::operator::Operator;
 
 /// Everything that the node is told.
@@ -26,27 +26,27 @@
     /// For random numbers; new with each start.
     pub seed: u64,
     /// File descriptors that the process may hold.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// Bytes that the process may use.
-    pub memory: usize,
+    pub memory_bytes: usize,
     /// What is odd about what it was told, for the log.
-    pub notes: Vec<String>,
+    pub warnings: Vec<String>,
     /// Where staff ask the node; nowhere without it.
-    pub ops: Option<SocketAddr>,
+    pub ops_listen: Option<SocketAddr>,
     /// Where messages of other nodes come in.
     pub peer_listen: Option<SocketAddr>,
     /// The tier's nodes by their numbers; shared, since simulations run thousands of nodes in one process.
     pub peers: Arc<[SocketAddr]>,
     /// The address that reaches all of them.
-    pub peers_all: Option<SocketAddr>,
+    pub peer_broadcast: Option<SocketAddr>,
     /// The list of servers as it was last held.
-    pub known: Option<List>,
+    pub cached_list: Option<ServerList>,
     /// The settings.
-    pub site: Site,
+    pub site: DeploymentSettings,
     /// What the operator's file switches on; nothing without one.
     pub operator: Operator,
     /// How keys become numbers.
-    pub keys: Keys,
+    pub key_hasher: KeyHasher,
 }
 
 /// The keys that [`File`] has.
@@ -123,8 +123,8 @@
 /// One plain line that names what is wrong.
 pub fn read(text: &[u8], env: Environment, precedence: Precedence) -> Result<Config, String> {
     let file: File = serde_json::from_slice(text).map_err(|e| e.to_string())?;
-    let site = settings::read(file.settings.to_string().as_bytes())?;
-    if site.classes.is_empty() {
+    let site = settings::parse(file.settings.to_string().as_bytes())?;
+    if site.class_names.is_empty() {
         return Err("unreadable settings: no classes".into());
     }
     let address = |name: &str, text: Option<String>| {
@@ -162,21 +162,21 @@
     }
     let (least_mb, most_mb) = clamped::MEMORY_MB;
     Ok(Config {
-        notes,
+        warnings: notes,
         name: env.name.or(file.name).unwrap_or_else(|| "mothpier".into()),
         listen: address("listen", env.listen.or(file.listen))?,
         discovery: address("discovery", discovery)?,
         seed,
-        sockets: file.limits.sockets,
-        memory: (file.limits.memory_mb.clamp(least_mb, most_mb) * 1048576.0) as usize,
-        ops,
+        max_descriptors: file.limits.sockets,
+        memory_bytes: (file.limits.memory_mb.clamp(least_mb, most_mb) * 1048576.0) as usize,
+        ops_listen: ops,
         peer_listen: optional("peer_listen", file.peer_listen)?,
         peers: file.peers.into_iter().map(|p| address("peers", Some(p))).collect::<Result<_, _>>()?,
-        peers_all: optional("peers_all", file.peers_all)?,
-        known,
+        peer_broadcast: optional("peers_all", file.peers_all)?,
+        cached_list: known,
         site,
         operator: Operator::default(),
-        keys: Keys::default(),
+        key_hasher: KeyHasher::default(),
     })
 }
 
--- a/crates/node/src/counters.rs
+++ b/crates/node/src/counters.rs
@@ -45,17 +45,17 @@
 
 /// How many connections to cache servers were made of late.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Connects {
-    pub begun: u32,
+pub struct ConnectCounts {
+    pub started: u32,
     /// Of these, the ones that were refused.
     pub refused: u32,
     /// Of these, the ones that this machine could not make.
     pub local_failures: u32,
 }
 
-impl fmt::Display for Connects {
+impl fmt::Display for ConnectCounts {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}, {} refused", self.begun, self.refused)?;
+        write!(f, "{}, {} refused", self.started, self.refused)?;
         match self.local_failures {
             0 => Ok(()),
             failures => write!(f, ", {failures} failed on this machine"),
@@ -80,7 +80,7 @@
     /// Messages to peers, and of peers.
     pub told: u32,
     pub heard: u32,
-    pub connects: Connects,
+    pub connects: ConnectCounts,
 }
 
 impl Counters {
@@ -126,7 +126,7 @@
         counters.ended(false, Status::Served, 4_000);
         counters.ended(true, Status::Full, 500);
         (counters.lists, counters.list_failures, counters.told, counters.heard) = (1, 2, 16, 15);
-        counters.connects = Connects { begun: 9, refused: 4, local_failures: 0 };
+        counters.connects = ConnectCounts { started: 9, refused: 4, local_failures: 0 };
         assert_eq!(
             counters.line(0, Some(Duration::from_millis(2_140))).as_deref(),
             Some(
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -5,8 +5,8 @@
 use std::pin::{Pin, pin};
 use std::time::Duration;
 
-use brassrouter::settings::Site;
-use brassrouter::{Condition, ServerId, ServerLine};
+use brassrouter::settings::DeploymentSettings;
+use brassrouter::{Condition, ServerEntry, ServerId};
 use bytes::Bytes;
 use http_body_util::Full;
 use mothpier_host::Host;
@@ -37,7 +37,7 @@
 
 /// A list as it comes, whole or only what changed.
 #[derive(Clone, Debug, Deserialize)]
-pub struct List {
+pub struct ServerList {
     /// The version of the list.
     pub revision: u64,
     /// Whether it is whole.
@@ -46,9 +46,9 @@
     pub members: Vec<Member>,
 }
 
-impl List {
+impl ServerList {
     /// Whether it has a server that may be asked, beside those of the origin's kind.
-    pub(crate) fn names_a_server(&self, origin: Option<&String>) -> bool {
+    pub(crate) fn has_ready_cache_server(&self, origin: Option<&String>) -> bool {
         self.members.iter().any(|member| member.phase == "ready" && Some(&member.flavor) != origin)
     }
 }
@@ -80,10 +80,10 @@
 
 /// What the module asks for where discovery must be asked.
 #[derive(Clone, Copy, Default, PartialEq)]
-pub struct Wanted {
+pub struct Subscription {
     pub watch: bool,
     /// Counts the calls that are asked for beside or at the start of a watch.
-    pub calls: u32,
+    pub requested_calls: u32,
 }
 
 /// The numbers by which the module knows servers. They are made from the ids alone, so that every node has
@@ -129,10 +129,10 @@
     pub fn lines(
         &mut self,
         host: &impl Host,
-        list: &mut List,
-        site: &Site,
+        list: &mut ServerList,
+        site: &DeploymentSettings,
         start_times: &StartTimes,
-    ) -> Vec<(ServerLine, Option<SocketAddr>)> {
+    ) -> Vec<(ServerEntry, Option<SocketAddr>)> {
         list.members.sort_by(|a, b| a.id.cmp(&b.id));
         let mut lines = Vec::with_capacity(list.members.len());
         for m in &list.members {
@@ -146,13 +146,13 @@
                 host.log(format_args!("{}: {:?} is no address: passed over", m.id, m.host_port));
                 continue;
             }
-            let line = ServerLine {
+            let line = ServerEntry {
                 id: self.of(&m.id),
-                zone: place(&site.zones, &m.locality, u8::MAX.into()) as u8,
+                zone: place(&site.zone_names, &m.locality, u8::MAX.into()) as u8,
                 cell: m.cell,
-                kind: place(&site.kinds, &m.flavor, u16::MAX.into()) as u16,
+                machine_type: place(&site.machine_type_names, &m.flavor, u16::MAX.into()) as u16,
                 weight: m.size.filter(|s| s.is_finite()).unwrap_or(1.0),
-                started: start_times.started(&m.id, m.up_since_ms),
+                started_at: start_times.started(&m.id, m.up_since_ms),
                 condition,
             };
             lines.push((line, address));
@@ -172,19 +172,19 @@
 
 /// Who tells of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Teller {
+pub enum DiscoveryKind {
     /// An agent of this node's own, which is asked as often as one likes.
     Agent,
     /// One service of little capacity for all nodes.
     Service,
 }
 
-impl Teller {
+impl DiscoveryKind {
     /// How long a call waits at the other side where nothing has changed, and how long after that it is given up.
     fn patience(self, stage: Stage) -> (Duration, Duration) {
         match (self, stage) {
-            (Teller::Agent, _) | (Teller::Service, Stage::Goes) => (WAIT, WATCH_LATE),
-            (Teller::Service, Stage::Opens) => (FIRST_WAIT, SERVICE_LATE),
+            (DiscoveryKind::Agent, _) | (DiscoveryKind::Service, Stage::Goes) => (WAIT, WATCH_LATE),
+            (DiscoveryKind::Service, Stage::Opens) => (FIRST_WAIT, SERVICE_LATE),
         }
     }
 }
@@ -209,7 +209,7 @@
 
 impl LateAnswer {
     /// Waits for the list; for ever where none comes.
-    async fn list(late: &mut Option<LateAnswer>) -> List {
+    async fn list(late: &mut Option<LateAnswer>) -> ServerList {
         if let Some(LateAnswer { answer, .. }) = late {
             let answer = answer.await;
             *late = None;
@@ -244,10 +244,10 @@
 /// Watches the list for as long as the node wants it, at the address that holds at the time.
 pub async fn run<H: Host>(
     host: H,
-    teller: Teller,
+    teller: DiscoveryKind,
     mut addresses: watch::Receiver<SocketAddr>,
     known: Option<u64>,
-    mut wanted: watch::Receiver<Wanted>,
+    mut wanted: watch::Receiver<Subscription>,
     events: mpsc::Sender<Input>,
 ) {
     let (mut connection, mut revision, mut calls, mut failing) = (None, known, 0, false);
@@ -257,7 +257,7 @@
     let mut goes_on = false;
     // What was held at the start may be old. An agent gives the whole list at no cost; where discovery is one
     // service for all, only what changed since is asked for.
-    let mut first = teller == Teller::Agent;
+    let mut first = teller == DiscoveryKind::Agent;
     let mut moved = false;
     let mut stage = Stage::Opens;
     // The call that was given up last.
@@ -275,7 +275,7 @@
             late = None;
         }
         let watch = now.watch || goes_on;
-        if !watch && now.calls == calls && !moved {
+        if !watch && now.requested_calls == calls && !moved {
             tokio::select! {
                 biased;
                 changed = wanted.changed() => if changed.is_err() { return },
@@ -337,7 +337,7 @@
             continue;
         }
         let opened = watch || moved;
-        (moved, calls) = (false, now.calls);
+        (moved, calls) = (false, now.requested_calls);
         let heard = match answer {
             Ok(list) => {
                 (first, failing, stage, failing_locally) = (false, false, Stage::Goes, false);
@@ -376,7 +376,7 @@
 
 /// Reads why there is no connection.
 fn not_connected(error: std::io::Error) -> Failure {
-    match ConnectFailure::of(&error) {
+    match ConnectFailure::from_error(&error) {
         ConnectFailure::Local => Failure::Local(error),
         ConnectFailure::Remote => Failure::Failed(format!("no connection: {error}")),
     }
@@ -388,7 +388,7 @@
     open: &mut Option<Connection>,
     address: SocketAddr,
     after: Option<u64>,
-) -> Result<List, Failure> {
+) -> Result<ServerList, Failure> {
     let failed = |why: String| Failure::Failed(why);
     let path = match after {
         Some(revision) => format!("/api/targets?after={revision}&wait_ms={}", wait.as_millis()),
@@ -424,7 +424,7 @@
 ///
 /// # Errors
 /// It is no list; in words.
-fn read(body: &[u8]) -> Result<List, String> {
+fn read(body: &[u8]) -> Result<ServerList, String> {
     serde_json::from_slice(body).map_err(|e| format!("unreadable list: {e}"))
 }
 
--- a/crates/node/src/repeats.rs
+++ b/crates/node/src/duplicate_responses.rs
@@ -15,7 +15,7 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::{Xxh3, xxh3_64};
 
-use crate::command::PIECE;
+use crate::command::MAX_CHUNK_BYTES;
 
 /// Answers of a connection with which its next one is compared. A repeat is late by some tens of milliseconds, in which a
 /// connection brings fewer answers than this.
@@ -40,7 +40,7 @@
 /// Where a repeat was taken for an answer, the true one comes within this time, or is waited for no longer.
 const LATEST_TRUE_ANSWER: Duration = Duration::from_secs(1);
 /// Bytes at the beginning of a large value by which it is told from others of its length.
-pub(crate) const LARGE_PREFIX: usize = PIECE;
+pub(crate) const LARGE_PREFIX: usize = MAX_CHUNK_BYTES;
 
 /// What values are compared by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -99,7 +99,7 @@
 
 impl Doubt {
     /// Whether its value came only once.
-    pub(crate) fn is_behind_repeat(self) -> bool {
+    pub(crate) fn is_sync_doubt(self) -> bool {
         self.cause == Cause::BehindRepeat
     }
 }
@@ -124,7 +124,7 @@
 
 /// The last answers of a connection.
 #[derive(Default)]
-pub(crate) struct RecentAnswers {
+pub(crate) struct RecentResponses {
     with_value: VecDeque<Earlier>,
     /// Those without a value that may still be repeated, and when they came.
     without_value: VecDeque<(u64, Instant)>,
@@ -134,7 +134,7 @@
     doubtful_since: Option<Instant>,
 }
 
-impl RecentAnswers {
+impl RecentResponses {
     /// Keeps an answer, and forgets the oldest beyond [`COMPARED_ANSWERS`].
     pub(crate) fn push(&mut self, key: &Bytes, value: Fingerprint) {
         if self.with_value.len() == COMPARED_ANSWERS {
@@ -145,7 +145,7 @@
     }
 
     /// Keeps an answer without a value; whether it may be the repeat of another.
-    pub(crate) fn push_empty(&mut self, answer: &[u8]) -> bool {
+    pub(crate) fn push_without_value(&mut self, answer: &[u8]) -> bool {
         let (now, hash) = (Instant::now(), xxh3_64(answer));
         while self.without_value.front().is_some_and(|(_, at)| now - *at >= LATEST_REPEAT) {
             self.without_value.pop_front();
@@ -179,7 +179,7 @@
     }
 
     /// Whether no repeat is to come any more: all of them are older than that.
-    pub(crate) fn is_quiet(&self) -> bool {
+    pub(crate) fn duplicates_expired(&self) -> bool {
         self.last.is_none_or(|at| at.elapsed() >= LATEST_REPEAT)
     }
 
@@ -256,7 +256,7 @@
 }
 
 /// What is known of one server's answers.
-pub(crate) struct Findings {
+pub(crate) struct VerificationState {
     /// Values that were true for several keys, the latest last.
     common: VecDeque<Fingerprint>,
     /// Requests of one key were given equal values.
@@ -275,9 +275,9 @@
     connections: Allowance,
 }
 
-impl Default for Findings {
+impl Default for VerificationState {
     fn default() -> Self {
-        Findings {
+        VerificationState {
             common: VecDeque::new(),
             has_stable_values: false,
             receipts: Receipts::Unknown,
@@ -291,14 +291,14 @@
     }
 }
 
-impl Findings {
+impl VerificationState {
     /// Whether it has sent an answer twice of late.
     pub(crate) fn is_distrusted(&self) -> bool {
         self.repeated_at.is_some_and(|at| at.elapsed() < DISTRUST)
     }
 
     /// An answer was taken.
-    pub(crate) fn answered(&mut self) {
+    pub(crate) fn record_response(&mut self) {
         self.value_checks.answered();
         self.step_checks.answered();
         self.connections.answered();
@@ -325,7 +325,7 @@
     }
 
     /// Whether an answer has to be asked for again, where nothing else can show that it is true.
-    pub(crate) fn wants_check(&mut self, doubt: Doubt) -> bool {
+    pub(crate) fn needs_check(&mut self, doubt: Doubt) -> bool {
         let is_believed = match doubt.cause {
             Cause::SameKey => self.has_stable_values,
             Cause::OtherKey => !self.is_distrusted() && self.is_common(doubt.value),
@@ -367,7 +367,7 @@
 
     /// A value has come, as the first on its connection, for a command of which the last was doubted; whether that was true.
     /// `None` where it tells nothing.
-    pub(crate) fn settle(&mut self, doubt: Doubt, value: Fingerprint) -> Option<bool> {
+    pub(crate) fn resolve_doubt(&mut self, doubt: Doubt, value: Fingerprint) -> Option<bool> {
         if doubt.cause == Cause::BehindRepeat {
             return None;
         }
@@ -442,5 +442,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/repeats.rs"]
+#[path = "../tests/unit/duplicate_responses.rs"]
 mod tests;
--- a/crates/node/src/crowd.rs
+++ b/crates/node/src/eviction_priority.rs
@@ -14,36 +14,36 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Activity {
     /// It has sent nothing, or the first piece of a command.
-    Begins,
+    Starting,
     /// It has sent several pieces of a command that is not whole.
-    Writes,
+    Writing,
     /// It has sent a command in the agreed form, and nothing of another: a close crosses nothing.
-    Rests,
+    Idle,
 }
 
 /// When a connection's turn to give way comes: the least goes first, and of those alike the one that was idle longest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Turn {
+pub enum EvictionPriority {
     /// It will hardly end its command; if these stayed they would keep all others out.
     Stalled,
-    Rests,
+    Idle,
     /// It may be about to ask: it goes only where there is no room.
-    MayAsk,
+    MayBeStarting,
 }
 
 /// The turn of a connection that has done this since it was last heard or answered; `None` for one that stays.
-pub fn turn(activity: Activity, idle: Duration, no_room: bool) -> Option<Turn> {
+pub fn eviction_priority(activity: Activity, idle: Duration, no_room: bool) -> Option<EvictionPriority> {
     if idle < JUST_COME {
         return None;
     }
     match activity {
-        Activity::Rests => Some(Turn::Rests),
-        Activity::Begins if idle >= STALLED_AT_BEGIN => Some(Turn::Stalled),
-        Activity::Writes if idle >= STALLED_IN_WRITING => Some(Turn::Stalled),
-        Activity::Begins | Activity::Writes => no_room.then_some(Turn::MayAsk),
+        Activity::Idle => Some(EvictionPriority::Idle),
+        Activity::Starting if idle >= STALLED_AT_BEGIN => Some(EvictionPriority::Stalled),
+        Activity::Writing if idle >= STALLED_IN_WRITING => Some(EvictionPriority::Stalled),
+        Activity::Starting | Activity::Writing => no_room.then_some(EvictionPriority::MayBeStarting),
     }
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/crowd.rs"]
+#[path = "../tests/unit/eviction_priority.rs"]
 mod tests;
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -6,14 +6,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use brassrouter::STATE;
-use mothpier_handover::{Left, Message, State};
+use brassrouter::STATE_VERSION;
+use mothpier_handover::{Message, PredecessorState, RemainingResources};
 use mothpier_host::Host;
 use tokio::sync::{Notify, OwnedSemaphorePermit, mpsc, oneshot};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 use crate::clients::Clients;
-use crate::discovery::List;
+use crate::discovery::ServerList;
 use crate::input::Input;
 
 /// Between two words of what the old process would leave behind.
@@ -38,7 +38,7 @@
 /// The other processes of this node.
 pub struct Handover {
     /// The one whose place this one takes, and what it knew.
-    pub before: Option<(State, Link)>,
+    pub predecessor: Option<(PredecessorState, Link)>,
     /// Those that would take this one's place.
     pub successors: mpsc::Receiver<Link>,
 }
@@ -98,7 +98,7 @@
     /// From now on two processes share what this node may have, of the caps one part of so many each; so many descriptors are
     /// this one's.
     async fn share(&self, parts: u32, descriptors: (usize, usize)) -> Reserve {
-        self.tell(Input::Sharing(parts)).await;
+        self.tell(Input::ProcessCount(parts)).await;
         self.divide(descriptors).await;
         self.clients.reserve_half()
     }
@@ -106,12 +106,12 @@
     /// So many connections of clients and to servers may be open.
     async fn divide(&self, (clients, servers): (usize, usize)) {
         self.clients.set_most(clients);
-        self.tell(Input::Descriptors(servers)).await;
+        self.tell(Input::ServerDescriptorLimit(servers)).await;
     }
 
     /// This process is the whole node.
     async fn alone(&self, reserve: Reserve) {
-        self.tell(Input::Sharing(1)).await;
+        self.tell(Input::ProcessCount(1)).await;
         self.hold_alone(reserve).await;
     }
 
@@ -122,11 +122,11 @@
     }
 
     /// What the node would leave behind, and with `whole` all that it knows.
-    async fn ask(&self, whole: bool) -> Option<State> {
+    async fn ask(&self, whole: bool) -> Option<PredecessorState> {
         let (reply, told) = oneshot::channel();
-        self.tell(Input::Known { whole, reply }).await;
+        self.tell(Input::TakeSnapshot { full: whole, reply }).await;
         let mut state = timeout(HELLO, told).await.ok()?.ok()?;
-        state.left.descriptors += (self.clients.count() + self.budget.own) as u32;
+        state.remaining.descriptors += (self.clients.count() + self.budget.own) as u32;
         Some(state)
     }
 
@@ -146,13 +146,13 @@
     pub(crate) async fn last_word(&self) {
         let Some(successor) = self.successor.borrow_mut().take() else { return };
         let Some(state) = self.ask(false).await else { return };
-        if successor.send(Message::Left(state.left)).await.is_ok() {
+        if successor.send(Message::Remaining(state.remaining)).await.is_ok() {
             sleep(FLUSH).await;
         }
     }
 
     /// Beside the old process until that ends.
-    pub(crate) async fn beside_predecessor(self, first: Left, mut link: Link) {
+    pub(crate) async fn beside_predecessor(self, first: RemainingResources, mut link: Link) {
         let room = |held: u32| {
             let taken = held as usize + self.budget.own;
             let free = self.budget.limit.saturating_sub(taken);
@@ -165,13 +165,13 @@
         let mut news = false;
         while let Some(message) = link.inbox.recv().await {
             match message {
-                Message::Left(left) => {
+                Message::Remaining(left) => {
                     self.divide(room(left.descriptors)).await;
                     (last, news) = (left, true);
                 }
                 // What the old process is told of the list counts as told to the node.
-                Message::State(state) => match list(&state) {
-                    Ok(list) => self.tell(Input::Told(list)).await,
+                Message::State(state) => match decode_list(&state) {
+                    Ok(list) => self.tell(Input::ListFromPredecessor(list)).await,
                     Err(e) => self.host.log(format_args!("handover: {e}")),
                 },
                 Message::Hello { .. } | Message::Declined(_) => {}
@@ -181,9 +181,9 @@
         // one of two.
         if news {
             self.alone(reserve).await;
-            self.tell(Input::Inherit(last.legacy)).await;
+            self.tell(Input::Inherited(last.inherited)).await;
         } else {
-            self.tell(Input::Inherit(last.legacy)).await;
+            self.tell(Input::Inherited(last.inherited)).await;
             self.alone(reserve).await;
         }
         self.host.log(format_args!("the process before this one has ended"));
@@ -201,15 +201,17 @@
                 found = successors.recv() => found,
                 () = passed(calls_over) => {
                     (calls_over, parts) = (None, 1);
-                    self.tell(Input::Sharing(parts)).await;
+                    self.tell(Input::ProcessCount(parts)).await;
                     continue;
                 }
             };
             let Some(mut link) = found else { return };
             let hello = timeout(HELLO, link.inbox.recv()).await;
             let layout = match hello {
-                Ok(Some(Message::Hello { name, layout })) if name == self.name => layout,
-                Ok(Some(Message::Hello { name, .. })) => {
+                Ok(Some(Message::Hello { node_name: name, state_layout: layout })) if name == self.name => {
+                    layout
+                }
+                Ok(Some(Message::Hello { node_name: name, .. })) => {
                     let why = format!("this is node {:?}, not {name:?}", self.name);
                     let _ = link.outbox.send(Message::Declined(why)).await;
                     continue;
@@ -223,11 +225,12 @@
             parts = parts.saturating_mul(TWO);
             let reserve = self.share(parts, (held, self.budget.servers / 2)).await;
             let Some(mut state) = self.ask(true).await else { return };
-            if layout != STATE {
-                state.module.clear();
+            if layout != STATE_VERSION {
+                state.module_state.clear();
             }
-            self.host.log(format_args!("a new process takes over: {} bytes of state", state.module.len()));
-            let mut revision = state.revision;
+            self.host
+                .log(format_args!("a new process takes over: {} bytes of state", state.module_state.len()));
+            let mut revision = state.list_revision;
             let mut told = link.outbox.send(Message::State(state)).await.is_ok();
             *self.successor.borrow_mut() = Some(link.outbox.clone());
             while told {
@@ -237,20 +240,20 @@
                     _ = link.inbox.recv() => told = false,
                     () = passed(calls_over) => {
                         (calls_over, parts) = (None, TWO);
-                        self.tell(Input::Sharing(parts)).await;
+                        self.tell(Input::ProcessCount(parts)).await;
                     }
                     () = sleep(WORD) => {
                         if crowded {
                             self.clients.evict_stalled();
                         }
                         let Some(state) = self.ask(false).await else { return };
-                        if state.revision != revision {
+                        if state.list_revision != revision {
                             let Some(mut news) = self.ask(true).await else { return };
-                            news.module.clear();
-                            revision = news.revision;
+                            news.module_state.clear();
+                            revision = news.list_revision;
                             let _ = link.outbox.send(Message::State(news)).await;
                         }
-                        told = link.outbox.send(Message::Left(state.left)).await.is_ok();
+                        told = link.outbox.send(Message::Remaining(state.remaining)).await.is_ok();
                     }
                 }
             }
@@ -259,7 +262,7 @@
             self.hold_alone(reserve).await;
             calls_over = Some(Instant::now() + self.longest_deadline);
             // Nor does one that takes over meanwhile: it is told of them.
-            self.tell(Input::SharerEnded { calls_over_in: self.longest_deadline }).await;
+            self.tell(Input::ProcessEnded { origin_calls_end_within: self.longest_deadline }).await;
             self.host.log(format_args!("the new process has ended; this one goes on"));
         }
     }
@@ -277,7 +280,7 @@
 ///
 /// # Errors
 /// It can't be read.
-pub(crate) fn list(state: &State) -> Result<List, String> {
+pub(crate) fn decode_list(state: &PredecessorState) -> Result<ServerList, String> {
     let members = serde_json::from_slice(&state.list).map_err(|e| format!("unreadable list: {e}"))?;
-    Ok(List { revision: state.revision, complete: true, members })
+    Ok(ServerList { revision: state.list_revision, complete: true, members })
 }
--- a/crates/node/src/http.rs
+++ b/crates/node/src/http.rs
@@ -12,7 +12,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-use crate::shortage::Outlasting;
+use crate::memory_shortage::RetryingStream;
 
 /// Read ahead of one connection; a head without end goes no further.
 const MAX_HEAD: usize = 64 * 1024;
@@ -36,7 +36,7 @@
     within: Duration,
 ) -> std::io::Result<Connection> {
     let stream = tokio::time::timeout(within, host.connect(address)).await??;
-    let stream = TokioIo::new(Outlasting::new(stream));
+    let stream = TokioIo::new(RetryingStream::new(stream));
     let handshake = http1::Builder::new().max_buf_size(MAX_HEAD).handshake(stream).await;
     let (sender, connection) = handshake.map_err(std::io::Error::other)?;
     // Driving the connection also while it is idle is what notices that the peer has closed it.
--- a/crates/node/src/input.rs
+++ b/crates/node/src/input.rs
@@ -2,23 +2,23 @@
 
 use std::time::Duration;
 
-use brassrouter::{Legacy, Request, RequestId, ServerId};
+use brassrouter::{InheritedState, Request, RequestId, ServerId};
 use mothpier_accord::{MemberId, Message};
-use mothpier_handover::State;
-use mothpier_plan::Wish;
+use mothpier_handover::PredecessorState;
+use mothpier_plan::ZoneOrder;
 use tokio::sync::oneshot;
 
-use crate::command::{Answer, AttemptId, Command};
-use crate::discovery::List;
+use crate::command::{AttemptId, Command, Reply};
+use crate::discovery::ServerList;
 use crate::{origin, servers};
 
 /// What comes to the node from its other parts.
 pub enum Input {
-    Client(Asked),
+    Client(ClientEvent),
     Server {
         server: ServerId,
-        number: u64,
-        event: servers::Event,
+        connection: u64,
+        event: servers::ConnectionEvent,
     },
     Origin {
         attempt: AttemptId,
@@ -37,52 +37,52 @@
     /// This process has the accord's address from now on.
     Joins,
     /// Staff have ordered something of a zone.
-    Order(Wish),
+    ZoneOrder(ZoneOrder),
     /// The caps are divided into so many equal parts, of which one is this process': as many as processes are this node, and more
     /// while some belong to processes that have died.
-    Sharing(u32),
+    ProcessCount(u32),
     /// So many connections to servers may be open.
-    Descriptors(usize),
+    ServerDescriptorLimit(usize),
     /// The list as another process of this node has been told.
-    Told(List),
+    ListFromPredecessor(ServerList),
     /// What another process of this node has left behind.
-    Inherit(Legacy),
+    Inherited(InheritedState),
     /// A process that shared the caps has ended; what it had out at the origin is over after this time at the latest. Its part
     /// belongs to it until then.
-    SharerEnded {
-        calls_over_in: Duration,
+    ProcessEnded {
+        origin_calls_end_within: Duration,
     },
     /// What would be left behind, and with `whole` all that is known.
-    Known {
-        whole: bool,
-        reply: oneshot::Sender<State>,
+    TakeSnapshot {
+        full: bool,
+        reply: oneshot::Sender<PredecessorState>,
     },
     /// Another process of this node hears its peers from now on.
-    LeavePeers,
+    ReleasePeerAddresses,
     /// Another process of this node does its work from now on and needs the descriptors: connections to servers are closed as
     /// soon as they carry nothing.
-    CloseIdle,
+    CloseIdleConnections,
     /// Recording goes on or off.
-    Record(bool),
+    SetRecording(bool),
     /// The node ends in order: all that was taken is answered.
-    End,
+    Shutdown,
 }
 
 /// What clients tell the node.
-pub enum Asked {
+pub enum ClientEvent {
     Request {
         request: Request,
         /// The connection that it came on.
         connection: u64,
         command: Box<Command>,
-        answer: oneshot::Sender<Answer>,
+        reply: oneshot::Sender<Reply>,
     },
-    Gone(RequestId),
+    Disconnected(RequestId),
 }
 
 /// What the node is told of the list.
 pub enum Heard {
-    List(List),
+    List(ServerList),
     /// A call failed, or the watch broke.
     Failed,
 }
--- a/crates/node/src/keys.rs
+++ b/crates/node/src/keys.rs
@@ -6,7 +6,7 @@
 
 /// How keys become numbers. All nodes of a tier must do it alike, else each has an order of servers of its own.
 #[derive(Clone, Copy, Default, PartialEq)]
-pub enum Keys {
+pub enum KeyHasher {
     /// By a hash that everybody can compute.
     #[default]
     Plain,
@@ -15,21 +15,21 @@
 }
 
 // The secret must not reach a log by way of a debug print.
-impl std::fmt::Debug for Keys {
+impl std::fmt::Debug for KeyHasher {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            Keys::Plain => "Plain",
-            Keys::Secret(_) => "Secret",
+            KeyHasher::Plain => "Plain",
+            KeyHasher::Secret(_) => "Secret",
         })
     }
 }
 
-impl Keys {
+impl KeyHasher {
     /// Reads a secret: 32 hexadecimal digits, with white space round them.
     ///
     /// # Errors
     /// One plain line.
-    pub fn secret(text: &str) -> Result<Keys, String> {
+    pub fn from_hex_secret(text: &str) -> Result<KeyHasher, String> {
         let digits = text.trim();
         if digits.len() != 32 || !digits.bytes().all(|b| b.is_ascii_hexdigit()) {
             return Err(format!(
@@ -41,14 +41,14 @@
         for (i, byte) in secret.iter_mut().enumerate() {
             *byte = u8::from_str_radix(&digits[2 * i..2 * i + 2], 16).map_err(|e| e.to_string())?;
         }
-        Ok(Keys::Secret(secret))
+        Ok(KeyHasher::Secret(secret))
     }
 
     /// The number of a key; never 0, which would mean none.
-    pub fn number(&self, key: &[u8]) -> u64 {
+    pub fn hash(&self, key: &[u8]) -> u64 {
         let number = match self {
-            Keys::Plain => xxh3_64(key),
-            Keys::Secret(secret) => {
+            KeyHasher::Plain => xxh3_64(key),
+            KeyHasher::Secret(secret) => {
                 let mut hasher = SipHasher13::new_with_key(secret);
                 hasher.write(key);
                 hasher.finish()
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -8,16 +8,17 @@
 //! (`mothpier-places`), which it switches on as well, as it does `accord`, by which nodes agree on zones; `node` hands what the
 //! module is told to a recorder (`mothpier-record`), where there is one.
 
-mod accepting;
-mod accord;
+mod accept_failures;
+mod agreement;
 mod clamped;
 mod clients;
 mod command;
 pub mod config;
 mod counters;
-mod crowd;
 mod discovery;
+mod duplicate_responses;
 mod event_log;
+mod eviction_priority;
 #[cfg(test)]
 #[path = "../tests/unit/failing_host.rs"]
 mod failing_host;
@@ -26,19 +27,18 @@
 mod input;
 pub mod keys;
 mod local_failures;
-mod near;
+mod locality;
+mod memory_shortage;
 mod node;
 pub mod operator;
 pub mod ops;
 mod origin;
 mod peers;
-mod repeats;
 mod servers;
 mod service;
-mod shortage;
 mod start_times;
+mod storm_monitor;
 mod stream;
-mod weather;
 
-pub use discovery::{List, Member};
-pub use service::{Control, Start, run};
+pub use discovery::{Member, ServerList};
+pub use service::{Control, StartOptions, run};
--- a/crates/node/src/local_failures.rs
+++ b/crates/node/src/local_failures.rs
@@ -29,7 +29,7 @@
 
     /// A connection could not be made; whether the log is to be told. Of several that were tried together only the first
     /// lengthens the pause.
-    pub fn failed(&mut self) -> bool {
+    pub fn record_failure(&mut self) -> bool {
         let now = Instant::now();
         if self.may_connect() {
             self.until = Some(now + FIRST_PAUSE * 2u32.pow(self.in_row.min(DOUBLINGS)));
@@ -43,7 +43,7 @@
     }
 
     /// A connection was made: the machine lacks nothing.
-    pub fn connected(&mut self) {
+    pub fn record_success(&mut self) {
         (self.in_row, self.until) = (0, None);
     }
 }
--- a/crates/node/src/near.rs
+++ b/crates/node/src/locality.rs
@@ -4,10 +4,10 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use brassrouter::settings::Site;
-use brassrouter::{Pool, ServerId, ServerLine, Status};
-use mothpier_places::{Near, Places, State, Tally, Unusable};
-use mothpier_plan::{Seen, Step};
+use brassrouter::settings::DeploymentSettings;
+use brassrouter::{ServerEntry, ServerId, Status, ZoneRouting};
+use mothpier_places::{InvalidSetting, LocalitySteering, Places, RingState, Tally};
+use mothpier_plan::{AttemptCounts, RecentAttempts};
 use tokio::time::Instant;
 
 use crate::command::AttemptId;
@@ -21,60 +21,64 @@
 }
 
 /// The machine, and how to feed it.
-pub struct Nearby {
-    machine: Near,
+pub struct LocalityController {
+    machine: LocalitySteering,
     silent: Duration,
     start: Instant,
     zones: HashMap<ServerId, usize>,
     out: HashMap<AttemptId, Out>,
     tallies: Vec<Tally>,
-    told: State,
+    told: RingState,
     /// What a plan says of each zone: the part of its keys that goes there.
     open: Vec<f64>,
-    seen: Seen,
+    seen: RecentAttempts,
     names: Vec<String>,
     /// Zones in which the list had no cache server when people were last told.
     empty: Vec<usize>,
 }
 
-impl Nearby {
+impl LocalityController {
     /// One that has seen nothing; `None` where it is switched off.
     ///
     /// # Errors
     /// Places that do not fit the settings.
-    pub fn new(places: &Places, site: &Site, seed: u64) -> Result<Option<Nearby>, Unusable> {
+    pub fn new(
+        places: &Places,
+        site: &DeploymentSettings,
+        seed: u64,
+    ) -> Result<Option<LocalityController>, InvalidSetting> {
         if !places.on {
             return Ok(None);
         }
-        let rings = places.rings(&site.zones, site.zone)?;
-        Ok(Some(Nearby {
+        let rings = places.rings(&site.zone_names, site.zone)?;
+        Ok(Some(LocalityController {
             tallies: vec![Tally::default(); rings.len()],
-            machine: Near::new(places.figures.clone(), rings, seed),
-            silent: Duration::from_millis(places.figures.silent_ms),
+            machine: LocalitySteering::new(places.tuning.clone(), rings, seed),
+            silent: Duration::from_millis(places.tuning.unanswered_after_ms),
             start: Instant::now(),
             zones: HashMap::new(),
             out: HashMap::new(),
-            told: State::Well,
+            told: RingState::Healthy,
             open: Vec::new(),
-            seen: Seen::new(site.zones.len()),
-            names: site.zones.clone(),
+            seen: RecentAttempts::new(site.zone_names.len()),
+            names: site.zone_names.clone(),
             empty: Vec::new(),
         }))
     }
 
     /// Where keys' orders are taken now.
-    pub fn pool(&self) -> Pool {
-        Pool { open: self.open.clone(), ..self.machine.pool() }
+    pub fn pool(&self) -> ZoneRouting {
+        ZoneRouting { zone_key_shares: self.open.clone(), ..self.machine.routing() }
     }
 
     /// A plan says which part of its keys goes to each zone; without one, all of them.
-    pub fn act_on(&mut self, open: Vec<f64>) -> Pool {
+    pub fn act_on(&mut self, open: Vec<f64>) -> ZoneRouting {
         self.open = open;
         self.pool()
     }
 
     /// What was seen of late, by zone.
-    pub fn seen(&self) -> &Seen {
+    pub fn seen(&self) -> &RecentAttempts {
         &self.seen
     }
 
@@ -82,16 +86,16 @@
     pub fn state(&self) -> (&'static str, f64) {
         let (state, spilt) = self.machine.state();
         let word = match state {
-            State::Well => "well",
-            State::Strained => "strained",
-            State::Lost => "lost",
-            State::Returning => "returning",
+            RingState::Healthy => "well",
+            RingState::Overloaded => "strained",
+            RingState::Lost => "lost",
+            RingState::Returning => "returning",
         };
         (word, spilt)
     }
 
     /// What the list says of a cache server.
-    pub fn listed(&mut self, line: &ServerLine) {
+    pub fn listed(&mut self, line: &ServerEntry) {
         self.zones.insert(line.id, line.zone.into());
     }
 
@@ -128,13 +132,13 @@
         let Some(out) = self.out.remove(&attempt) else { return };
         let tally = &mut self.tallies[out.zone];
         match status {
-            Status::Served | Status::Miss if out.counted => tally.late += 1,
-            Status::Served | Status::Miss => tally.came += 1,
+            Status::Served | Status::Miss if out.counted => tally.answered_late += 1,
+            Status::Served | Status::Miss => tally.answered += 1,
             Status::Full | Status::Error if !out.counted => {
-                tally.came += 1;
+                tally.answered += 1;
                 tally.refused += 1;
             }
-            Status::Reset | Status::ConnectFailed | Status::TimedOut if !out.counted => tally.silent += 1,
+            Status::Reset | Status::ConnectFailed | Status::TimedOut if !out.counted => tally.unanswered += 1,
             // Called off, or never sent, before anything could be told by it; or counted before.
             _ => {}
         }
@@ -142,17 +146,21 @@
 
     /// How long until the next step.
     pub fn wait(&self) -> Duration {
-        self.machine.due().saturating_sub(self.start.elapsed())
+        self.machine.next_due().saturating_sub(self.start.elapsed())
     }
 
     /// One step: a pool, where it has changed, and a line for people, where the near zones look otherwise than before.
-    pub fn step(&mut self) -> (Option<Pool>, Option<String>) {
+    pub fn step(&mut self) -> (Option<ZoneRouting>, Option<String>) {
         for out in self.out.values_mut().filter(|out| !out.counted && out.sent.elapsed() >= self.silent) {
             out.counted = true;
-            self.tallies[out.zone].silent += 1;
+            self.tallies[out.zone].unanswered += 1;
         }
-        let step = |t: &Tally| Step { came: t.came, silent: t.silent, late: t.late };
-        self.seen.step(&self.tallies.iter().map(step).collect::<Vec<_>>(), &self.open);
+        let step = |t: &Tally| AttemptCounts {
+            answered: t.answered,
+            unanswered: t.unanswered,
+            answered_late: t.answered_late,
+        };
+        self.seen.record(&self.tallies.iter().map(step).collect::<Vec<_>>(), &self.open);
         // What a plan has dealt with is no reason to leave what is near beside it.
         for (tally, _) in self.tallies.iter_mut().zip(&self.open).filter(|(_, open)| **open < 1.0) {
             *tally = Tally::default();
@@ -164,10 +172,10 @@
         let changed = std::mem::replace(&mut self.told, state) != state;
         let line = changed.then(|| {
             let now = match state {
-                State::Well => "bear all of their traffic",
-                State::Strained => "are strained",
-                State::Lost => "do not answer",
-                State::Returning => "are taken back in steps",
+                RingState::Healthy => "bear all of their traffic",
+                RingState::Overloaded => "are strained",
+                RingState::Lost => "do not answer",
+                RingState::Returning => "are taken back in steps",
             };
             format!("places: the near zones {now}; {:.0}% of the keys go farther", spilt * 100.0)
         });
@@ -182,15 +190,22 @@
     #[test]
     fn switched_off_there_is_nothing_of_it_and_on_it_tells_attempts_by_their_zones() {
         let text = br#"{"classes":[{"name":"read"}],"zones":["a","b"],"zone":1}"#;
-        let site = brassrouter::settings::read(text).unwrap();
+        let site = brassrouter::settings::parse(text).unwrap();
         let mut places = Places::default();
-        assert!(Nearby::new(&places, &site, 1).unwrap().is_none());
+        assert!(LocalityController::new(&places, &site, 1).unwrap().is_none());
         places.on = true;
-        let mut near = Nearby::new(&places, &site, 1).unwrap().unwrap();
-        assert_eq!(near.pool(), Pool { rings: vec![2, 0], keep: [1.0, 1.0], open: vec![] });
+        let mut near = LocalityController::new(&places, &site, 1).unwrap().unwrap();
+        assert_eq!(
+            near.pool(),
+            ZoneRouting {
+                zone_rings: vec![2, 0],
+                cumulative_key_shares: [1.0, 1.0],
+                zone_key_shares: vec![]
+            }
+        );
         // Past the zones of the settings, as those are that the list alone names.
         for (id, zone) in [(1, 0), (2, 1), (3, 200)] {
-            near.listed(&ServerLine { id, zone, ..ServerLine::default() });
+            near.listed(&ServerEntry { id, zone, ..ServerEntry::default() });
         }
         let ends = [Status::Served, Status::Full, Status::ConnectFailed, Status::Cancelled, Status::NotSent];
         for (attempt, status) in ends.into_iter().enumerate() {
@@ -201,7 +216,7 @@
                 near.ended(id, status);
             }
         }
-        let each = Tally { came: 2, refused: 1, silent: 1, late: 0 };
+        let each = Tally { answered: 2, refused: 1, unanswered: 1, answered_late: 0 };
         assert_eq!(near.tallies, [each, each]);
         assert_eq!(near.taken_in(), None);
         near.forget(|id| id == 2);
@@ -214,13 +229,13 @@
     #[tokio::test(start_paused = true)]
     async fn answers_that_always_come_late_do_not_look_like_none() {
         let text = br#"{"classes":[{"name":"read"}],"zones":["a","b"],"zone":0}"#;
-        let site = brassrouter::settings::read(text).unwrap();
+        let site = brassrouter::settings::parse(text).unwrap();
         let places = Places { on: true, ..Places::default() };
         let silent_part = |late: bool| {
             let (site, places) = (site.clone(), places.clone());
             async move {
-                let mut near = Nearby::new(&places, &site, 1).unwrap().unwrap();
-                near.listed(&ServerLine { id: 1, zone: 1, ..ServerLine::default() });
+                let mut near = LocalityController::new(&places, &site, 1).unwrap().unwrap();
+                near.listed(&ServerEntry { id: 1, zone: 1, ..ServerEntry::default() });
                 for step in 0..40 {
                     // Each attempt is answered after 300 ms, where it is answered: in the step after the one in which it fell silent.
                     (0..4).for_each(|i| near.sent(step * 4 + i, 1));
--- a/crates/node/src/shortage.rs
+++ b/crates/node/src/memory_shortage.rs
@@ -55,22 +55,22 @@
 }
 
 /// A stream, or a half of one, whose transfers outlast a shortage of memory.
-pub struct Outlasting<S> {
+pub struct RetryingStream<S> {
     inner: S,
     reads: Retries,
     writes: Retries,
 }
 
-impl<S> Outlasting<S> {
+impl<S> RetryingStream<S> {
     /// Wraps a stream.
     pub fn new(inner: S) -> Self {
-        Outlasting { inner, reads: Retries::default(), writes: Retries::default() }
+        RetryingStream { inner, reads: Retries::default(), writes: Retries::default() }
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Outlasting<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for RetryingStream<S> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        let Outlasting { inner, writes, .. } = &mut *self;
+        let RetryingStream { inner, writes, .. } = &mut *self;
         writes.poll(cx, |cx| Pin::new(&mut *inner).poll_write(cx, bytes))
     }
 
@@ -79,7 +79,7 @@
         cx: &mut Context<'_>,
         slices: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let Outlasting { inner, writes, .. } = &mut *self;
+        let RetryingStream { inner, writes, .. } = &mut *self;
         writes.poll(cx, |cx| Pin::new(&mut *inner).poll_write_vectored(cx, slices))
     }
 
@@ -96,17 +96,17 @@
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Outlasting<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for RetryingStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let Outlasting { inner, reads, .. } = &mut *self;
+        let RetryingStream { inner, reads, .. } = &mut *self;
         reads.poll(cx, |cx| Pin::new(&mut *inner).poll_read(cx, buffer))
     }
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/shortage.rs"]
+#[path = "../tests/unit/memory_shortage.rs"]
 mod tests;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -6,31 +6,31 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use brassrouter::settings::Site;
+use brassrouter::settings::DeploymentSettings;
 use brassrouter::{
-    Action, Condition, Effect, Event, Legacy, ListKind, Load, LoadField, Micros, Note, Outcome, Policy,
-    RequestId, ServerId, Status,
+    Action, CacheResult, Condition, Effect, Event, InheritedState, ListKind, LoadField, LoadReport, Micros,
+    Outcome, Policy, RequestId, ServerId, Status,
 };
-use mothpier_handover::{Left, State};
+use mothpier_handover::{PredecessorState, RemainingResources};
 use mothpier_host::Host;
-use mothpier_ops::{Desk, DoubtedAnswers, Holds, Reason, RefuseReason, RetryReason, Step};
+use mothpier_ops::{DoubtedAnswers, Gauges, LifecycleEvent, OpsEndpoint, Reason, RefuseReason, RetryReason};
 use mothpier_record::{Recorder, entry};
 use redis_protocol::resp2::types::BytesFrame;
 use tokio::sync::{Notify, mpsc, oneshot, watch};
 use tokio::time::{Instant, sleep_until};
 
-use crate::accord::{Accord, Wanted as Agreed};
-use crate::command::{Answer, AttemptId, Command};
+use crate::agreement::{Agreement, Wanted as Agreed};
+use crate::command::{AttemptId, Command, Reply};
 use crate::counters::Counters;
-use crate::discovery::{List, Member, Numbers, Wanted};
+use crate::discovery::{Member, Numbers, ServerList, Subscription};
 use crate::event_log::{EventKind, EventLog};
-use crate::input::{Asked, Heard, Input};
-use crate::near::Nearby;
+use crate::input::{ClientEvent, Heard, Input};
+use crate::locality::LocalityController;
 use crate::origin::Origins;
 use crate::peers::Peers;
-use crate::servers::{Displaced, Ended, LONGEST_SILENCE, SendError, Servers};
+use crate::servers::{AttemptOutcome, InterruptedCommand, RESPONSE_STALL_TIMEOUT, SendError, Servers};
 use crate::start_times::StartTimes;
-use crate::weather::{LOOK, Weather};
+use crate::storm_monitor::{LOOK, StormMonitor};
 use crate::{origin, servers};
 
 /// A probe without answer after this time has failed.
@@ -80,7 +80,7 @@
 /// A request without its final answer.
 struct Open {
     command: Rc<Command>,
-    answer: oneshot::Sender<Answer>,
+    answer: oneshot::Sender<Reply>,
     ends: Instant,
     /// Attempts so far, each with its number, and how many of them this machine could not make.
     attempts: u16,
@@ -131,31 +131,31 @@
 }
 
 /// What another process of this node has handed on.
-pub struct Inherited {
+pub struct ResumedState {
     pub policy: Option<Policy>,
-    pub legacy: Legacy,
+    pub inherited: InheritedState,
 }
 
 /// The parts that the node drives.
-pub struct Parts<H: Host> {
+pub struct Components<H: Host> {
     pub servers: Servers<H>,
     pub origins: Origins<H>,
     pub peers: Option<Peers<H>>,
-    pub wanted: watch::Sender<Wanted>,
-    pub desk: Arc<Desk>,
+    pub subscription: watch::Sender<Subscription>,
+    pub ops_endpoint: Arc<OpsEndpoint>,
     /// Whether anyone can read the gauges.
-    pub staffed: bool,
-    pub weather: Option<Weather>,
+    pub has_ops_address: bool,
+    pub storm_monitor: Option<StormMonitor>,
     /// What keeps traffic near, where it is switched on.
-    pub near: Option<Nearby>,
+    pub locality: Option<LocalityController>,
     /// What makes nodes agree on zones, where it is switched on.
-    pub accord: Option<Accord<H>>,
+    pub agreement: Option<Agreement<H>>,
     /// Told where the lifecycle has taken a step that connections are to follow.
-    pub moved: Rc<Notify>,
+    pub lifecycle_changed: Rc<Notify>,
     /// What another process of this node has handed on; the module goes on from it.
-    pub inherited: Option<Inherited>,
+    pub predecessor: Option<ResumedState>,
     /// Whether one may ask for what is known.
-    pub hands_over: bool,
+    pub supports_handover: bool,
     pub recorder: Option<Recorder>,
 }
 
@@ -163,9 +163,9 @@
 pub struct Node<H: Host> {
     host: H,
     policy: Policy,
-    site: Site,
+    site: DeploymentSettings,
     clock: Clock,
-    parts: Parts<H>,
+    parts: Components<H>,
     numbers: Numbers,
     start_times: StartTimes,
     origin_ids: BTreeSet<ServerId>,
@@ -196,13 +196,13 @@
 }
 
 impl<H: Host> Node<H> {
-    pub fn new(host: H, site: Site, seed: u64, clock: Clock, mut parts: Parts<H>) -> Self {
-        let warm = parts.inherited.as_mut().and_then(|i| i.policy.take());
-        let warm = warm.filter(|p| *p.settings() == site.decisions).map(|p| p.succeeded(seed));
+    pub fn new(host: H, site: DeploymentSettings, seed: u64, clock: Clock, mut parts: Components<H>) -> Self {
+        let warm = parts.predecessor.as_mut().and_then(|i| i.policy.take());
+        let warm = warm.filter(|p| *p.settings() == site.policy).map(|p| p.into_successor(seed));
         Node {
             log: EventLog::new(host.clone()),
             host,
-            policy: warm.unwrap_or_else(|| Policy::new(site.decisions.clone(), seed)),
+            policy: warm.unwrap_or_else(|| Policy::new(site.policy.clone(), seed)),
             site,
             clock,
             parts,
@@ -228,29 +228,29 @@
     }
 
     /// Runs until every sender of inputs is gone.
-    pub async fn run(mut self, known: Option<List>, mut inputs: mpsc::Receiver<Input>) {
+    pub async fn run(mut self, known: Option<ServerList>, mut inputs: mpsc::Receiver<Input>) {
         // What an earlier life left behind counts before anything is decided.
         if let Some(left) = self.parts.recorder.as_mut().and_then(Recorder::legacy) {
-            self.events.push_back(Event::Legacy(left));
+            self.events.push_back(Event::Inherited(left));
         }
-        if let Some(inherited) = self.parts.inherited.take() {
-            self.events.push_back(Event::Sharing(2));
-            self.events.push_back(Event::Legacy(inherited.legacy));
+        if let Some(inherited) = self.parts.predecessor.take() {
+            self.events.push_back(Event::ProcessCount(2));
+            self.events.push_back(Event::Inherited(inherited.inherited));
         }
-        let known = known.unwrap_or(List { revision: 0, complete: true, members: Vec::new() });
+        let known = known.unwrap_or(ServerList { revision: 0, complete: true, members: Vec::new() });
         self.inherit_start_times(&known);
         self.list(known, ListKind::Cached);
         self.settle();
         self.wake(REPORT, Due::Report);
-        if self.parts.weather.is_some() {
+        if self.parts.storm_monitor.is_some() {
             self.wake(LOOK, Due::Look);
         }
-        if self.parts.staffed {
+        if self.parts.has_ops_address {
             self.gauges();
         }
-        if let Some(near) = &self.parts.near {
+        if let Some(near) = &self.parts.locality {
             let (pool, wait) = (near.pool(), near.wait());
-            self.events.push_back(Event::Pool(Some(pool)));
+            self.events.push_back(Event::ZoneRouting(Some(pool)));
             self.wake(wait, Due::Near);
             self.settle();
         }
@@ -264,7 +264,7 @@
             tokio::select! {
                 biased;
                 input = inputs.recv() => match input {
-                    Some(Input::End) => return self.recorder_ends(),
+                    Some(Input::Shutdown) => return self.recorder_ends(),
                     Some(input) => self.input(input),
                     None => return,
                 },
@@ -285,11 +285,11 @@
                 Some(Reverse((_, Due::Timer(token)))) => self.events.push_back(Event::Timer(token)),
                 Some(Reverse((_, Due::GiveUp(id)))) => self.time_out(id),
                 Some(Reverse((_, Due::Overdue(server, id)))) => {
-                    let ended = self.parts.servers.release_behind(server, id);
+                    let ended = self.parts.servers.release_blocked(server, id);
                     ended.into_iter().for_each(|(other, how)| self.server_ended(other, how));
                 }
                 Some(Reverse((_, Due::Report))) => {
-                    self.counters.connects = self.parts.servers.connects();
+                    self.counters.connects = self.parts.servers.take_connect_counts();
                     let age = self.listed.map(|at| at.elapsed());
                     if let Some(line) = self.counters.line(self.open.len(), age) {
                         self.host.log(format_args!("{line}"));
@@ -309,7 +309,7 @@
 
     /// Tells in the log how many answers came twice, or may have, where there are more than at the last line.
     fn report_doubted_answers(&mut self) {
-        let answers = self.parts.desk.figures.doubted_answers();
+        let answers = self.parts.ops_endpoint.metrics.doubted_answers();
         if answers != self.doubted_answers {
             self.doubted_answers = answers;
             self.host.log(format_args!("answers of cache servers since the start: {answers}"));
@@ -319,53 +319,68 @@
     /// Tells staff what the module holds and avoids.
     fn gauges(&mut self) {
         self.wake(GAUGES, Due::Gauges);
-        let (known, excluded) = self.policy.avoided();
+        let (known, excluded) = self.policy.known_and_avoided_servers();
         let (origin_out, origin_most) = self.policy.origin_calls();
         let list_age = self.listed.unwrap_or(self.clock.start).elapsed();
-        self.parts.desk.figures.holds(Holds { known, excluded, origin_out, origin_most, list_age });
+        self.parts.ops_endpoint.metrics.set_gauges(Gauges {
+            servers_known: known,
+            servers_excluded: excluded,
+            origin_calls_out: origin_out,
+            origin_calls_limit: origin_most,
+            list_age,
+        });
         self.post();
     }
 
     /// Tells staff how zones are, where places are on.
     fn post(&self) {
-        let (Some(board), Some(near)) = (self.parts.desk.board.get(), &self.parts.near) else { return };
+        let (Some(board), Some(near)) = (self.parts.ops_endpoint.zone_status.get(), &self.parts.locality)
+        else {
+            return;
+        };
         let (state, spilt) = near.state();
-        let (out, agreed) = self.parts.accord.as_ref().map(Accord::status).unzip();
-        let zone = self.site.zone.and_then(|zone| self.site.zones.get(usize::from(zone)));
+        let (out, agreed) = self.parts.agreement.as_ref().map(Agreement::status).unzip();
+        let zone = self.site.zone.and_then(|zone| self.site.zone_names.get(usize::from(zone)));
         let status = serde_json::json!({
-            "node": self.site.decisions.me, "zone": zone,
+            "node": self.site.policy.node_index, "zone": zone,
             "near": {"state": state, "spilt": spilt}, "accord": agreed,
         });
-        board.post(status.to_string(), out.unwrap_or_default());
+        board.publish(status.to_string(), out.unwrap_or_default());
     }
 
     /// Moves how much of the traffic stays near.
     fn keep_near(&mut self) {
-        let Some(near) = &mut self.parts.near else { return };
+        let Some(near) = &mut self.parts.locality else { return };
         let ((pool, line), wait) = (near.step(), near.wait());
-        self.events.extend(pool.map(|pool| Event::Pool(Some(pool))));
+        self.events.extend(pool.map(|pool| Event::ZoneRouting(Some(pool))));
         self.wake(wait, Due::Near);
         self.notice(line);
     }
 
     /// What the accord does, and what comes of it.
-    fn agree(&mut self, does: impl FnOnce(&mut Accord<H>, &mut Nearby) -> Agreed) {
-        let (Some(accord), Some(near)) = (&mut self.parts.accord, &mut self.parts.near) else { return };
+    fn agree(&mut self, does: impl FnOnce(&mut Agreement<H>, &mut LocalityController) -> Agreed) {
+        let (Some(accord), Some(near)) = (&mut self.parts.agreement, &mut self.parts.locality) else {
+            return;
+        };
         let (wanted, wait) = (does(accord, near), accord.wait());
-        self.events.extend(wanted.pool.map(|pool| Event::Pool(Some(pool))));
+        self.events.extend(wanted.pool.map(|pool| Event::ZoneRouting(Some(pool))));
         wanted.lines.into_iter().for_each(|line| self.notice(Some(line)));
         self.accord_at = Some(Instant::now() + wait);
         if let Some(away) = wanted.away {
-            self.parts.desk.lifecycle.step(if away { Step::Leave } else { Step::Return });
-            self.parts.moved.notify_one();
+            self.parts.ops_endpoint.lifecycle.apply(if away {
+                LifecycleEvent::Leave
+            } else {
+                LifecycleEvent::Return
+            });
+            self.parts.lifecycle_changed.notify_one();
         }
     }
 
     /// Reads the signs of a storm.
     fn look(&mut self) {
         self.wake(LOOK, Due::Look);
-        let Some(weather) = &mut self.parts.weather else { return };
-        if let Some(change) = weather.look(self.clock.now(), self.policy.capacity()) {
+        let Some(weather) = &mut self.parts.storm_monitor else { return };
+        if let Some(change) = weather.look(self.clock.now(), self.policy.fleet_capacity_share()) {
             self.host.log(format_args!("{change}"));
             self.events.push_back(Event::Storm(change.to.is_storm()));
         }
@@ -409,7 +424,7 @@
 
     fn input(&mut self, input: Input) {
         match input {
-            Input::Record(on) => {
+            Input::SetRecording(on) => {
                 let now = self.clock.now();
                 let notice = self.parts.recorder.as_mut().and_then(|r| r.switch(on, now));
                 self.notice(notice);
@@ -418,47 +433,51 @@
                 accord.begin();
                 accord.tick(near)
             }),
-            Input::Order(wish) => self.agree(|accord, near| accord.order(wish, near)),
+            Input::ZoneOrder(wish) => self.agree(|accord, near| accord.order(wish, near)),
             // One that it knows already, or a newer one, it has heard from discovery itself.
-            Input::Told(list) if list.revision > self.revision => self.list(list, ListKind::Cached),
-            Input::Told(_) => {}
-            Input::Sharing(sharers) => {
+            Input::ListFromPredecessor(list) if list.revision > self.revision => {
+                self.list(list, ListKind::Cached)
+            }
+            Input::ListFromPredecessor(_) => {}
+            Input::ProcessCount(sharers) => {
                 self.sharers = sharers;
-                self.events.push_back(Event::Sharing(sharers));
+                self.events.push_back(Event::ProcessCount(sharers));
             }
-            Input::SharerEnded { calls_over_in } => {
+            Input::ProcessEnded { origin_calls_end_within: calls_over_in } => {
                 self.sharer_calls_until =
                     self.clock.now().saturating_add(calls_over_in.as_micros() as Micros);
             }
-            Input::Inherit(left) => self.events.push_back(Event::Legacy(left)),
-            Input::Descriptors(most) => self.parts.servers.set_descriptors(for_cache_servers(most)),
-            Input::CloseIdle => {
+            Input::Inherited(left) => self.events.push_back(Event::Inherited(left)),
+            Input::ServerDescriptorLimit(most) => {
+                self.parts.servers.set_max_connections(cache_server_descriptors(most))
+            }
+            Input::CloseIdleConnections => {
                 self.closes_idle = true;
                 self.close_idle();
             }
-            Input::Known { whole, reply } => {
+            Input::TakeSnapshot { full: whole, reply } => {
                 if self.closes_idle {
                     self.close_idle();
                 }
                 let _ = reply.send(self.known(whole));
             }
-            Input::LeavePeers => {
+            Input::ReleasePeerAddresses => {
                 if let Some(peers) = &mut self.parts.peers {
                     peers.close();
                 }
                 // The other process waits for the address. What was agreed on last holds for the few seconds that are left.
-                self.parts.accord = None;
+                self.parts.agreement = None;
                 self.accord_at = None;
             }
-            Input::End => {}
-            Input::Client(Asked::Request { mut request, connection, command, answer }) => {
+            Input::Shutdown => {}
+            Input::Client(ClientEvent::Request { mut request, connection, command, reply: answer }) => {
                 let ends = Instant::now() + Duration::from_micros(request.time_left);
                 let now = self.clock.now();
-                let weather = self.parts.weather.as_mut();
+                let weather = self.parts.storm_monitor.as_mut();
                 let fingerprint = weather.map_or(0, |w| w.arrived(now, connection, &mut request));
-                let class = self.site.decisions.classes.get(request.class);
+                let class = self.site.policy.classes.get(request.class);
                 let open = Open {
-                    may_run_twice: class.is_some_and(|class| class.effect == Effect::Safe),
+                    may_run_twice: class.is_some_and(|class| class.effect == Effect::Idempotent),
                     command: command.into(),
                     answer,
                     ends,
@@ -474,42 +493,42 @@
                 self.counters.asked += 1;
                 self.events.push_back(Event::Request(request));
             }
-            Input::Client(Asked::Gone(id)) => {
+            Input::Client(ClientEvent::Disconnected(id)) => {
                 if let Some(open) = self.open.remove(&id) {
                     self.events.push_back(Event::ClientGone(id));
                     self.withdraw(open.out);
                 }
             }
-            Input::Server { server, number, event } => {
-                for (attempt, ended) in self.parts.servers.event(server, number, event) {
+            Input::Server { server, connection: number, event } => {
+                for (attempt, ended) in self.parts.servers.handle_event(server, number, event) {
                     self.server_ended(attempt, ended);
                 }
             }
             Input::Origin { attempt, ended } => {
                 let load = load(&self.site, &ended.load);
-                self.end(attempt, ended.status, Note::None, load, ended.value);
+                self.end(attempt, ended.status, CacheResult::None, load, ended.value);
             }
             Input::Discovery(Heard::List(list)) => {
-                self.parts.desk.lifecycle.step(Step::Ready);
+                self.parts.ops_endpoint.lifecycle.apply(LifecycleEvent::Ready);
                 self.counters.lists += 1;
-                self.parts.desk.figures.list_taken(list.revision);
+                self.parts.ops_endpoint.metrics.list_applied(list.revision);
                 self.listed = Some(Instant::now());
                 let kind = if list.complete { ListKind::Full } else { ListKind::Delta };
                 self.list(list, kind);
             }
             Input::Discovery(Heard::Failed) => {
                 self.counters.list_failures += 1;
-                self.parts.desk.figures.list_call_failed();
+                self.parts.ops_endpoint.metrics.list_call_failed();
                 // Only one that asks is told so; what is pushed goes on by itself.
-                if self.site.decisions.ask_discovery {
-                    self.parts.wanted.send_modify(|w| w.watch = false);
+                if self.site.policy.subscribes_to_discovery {
+                    self.parts.subscription.send_modify(|w| w.watch = false);
                     self.events.push_back(Event::ServerList { kind: ListKind::Failed, servers: Vec::new() });
                 }
             }
             Input::Member { from, message } => self.agree(|accord, near| accord.told(from, message, near)),
             Input::Peer { from, mut bytes } => {
                 self.counters.heard += 1;
-                if let Some(weather) = &mut self.parts.weather {
+                if let Some(weather) = &mut self.parts.storm_monitor {
                     bytes = weather.told(self.clock.now(), from, bytes);
                 }
                 self.events.push_back(Event::PeerMessage { from, bytes });
@@ -533,19 +552,26 @@
     }
 
     /// What another process of this node would go on from.
-    fn known(&self, whole: bool) -> State {
-        let (servers, origins) = (self.parts.servers.open(), self.parts.origins.open());
-        let mut left = Left { legacy: self.policy.legacy(), descriptors: (servers + origins) as u32 };
-        self.add_calls_of_ended_sharers(&mut left.legacy, whole);
+    fn known(&self, whole: bool) -> PredecessorState {
+        let (servers, origins) = (self.parts.servers.open_connections(), self.parts.origins.open());
+        let mut left = RemainingResources {
+            inherited: self.policy.inheritable_state(),
+            descriptors: (servers + origins) as u32,
+        };
+        self.add_calls_of_ended_sharers(&mut left.inherited, whole);
         if !whole {
-            return State { revision: self.revision, left, ..State::default() };
+            return PredecessorState {
+                list_revision: self.revision,
+                remaining: left,
+                ..PredecessorState::default()
+            };
         }
         let members: Vec<&Member> = self.members.values().collect();
-        State {
-            revision: self.revision,
+        PredecessorState {
+            list_revision: self.revision,
             list: serde_json::to_vec(&members).unwrap_or_default(),
-            module: postcard::to_allocvec(&self.policy).unwrap_or_default(),
-            left,
+            module_state: postcard::to_allocvec(&self.policy).unwrap_or_default(),
+            remaining: left,
         }
     }
 
@@ -553,26 +579,26 @@
     /// the caps but this process' and the next one's. The next one acts on half of the caps beside this one, and then on all: it
     /// is told so many as leave it one part of the half, and as many again at the end of this one. Of what it is told at its
     /// start it counts half.
-    fn add_calls_of_ended_sharers(&self, legacy: &mut Legacy, whole: bool) {
+    fn add_calls_of_ended_sharers(&self, legacy: &mut InheritedState, whole: bool) {
         let until = self.sharer_calls_until;
         if until <= self.clock.now() || self.sharers <= 2 {
             return;
         }
-        let part = |of: u32| (legacy.limit / f64::from(of)) as usize;
+        let part = |of: u32| (legacy.outstanding_limit / f64::from(of)) as usize;
         let calls = part(2).saturating_sub(part(self.sharers));
         // As many fetches among them as there may be among all calls, or the next process could make none.
         let fetches = (calls as f64 * FETCHES) as usize;
         for (fetch, calls) in [(true, fetches), (false, calls - fetches)] {
             let told = if whole { 2 * calls } else { calls };
-            legacy.calls.extend(std::iter::repeat_n((fetch, until), told));
+            legacy.origin_calls.extend(std::iter::repeat_n((fetch, until), told));
         }
     }
 
     /// Starts that the process before this one knew keep their times, as the module's state has them.
-    fn inherit_start_times(&mut self, known: &List) {
+    fn inherit_start_times(&mut self, known: &ServerList) {
         let now = self.clock.now();
         let inherited: HashMap<ServerId, Micros> =
-            self.policy.list().into_iter().map(|line| (line.id, line.started)).collect();
+            self.policy.listed_servers().into_iter().map(|line| (line.id, line.started_at)).collect();
         for member in &known.members {
             if let Some(started) = inherited.get(&self.numbers.of(&member.id)) {
                 self.start_times.inherit(&member.id, member.up_since_ms, *started, now);
@@ -580,10 +606,10 @@
         }
     }
 
-    fn list(&mut self, mut list: List, kind: ListKind) {
+    fn list(&mut self, mut list: ServerList, kind: ListKind) {
         self.start_times.heard(&list, kind, self.clock.now());
         let lines = self.numbers.lines(&self.host, &mut list, &self.site, &self.start_times);
-        if self.parts.hands_over {
+        if self.parts.supports_handover {
             self.remember(list, kind);
         }
         let named: HashSet<ServerId> = lines.iter().map(|(line, _)| line.id).collect();
@@ -592,21 +618,21 @@
         let mut unsent = Vec::new();
         for (line, address) in &lines {
             let ready = line.condition == Condition::Ready;
-            let origin = Some(line.kind) == self.site.decisions.origin_kind;
+            let origin = Some(line.machine_type) == self.site.policy.origin_machine_type;
             if line.condition == Condition::Gone && self.origin_ids.remove(&line.id) {
                 self.parts.origins.gone(line.id);
             } else if origin && line.condition != Condition::Gone {
                 self.origin_ids.insert(line.id);
                 self.parts.origins.listed(line.id, *address, ready);
             } else {
-                unsent.extend(self.parts.servers.listed(line.id, *address, ready));
-                if let Some(near) = &mut self.parts.near {
+                unsent.extend(self.parts.servers.update_server(line.id, *address, ready));
+                if let Some(near) = &mut self.parts.locality {
                     near.listed(line);
                 }
             }
         }
         if kind != ListKind::Delta {
-            unsent.extend(self.parts.servers.unlisted(&|id| named.contains(&id)));
+            unsent.extend(self.parts.servers.remove_unlisted(&|id| named.contains(&id)));
             for id in self.origin_ids.extract_if(.., |id| !named.contains(id)) {
                 self.parts.origins.gone(id);
             }
@@ -614,7 +640,7 @@
         // Ids are ever new: what the list has no longer is not kept.
         let left = |id| gone.contains(&id) || kind != ListKind::Delta && !named.contains(&id);
         self.numbers.forget(left);
-        if let Some(near) = &mut self.parts.near {
+        if let Some(near) = &mut self.parts.locality {
             near.forget(left);
             let line = near.taken_in();
             self.notice(line);
@@ -622,12 +648,12 @@
         let servers = lines.into_iter().map(|(line, _)| line).collect();
         self.events.push_back(Event::ServerList { kind, servers });
         for attempt in unsent {
-            self.end(attempt, Status::NotSent, Note::None, Load::default(), None);
+            self.end(attempt, Status::NotSent, CacheResult::None, LoadReport::default(), None);
         }
     }
 
     /// Keeps the list in the form in which it came.
-    fn remember(&mut self, list: List, kind: ListKind) {
+    fn remember(&mut self, list: ServerList, kind: ListKind) {
         if kind != ListKind::Delta {
             self.members.clear();
         }
@@ -643,15 +669,17 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Send { request, server, give_up_after } => self.send(request, server, give_up_after),
+            Action::Send { request, server, timeout: give_up_after } => {
+                self.send(request, server, give_up_after)
+            }
             Action::Refuse { request, retry_after } => {
                 let wait = retry_after.min(self.site.max_retry_after).div_ceil(1000);
                 self.tell_refusal(request, wait);
-                let out = self.answer(request, Answer::Busy(wait));
+                let out = self.answer(request, Reply::Busy(wait));
                 self.withdraw(out);
             }
             Action::Fail(request) => {
-                let out = self.answer(request, Answer::Failed);
+                let out = self.answer(request, Reply::Failed);
                 self.withdraw(out);
             }
             Action::Cancel { request, attempt } => {
@@ -661,15 +689,15 @@
                 }
             }
             Action::Timer { after, token } => self.wake(Duration::from_micros(after), Due::Timer(token)),
-            Action::Subscribe(on) => self.parts.wanted.send_modify(|w| {
+            Action::Subscribe(on) => self.parts.subscription.send_modify(|w| {
                 w.watch = on;
-                w.calls += u32::from(on);
+                w.requested_calls += u32::from(on);
             }),
-            Action::FetchList => self.parts.wanted.send_modify(|w| w.calls += 1),
+            Action::FetchList => self.parts.subscription.send_modify(|w| w.requested_calls += 1),
             Action::Probe(server) => self.probe(server),
             Action::CloseIdle(server) => self.close_idle_of(server),
-            Action::Tell { to, mut bytes } => {
-                if let Some(weather) = &self.parts.weather {
+            Action::SendToPeers { to, mut bytes } => {
+                if let Some(weather) = &self.parts.storm_monitor {
                     bytes = weather.tell(bytes);
                 }
                 if let Some(peers) = &self.parts.peers {
@@ -685,7 +713,7 @@
     /// Counts and logs that the module refuses a request.
     fn tell_refusal(&self, request: RequestId, retry_after_ms: Micros) {
         let reason = RefuseReason::Module;
-        self.parts.desk.figures.refusals.count(reason);
+        self.parts.ops_endpoint.metrics.refusals.increment(reason);
         let attempts = self.open.get(&request).map_or(0, Open::made);
         self.log.write(
             EventKind::RequestRefused,
@@ -698,7 +726,7 @@
 
     /// Counts and logs that a request gets an attempt beyond its first.
     fn tell_retry(&self, request: RequestId, number: u16, server: ServerId, reason: RetryReason) {
-        self.parts.desk.figures.retries.count(reason);
+        self.parts.ops_endpoint.metrics.retries.increment(reason);
         self.log.write(
             EventKind::FurtherAttempt,
             format_args!("reason={} request={request} attempt={number} server={server}", reason.name()),
@@ -706,18 +734,18 @@
     }
 
     /// Gives a request its final answer and returns its attempts that are out still.
-    fn answer(&mut self, request: RequestId, answer: Answer) -> Vec<AttemptId> {
+    fn answer(&mut self, request: RequestId, answer: Reply) -> Vec<AttemptId> {
         let Some(open) = self.open.remove(&request) else { return Vec::new() };
-        if let Some(weather) = self.parts.weather.as_mut().filter(|_| !answer.serves()) {
+        if let Some(weather) = self.parts.storm_monitor.as_mut().filter(|_| !answer.carries_value()) {
             weather.unserved(self.clock.now(), open.fingerprint);
         }
         match answer {
-            Answer::Value(_) | Answer::Stream(_) => self.counters.served += 1,
-            Answer::Busy(_) => {
+            Reply::Value(_) | Reply::Stream(_) => self.counters.served += 1,
+            Reply::Busy(_) => {
                 self.counters.refused += 1;
                 self.counters.untried += u32::from(open.made() == 0);
             }
-            Answer::Failed => self.counters.failed += 1,
+            Reply::Failed => self.counters.failed += 1,
         }
         // A client that has just gone needs none.
         let _ = open.answer.send(answer);
@@ -743,7 +771,7 @@
                 }
             };
             if withdrawn {
-                self.end(id, Status::NotSent, Note::None, Load::default(), None);
+                self.end(id, Status::NotSent, CacheResult::None, LoadReport::default(), None);
             }
         }
     }
@@ -773,8 +801,8 @@
             self.tell_retry(request, number, server, reason);
         }
         self.flights.insert(id, Flight { attempt: Some((request, number)), server, sent, call: None });
-        if u32::from(made) >= self.site.decisions.max_attempts || attempt_ends <= sent {
-            return self.end(id, Status::NotSent, Note::None, Load::default(), None);
+        if u32::from(made) >= self.site.policy.max_attempts || attempt_ends <= sent {
+            return self.end(id, Status::NotSent, CacheResult::None, LoadReport::default(), None);
         }
         if was_reset {
             // What reset one may have forgotten the others that were idle beside it: this attempt gets a new one.
@@ -787,15 +815,15 @@
             self.flights.entry(id).and_modify(|f| f.call = call);
             out
         } else {
-            if let Some(near) = &mut self.parts.near {
+            if let Some(near) = &mut self.parts.locality {
                 near.sent(id, server);
             }
             let payload = servers::Payload::Request { command, extras, may_run_twice };
-            self.parts.servers.send(server, servers::Command::new(id, payload))
+            self.parts.servers.send(server, servers::AttemptCommand::new(id, payload))
         };
         match out {
             Ok(()) => self.due.push(Reverse((attempt_ends, Due::GiveUp(id)))),
-            Err(error) => self.end(id, unsent(error), Note::None, Load::default(), None),
+            Err(error) => self.end(id, unsent(error), CacheResult::None, LoadReport::default(), None),
         }
     }
 
@@ -804,7 +832,7 @@
         let (id, sent) = (self.last_attempt, Instant::now());
         let origin = self.origin_ids.contains(&server);
         let call = if origin { self.parts.origins.probe(server, id) } else { None };
-        let command = servers::Command::new(id, servers::Payload::Probe);
+        let command = servers::AttemptCommand::new(id, servers::Payload::Probe);
         let out = match (origin, &call) {
             (true, Some(_)) => Ok(()),
             (true, None) => Err(SendError::NoConnection),
@@ -813,7 +841,7 @@
         self.flights.insert(id, Flight { attempt: None, server, sent, call });
         match out {
             Ok(()) => self.wake(PROBE_WAIT, Due::GiveUp(id)),
-            Err(error) => self.end(id, unsent(error), Note::None, Load::default(), None),
+            Err(error) => self.end(id, unsent(error), CacheResult::None, LoadReport::default(), None),
         }
     }
 
@@ -822,8 +850,8 @@
     fn time_out(&mut self, id: AttemptId) {
         let Some(server) = self.flights.get(&id).map(|flight| flight.server) else { return };
         self.give_up(id, Status::TimedOut);
-        if self.parts.servers.holds_up_others(server, id) {
-            self.wake(LONGEST_SILENCE, Due::Overdue(server, id));
+        if self.parts.servers.blocks_others(server, id) {
+            self.wake(RESPONSE_STALL_TIMEOUT, Due::Overdue(server, id));
         }
     }
 
@@ -840,28 +868,44 @@
             }
         };
         let status = if written { status } else { Status::NotSent };
-        self.end(id, status, Note::None, Load::default(), None);
+        self.end(id, status, CacheResult::None, LoadReport::default(), None);
     }
 
     /// Reads a cache server's answer as the protocol's table of outcomes says.
-    fn server_ended(&mut self, attempt: AttemptId, ended: Ended) {
+    fn server_ended(&mut self, attempt: AttemptId, ended: AttemptOutcome) {
         let frame = match ended {
-            Ended::Reset => return self.end(attempt, Status::Reset, Note::None, Load::default(), None),
-            Ended::NotConnected => {
-                return self.end(attempt, Status::ConnectFailed, Note::None, Load::default(), None);
+            AttemptOutcome::Reset => {
+                return self.end(attempt, Status::Reset, CacheResult::None, LoadReport::default(), None);
+            }
+            AttemptOutcome::NotConnected => {
+                return self.end(
+                    attempt,
+                    Status::ConnectFailed,
+                    CacheResult::None,
+                    LoadReport::default(),
+                    None,
+                );
             }
-            Ended::LocalFailure => {
-                return self.end(attempt, Status::LocalFailure, Note::None, Load::default(), None);
+            AttemptOutcome::LocalFailure => {
+                return self.end(
+                    attempt,
+                    Status::LocalFailure,
+                    CacheResult::None,
+                    LoadReport::default(),
+                    None,
+                );
             }
             // It has run, whatever it was that came back.
-            Ended::Spoilt => return self.end(attempt, Status::Error, Note::None, Load::default(), None),
+            AttemptOutcome::InvalidResponse => {
+                return self.end(attempt, Status::Error, CacheResult::None, LoadReport::default(), None);
+            }
             // For the module it is served: what follows is between the server and the client.
-            Ended::Began(value) => {
-                let value = Some(Answer::Stream(value));
-                return self.end(attempt, Status::Served, Note::None, Load::default(), value);
+            AttemptOutcome::StreamStarted(value) => {
+                let value = Some(Reply::Stream(value));
+                return self.end(attempt, Status::Served, CacheResult::None, LoadReport::default(), value);
             }
-            Ended::Displaced(displaced) => return self.send_again(attempt, displaced),
-            Ended::Answered(frame) => frame,
+            AttemptOutcome::Interrupted(displaced) => return self.send_again(attempt, displaced),
+            AttemptOutcome::Answered(frame) => frame,
         };
         match frame {
             BytesFrame::Array(parts) => {
@@ -871,19 +915,19 @@
                     _ => None,
                 };
                 let note = match text(parts.next()).as_deref() {
-                    Some("hit") => Note::Hit,
-                    Some("miss") => Note::Miss,
-                    Some("pending") => Note::MissBeingFetched,
-                    _ => Note::None,
+                    Some("hit") => CacheResult::Hit,
+                    Some("miss") => CacheResult::Miss,
+                    Some("pending") => CacheResult::MissBeingFetched,
+                    _ => CacheResult::None,
                 };
                 let load = text(parts.next()).map(|l| load(&self.site, &l)).unwrap_or_default();
                 let status = if value.is_some() { Status::Served } else { Status::Miss };
-                self.end(attempt, status, note, load, value.map(Answer::Value));
+                self.end(attempt, status, note, load, value.map(Reply::Value));
             }
             // Only to a probe: servers.rs lets nothing else through.
             BytesFrame::BulkString(report) => {
                 let load = load(&self.site, &String::from_utf8_lossy(&report));
-                self.end(attempt, Status::Served, Note::None, load, None);
+                self.end(attempt, Status::Served, CacheResult::None, load, None);
             }
             BytesFrame::Error(line) => {
                 let load = line.rsplit(' ').next().map(|l| load(&self.site, l)).unwrap_or_default();
@@ -891,19 +935,25 @@
                 if !busy && !line.starts_with("ERR failed") {
                     self.host.log(format_args!("a cache server answers {:?}", line));
                 }
-                self.end(attempt, if busy { Status::Full } else { Status::Error }, Note::None, load, None);
+                self.end(
+                    attempt,
+                    if busy { Status::Full } else { Status::Error },
+                    CacheResult::None,
+                    load,
+                    None,
+                );
             }
-            _ => self.end(attempt, Status::Error, Note::None, Load::default(), None),
+            _ => self.end(attempt, Status::Error, CacheResult::None, LoadReport::default(), None),
         }
     }
 
     /// Sends an attempt once more whose connection has ended, unless it may have run and may not run twice. For the module it
     /// is still the same attempt.
-    fn send_again(&mut self, id: AttemptId, displaced: Displaced) {
+    fn send_again(&mut self, id: AttemptId, displaced: InterruptedCommand) {
         let Some(flight) = self.flights.get(&id) else { return };
         let (server, request) = (flight.server, flight.attempt.map(|(request, _)| request));
         let was_written = displaced.was_written;
-        let most = self.site.decisions.max_attempts;
+        let most = self.site.policy.max_attempts;
         let is_allowed = match request.map(|request| self.open.get_mut(&request)) {
             // A probe.
             None => true,
@@ -916,19 +966,26 @@
             Some(Some(_)) => true,
         };
         let sent = match is_allowed {
-            true => self.parts.servers.send_again(server, displaced).map_err(unsent),
+            true => self.parts.servers.resend(server, displaced).map_err(unsent),
             false => Err(Status::NotSent),
         };
         if let Err(status) = sent {
             let status = if was_written { Status::Reset } else { status };
-            self.end(id, status, Note::None, Load::default(), None);
+            self.end(id, status, CacheResult::None, LoadReport::default(), None);
         }
     }
 
     /// The end of an attempt or probe, whatever brought it; the first value served is the request's answer.
-    fn end(&mut self, id: AttemptId, status: Status, note: Note, load: Load, value: Option<Answer>) {
+    fn end(
+        &mut self,
+        id: AttemptId,
+        status: Status,
+        note: CacheResult,
+        load: LoadReport,
+        value: Option<Reply>,
+    ) {
         let Some(flight) = self.flights.remove(&id) else { return };
-        if let Some(near) = &mut self.parts.near {
+        if let Some(near) = &mut self.parts.locality {
             near.ended(id, status);
         }
         let (server, took) = (flight.server, flight.sent.elapsed().as_micros() as Micros);
@@ -937,11 +994,16 @@
             if status == Status::LocalFailure {
                 return self.wake(PROBE_PAUSE, Due::Probe(server));
             }
-            return self.events.push_back(Event::Probed { server, ok: status == Status::Served, took, load });
+            return self.events.push_back(Event::Probed {
+                server,
+                succeeded: status == Status::Served,
+                duration: took,
+                load,
+            });
         };
         let was_made = !matches!(status, Status::NotSent | Status::LocalFailure);
         self.counters.ended(flight.call.is_some() || self.origin_ids.contains(&server), status, took);
-        if let Some(weather) = self.parts.weather.as_mut().filter(|_| was_made) {
+        if let Some(weather) = self.parts.storm_monitor.as_mut().filter(|_| was_made) {
             weather.worked(took, self.open.contains_key(&request));
         }
         if let Some(open) = self.open.get_mut(&request) {
@@ -952,7 +1014,7 @@
             open.local_failures = open.local_failures.saturating_add(failures);
         }
         let others = match status {
-            Status::Served => self.answer(request, value.unwrap_or(Answer::Failed)),
+            Status::Served => self.answer(request, value.unwrap_or(Reply::Failed)),
             _ => Vec::new(),
         };
         let over = !self.open.contains_key(&request);
@@ -961,9 +1023,9 @@
             attempt,
             server,
             status,
-            over,
-            note,
-            took,
+            request_finished: over,
+            cache_result: note,
+            duration: took,
             load,
         }));
         // Behind the outcome that ended the request.
@@ -988,7 +1050,7 @@
 }
 
 /// Of the descriptors for servers, those for cache servers: the rest is for the origin.
-pub fn for_cache_servers(servers: usize) -> usize {
+pub fn cache_server_descriptors(servers: usize) -> usize {
     servers * 3 / 4
 }
 
@@ -1001,14 +1063,14 @@
 }
 
 /// A load report: names and values, in the order that the settings give.
-fn load(site: &Site, report: &str) -> Load {
-    let mut load = Load::default();
-    for (name, field) in site.load_fields.iter().zip(&site.decisions.load_fields).take(load.values.len()) {
+fn load(site: &DeploymentSettings, report: &str) -> LoadReport {
+    let mut load = LoadReport::default();
+    for (name, field) in site.load_field_names.iter().zip(&site.policy.load_fields).take(load.values.len()) {
         let most = if *field == LoadField::Busy { MOST_LOAD.0 } else { MOST_LOAD.1 };
         let value = report.split(',').filter_map(|p| p.trim().split_once('=')).find(|(n, _)| n == name);
         // Reports come spoilt, too: a figure that no load can have must not reach the module's averages.
         let value = value.and_then(|(_, v)| v.parse::<f32>().ok()).filter(|v| (0.0..=most).contains(v));
-        let Some(value) = value else { return Load::default() };
+        let Some(value) = value else { return LoadReport::default() };
         load.values[usize::from(load.count)] = value;
         load.count += 1;
     }
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -1,8 +1,8 @@
 //! The operator's file: what a deployment switches on beside what the platform tells the node. Without the file, and
 //! for what it does not name, the node is as it was before there was one.
 
-use brassrouter::Damping;
-use brassrouter::settings::Site;
+use brassrouter::StormMitigation;
+use brassrouter::settings::DeploymentSettings;
 use mothpier_places::Places;
 use mothpier_record::Figures;
 use mothpier_storm::Settings;
@@ -22,7 +22,8 @@
     /// Where zones lie, and whether traffic stays near.
     pub places: Places,
     /// Whether nodes agree on which zones serve.
-    pub accord: Accord,
+    #[serde(rename = "accord")]
+    pub agreement: Accord,
 }
 
 /// How nodes agree on which zones serve.
@@ -39,7 +40,7 @@
     #[serde(deserialize_with = "shared")]
     pub members: Arc<[SocketAddr]>,
     /// Figures of the plan.
-    pub plan: mothpier_plan::Figures,
+    pub plan: mothpier_plan::Tuning,
 }
 
 /// Addresses that many nodes of one process may share.
@@ -49,7 +50,7 @@
 
 impl Accord {
     fn check(&self) -> Result<(), (String, String)> {
-        self.plan.check().map_err(|(key, what)| (format!("plan.{key}"), what))?;
+        self.plan.validate().map_err(|(key, what)| (format!("plan.{key}"), what))?;
         self.check_members().map_err(|(key, what)| (key.to_owned(), what))
     }
 
@@ -78,17 +79,17 @@
     ///
     /// # Errors
     /// One plain line with the place.
-    pub fn fits(&self, text: &str, site: &Site) -> Result<(), String> {
-        if self.accord.on {
-            let (members, nodes) = (self.accord.members.len(), site.decisions.balancers as usize);
+    pub fn check_against(&self, text: &str, site: &DeploymentSettings) -> Result<(), String> {
+        if self.agreement.on {
+            let (members, nodes) = (self.agreement.members.len(), site.policy.node_count as usize);
             if !self.places.on {
                 return Err(at(text, "accord", "on", "accord.on: it needs places.on".into()));
             }
-            if members != nodes || site.decisions.me as usize >= nodes {
+            if members != nodes || site.policy.node_index as usize >= nodes {
                 let told = format!("accord.members: {members} are named; the settings have {nodes} nodes");
                 return Err(at(text, "accord", "members", told));
             }
-            if site.zones.len() > mothpier_plan::MOST_ZONES {
+            if site.zone_names.len() > mothpier_plan::MOST_ZONES {
                 let told = format!("accord.on: at most {} zones", mothpier_plan::MOST_ZONES);
                 return Err(at(text, "accord", "on", told));
             }
@@ -96,7 +97,7 @@
         if !self.places.on {
             return Ok(());
         }
-        let fits = self.places.rings(&site.zones, site.zone);
+        let fits = self.places.rings(&site.zone_names, site.zone);
         fits.map(drop).map_err(|e| at(text, "places", &e.key, format!("places.{e}")))
     }
 }
@@ -124,12 +125,13 @@
     /// A file with the secret under which keys are hashed; the same on all nodes of the tier.
     pub key_file: Option<PathBuf>,
     /// Figures of the recorder.
-    pub figures: Figures,
+    #[serde(rename = "figures")]
+    pub tuning: Figures,
 }
 
 impl Default for Record {
     fn default() -> Self {
-        Record { on: false, folder: None, recover: true, key_file: None, figures: Figures::default() }
+        Record { on: false, folder: None, recover: true, key_file: None, tuning: Figures::default() }
     }
 }
 
@@ -144,19 +146,20 @@
     /// In a storm, repeats are held to a part of the first tries.
     pub repeats: bool,
     /// Figures of the detector and of the door.
-    pub figures: Settings,
+    #[serde(rename = "figures")]
+    pub tuning: Settings,
 }
 
 impl Default for Storm {
     fn default() -> Self {
-        Storm { detect: false, advice: true, repeats: true, figures: Settings::default() }
+        Storm { detect: false, advice: true, repeats: true, tuning: Settings::default() }
     }
 }
 
 impl Storm {
     /// What the decision module does in a storm.
-    pub fn damping(&self) -> Damping {
-        Damping { advice: self.advice, repeats: self.repeats }
+    pub fn damping(&self) -> StormMitigation {
+        StormMitigation { virtual_queue: self.advice, limit_retries: self.repeats }
     }
 }
 
@@ -171,10 +174,10 @@
         format!("{at}{}", e.message().replace('\n', " "))
     })?;
     let located = |table, key: &str, told| at(text, table, key, told);
-    operator.storm.figures.check().map_err(|e| located("storm", e.key, format!("storm.figures.{e}")))?;
-    operator.record.figures.check().map_err(|e| located("record", e.key, format!("record.figures.{e}")))?;
-    operator.places.check().map_err(|e| located("places", &e.key, format!("places.{e}")))?;
-    operator.accord.check().map_err(|(key, e)| located("accord", &key, format!("accord.{key}: {e}")))?;
+    operator.storm.tuning.validate().map_err(|e| located("storm", e.key, format!("storm.figures.{e}")))?;
+    operator.record.tuning.check().map_err(|e| located("record", e.key, format!("record.figures.{e}")))?;
+    operator.places.validate().map_err(|e| located("places", &e.key, format!("places.{e}")))?;
+    operator.agreement.check().map_err(|(key, e)| located("accord", &key, format!("accord.{key}: {e}")))?;
     if operator.record.on && operator.record.folder.is_none() {
         let told = "record.on: there is no record.folder to record to";
         return Err(located("record", "on", told.into()));
@@ -211,7 +214,7 @@
         assert_eq!(bad(twice), "line 2: places.region: zone \"x\" is named twice");
         assert!(bad("[places]\npool = \"town\"").starts_with("line 2: unknown variant `town`"));
         assert_eq!(read("").unwrap(), Operator::default());
-        assert!(!read("").unwrap().places.on && !read("").unwrap().accord.on);
+        assert!(!read("").unwrap().places.on && !read("").unwrap().agreement.on);
         let accord = |rest: &str| format!("[accord]\non = true\nlisten = \"127.0.0.1:9\"\n{rest}");
         assert_eq!(bad("[accord]\non = true"), "line 2: accord.on: accord.listen is missing");
         assert_eq!(
@@ -228,20 +231,20 @@
     fn places_must_fit_the_zones_of_the_settings() {
         let site = |zone: &str| {
             let text = format!(r#"{{"classes":[{{"name":"read"}}],"zones":["a","b"]{zone}}}"#);
-            brassrouter::settings::read(text.as_bytes()).unwrap()
+            brassrouter::settings::parse(text.as_bytes()).unwrap()
         };
         let text = "[places]\non = true\n[[places.region]]\nname = \"r\"\nzones = [\"a\", \"c\"]";
         let operator = read(text).unwrap();
         let told = "line 3: places.region: there is no zone \"c\"; the settings have a, b";
-        assert_eq!(operator.fits(text, &site(r#","zone":0"#)).unwrap_err(), told);
+        assert_eq!(operator.check_against(text, &site(r#","zone":0"#)).unwrap_err(), told);
         let text = "[places]\non = true";
         let operator = read(text).unwrap();
-        assert!(operator.fits(text, &site(r#","zone":1"#)).is_ok());
+        assert!(operator.check_against(text, &site(r#","zone":1"#)).is_ok());
         let told = "line 2: places.on: the settings name no zone for this node";
-        assert_eq!(operator.fits(text, &site("")).unwrap_err(), told);
-        assert_eq!(operator.fits(text, &site(r#","zone":2"#)).unwrap_err(), told);
+        assert_eq!(operator.check_against(text, &site("")).unwrap_err(), told);
+        assert_eq!(operator.check_against(text, &site(r#","zone":2"#)).unwrap_err(), told);
         assert!(
-            read("").unwrap().fits("", &site("")).is_ok(),
+            read("").unwrap().check_against("", &site("")).is_ok(),
             "switched off, nothing is asked of the settings"
         );
     }
