--- a/crates/node/src/ops.rs
+++ b/crates/node/src/ops.rs
@@ -9,15 +9,15 @@
 
 use bytes::BytesMut;
 use mothpier_host::{Host, Listener, Stream};
-use mothpier_ops::{Called, Desk, Follows, MAX_HEAD};
+use mothpier_ops::{CallEffect, CallResult, MAX_HEAD_BYTES, OpsEndpoint};
 use tokio::io::AsyncWriteExt;
 use tokio::sync::{Notify, mpsc};
 use tokio::task::{AbortHandle, spawn_local, yield_now};
 use tokio::time::{sleep, timeout};
 
 use crate::Control;
-use crate::accepting::{self, Failures, Reaction};
-use crate::stream::{close_in_order, read};
+use crate::accept_failures::{self, AcceptFailureTracker, Reaction};
+use crate::stream::{close_gracefully, read_some};
 
 /// One in so many descriptors is for a connection here: a handful of callers and those that never finish.
 const DESCRIPTORS_PER_CONNECTION: usize = 24;
@@ -27,7 +27,7 @@
 /// Descriptors of the listener and of the runtime.
 const OWN_DESCRIPTORS: usize = 8;
 /// Descriptors that it holds while nobody but a few callers is there.
-pub const IN_USE: usize = OWN_DESCRIPTORS + 4;
+pub const IDLE_DESCRIPTORS: usize = OWN_DESCRIPTORS + 4;
 /// A head must come whole within this time, and an answer be taken.
 const HEAD: Duration = Duration::from_secs(2);
 const TAKEN: Duration = Duration::from_secs(1);
@@ -38,7 +38,7 @@
 }
 
 /// Descriptors to set aside for it.
-pub fn descriptors(all: usize) -> usize {
+pub fn reserved_descriptors(all: usize) -> usize {
     connections(all) + OWN_DESCRIPTORS
 }
 
@@ -72,13 +72,13 @@
 pub async fn serve<H: Host>(
     host: H,
     listener: H::Listener,
-    desk: Arc<Desk>,
+    desk: Arc<OpsEndpoint>,
     control: mpsc::Sender<Control>,
     descriptors: usize,
 ) {
     let most = connections(descriptors);
     let open = Rc::new(Open::default());
-    let mut failures = Failures::default();
+    let mut failures = AcceptFailureTracker::default();
     for number in 0.. {
         while open.all.get() >= most {
             // The oldest that has asked nothing gives way; all others end within a known time.
@@ -91,14 +91,14 @@
             Ok((stream, _)) => stream,
             Err(error) => {
                 // What descriptors are short of is not in its few connections.
-                match failures.failed(&host, "ops", &error) {
-                    Reaction::RetryAtOnce => yield_now().await,
-                    Reaction::Pause | Reaction::MakeRoom => sleep(accepting::PAUSE).await,
+                match failures.record_failure(&host, "ops", &error) {
+                    Reaction::RetryImmediately => yield_now().await,
+                    Reaction::Pause | Reaction::EvictAndPause => sleep(accept_failures::RETRY_DELAY).await,
                 }
                 continue;
             }
         };
-        failures.accepted();
+        failures.record_success();
         open.all.set(open.all.get() + 1);
         let place = Place(open.clone(), number);
         let task = spawn_local(answer::<H>(stream, place, desk.clone(), control.clone(), host.clone()));
@@ -109,7 +109,7 @@
 async fn answer<H: Host>(
     stream: H::Stream,
     place: Place,
-    desk: Arc<Desk>,
+    desk: Arc<OpsEndpoint>,
     control: mpsc::Sender<Control>,
     host: H,
 ) {
@@ -117,11 +117,11 @@
     let mut head = BytesMut::new();
     let called = async {
         loop {
-            if !read(&reading, &mut head).await {
+            if !read_some(&reading, &mut head).await {
                 return None;
             }
-            head.truncate(MAX_HEAD);
-            if let Called::Answer { bytes, follows } = desk.call(&head) {
+            head.truncate(MAX_HEAD_BYTES);
+            if let CallResult::Answer { bytes, effect: follows } = desk.handle_call(&head) {
                 return Some((bytes, follows));
             }
         }
@@ -129,19 +129,19 @@
     let (bytes, follows) = match timeout(HEAD, called).await {
         Ok(Some(answer)) => answer,
         Ok(None) => return,
-        Err(_) => (desk.too_slow(), None),
+        Err(_) => (desk.timeout_response(), None),
     };
     place.finished();
     match follows {
-        Some(Follows::Step(step, phase)) => {
+        Some(CallEffect::PhaseChanged(step, phase)) => {
             host.log(format_args!("staff: {step:?}, the node is {phase:?} now"));
             // Its connections follow; what is asked of the node changed with the step itself.
-            let _ = control.send(Control::Lifecycle).await;
+            let _ = control.send(Control::LifecycleChanged).await;
         }
-        Some(Follows::Order(wish)) => drop(control.send(Control::Order(wish)).await),
+        Some(CallEffect::Order(wish)) => drop(control.send(Control::ZoneOrder(wish)).await),
         None => {}
     }
     if let Ok(Ok(())) = timeout(TAKEN, writing.write_all(&bytes)).await {
-        close_in_order(&reading, &mut writing).await;
+        close_gracefully(&reading, &mut writing).await;
     }
 }
--- a/crates/node/src/origin.rs
+++ b/crates/node/src/origin.rs
@@ -15,18 +15,20 @@
 use hyper::{Method, Request};
 use mothpier_host::Host;
 use mothpier_host::failure::ConnectFailure;
-use mothpier_ops::Figures;
-use mothpier_resp::{MAX_VALUE, WHOLE};
+use mothpier_ops::Metrics;
+use mothpier_resp::{MAX_BUFFERED_VALUE_BYTES, MAX_VALUE_BYTES};
 use percent_encoding::{AsciiSet, NON_ALPHANUMERIC, percent_encode};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc};
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, timeout};
 
-use crate::command::{Answer, AttemptExtras, AttemptId, Command, PIECE, STANDSTILL, Stream};
+use crate::command::{
+    AttemptExtras, AttemptId, Command, LargeValue, MAX_CHUNK_BYTES, Reply, STREAM_STALL_TIMEOUT,
+};
+use crate::duplicate_responses::{Doubt, Fingerprint, RecentResponses, VerificationState};
 use crate::http::{self, Connection};
 use crate::input::Input;
 use crate::local_failures::LocalFailures;
-use crate::repeats::{Doubt, Findings, Fingerprint, RecentAnswers};
 
 /// A connection idle for this part of the time after which it is closed is not used again.
 const FRESH: f64 = 0.7;
@@ -57,7 +59,7 @@
 /// How a call ended.
 pub struct Ended {
     pub status: Status,
-    pub value: Option<Answer>,
+    pub value: Option<Reply>,
     /// The load report, as it came.
     pub load: String,
 }
@@ -89,7 +91,7 @@
     fn into_request(mut self) -> Option<Request<Full<Bytes>>> {
         if let Some(extras) = self.extras {
             // Extras are printable: `Clients::parse` lets nothing else through.
-            let list = HeaderValue::from_maybe_shared(extras.to_write_now()?).ok()?;
+            let list = HeaderValue::from_maybe_shared(extras.encode_now()?).ok()?;
             self.request.headers_mut().insert("X-Extras", list);
         }
         Some(self.request)
@@ -119,7 +121,7 @@
     address: Option<SocketAddr>,
     ready: Cell<bool>,
     idle: RefCell<Vec<Idle>>,
-    findings: RefCell<Findings>,
+    findings: RefCell<VerificationState>,
     /// Doubts about values of which the keys have not been asked for on a new connection since, the latest last.
     doubts: RefCell<VecDeque<(Bytes, Doubt)>>,
 }
@@ -128,7 +130,7 @@
 struct Lease {
     connection: Connection,
     _permit: OwnedSemaphorePermit,
-    recent: RecentAnswers,
+    recent: RecentResponses,
 }
 
 /// A connection that carries nothing, and since when.
@@ -150,7 +152,7 @@
     fn take_idle(&self, fresh: Duration, quiet: bool) -> Option<Lease> {
         let mut idle = self.idle.borrow_mut();
         idle.retain(|Idle(lease, since)| lease.connection.sender.is_ready() && since.elapsed() < fresh);
-        let place = idle.iter().rposition(|Idle(lease, _)| !quiet || lease.recent.is_quiet())?;
+        let place = idle.iter().rposition(|Idle(lease, _)| !quiet || lease.recent.duplicates_expired())?;
         Some(idle.remove(place).0)
     }
 
@@ -166,19 +168,19 @@
         &self,
         subject: &Subject,
         value: &[u8],
-        recent: &mut RecentAnswers,
+        recent: &mut RecentResponses,
         written: Instant,
     ) -> bool {
         let value = Fingerprint::of_value(value);
         let mut findings = self.findings.borrow_mut();
-        findings.answered();
+        findings.record_response();
         if recent.is_empty() {
             self.settle(subject, value, &mut findings);
         }
         // An origin that turns calls away does so often, and its values are dear.
-        let is_known = |doubt: &Doubt| doubt.is_behind_repeat() && !findings.is_distrusted();
+        let is_known = |doubt: &Doubt| doubt.is_sync_doubt() && !findings.is_distrusted();
         let doubt = recent.doubt(&subject.key, written, value).filter(|doubt| !is_known(doubt));
-        match doubt.filter(|doubt| findings.wants_check(*doubt)) {
+        match doubt.filter(|doubt| findings.needs_check(*doubt)) {
             Some(doubt) => {
                 let mut doubts = self.doubts.borrow_mut();
                 if doubts.len() == MOST_DOUBTS {
@@ -195,11 +197,11 @@
     }
 
     /// Learns from the first value on a connection, which can't be a repeat.
-    fn settle(&self, subject: &Subject, value: Fingerprint, findings: &mut Findings) {
+    fn settle(&self, subject: &Subject, value: Fingerprint, findings: &mut VerificationState) {
         let mut doubts = self.doubts.borrow_mut();
         let Some(place) = doubts.iter().position(|(key, _)| *key == subject.key) else { return };
         if let Some((_, doubt)) = doubts.remove(place) {
-            findings.settle(doubt, value);
+            findings.resolve_doubt(doubt, value);
         }
     }
 }
@@ -227,11 +229,11 @@
         let mut failures = self.local_failures.borrow_mut();
         match connected {
             Ok(connection) => {
-                failures.connected();
-                Ok(Lease { connection, _permit: permit, recent: RecentAnswers::default() })
+                failures.record_success();
+                Ok(Lease { connection, _permit: permit, recent: RecentResponses::default() })
             }
-            Err(error) if ConnectFailure::of(&error) == ConnectFailure::Local => {
-                if failures.failed() {
+            Err(error) if ConnectFailure::from_error(&error) == ConnectFailure::Local => {
+                if failures.record_failure() {
                     self.host.log(format_args!("this machine can't connect to the origin: {error}"));
                 }
                 Err(Status::LocalFailure)
@@ -248,7 +250,7 @@
     idle_close: Duration,
     /// Connections that may be open to all together.
     most: usize,
-    figures: Arc<Figures>,
+    figures: Arc<Metrics>,
     events: mpsc::Sender<Input>,
 }
 
@@ -258,7 +260,7 @@
         idle_close: Duration,
         connect_timeout: Duration,
         descriptors: usize,
-        figures: Arc<Figures>,
+        figures: Arc<Metrics>,
         events: mpsc::Sender<Input>,
     ) -> Self {
         let most = descriptors.max(1);
@@ -347,7 +349,7 @@
         let (connector, begun, events) = (self.connector.clone(), written.clone(), self.events.clone());
         let begins = move || {
             begun.set(true);
-            figures.iter().for_each(|f| f.attempt());
+            figures.iter().for_each(|f| f.attempt_sent());
         };
         let fresh = self.idle_close;
         let task = tokio::task::spawn_local(async move {
@@ -399,7 +401,7 @@
         },
     };
     // What comes for it then is its own.
-    let is_certain = runs_once && lease.recent.is_quiet();
+    let is_certain = runs_once && lease.recent.duplicates_expired();
     // It may have begun to drain while the connection was made: nothing new goes there then.
     if !pool.ready.get() {
         return Err(Status::NotSent);
@@ -425,33 +427,35 @@
     };
     let length = response.body().size_hint().exact().and_then(|n| usize::try_from(n).ok());
     if status == Status::Served
-        && let Some(length) = length.filter(|n| (WHOLE + 1..=MAX_VALUE).contains(n))
+        && let Some(length) = length.filter(|n| (MAX_BUFFERED_VALUE_BYTES + 1..=MAX_VALUE_BYTES).contains(n))
     {
-        let (into, stream) = Stream::new(length);
+        let (into, stream) = LargeValue::new(length);
         let large = Large { body: response.into_body(), into, _lease: lease };
-        return Ok((Ended { status, value: Some(Answer::Stream(stream)), load }, Some(large)));
+        return Ok((Ended { status, value: Some(Reply::Stream(stream)), load }, Some(large)));
     }
     // A body that stands still, or is too long for one whose length was not told, is no answer; its connection goes
     // with it.
-    let value = http::body(response.into_body(), WHOLE, Some(BEGUN)).await.map_err(|_| Status::Reset)?;
+    let value = http::body(response.into_body(), MAX_BUFFERED_VALUE_BYTES, Some(BEGUN))
+        .await
+        .map_err(|_| Status::Reset)?;
     if let Some(subject) = &subject {
         if status == Status::Served && is_certain {
             lease.recent.push(&subject.key, Fingerprint::of_value(&value));
         } else if status == Status::Served && pool.doubts_value(subject, &value, &mut lease.recent, written) {
             return Err(Status::Reset);
         }
-        let may_repeat = status != Status::Served && lease.recent.push_empty(&code.to_le_bytes());
+        let may_repeat = status != Status::Served && lease.recent.push_without_value(&code.to_le_bytes());
         if may_repeat && !is_certain {
             // The true response may still come, and would be taken for the next call's: the connection is not kept.
             return match subject.may_run_twice {
-                true => Ok((Ended { status, value: Some(Answer::Value(value)), load }, None)),
+                true => Ok((Ended { status, value: Some(Reply::Value(value)), load }, None)),
                 // Nor can it be believed that it never ran.
                 false => Err(Status::Error),
             };
         }
     }
     pool.keep(lease);
-    Ok((Ended { status, value: Some(Answer::Value(value)), load }, None))
+    Ok((Ended { status, value: Some(Reply::Value(value)), load }, None))
 }
 
 /// A large value that has begun to come.
@@ -465,10 +469,10 @@
     /// Passes it on as fast as its client takes it. The connection ends with it: what is passed on as it comes can't be compared
     /// with another value, so that a repeat of it must meet no other call.
     async fn pass_on(mut self) {
-        while let Ok(Some(Ok(frame))) = timeout(STANDSTILL, self.body.frame()).await {
+        while let Ok(Some(Ok(frame))) = timeout(STREAM_STALL_TIMEOUT, self.body.frame()).await {
             let Ok(mut data) = frame.into_data() else { continue };
             while !data.is_empty() {
-                let piece = data.split_to(data.len().min(PIECE));
+                let piece = data.split_to(data.len().min(MAX_CHUNK_BYTES));
                 if self.into.send(piece).await.is_err() {
                     return;
                 }
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -9,7 +9,7 @@
 
 use brassrouter::ServerId;
 use mothpier_host::Host;
-use mothpier_ops::Figures;
+use mothpier_ops::Metrics;
 use redis_protocol::resp2::types::BytesFrame;
 use tokio::sync::mpsc;
 use tokio::time::Instant;
@@ -17,13 +17,13 @@
 use self::connection::{Connection, Connector, First};
 use self::line::Writing;
 use self::payload::Kind;
-pub use self::payload::{Command, Payload};
+pub use self::payload::{AttemptCommand, Payload};
 use self::pool::Pool;
-use crate::command::{AttemptId, Stream as LargeValue};
-use crate::counters::Connects;
+use crate::command::{AttemptId, LargeValue};
+use crate::counters::ConnectCounts;
+use crate::duplicate_responses::Doubt;
 use crate::input::Input;
 use crate::local_failures::LocalFailures;
-use crate::repeats::Doubt;
 
 mod connection;
 mod driver;
@@ -44,16 +44,16 @@
 
 /// An answer that has begun goes on within this time, however small its pieces are, and one that is overdue comes within it.
 /// What waits behind one that does not waits in vain.
-pub const LONGEST_SILENCE: Duration = Duration::from_millis(250);
+pub const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// How an attempt at a cache server ended.
-pub enum Ended {
+pub enum AttemptOutcome {
     /// A frame of the agreed form came back for it.
     Answered(BytesFrame),
     /// A large value has begun to come.
-    Began(LargeValue),
+    StreamStarted(LargeValue),
     /// What came back can't be an answer to it. It has run; the connection is closed.
-    Spoilt,
+    InvalidResponse,
     /// The connection ended after its last byte was written.
     Reset,
     /// Its last byte was never written: it cannot have run.
@@ -61,13 +61,13 @@
     /// The same, for a reason that lies on this machine and tells nothing of the server.
     LocalFailure,
     /// Its connection has ended, which tells nothing of the server. Nothing was handed on.
-    Displaced(Displaced),
+    Interrupted(InterruptedCommand),
 }
 
 /// A command whose connection has ended, though its server goes on: its answers could not be told apart, or it ended
 /// before the command was written.
-pub struct Displaced {
-    command: Command,
+pub struct InterruptedCommand {
+    command: AttemptCommand,
     /// Whether it was written whole: it may have run.
     pub was_written: bool,
     /// Why its own answer was not taken, which the next one settles; `None` where it had none.
@@ -100,7 +100,7 @@
 }
 
 /// What a connection tells the node.
-pub enum Event {
+pub enum ConnectionEvent {
     Up,
     Answer(AttemptId, BytesFrame),
     Began(AttemptId, LargeValue),
@@ -113,19 +113,19 @@
         end: ConnectionEnd,
         written: Vec<AttemptId>,
         unwritten: Vec<AttemptId>,
-        displaced: Vec<Displaced>,
+        displaced: Vec<InterruptedCommand>,
     },
 }
 
 /// Limits of the connections.
 #[derive(Clone)]
 pub struct Limits {
-    pub balancers: usize,
-    pub multiplex: usize,
+    pub node_count: usize,
+    pub attempts_per_connection: usize,
     pub idle_close: Duration,
     pub connect_timeout: Duration,
     /// Connections to all servers together.
-    pub descriptors: usize,
+    pub max_connections: usize,
 }
 
 /// What came of taking back an attempt.
@@ -134,7 +134,7 @@
     /// It was not written whole, and won't be: it never ran.
     pub unwritten: bool,
     /// Others that this ends.
-    pub ended: Vec<(AttemptId, Ended)>,
+    pub ended: Vec<(AttemptId, AttemptOutcome)>,
 }
 
 /// All connections to cache servers.
@@ -145,13 +145,13 @@
     numbers: u64,
     /// How many servers take new requests: asked with every attempt.
     ready: usize,
-    connects: Connects,
+    connects: ConnectCounts,
     /// A shortage of this machine's concerns the connections to all servers.
     local_failures: LocalFailures,
 }
 
 impl<H: Host> Servers<H> {
-    pub fn new(host: H, limits: Limits, figures: Arc<Figures>, events: mpsc::Sender<Input>) -> Self {
+    pub fn new(host: H, limits: Limits, figures: Arc<Metrics>, events: mpsc::Sender<Input>) -> Self {
         let connect_timeout = limits.connect_timeout;
         let connector = Connector { host, connect_timeout, events, figures, all: Rc::default() };
         Servers {
@@ -160,14 +160,19 @@
             limits,
             numbers: 0,
             ready: 0,
-            connects: Connects::default(),
+            connects: ConnectCounts::default(),
             local_failures: LocalFailures::default(),
         }
     }
 
     /// Takes a line of the list. Returns the attempts that were not begun to be written to a server that now
     /// wants none: after the grace not one byte of a new attempt may go there, so none is left to be sent.
-    pub fn listed(&mut self, server: ServerId, address: Option<SocketAddr>, ready: bool) -> Vec<AttemptId> {
+    pub fn update_server(
+        &mut self,
+        server: ServerId,
+        address: Option<SocketAddr>,
+        ready: bool,
+    ) -> Vec<AttemptId> {
         if !ready && !self.pools.contains_key(&server) {
             return Vec::new();
         }
@@ -190,17 +195,17 @@
     }
 
     /// How many connections to all of them there may be.
-    pub fn set_descriptors(&mut self, most: usize) {
-        self.limits.descriptors = most;
+    pub fn set_max_connections(&mut self, most: usize) {
+        self.limits.max_connections = most;
     }
 
     /// How many connections there are.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.connector.all.get()
     }
 
     /// The connects since the last call.
-    pub fn connects(&mut self) -> Connects {
+    pub fn take_connect_counts(&mut self) -> ConnectCounts {
         std::mem::take(&mut self.connects)
     }
 
@@ -211,10 +216,10 @@
     }
 
     /// Servers that the whole list no longer names.
-    pub fn unlisted(&mut self, named: &dyn Fn(ServerId) -> bool) -> Vec<AttemptId> {
+    pub fn remove_unlisted(&mut self, named: &dyn Fn(ServerId) -> bool) -> Vec<AttemptId> {
         let gone: Vec<ServerId> =
             self.pools.iter().filter(|(id, p)| p.ready && !named(**id)).map(|(id, _)| *id).collect();
-        gone.into_iter().flat_map(|id| self.listed(id, None, false)).collect()
+        gone.into_iter().flat_map(|id| self.update_server(id, None, false)).collect()
     }
 
     /// Closes what leads to an address that was left once it is done, and forgets a server that wants nothing more
@@ -232,7 +237,7 @@
     ///
     /// # Errors
     /// Where there is none: it was not written.
-    pub fn send(&mut self, server: ServerId, command: Command) -> Result<(), SendError> {
+    pub fn send(&mut self, server: ServerId, command: AttemptCommand) -> Result<(), SendError> {
         let pool = self.pools.get_mut(&server).filter(|p| p.ready).ok_or(SendError::NoConnection)?;
         let fresh = self.limits.idle_close.mul_f64(FRESH);
         pool.connections.retain(|c| c.load() > 0 || !c.up() || c.used.elapsed() < fresh);
@@ -264,7 +269,7 @@
         // A connection that is held up by what was given up does not count: it may never move again.
         let moving = pool.connections.iter().filter(|c| c.shared.line.borrow().moves() && !c.retired).count();
         let may_open = (moving == 0 || Instant::now() >= pool.alone_until) && pool.open() < 2 * part;
-        let wants_new = moving < part && may_open && self.open() < self.limits.descriptors;
+        let wants_new = moving < part && may_open && self.open_connections() < self.limits.max_connections;
         let too_early = wants_new && !self.local_failures.may_connect();
         if wants_new && !too_early && self.begin_connection(server, None) {
             let pool = self.pools.get_mut(&server).ok_or(SendError::NoConnection)?;
@@ -272,7 +277,7 @@
             return Ok(());
         }
         let pool = self.pools.get_mut(&server).ok_or(SendError::NoConnection)?;
-        match pool.append(command, self.limits.multiplex) {
+        match pool.append(command, self.limits.attempts_per_connection) {
             true => Ok(()),
             false if too_early => Err(SendError::LocalFailure),
             false => Err(SendError::NoConnection),
@@ -281,8 +286,8 @@
 
     /// Connections to one server that this node aims at.
     fn part(&self) -> usize {
-        let part = (TIER_CONNECTIONS / self.limits.balancers.max(1)).max(1);
-        part.min((self.limits.descriptors / self.ready.max(1)).max(1))
+        let part = (TIER_CONNECTIONS / self.limits.node_count.max(1)).max(1);
+        part.min((self.limits.max_connections / self.ready.max(1)).max(1))
     }
 
     /// Begins a connection, with its first command where that is settled; whether the server's address is known.
@@ -290,7 +295,7 @@
         let Some(pool) = self.pools.get_mut(&server) else { return false };
         let Some(address) = pool.address else { return false };
         self.numbers += 1;
-        self.connects.begun = self.connects.begun.saturating_add(1);
+        self.connects.started = self.connects.started.saturating_add(1);
         let findings = pool.findings.clone();
         let connection = self.connector.begin(server, self.numbers, address, findings, first);
         pool.connections.push(connection);
@@ -305,10 +310,10 @@
         if !may_connect || Instant::now() < pool.alone_until {
             return false;
         }
-        if pool.open() >= part || self.connector.all.get() >= self.limits.descriptors {
+        if pool.open() >= part || self.connector.all.get() >= self.limits.max_connections {
             pool.close_one_idle();
         }
-        pool.open() < 2 * part && self.connector.all.get() < self.limits.descriptors
+        pool.open() < 2 * part && self.connector.all.get() < self.limits.max_connections
     }
 
     /// Sends a command as the first on a new connection: what comes there can't be a repeat.
@@ -324,8 +329,8 @@
     ///
     /// # Errors
     /// Where there is no connection for it: it was not written again.
-    pub fn send_again(&mut self, server: ServerId, displaced: Displaced) -> Result<(), SendError> {
-        let Displaced { command, doubt, .. } = displaced;
+    pub fn resend(&mut self, server: ServerId, displaced: InterruptedCommand) -> Result<(), SendError> {
+        let InterruptedCommand { command, doubt, .. } = displaced;
         let Some(doubt) = doubt else { return self.send(server, command) };
         let is_ready = self.pools.get(&server).is_some_and(|pool| pool.ready);
         if !is_ready || !self.has_room_for_first(server) {
@@ -339,16 +344,16 @@
         &mut self,
         server: ServerId,
         end: ConnectionEnd,
-    ) -> fn(AttemptId) -> (AttemptId, Ended) {
+    ) -> fn(AttemptId) -> (AttemptId, AttemptOutcome) {
         match end {
             ConnectionEnd::LocalFailure(error) if self.is_local(server, &error) => {
                 self.connects.local_failures = self.connects.local_failures.saturating_add(1);
-                if self.local_failures.failed() {
+                if self.local_failures.record_failure() {
                     self.connector
                         .host
                         .log(format_args!("this machine can't connect to cache servers: {error}"));
                 }
-                return |attempt| (attempt, Ended::LocalFailure);
+                return |attempt| (attempt, AttemptOutcome::LocalFailure);
             }
             ConnectionEnd::Refused | ConnectionEnd::LocalFailure(_) => {
                 self.connects.refused = self.connects.refused.saturating_add(1);
@@ -359,7 +364,7 @@
             }
             ConnectionEnd::TimedOut | ConnectionEnd::Broken | ConnectionEnd::OutOfStep(_) => {}
         }
-        |attempt| (attempt, Ended::NotConnected)
+        |attempt| (attempt, AttemptOutcome::NotConnected)
     }
 
     /// Whether a failure says nothing of the server: where no route leads to it while others are connected, it is the
@@ -371,40 +376,50 @@
     }
 
     /// Takes what a connection tells and returns the attempts that this ends.
-    pub fn event(&mut self, server: ServerId, number: u64, event: Event) -> Vec<(AttemptId, Ended)> {
+    pub fn handle_event(
+        &mut self,
+        server: ServerId,
+        number: u64,
+        event: ConnectionEvent,
+    ) -> Vec<(AttemptId, AttemptOutcome)> {
         let mut ended = Vec::new();
-        let mut unplaced: fn(AttemptId) -> (AttemptId, Ended) = |attempt| (attempt, Ended::NotConnected);
+        let mut unplaced: fn(AttemptId) -> (AttemptId, AttemptOutcome) =
+            |attempt| (attempt, AttemptOutcome::NotConnected);
         // Told before the pool is looked for: that of a server which the list no longer names may be gone by now, with
         // the answers of several of its connections still on their way here, and each of them is owed.
         match event {
-            Event::Up => self.local_failures.connected(),
-            Event::Answer(attempt, frame) => {
+            ConnectionEvent::Up => self.local_failures.record_success(),
+            ConnectionEvent::Answer(attempt, frame) => {
                 let pool = self.pools.get_mut(&server);
                 if let Some(c) = pool.and_then(|p| p.connections.iter_mut().find(|c| c.number == number)) {
                     c.used = Instant::now();
                 }
-                ended.push((attempt, Ended::Answered(frame)));
+                ended.push((attempt, AttemptOutcome::Answered(frame)));
             }
-            Event::Began(attempt, value) => ended.push((attempt, Ended::Began(value))),
-            Event::Spoilt(attempt) => ended.push((attempt, Ended::Spoilt)),
-            Event::HeldUp => {
+            ConnectionEvent::Began(attempt, value) => {
+                ended.push((attempt, AttemptOutcome::StreamStarted(value)))
+            }
+            ConnectionEvent::Spoilt(attempt) => ended.push((attempt, AttemptOutcome::InvalidResponse)),
+            ConnectionEvent::HeldUp => {
                 if let Some(pool) = self.pools.get_mut(&server) {
                     let released = pool.release_behind_large_value(number).into_iter();
-                    ended.extend(released.map(|id| (id, Ended::Reset)));
+                    ended.extend(released.map(|id| (id, AttemptOutcome::Reset)));
                 }
             }
-            Event::Down { end, written, unwritten, displaced } => {
+            ConnectionEvent::Down { end, written, unwritten, displaced } => {
                 unplaced = self.connection_ended(server, end);
-                ended.extend(written.into_iter().map(|id| (id, Ended::Reset)));
+                ended.extend(written.into_iter().map(|id| (id, AttemptOutcome::Reset)));
                 ended.extend(unwritten.into_iter().map(unplaced));
-                ended.extend(displaced.into_iter().map(|d| (d.command.attempt, Ended::Displaced(d))));
+                ended.extend(
+                    displaced.into_iter().map(|d| (d.command.attempt, AttemptOutcome::Interrupted(d))),
+                );
                 if let Some(pool) = self.pools.get_mut(&server) {
                     pool.connections.retain(|c| c.number != number);
                 }
             }
         }
         let Some(pool) = self.pools.get_mut(&server) else { return ended };
-        ended.extend(pool.pump(self.limits.multiplex).into_iter().map(unplaced));
+        ended.extend(pool.pump(self.limits.attempts_per_connection).into_iter().map(unplaced));
         self.tidy(server);
         ended
     }
@@ -434,8 +449,8 @@
             }
             !line.in_vain()
         });
-        let unplaced = pool.pump(self.limits.multiplex).into_iter();
-        withdrawn.ended.extend(unplaced.map(|id| (id, Ended::NotConnected)));
+        let unplaced = pool.pump(self.limits.attempts_per_connection).into_iter();
+        withdrawn.ended.extend(unplaced.map(|id| (id, AttemptOutcome::NotConnected)));
         self.tidy(server);
         withdrawn
     }
@@ -456,21 +471,29 @@
     }
 
     /// Whether a connection has no answer for an attempt that was given up, and others wait behind it.
-    pub fn holds_up_others(&self, server: ServerId, attempt: AttemptId) -> bool {
+    pub fn blocks_others(&self, server: ServerId, attempt: AttemptId) -> bool {
         let connections = self.pools.get(&server).map_or(&[][..], |pool| &pool.connections);
         connections.iter().any(|c| c.shared.line.borrow().is_held_up_by(attempt))
     }
 
     /// Lets what waits behind an attempt that was given up be answered on other connections, where its own has brought no
     /// answer since. Returns the attempts that this ends.
-    pub fn release_behind(&mut self, server: ServerId, attempt: AttemptId) -> Vec<(AttemptId, Ended)> {
+    pub fn release_blocked(
+        &mut self,
+        server: ServerId,
+        attempt: AttemptId,
+    ) -> Vec<(AttemptId, AttemptOutcome)> {
         let Some(pool) = self.pools.get_mut(&server) else { return Vec::new() };
         let held_up = |c: &&Connection| c.shared.line.borrow().is_held_up_by(attempt);
         let Some(number) = pool.connections.iter().find(held_up).map(|c| c.number) else { return Vec::new() };
         let released = pool.release_behind_first(number);
         pool.connections.retain(|c| c.number != number || !c.shared.line.borrow().in_vain());
-        let mut ended: Vec<_> = released.into_iter().map(|id| (id, Ended::Reset)).collect();
-        ended.extend(pool.pump(self.limits.multiplex).into_iter().map(|id| (id, Ended::NotConnected)));
+        let mut ended: Vec<_> = released.into_iter().map(|id| (id, AttemptOutcome::Reset)).collect();
+        ended.extend(
+            pool.pump(self.limits.attempts_per_connection)
+                .into_iter()
+                .map(|id| (id, AttemptOutcome::NotConnected)),
+        );
         self.tidy(server);
         ended
     }
--- a/crates/node/src/servers/connection.rs
+++ b/crates/node/src/servers/connection.rs
@@ -8,17 +8,17 @@
 
 use brassrouter::ServerId;
 use mothpier_host::Host;
-use mothpier_ops::Figures;
+use mothpier_ops::Metrics;
 use tokio::sync::{Notify, mpsc};
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
 use super::driver::drive;
 use super::line::{Line, Sent, Writing};
-use super::payload::Command;
-use super::{ConnectionEnd, Displaced, Event};
+use super::payload::AttemptCommand;
+use super::{ConnectionEnd, ConnectionEvent, InterruptedCommand};
+use crate::duplicate_responses::{Doubt, VerificationState};
 use crate::input::Input;
-use crate::repeats::{Doubt, Findings};
 
 /// What a connection shares with its task.
 pub(super) struct Shared {
@@ -26,9 +26,9 @@
     pub wake: Notify,
     /// What is being written is abandoned.
     pub halt: Notify,
-    pub figures: Arc<Figures>,
+    pub figures: Arc<Metrics>,
     /// What is known of the answers of its server.
-    pub findings: Rc<RefCell<Findings>>,
+    pub findings: Rc<RefCell<VerificationState>>,
 }
 
 /// A connection; its task ends with it.
@@ -64,7 +64,7 @@
         self.up() && self.load() == 0 && !self.retired && !self.shared.line.borrow().ending
     }
 
-    pub fn push(&mut self, command: Command) {
+    pub fn push(&mut self, command: AttemptCommand) {
         self.used = Instant::now();
         self.shared.line.borrow_mut().unsent.push_back(command);
         self.shared.wake.notify_one();
@@ -73,7 +73,7 @@
 
 /// The first command of a connection that is made for it.
 pub(super) struct First {
-    pub command: Command,
+    pub command: AttemptCommand,
     /// What its answer settles, which can't be a repeat.
     pub settles: Option<Doubt>,
 }
@@ -83,7 +83,7 @@
     pub host: H,
     pub connect_timeout: Duration,
     pub events: mpsc::Sender<Input>,
-    pub figures: Arc<Figures>,
+    pub figures: Arc<Metrics>,
     /// How many connections there are to all servers.
     pub all: Rc<Cell<usize>>,
 }
@@ -95,11 +95,11 @@
         server: ServerId,
         number: u64,
         address: SocketAddr,
-        findings: Rc<RefCell<Findings>>,
+        findings: Rc<RefCell<VerificationState>>,
         first: Option<First>,
     ) -> Connection {
         self.all.set(self.all.get() + 1);
-        self.figures.connect();
+        self.figures.connect_started();
         let mut line = Line::default();
         if let Some(first) = first {
             line.settles = first.settles.map(|doubt| (first.command.attempt, doubt));
@@ -118,7 +118,7 @@
             let end = drive(&host, server, number, address, within, &task_shared, &events).await;
             let line = std::mem::take(&mut *task_shared.line.borrow_mut());
             let event = ended(end, line);
-            let _ = events.send(Input::Server { server, number, event }).await;
+            let _ = events.send(Input::Server { server, connection: number, event }).await;
         });
         let (task, used) = (task.abort_handle(), Instant::now());
         Connection { number, shared, task, used, retired: false, all: self.all.clone() }
@@ -126,7 +126,7 @@
 }
 
 /// Tells what has become of the commands of a connection that has ended.
-fn ended(end: ConnectionEnd, line: Line) -> Event {
+fn ended(end: ConnectionEnd, line: Line) -> ConnectionEvent {
     let begun = match line.writing {
         Writing::Begun(attempt) => Some(attempt),
         Writing::Nothing | Writing::Abandoned => None,
@@ -137,7 +137,7 @@
         for (place, sent) in line.sent.into_iter().enumerate().filter(|(_, sent)| !sent.given_up) {
             // It was the answer to the first of them that was doubted.
             let doubt = doubt.filter(|_| place == 0);
-            displaced.push(Displaced { command: sent.command, was_written: true, doubt });
+            displaced.push(InterruptedCommand { command: sent.command, was_written: true, doubt });
         }
     } else {
         written.extend(line.sent.iter().map(Sent::attempt));
@@ -145,9 +145,13 @@
     if line.has_answered {
         // It was the connection that failed, not the server: others may still serve these, or a new one.
         let unsent = line.unsent.into_iter();
-        displaced.extend(unsent.map(|command| Displaced { command, was_written: false, doubt: None }));
+        displaced.extend(unsent.map(|command| InterruptedCommand {
+            command,
+            was_written: false,
+            doubt: None,
+        }));
     } else {
         unwritten.extend(line.unsent.iter().map(|command| command.attempt));
     }
-    Event::Down { end, written, unwritten, displaced }
+    ConnectionEvent::Down { end, written, unwritten, displaced }
 }
--- a/crates/node/src/servers/driver.rs
+++ b/crates/node/src/servers/driver.rs
@@ -21,17 +21,17 @@
 use super::fence::{take_answers, write_wanted};
 use super::judging::{MOST_FENCES_AHEAD, believe, believe_large, expects_doubt};
 use super::line::{Sent, Writing};
-use super::payload::{Command, Kind};
-use super::{ConnectionEnd, Event, LONGEST_SILENCE};
-use crate::command::{PIECE, STANDSTILL, Stream as LargeValue};
+use super::payload::{AttemptCommand, Kind};
+use super::{ConnectionEnd, ConnectionEvent, RESPONSE_STALL_TIMEOUT};
+use crate::command::{LargeValue, MAX_CHUNK_BYTES, STREAM_STALL_TIMEOUT};
+use crate::duplicate_responses::{Doubt, Fingerprint, LARGE_PREFIX, LargeFingerprint};
 use crate::input::Input;
-use crate::repeats::{Doubt, Fingerprint, LARGE_PREFIX, LargeFingerprint};
-use crate::shortage::Outlasting;
+use crate::memory_shortage::RetryingStream;
 use crate::stream::{READ, more, more_within};
 
 /// A command of which the first byte has been written.
 struct Begun {
-    command: Command,
+    command: AttemptCommand,
     bytes: Bytes,
     /// How many of the bytes have been written.
     written: usize,
@@ -68,11 +68,11 @@
         Err(_) => return ConnectionEnd::TimedOut,
     };
     shared.line.borrow_mut().up = true;
-    if events.send(Input::Server { server, number, event: Event::Up }).await.is_err() {
+    if events.send(Input::Server { server, connection: number, event: ConnectionEvent::Up }).await.is_err() {
         return ConnectionEnd::Broken;
     }
     let (reading, writing) = stream.into_halves();
-    let mut writing = Outlasting::new(writing);
+    let mut writing = RetryingStream::new(writing);
     let reader = read_answers(host, server, number, address, &reading, shared, events);
     let writer = async {
         loop {
@@ -105,7 +105,7 @@
             let mut line = shared.line.borrow_mut();
             line.writing = Writing::Nothing;
             if command.payload.kind() != Kind::Probe {
-                shared.figures.attempt();
+                shared.figures.attempt_sent();
             }
             let expects_doubt = expects_doubt(&command, &line, shared);
             line.sent.push_back(Sent { command, written: Instant::now(), given_up: false, fences: 0 });
@@ -128,7 +128,7 @@
     shared: &Shared,
     events: &mpsc::Sender<Input>,
 ) -> ConnectionEnd {
-    let tell = |event| events.send(Input::Server { server, number, event });
+    let tell = |event| events.send(Input::Server { server, connection: number, event });
     let mut buffer = BytesMut::new();
     loop {
         if take_answers(&mut buffer, shared).is_err() {
@@ -146,7 +146,7 @@
         if !buffer.is_empty() && nothing_sent {
             host.log(format_args!("{address}: more than was asked for"));
             shared.figures.unasked_answer();
-            if matches!(resp::take_frame(&mut buffer, resp::WHOLE), Ok(Some(_))) {
+            if matches!(resp::take_frame(&mut buffer, resp::MAX_BUFFERED_VALUE_BYTES), Ok(Some(_))) {
                 shared.findings.borrow_mut().repeated();
             }
             return ConnectionEnd::OutOfStep(None);
@@ -156,7 +156,7 @@
             return ConnectionEnd::Broken;
         }
         let fences_due = shared.line.borrow().fences.due > 0;
-        if let Some(large) = resp::large_answer(&buffer).filter(|_| !fences_due) {
+        if let Some(large) = resp::large_value_header(&buffer).filter(|_| !fences_due) {
             match pass_on(large, reading, &mut buffer, shared, tell).await {
                 Passed::Whole => continue,
                 Passed::Cut => return ConnectionEnd::Broken,
@@ -166,7 +166,7 @@
         let taken = match fences_due {
             // None of their answers has come whole.
             true => Ok(None),
-            false => resp::take_frame(&mut buffer, resp::WHOLE),
+            false => resp::take_frame(&mut buffer, resp::MAX_BUFFERED_VALUE_BYTES),
         };
         if let Ok(None) = taken {
             if buffer.is_empty() {
@@ -174,7 +174,7 @@
             }
             let begun = !buffer.is_empty();
             let read = match begun {
-                true => more_within(reading, &mut buffer, READ, LONGEST_SILENCE).await,
+                true => more_within(reading, &mut buffer, READ, RESPONSE_STALL_TIMEOUT).await,
                 false => more(reading, &mut buffer, READ).await,
             };
             match read {
@@ -199,9 +199,9 @@
         let misleads = may_repeat && !sent.command.payload.may_run_twice();
         let (event, good) = match taken {
             Ok(Some(frame)) if !misleads && fits(&frame, sent.kind() == Kind::Probe) => {
-                (Event::Answer(sent.attempt(), frame), true)
+                (ConnectionEvent::Answer(sent.attempt(), frame), true)
             }
-            _ => (Event::Spoilt(sent.attempt()), false),
+            _ => (ConnectionEvent::Spoilt(sent.attempt()), false),
         };
         let in_order = take_answers(&mut buffer, shared).is_ok();
         // Before the node hears of it, which may have something more to write.
@@ -224,7 +224,7 @@
 
 /// Reads why a connection was not made.
 fn not_made(error: std::io::Error) -> ConnectionEnd {
-    match ConnectFailure::of(&error) {
+    match ConnectFailure::from_error(&error) {
         ConnectFailure::Local => ConnectionEnd::LocalFailure(error),
         ConnectFailure::Remote => ConnectionEnd::Refused,
     }
@@ -272,11 +272,11 @@
 /// Passes a large value on as it comes, as fast as its client takes it, and takes what stands behind it off the buffer. The
 /// attempt stays among those sent until then, so that a connection that ends meanwhile ends it.
 async fn pass_on<T: Future<Output = Result<(), mpsc::error::SendError<Input>>>>(
-    large: resp::Large,
+    large: resp::LargeValue,
     reading: &impl Reading,
     buffer: &mut BytesMut,
     shared: &Shared,
-    tell: impl Fn(Event) -> T,
+    tell: impl Fn(ConnectionEvent) -> T,
 ) -> Passed {
     let Some(attempt) =
         shared.line.borrow().sent.front().filter(|s| s.kind() != Kind::Probe).map(Sent::attempt)
@@ -286,34 +286,34 @@
     let mut fingerprint = Some(LargeFingerprint::new(large.length));
     // As much of it is held back as tells it from others of its length.
     if shared.line.borrow().may_be_another(large.length) {
-        let held_back = large.head + large.length.min(LARGE_PREFIX);
+        let held_back = large.header_length + large.length.min(LARGE_PREFIX);
         while buffer.len() < held_back {
-            if more_within(reading, buffer, PIECE, LONGEST_SILENCE).await.is_err() {
+            if more_within(reading, buffer, MAX_CHUNK_BYTES, RESPONSE_STALL_TIMEOUT).await.is_err() {
                 return Passed::Cut;
             }
         }
-        let value = fingerprint.take().and_then(|mut f| f.update(&buffer[large.head..]));
+        let value = fingerprint.take().and_then(|mut f| f.update(&buffer[large.header_length..]));
         if let Err(doubt) = believe_large(value, shared) {
             return Passed::Doubted(doubt);
         }
     }
     let (into, value) = LargeValue::new(large.length);
     shared.line.borrow_mut().streaming = true;
-    if tell(Event::Began(attempt, value)).await.is_err() {
+    if tell(ConnectionEvent::Began(attempt, value)).await.is_err() {
         return Passed::Cut;
     }
-    let _ = buffer.split_to(large.head);
+    let _ = buffer.split_to(large.header_length);
     let mut left = large.length;
     let mut wanted = true;
     while left > 0 {
         if buffer.is_empty() {
             *buffer = BytesMut::new();
-            let more = more_within(reading, buffer, PIECE, STANDSTILL);
+            let more = more_within(reading, buffer, MAX_CHUNK_BYTES, STREAM_STALL_TIMEOUT);
             if tell_if_held_up(more, shared, &tell).await.is_err() {
                 return Passed::Cut;
             }
         }
-        let piece = buffer.split_to(buffer.len().min(left).min(PIECE)).freeze();
+        let piece = buffer.split_to(buffer.len().min(left).min(MAX_CHUNK_BYTES)).freeze();
         left -= piece.len();
         if let Some(value) = fingerprint.as_mut().and_then(|f| f.update(&piece)) {
             // Of a length that none had before it: it can't be doubted.
@@ -332,12 +332,12 @@
     while behind < 3 {
         let taken = match behind {
             0 => resp::take_line_end(buffer).map(|end| end.is_some()),
-            _ => resp::take_frame(buffer, resp::WHOLE).map(|frame| frame.is_some()),
+            _ => resp::take_frame(buffer, resp::MAX_BUFFERED_VALUE_BYTES).map(|frame| frame.is_some()),
         };
         match taken {
             Ok(true) => behind += 1,
             Ok(false) => {
-                let more = more_within(reading, buffer, READ, STANDSTILL);
+                let more = more_within(reading, buffer, READ, STREAM_STALL_TIMEOUT);
                 if tell_if_held_up(more, shared, &tell).await.is_err() {
                     return Passed::Cut;
                 }
@@ -356,18 +356,18 @@
 async fn tell_if_held_up<T, Told>(
     going_on: impl Future<Output = T>,
     shared: &Shared,
-    tell: &impl Fn(Event) -> Told,
+    tell: &impl Fn(ConnectionEvent) -> Told,
 ) -> T
 where
     Told: Future<Output = Result<(), mpsc::error::SendError<Input>>>,
 {
     let mut going_on = std::pin::pin!(going_on);
-    if let Ok(done) = timeout(LONGEST_SILENCE, going_on.as_mut()).await {
+    if let Ok(done) = timeout(RESPONSE_STALL_TIMEOUT, going_on.as_mut()).await {
         return done;
     }
     if !shared.line.borrow().held_up {
         // Where the node is gone, this task ends with it.
-        let _ = tell(Event::HeldUp).await;
+        let _ = tell(ConnectionEvent::HeldUp).await;
     }
     going_on.await
 }
--- a/crates/node/src/servers/fence.rs
+++ b/crates/node/src/servers/fence.rs
@@ -15,14 +15,14 @@
 use super::connection::Shared;
 use super::line::Line;
 use super::payload::Kind;
-use crate::repeats::LATEST_REPEAT;
+use crate::duplicate_responses::LATEST_REPEAT;
 
 /// Answers to fences that are remembered, for they may be repeated.
 const REMEMBERED: usize = 8;
 
 /// The bytes of so many fences.
 fn encode(fences: usize) -> Bytes {
-    resp::command(["PING".into()]).repeat(fences).into()
+    resp::encode_command(["PING".into()]).repeat(fences).into()
 }
 
 /// Whether the bytes of a frame can be the answer to a fence. Cache servers answer `PING` with a line of their own or an error;
@@ -119,7 +119,7 @@
 /// What is known where that can't be done.
 fn skip(bytes: &mut &[u8], frames: usize, is_of_kind: impl Fn(&[u8]) -> bool) -> Result<(), Order> {
     for _ in 0..frames {
-        let frame = match resp::first_frame(bytes, resp::WHOLE) {
+        let frame = match resp::first_frame(bytes, resp::MAX_BUFFERED_VALUE_BYTES) {
             Ok(Some(frame)) => frame,
             Ok(None) => return Err(Order::Unknown),
             Err(_) => return Err(Order::Unreadable),
@@ -143,9 +143,9 @@
     let mut line = shared.line.borrow_mut();
     let mut findings = shared.findings.borrow_mut();
     while line.fences.due > 0 {
-        match resp::take_bytes(buffer, resp::WHOLE) {
+        match resp::take_bytes(buffer, resp::MAX_BUFFERED_VALUE_BYTES) {
             Ok(Some(frame)) if line.fences.take(frame.clone()) => {}
-            Ok(None) if resp::large_answer(buffer).is_none() => return Ok(()),
+            Ok(None) if resp::large_value_header(buffer).is_none() => return Ok(()),
             _ => {
                 findings.repeated();
                 return Err(OutOfOrder);
--- a/crates/node/src/servers/judging.rs
+++ b/crates/node/src/servers/judging.rs
@@ -10,13 +10,13 @@
 use super::connection::Shared;
 use super::fence::{Order, order};
 use super::line::Line;
-use super::payload::{Command, Payload};
-use super::{ConnectionEnd, LONGEST_SILENCE};
-use crate::repeats::{Doubt, Fingerprint};
+use super::payload::{AttemptCommand, Payload};
+use super::{ConnectionEnd, RESPONSE_STALL_TIMEOUT};
+use crate::duplicate_responses::{Doubt, Fingerprint};
 use crate::stream::{READ, more_within};
 
 /// Bytes behind an answer that is held back: with more than this it is not waited any longer.
-const MOST_HELD_BACK: usize = 4 * resp::WHOLE;
+const MOST_HELD_BACK: usize = 4 * resp::MAX_BUFFERED_VALUE_BYTES;
 
 /// Fences that are written at most for one answer that is doubted, and for one that will be.
 const MOST_FENCES: usize = 4;
@@ -74,7 +74,7 @@
 
 /// Whether the answer to a command that has just been written will be doubted: a fence that is written behind it at once costs
 /// no time.
-pub(super) fn expects_doubt(command: &Command, line: &Line, shared: &Shared) -> bool {
+pub(super) fn expects_doubt(command: &AttemptCommand, line: &Line, shared: &Shared) -> bool {
     let Payload::Request { command, .. } = &command.payload else { return false };
     shared.findings.borrow().has_stable_values() && line.recent.have_key(&command.key)
 }
@@ -88,10 +88,10 @@
         return;
     }
     let mut findings = shared.findings.borrow_mut();
-    findings.answered();
+    findings.record_response();
     let Some(value) = value else { return };
     let settled = settled.filter(|(attempt, _)| *attempt == sent.attempt());
-    match settled.and_then(|(_, doubt)| findings.settle(doubt, value)) {
+    match settled.and_then(|(_, doubt)| findings.resolve_doubt(doubt, value)) {
         Some(true) => shared.figures.doubt_confirmed(),
         Some(false) => shared.figures.doubt_refuted(),
         None => {}
@@ -152,7 +152,7 @@
         let payload = line.sent.front().map(|sent| &sent.command.payload);
         let ends = payload.and_then(Payload::ends).unwrap_or_else(Instant::now);
         let may_run_twice = payload.is_some_and(Payload::may_run_twice);
-        (ends, may_run_twice.then_some(LONGEST_SILENCE))
+        (ends, may_run_twice.then_some(RESPONSE_STALL_TIMEOUT))
     };
     let unknown = || Err(ConnectionEnd::OutOfStep(Some(doubt)));
     loop {
--- a/crates/node/src/servers/line.rs
+++ b/crates/node/src/servers/line.rs
@@ -6,16 +6,16 @@
 use tokio::time::Instant;
 
 use super::fence::Fences;
-use super::payload::{Command, Kind};
+use super::payload::{AttemptCommand, Kind};
 use crate::command::AttemptId;
-use crate::repeats::{Doubt, RecentAnswers};
+use crate::duplicate_responses::{Doubt, RecentResponses};
 
 /// A cache server may drop a request without a word when less of its time is left than this, however it counts: as much as
 /// the protocol allows its times to differ.
 const LITTLE_TIME: Duration = Duration::from_millis(50);
 /// A command that was written whole.
 pub(super) struct Sent {
-    pub command: Command,
+    pub command: AttemptCommand,
     /// When its last byte was written.
     pub written: Instant,
     /// The node waits for it no longer.
@@ -65,7 +65,7 @@
     pub streaming: bool,
     /// The large value that is passing has stood still.
     pub held_up: bool,
-    pub unsent: VecDeque<Command>,
+    pub unsent: VecDeque<AttemptCommand>,
     pub writing: Writing,
     /// In order.
     pub sent: VecDeque<Sent>,
@@ -74,7 +74,7 @@
     /// An answer has come on it.
     pub has_answered: bool,
     /// The answers that have come.
-    pub recent: RecentAnswers,
+    pub recent: RecentResponses,
     pub fences: Fences,
     /// The answers to so many of those sent are shown to be theirs.
     pub in_order: usize,
@@ -124,7 +124,7 @@
 
     /// Keeps an answer without a value; whether it may be the repeat of another.
     pub fn push_empty(&mut self, answer: &[u8]) -> bool {
-        let may_repeat = self.recent.push_empty(answer);
+        let may_repeat = self.recent.push_without_value(answer);
         let is_shown = self.in_order > 0;
         if is_shown {
             self.recent.found_in_step();
--- a/crates/node/src/servers/payload.rs
+++ b/crates/node/src/servers/payload.rs
@@ -9,15 +9,15 @@
 use crate::command::{AttemptExtras, AttemptId, Command as ClientCommand};
 
 /// A command that is to be written.
-pub struct Command {
+pub struct AttemptCommand {
     pub attempt: AttemptId,
     pub payload: Payload,
 }
 
-impl Command {
+impl AttemptCommand {
     /// One that was not written yet.
     pub fn new(attempt: AttemptId, payload: Payload) -> Self {
-        Command { attempt, payload }
+        AttemptCommand { attempt, payload }
     }
 }
 
@@ -33,7 +33,7 @@
     /// Until when the command is waited for; `None` for a probe.
     pub(super) fn ends(&self) -> Option<Instant> {
         match self {
-            Payload::Request { extras, .. } => Some(extras.attempt_ends()),
+            Payload::Request { extras, .. } => Some(extras.deadline()),
             Payload::Probe => None,
         }
     }
@@ -65,8 +65,8 @@
     /// The bytes to be written now; `None` where the attempt has no time left.
     pub(super) fn encode_now(&self) -> Option<Bytes> {
         match self {
-            Payload::Request { command, extras, .. } => Some(command.encode_with(extras.to_write_now()?)),
-            Payload::Probe => Some(resp::command(["INFO".into(), "load".into()])),
+            Payload::Request { command, extras, .. } => Some(command.encode_with(extras.encode_now()?)),
+            Payload::Probe => Some(resp::encode_command(["INFO".into(), "load".into()])),
         }
     }
 }
--- a/crates/node/src/servers/pool.rs
+++ b/crates/node/src/servers/pool.rs
@@ -8,9 +8,9 @@
 use tokio::time::Instant;
 
 use super::connection::Connection;
-use super::payload::Command;
+use super::payload::AttemptCommand;
 use crate::command::AttemptId;
-use crate::repeats::Findings;
+use crate::duplicate_responses::VerificationState;
 
 /// A server that takes new requests, or that still owes answers: others are forgotten.
 pub(super) struct Pool {
@@ -19,11 +19,11 @@
     pub ready: bool,
     pub connections: Vec<Connection>,
     /// Attempts for which a connection is being made.
-    pub waiting: VecDeque<Command>,
+    pub waiting: VecDeque<AttemptCommand>,
     /// After a refusal no connection is opened beside others until then.
     pub alone_until: Instant,
     /// What is known of the server's answers.
-    pub findings: Rc<RefCell<Findings>>,
+    pub findings: Rc<RefCell<VerificationState>>,
 }
 
 impl Pool {
@@ -85,7 +85,7 @@
     }
 
     /// Puts an attempt behind others on the connection with the fewest that is not held up.
-    pub fn append(&mut self, command: Command, multiplex: usize) -> bool {
+    pub fn append(&mut self, command: AttemptCommand, multiplex: usize) -> bool {
         let line = |c: &Connection| {
             let line = c.shared.line.borrow();
             (line.up
--- a/crates/node/src/service.rs
+++ b/crates/node/src/service.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use mothpier_host::Host;
-use mothpier_ops::{Desk, Phase};
-use mothpier_plan::Wish;
+use mothpier_ops::{OpsEndpoint, Phase};
+use mothpier_plan::ZoneOrder;
 use mothpier_record::Recorder;
 use tokio::sync::mpsc;
 use tokio::task::{AbortHandle, spawn_local};
@@ -32,17 +32,17 @@
     /// End: take nothing new soon, answer what was taken.
     Stop,
     /// The lifecycle at the desk took a step that its connections are to follow.
-    Lifecycle,
+    LifecycleChanged,
     /// Discovery is at this address from now on.
-    Discovery(SocketAddr),
+    SetDiscoveryAddress(SocketAddr),
     /// Staff have ordered something of a zone.
-    Order(Wish),
+    ZoneOrder(ZoneOrder),
     /// Recording goes on or off, where the node has a recorder.
-    Record(bool),
+    SetRecording(bool),
 }
 
 /// What a node begins with beside its configuration.
-pub struct Start<H: Host> {
+pub struct StartOptions<H: Host> {
     /// Where the decision module's events are recorded.
     pub recorder: Option<Recorder>,
     /// The listener for clients, where it is one that other processes hold, too; else one is opened.
@@ -51,9 +51,9 @@
     pub handover: Option<Handover>,
 }
 
-impl<H: Host> Default for Start<H> {
+impl<H: Host> Default for StartOptions<H> {
     fn default() -> Self {
-        Start { recorder: None, listener: None, handover: None }
+        StartOptions { recorder: None, listener: None, handover: None }
     }
 }
 
@@ -66,9 +66,9 @@
 pub async fn run<H: Host>(
     host: H,
     config: Config,
-    desk: Arc<Desk>,
+    desk: Arc<OpsEndpoint>,
     mut control: mpsc::Receiver<Control>,
-    start: Start<H>,
+    start: StartOptions<H>,
 ) -> Result<(), String> {
     let mut running = assembly::assemble(host, config, desk, start).await?;
     running.follow(&mut control).await?;
@@ -87,19 +87,19 @@
             let told = tokio::select! {
                 biased;
                 told = control.recv() => told,
-                () = self.moved.notified() => Some(Control::Lifecycle),
+                () = self.moved.notified() => Some(Control::LifecycleChanged),
                 ended = &mut self.node => return Err(format!("the node ended: {ended:?}")),
             };
             match told {
-                Some(Control::Discovery(address)) => self.move_discovery(address),
+                Some(Control::SetDiscoveryAddress(address)) => self.move_discovery(address),
                 // With no recorder there is nobody to tell.
-                Some(Control::Record(on)) if self.recorded => {
-                    let _ = self.events.send(Input::Record(on)).await;
+                Some(Control::SetRecording(on)) if self.recorded => {
+                    let _ = self.events.send(Input::SetRecording(on)).await;
                 }
-                Some(Control::Record(_)) => {}
-                Some(Control::Lifecycle) => self.follow_lifecycle(&mut watching),
-                Some(Control::Order(wish)) => {
-                    let _ = self.events.send(Input::Order(wish)).await;
+                Some(Control::SetRecording(_)) => {}
+                Some(Control::LifecycleChanged) => self.follow_lifecycle(&mut watching),
+                Some(Control::ZoneOrder(wish)) => {
+                    let _ = self.events.send(Input::ZoneOrder(wish)).await;
                 }
                 Some(Control::Stop) | None => return Ok(()),
             }
--- a/crates/node/src/service/ending.rs
+++ b/crates/node/src/service/ending.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use mothpier_host::Host;
-use mothpier_ops::Step;
+use mothpier_ops::LifecycleEvent;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
 use super::KEEP_ACCEPTING;
@@ -19,7 +19,7 @@
 impl<H: Host> Running<H> {
     /// Ends the node.
     pub(super) async fn end(mut self) {
-        self.desk.lifecycle.step(Step::Stop);
+        self.desk.lifecycle.apply(LifecycleEvent::Stop);
         self.host.log(format_args!("stopping"));
         let now = Instant::now();
         // On a shared listener another process takes what comes, but only where there is one: a node that is simply told to
@@ -49,10 +49,10 @@
     /// Whether all connections have closed in time.
     async fn end_beside_successor(&mut self, plan: &Plan) -> bool {
         self.retiring.listen(Listening::LeaveRest);
-        let _ = self.events.send(Input::LeavePeers).await;
+        let _ = self.events.send(Input::ReleasePeerAddresses).await;
         let closes = async {
             sleep_until(plan.close_resting()).await;
-            let _ = self.events.send(Input::CloseIdle).await;
+            let _ = self.events.send(Input::CloseIdleConnections).await;
             self.all_closed().await;
         };
         tokio::select! {
@@ -83,7 +83,7 @@
     /// Tells the process that takes over what is left, and lets the recorder write its last entry.
     async fn last_words(&mut self) {
         self.side.last_word().await;
-        if self.recorded && self.events.send(Input::End).await.is_ok() {
+        if self.recorded && self.events.send(Input::Shutdown).await.is_ok() {
             let _ = (&mut self.node).await;
         }
     }
--- a/crates/node/src/start_times.rs
+++ b/crates/node/src/start_times.rs
@@ -11,7 +11,7 @@
 
 use brassrouter::{ListKind, Micros};
 
-use crate::discovery::{List, Member};
+use crate::discovery::{Member, ServerList};
 
 /// A start that is told of again after its server had left keeps its age this long: longer than discovery may tell an old or
 /// an empty list, and than any slow start.
@@ -58,7 +58,7 @@
     }
 
     /// Takes in a list, before [`started`](Self::started) is asked about its lines.
-    pub(crate) fn heard(&mut self, list: &List, kind: ListKind, now: Micros) {
+    pub(crate) fn heard(&mut self, list: &ServerList, kind: ListKind, now: Micros) {
         if kind != ListKind::Delta {
             let named: HashSet<&str> = list.members.iter().map(|m| m.id.as_str()).collect();
             let unnamed = self.servers.iter_mut().filter(|(id, _)| !named.contains(id.as_str()));
--- a/crates/node/src/weather.rs
+++ b/crates/node/src/storm_monitor.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use brassrouter::{Micros, Request};
-use mothpier_storm::{Change, Detector};
+use mothpier_storm::{Detector, LoadStateChange};
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::operator::Storm;
@@ -18,7 +18,7 @@
 const MESSAGE: (usize, usize, usize) = (4, 2, 6);
 
 /// The detector, and how to feed it.
-pub struct Weather {
+pub struct StormMonitor {
     detector: Detector,
     /// Connections of clients since the start.
     connections: Rc<Cell<u64>>,
@@ -27,11 +27,11 @@
     header: usize,
 }
 
-impl Weather {
+impl StormMonitor {
     /// One that has seen nothing; `None` where it is switched off.
-    pub fn new(storm: &Storm, tenants: usize, connections: Rc<Cell<u64>>) -> Option<Weather> {
-        storm.detect.then(|| Weather {
-            detector: Detector::new(storm.figures.clone(), tenants),
+    pub fn new(storm: &Storm, tenants: usize, connections: Rc<Cell<u64>>) -> Option<StormMonitor> {
+        storm.detect.then(|| StormMonitor {
+            detector: Detector::new(storm.tuning.clone(), tenants),
             connections,
             counted: 0,
             header: MESSAGE.0 + MESSAGE.1 * tenants.min(64),
@@ -46,31 +46,32 @@
         bytes[8..16].copy_from_slice(&connection.to_le_bytes());
         bytes[16] = request.class as u8;
         let fingerprint = xxh3_64(&bytes).max(1);
-        request.repeat = self.detector.arrived(span(now), request.tenant, fingerprint, request.repeat);
+        request.is_retry =
+            self.detector.request_arrived(span(now), request.tenant, fingerprint, request.is_retry);
         fingerprint
     }
 
     /// A request ended unserved.
     pub fn unserved(&mut self, now: Micros, fingerprint: u64) {
-        self.detector.unserved(span(now), fingerprint);
+        self.detector.request_unserved(span(now), fingerprint);
     }
 
     /// An attempt has ended.
     pub fn worked(&mut self, took: Micros, wanted: bool) {
-        self.detector.worked(span(took), wanted);
+        self.detector.attempt_ended(span(took), wanted);
     }
 
     /// Reads the signs; `capacity` is what the fleet can do as a part of what it can when warm.
-    pub fn look(&mut self, now: Micros, capacity: f64) -> Option<Change> {
+    pub fn look(&mut self, now: Micros, capacity: f64) -> Option<LoadStateChange> {
         let connections = self.connections.get();
-        (self.counted..connections).for_each(|_| self.detector.connected());
+        (self.counted..connections).for_each(|_| self.detector.connection_opened());
         self.counted = connections;
-        self.detector.look(span(now), capacity)
+        self.detector.evaluate(span(now), capacity)
     }
 
     /// A message for a peer, with what the weather is here.
     pub fn tell(&self, mut message: Vec<u8>) -> Vec<u8> {
-        message.push(u8::from(self.detector.weather().is_storm()));
+        message.push(u8::from(self.detector.state().is_storm()));
         message
     }
 
@@ -78,7 +79,7 @@
     pub fn told(&mut self, now: Micros, from: u32, mut message: Vec<u8>) -> Vec<u8> {
         let ours = message.len().checked_sub(self.header).is_some_and(|rest| rest % MESSAGE.2 == 1);
         if let Some(storm) = message.pop_if(|_| ours) {
-            self.detector.peer(span(now), from, storm == 1);
+            self.detector.peer_reported(span(now), from, storm == 1);
         }
         message
     }
--- a/crates/node/src/stream.rs
+++ b/crates/node/src/stream.rs
@@ -8,7 +8,7 @@
 use tokio::io::{AsyncWrite, AsyncWriteExt};
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::shortage::{LONGEST, PAUSE, is_shortage};
+use crate::memory_shortage::{LONGEST, PAUSE, is_shortage};
 
 /// Read from a connection at once.
 pub const READ: usize = 4096;
@@ -54,19 +54,19 @@
 }
 
 /// Reads what has come; whether the other side is still there. Safe to drop and call again.
-pub async fn read(reading: &impl Reading, buffer: &mut BytesMut) -> bool {
+pub async fn read_some(reading: &impl Reading, buffer: &mut BytesMut) -> bool {
     more(reading, buffer, READ).await.is_ok()
 }
 
 /// Ends a connection in order: the end of the stream goes out, and what still comes is read and dropped for a little
 /// while. A close over bytes that were not read would be a reset, which can overtake an answer, and which a client that
 /// has just asked takes for a failure.
-pub async fn close_in_order(reading: &impl Reading, writing: &mut (impl AsyncWrite + Unpin)) {
+pub async fn close_gracefully(reading: &impl Reading, writing: &mut (impl AsyncWrite + Unpin)) {
     let said = async {
         // Where that fails the other side has gone, which the next read tells, or it may still be reading.
         let _ = writing.shutdown().await;
         let mut buffer = BytesMut::new();
-        while read(reading, &mut buffer).await {
+        while read_some(reading, &mut buffer).await {
             buffer.clear();
         }
     };
--- a/crates/node/tests/unit/client_inbox.rs
+++ b/crates/node/tests/unit/client_inbox.rs
@@ -26,7 +26,7 @@
         self.for_so_long
     }
 
-    fn other_side_has_ended(&self) -> bool {
+    fn remote_end_closed(&self) -> bool {
         false
     }
 }
--- a/crates/node/tests/unit/client_timing.rs
+++ b/crates/node/tests/unit/client_timing.rs
@@ -67,14 +67,14 @@
 #[test]
 fn what_a_connection_does_is_told_by_its_pieces_and_by_whether_it_has_asked() {
     let mut progress = Progress::new(Instant::now());
-    assert_eq!((progress.activity(true), progress.activity(false)), (Activity::Begins, Activity::Rests));
+    assert_eq!((progress.activity(true), progress.activity(false)), (Activity::Starting, Activity::Idle));
     progress.piece_arrived();
     progress.command_begun();
-    assert_eq!((progress.activity(true), progress.activity(false)), (Activity::Begins, Activity::Begins));
+    assert_eq!((progress.activity(true), progress.activity(false)), (Activity::Starting, Activity::Starting));
     progress.piece_arrived();
     progress.command_begun();
-    assert_eq!((progress.activity(true), progress.activity(false)), (Activity::Writes, Activity::Writes));
+    assert_eq!((progress.activity(true), progress.activity(false)), (Activity::Writing, Activity::Writing));
     progress.command_complete();
-    assert_eq!((progress.activity(true), progress.activity(false)), (Activity::Begins, Activity::Rests));
+    assert_eq!((progress.activity(true), progress.activity(false)), (Activity::Starting, Activity::Idle));
     assert!(!progress.has_begun() && !progress.idle_too_long());
 }
--- a/crates/node/tests/unit/config.rs
+++ b/crates/node/tests/unit/config.rs
@@ -8,7 +8,7 @@
 "machineTypes":["m"]}}"#;
 
 fn notes(text: &str) -> Vec<String> {
-    read(text.as_bytes(), Environment::default(), Precedence::Environment).expect("it can be read").notes
+    read(text.as_bytes(), Environment::default(), Precedence::Environment).expect("it can be read").warnings
 }
 
 #[test]
--- a/crates/node/tests/unit/discovery.rs
+++ b/crates/node/tests/unit/discovery.rs
@@ -1,7 +1,7 @@
 //! The watch on the list, told apart from the node.
 
 use super::*;
-use crate::failing_host::{EMFILE, FailingHost, LOCAL, REMOTE};
+use crate::failing_host::{EMFILE, FailingHost, LOCAL_ERRORS, REMOTE_ERRORS};
 
 /// Only what has hung waits for so long; nothing is measured by it.
 const HUNG: Duration = Duration::from_secs(10);
@@ -10,8 +10,8 @@
 async fn watch_for(host: &FailingHost, span: Duration) -> mpsc::Receiver<Input> {
     let (events, inputs) = mpsc::channel(64);
     let (_address, addresses) = watch::channel("127.0.0.1:1".parse().unwrap());
-    let (_wanted, wanted) = watch::channel(Wanted { watch: true, calls: 1 });
-    let watch = run(host.clone(), Teller::Agent, addresses, None, wanted, events);
+    let (_wanted, wanted) = watch::channel(Subscription { watch: true, requested_calls: 1 });
+    let watch = run(host.clone(), DiscoveryKind::Agent, addresses, None, wanted, events);
     let _ = timeout(span, watch).await;
     inputs
 }
@@ -19,8 +19,8 @@
 /// Discovery has not been asked where this machine lacks something: it is said once, and tried again in a measured way.
 #[tokio::test(start_paused = true)]
 async fn a_watch_that_this_machine_cannot_open_is_tried_again_with_its_pause_and_blames_nobody() {
-    for error in LOCAL {
-        let host = FailingHost::with(error);
+    for error in LOCAL_ERRORS {
+        let host = FailingHost::failing_with(error);
         let mut inputs = watch_for(&host, Duration::from_secs(10)).await;
         assert!(inputs.try_recv().is_err(), "error {error} told as a failure of discovery's");
         let tries = host.connects.get();
@@ -33,8 +33,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_watch_that_discovery_or_the_way_to_it_turns_down_is_told_as_failed() {
-    for error in REMOTE {
-        let host = FailingHost::with(error);
+    for error in REMOTE_ERRORS {
+        let host = FailingHost::failing_with(error);
         let mut inputs = watch_for(&host, Duration::from_secs(1)).await;
         assert!(matches!(inputs.try_recv(), Ok(Input::Discovery(Heard::Failed))), "error {error}");
         assert!(!host.log.borrow().iter().any(|line| line.contains("this machine")));
@@ -46,13 +46,13 @@
 fn a_call_for_the_whole_list_outlasts_a_shortage_of_this_machines() {
     let service = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = service.local_addr().unwrap();
-    let host = FailingHost::with(EMFILE);
+    let host = FailingHost::failing_with(EMFILE);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let (events, mut inputs) = mpsc::channel(8);
         let (_address, addresses) = watch::channel(address);
-        let (_wanted, wanted) = watch::channel(Wanted { watch: false, calls: 1 });
-        tokio::task::spawn_local(run(host.clone(), Teller::Service, addresses, None, wanted, events));
+        let (_wanted, wanted) = watch::channel(Subscription { watch: false, requested_calls: 1 });
+        tokio::task::spawn_local(run(host.clone(), DiscoveryKind::Service, addresses, None, wanted, events));
         while host.connects.get() < 2 {
             tokio::task::yield_now().await;
         }
@@ -97,12 +97,12 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let service = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let (host, address) = (FailingHost::with(EMFILE), service.local_addr().unwrap());
+        let (host, address) = (FailingHost::failing_with(EMFILE), service.local_addr().unwrap());
         host.error.set(None);
         let (events, mut inputs) = mpsc::channel(8);
         let (_address, addresses) = watch::channel(address);
-        let (wanted_by_node, wanted) = watch::channel(Wanted { watch: true, calls: 1 });
-        tokio::task::spawn_local(run(host, Teller::Service, addresses, Some(2), wanted, events));
+        let (wanted_by_node, wanted) = watch::channel(Subscription { watch: true, requested_calls: 1 });
+        tokio::task::spawn_local(run(host, DiscoveryKind::Service, addresses, Some(2), wanted, events));
         let calls = async {
             let mut stream = service.accept().await.unwrap().0;
             answer_call(&mut stream, "503 Service Unavailable", "").await;
--- a/crates/node/tests/unit/failing_host.rs
+++ b/crates/node/tests/unit/failing_host.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use mothpier_host::{Host, Machine};
+use mothpier_host::{Host, SystemHost};
 
 /// Numbers of Linux's errors.
 pub const EPERM: i32 = 1;
@@ -26,15 +26,15 @@
 pub const EHOSTUNREACH: i32 = 113;
 
 /// Those that lie on this machine.
-pub const LOCAL: [i32; 10] =
+pub const LOCAL_ERRORS: [i32; 10] =
     [EPERM, EINTR, EAGAIN, ENOMEM, ENFILE, EMFILE, EADDRNOTAVAIL, ENETDOWN, ENETUNREACH, ENOBUFS];
 /// Those that lie at the other side or on the way to it.
-pub const REMOTE: [i32; 4] = [ECONNRESET, ETIMEDOUT, ECONNREFUSED, EHOSTUNREACH];
+pub const REMOTE_ERRORS: [i32; 4] = [ECONNRESET, ETIMEDOUT, ECONNREFUSED, EHOSTUNREACH];
 
 /// A clone shares the counts.
 #[derive(Clone)]
 pub struct FailingHost {
-    machine: Machine,
+    machine: SystemHost,
     /// The error of each connection that is tried, where it fails.
     pub error: Rc<Cell<Option<i32>>>,
     /// Connections that were tried.
@@ -46,7 +46,7 @@
 impl FailingHost {
     pub fn new() -> Self {
         FailingHost {
-            machine: Machine { program: "test" },
+            machine: SystemHost { program: "test" },
             error: Rc::default(),
             connects: Rc::default(),
             log: Rc::default(),
@@ -54,7 +54,7 @@
     }
 
     /// One whose connections fail with an error from the start.
-    pub fn with(error: i32) -> Self {
+    pub fn failing_with(error: i32) -> Self {
         let host = FailingHost::new();
         host.error.set(Some(error));
         host
@@ -62,9 +62,9 @@
 }
 
 impl Host for FailingHost {
-    type Stream = <Machine as Host>::Stream;
-    type Listener = <Machine as Host>::Listener;
-    type Datagrams = <Machine as Host>::Datagrams;
+    type Stream = <SystemHost as Host>::Stream;
+    type Listener = <SystemHost as Host>::Listener;
+    type Datagrams = <SystemHost as Host>::Datagrams;
 
     async fn connect(&self, to: SocketAddr) -> io::Result<Self::Stream> {
         self.connects.set(self.connects.get() + 1);
--- a/crates/node/tests/unit/fence.rs
+++ b/crates/node/tests/unit/fence.rs
@@ -85,7 +85,7 @@
         assert_eq!(order, Order::Unknown, "{cut}");
     }
     assert_eq!(shown(&[0], &[]), Order::Unknown);
-    let large = format!("*3\r\n${}\r\n", resp::WHOLE + 1);
+    let large = format!("*3\r\n${}\r\n", resp::MAX_BUFFERED_VALUE_BYTES + 1);
     assert_eq!(shown(&[0, 1], &[&large]), Order::Unreadable);
 }
 
--- a/crates/node/tests/unit/keys.rs
+++ b/crates/node/tests/unit/keys.rs
@@ -2,9 +2,9 @@
 
 #[test]
 fn a_secret_changes_all_numbers_and_is_read_strictly() {
-    let one = Keys::secret(" 000102030405060708090a0b0c0d0e0f\n").unwrap();
-    let other = Keys::secret("100102030405060708090a0b0c0d0e0f").unwrap();
-    let numbers = [Keys::Plain, one, other].map(|k| k.number(b"station/17"));
+    let one = KeyHasher::from_hex_secret(" 000102030405060708090a0b0c0d0e0f\n").unwrap();
+    let other = KeyHasher::from_hex_secret("100102030405060708090a0b0c0d0e0f").unwrap();
+    let numbers = [KeyHasher::Plain, one, other].map(|k| k.hash(b"station/17"));
     assert!(numbers[0] != numbers[1] && numbers[1] != numbers[2] && numbers[0] != numbers[2]);
     assert_eq!(format!("{one:?}"), "Secret");
     for bad in [
@@ -14,6 +14,6 @@
         "+0+1+2+3+4+5+6+7+8+9+a+b+c+d+e+f",
         "é00102030405060708090a0b0c0d0e0",
     ] {
-        assert!(Keys::secret(bad).is_err(), "{bad}");
+        assert!(KeyHasher::from_hex_secret(bad).is_err(), "{bad}");
     }
 }
--- a/crates/node/tests/unit/shortage.rs
+++ b/crates/node/tests/unit/memory_shortage.rs
@@ -44,7 +44,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_write_without_a_buffer_is_made_again_and_no_byte_twice() {
     for error in [ENOBUFS, ENOMEM] {
-        let mut writing = Outlasting::new(Failing::new(error, 3));
+        let mut writing = RetryingStream::new(Failing::new(error, 3));
         writing.write_all(b"a command").await.unwrap();
         assert_eq!(writing.inner.taken, b"a command");
     }
@@ -53,10 +53,10 @@
 #[tokio::test(start_paused = true)]
 async fn a_shortage_that_lasts_ends_the_connection_and_other_errors_end_it_at_once() {
     let begun = Instant::now();
-    let broken = Outlasting::new(Failing::new(EPIPE, 1)).write_all(b"bytes").await;
+    let broken = RetryingStream::new(Failing::new(EPIPE, 1)).write_all(b"bytes").await;
     assert_eq!(broken.unwrap_err().kind(), ErrorKind::BrokenPipe);
     assert_eq!(begun.elapsed(), Duration::ZERO);
-    let short = Outlasting::new(Failing::new(ENOBUFS, u32::MAX)).write_all(b"bytes").await;
+    let short = RetryingStream::new(Failing::new(ENOBUFS, u32::MAX)).write_all(b"bytes").await;
     assert_eq!(short.unwrap_err().raw_os_error(), Some(ENOBUFS));
     assert!((LONGEST..LONGEST + PAUSE * 2).contains(&begun.elapsed()), "{:?}", begun.elapsed());
 }
--- a/crates/node/tests/unit/node.rs
+++ b/crates/node/tests/unit/node.rs
@@ -2,59 +2,59 @@
 
 use std::net::SocketAddr;
 
-use mothpier_host::Machine;
+use mothpier_host::SystemHost;
 
 use super::*;
 
-const HOST: Machine = Machine { program: "test" };
+const HOST: SystemHost = SystemHost { program: "test" };
 
 const SITE: &str = r#"{"classes":[{"name":"read"}],"machineTypes":["m","origin"],"zones":["a"],
     "specifics":{"mode":"aside","originKind":1},"report":{"fields":["lat_ms","busy"]}}"#;
 
 #[test]
 fn figures_that_no_load_can_have_are_dropped_with_their_report() {
-    let site = brassrouter::settings::read(SITE.as_bytes()).unwrap();
+    let site = brassrouter::settings::parse(SITE.as_bytes()).unwrap();
     assert_eq!(load(&site, "lat_ms=5,busy=0.5").values[..2], [5.0, 0.5]);
     for bad in ["lat_ms=5,busy=NaN", "lat_ms=inf,busy=0.5", "lat_ms=5,busy=-1", "busy=1e30,lat_ms=1", "x", ""]
     {
-        assert_eq!(load(&site, bad), Load::default(), "{bad}");
+        assert_eq!(load(&site, bad), LoadReport::default(), "{bad}");
     }
 }
 
 /// A node beside no other, with what another process of it has handed on; its inputs go nowhere.
-fn test_node(clock: Clock, inherited: Option<Inherited>) -> (Node<Machine>, mpsc::Receiver<Input>) {
+fn test_node(clock: Clock, inherited: Option<ResumedState>) -> (Node<SystemHost>, mpsc::Receiver<Input>) {
     let (events, inputs) = mpsc::channel(8);
     let limits = servers::Limits {
-        balancers: 1,
-        multiplex: 32,
+        node_count: 1,
+        attempts_per_connection: 32,
         idle_close: Duration::from_secs(60),
         connect_timeout: Duration::from_secs(30),
-        descriptors: 8,
+        max_connections: 8,
     };
-    let desk = Desk::new(["read"]);
-    let parts = Parts {
-        servers: Servers::new(HOST, limits, desk.figures.clone(), events.clone()),
+    let desk = OpsEndpoint::new(["read"]);
+    let parts = Components {
+        servers: Servers::new(HOST, limits, desk.metrics.clone(), events.clone()),
         origins: Origins::new(
             HOST,
             Duration::from_secs(60),
             Duration::from_secs(30),
             8,
-            desk.figures.clone(),
+            desk.metrics.clone(),
             events,
         ),
         peers: None,
-        wanted: watch::channel(Wanted::default()).0,
-        desk,
-        staffed: false,
-        weather: None,
-        near: None,
-        accord: None,
-        moved: Rc::default(),
-        inherited,
-        hands_over: true,
+        subscription: watch::channel(Subscription::default()).0,
+        ops_endpoint: desk,
+        has_ops_address: false,
+        storm_monitor: None,
+        locality: None,
+        agreement: None,
+        lifecycle_changed: Rc::default(),
+        predecessor: inherited,
+        supports_handover: true,
         recorder: None,
     };
-    let site = brassrouter::settings::read(SITE.as_bytes()).unwrap();
+    let site = brassrouter::settings::parse(SITE.as_bytes()).unwrap();
     (Node::new(HOST, site, 1, clock, parts), inputs)
 }
 
@@ -64,20 +64,20 @@
 fn a_process_that_takes_over_is_told_of_the_part_that_belongs_to_the_dead() {
     on_runtime(async {
         let (mut node, _inputs) = test_node(Clock::start(&HOST), None);
-        let limit = node.policy.legacy().limit;
+        let limit = node.policy.inheritable_state().outstanding_limit;
         let mut told = |sharers| {
-            node.input(Input::Sharing(sharers));
-            [true, false].map(|whole| node.known(whole).left.legacy.calls.len())
+            node.input(Input::ProcessCount(sharers));
+            [true, false].map(|whole| node.known(whole).remaining.inherited.origin_calls.len())
         };
         assert_eq!(told(2), [0, 0]);
         let part = |of: f64| (limit / of) as usize;
         let (quarter, more) = (part(2.0) - part(4.0), part(2.0) - part(8.0));
         assert!(quarter > 1);
         assert_eq!(told(4), [0, 0], "nobody has died");
-        node.input(Input::SharerEnded { calls_over_in: Duration::from_secs(60) });
+        node.input(Input::ProcessEnded { origin_calls_end_within: Duration::from_secs(60) });
         let mut told = |sharers| {
-            node.input(Input::Sharing(sharers));
-            [true, false].map(|whole| node.known(whole).left.legacy.calls.len())
+            node.input(Input::ProcessCount(sharers));
+            [true, false].map(|whole| node.known(whole).remaining.inherited.origin_calls.len())
         };
         assert_eq!(told(4), [2 * quarter, quarter]);
         assert_eq!(told(8), [2 * more, more]);
@@ -135,7 +135,7 @@
 fn starts_keep_their_times_in_the_next_process_of_a_node() {
     on_runtime(async {
         let address = SocketAddr::from(([127, 0, 0, 1], 9));
-        let list = |first_up_since: u64, revision: u64| -> List {
+        let list = |first_up_since: u64, revision: u64| -> ServerList {
             let member = |id: &str, up: u64| {
                 format!(
                     r#"{{"id":"{id}","host_port":"{address}","flavor":"m","phase":"ready","up_since_ms":{up}}}"#
@@ -145,10 +145,10 @@
             let text = format!(r#"{{"revision":{revision},"complete":true,"members":[{members}]}}"#);
             serde_json::from_str(&text).unwrap()
         };
-        let starts = |node: &Node<Machine>| {
-            let mut lines = node.policy.list();
-            lines.sort_by_key(|line| line.started);
-            lines.iter().map(|line| line.started).collect::<Vec<_>>()
+        let starts = |node: &Node<SystemHost>| {
+            let mut lines = node.policy.listed_servers();
+            lines.sort_by_key(|line| line.started_at);
+            lines.iter().map(|line| line.started_at).collect::<Vec<_>>()
         };
         let (mut first, _inputs) = test_node(Clock { start: Instant::now(), unix: 50_000_000 }, None);
         first.list(list(7_000_000, 1), ListKind::Full);
@@ -157,12 +157,12 @@
         first.list(list(3_000_000, 2), ListKind::Full);
         first.settle();
         let known = first.known(true);
-        let policy: Policy = postcard::from_bytes(&known.module).unwrap();
+        let policy: Policy = postcard::from_bytes(&known.module_state).unwrap();
         let clock = Clock { start: Instant::now(), unix: 1 }.continued_from(policy.now());
         assert!(clock.now() >= policy.now());
-        let inherited = Inherited { policy: Some(policy), legacy: known.left.legacy.clone() };
+        let inherited = ResumedState { policy: Some(policy), inherited: known.remaining.inherited.clone() };
         let (mut next, _inputs) = test_node(clock, Some(inherited));
-        let told = crate::handover::list(&known).unwrap();
+        let told = crate::handover::decode_list(&known).unwrap();
         next.inherit_start_times(&told);
         next.list(told, ListKind::Cached);
         next.settle();
--- a/crates/node/tests/unit/origin.rs
+++ b/crates/node/tests/unit/origin.rs
@@ -1,11 +1,11 @@
 //! Calls to the origin, told apart from the node that makes them.
 
-use mothpier_host::Machine;
-use mothpier_ops::Desk;
+use mothpier_host::SystemHost;
+use mothpier_ops::OpsEndpoint;
 
 use super::*;
-use crate::command::{Claim, Ids};
-use crate::failing_host::{FailingHost, LOCAL, REMOTE};
+use crate::command::{RequestIdGuard, RequestIds};
+use crate::failing_host::{FailingHost, LOCAL_ERRORS, REMOTE_ERRORS};
 
 /// Only what has hung waits for so long; nothing is measured by it.
 const HUNG: Duration = Duration::from_secs(10);
@@ -18,9 +18,9 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let (events, mut inputs) = mpsc::channel(8);
-        let figures = Desk::new(["read"]).figures.clone();
+        let figures = OpsEndpoint::new(["read"]).metrics.clone();
         let (idle, within) = (Duration::from_secs(60), Duration::from_secs(30));
-        let mut origins = Origins::new(Machine { program: "test" }, idle, within, 8, figures, events);
+        let mut origins = Origins::new(SystemHost { program: "test" }, idle, within, 8, figures, events);
         origins.listed(7, Some(address), true);
         let command = Command {
             name: "CACHE.SET".into(),
@@ -29,7 +29,7 @@
             extras: "c=read,d=9000".into(),
             value: Some("value".into()),
             write: true,
-            _claim: Claim::of(&Ids::default(), &"i".into()).unwrap(),
+            _id_guard: RequestIdGuard::acquire(&RequestIds::default(), &"i".into()).unwrap(),
         };
         let extras = command.attempt_extras(Instant::now());
         let call = origins.call(7, 1, &command, extras, false).unwrap();
@@ -49,7 +49,7 @@
 /// Calls to an origin on a host where connections fail, and how the first of them ended.
 async fn first_call(host: &FailingHost) -> (Origins<FailingHost>, mpsc::Receiver<Input>, Status) {
     let (events, mut inputs) = mpsc::channel(8);
-    let figures = Desk::new(["read"]).figures.clone();
+    let figures = OpsEndpoint::new(["read"]).metrics.clone();
     let (idle, within) = (Duration::from_secs(60), Duration::from_secs(30));
     let mut origins = Origins::new(host.clone(), idle, within, 8, figures, events);
     origins.listed(7, Some("127.0.0.1:1".parse().unwrap()), true);
@@ -76,8 +76,8 @@
 #[test]
 fn a_call_that_this_machine_cannot_make_is_told_as_a_local_failure() {
     with_paused_clock(async {
-        for error in LOCAL {
-            let host = FailingHost::with(error);
+        for error in LOCAL_ERRORS {
+            let host = FailingHost::failing_with(error);
             let (origins, mut inputs, status) = first_call(&host).await;
             assert_eq!(status, Status::LocalFailure, "error {error}");
             for attempt in 2..50 {
@@ -97,8 +97,8 @@
 #[test]
 fn a_call_that_fails_at_the_origin_or_on_the_way_to_it_is_not_connected() {
     with_paused_clock(async {
-        for error in REMOTE {
-            let (_, _, status) = first_call(&FailingHost::with(error)).await;
+        for error in REMOTE_ERRORS {
+            let (_, _, status) = first_call(&FailingHost::failing_with(error)).await;
             assert_eq!(status, Status::ConnectFailed, "error {error}");
         }
     });
--- a/crates/node/tests/unit/start_times.rs
+++ b/crates/node/tests/unit/start_times.rs
@@ -9,7 +9,7 @@
 const DATE: u64 = 1_700_000_000_000;
 const HOUR_MS: u64 = 3_600_000;
 
-fn list(members: &[(&str, &str, u64)]) -> List {
+fn list(members: &[(&str, &str, u64)]) -> ServerList {
     let members = members
         .iter()
         .map(|(id, phase, up)| format!(r#"{{"id":"{id}","phase":"{phase}","up_since_ms":{up}}}"#))
--- a/crates/ops/src/board.rs
+++ b/crates/ops/src/board.rs
@@ -2,11 +2,11 @@
 
 use std::sync::{Mutex, PoisonError};
 
-use mothpier_plan::{How, LONGEST, Wish};
+use mothpier_plan::{LONGEST, OrderKind, ZoneOrder};
 
 /// What is on the board.
 #[derive(Debug)]
-pub struct Board {
+pub struct ZoneStatusBoard {
     zones: Vec<String>,
     /// Whether zones can be kept in or out: only where nodes agree.
     agrees: bool,
@@ -20,14 +20,14 @@
     out: Vec<bool>,
 }
 
-impl Board {
+impl ZoneStatusBoard {
     /// An empty one.
-    pub fn new(zones: Vec<String>, agrees: bool) -> Board {
-        Board { zones, agrees, told: Mutex::default() }
+    pub fn new(zones: Vec<String>, agrees: bool) -> ZoneStatusBoard {
+        ZoneStatusBoard { zones, agrees, told: Mutex::default() }
     }
 
     /// What holds now, as JSON, and which zones are kept out by hand.
-    pub fn post(&self, text: String, out: Vec<bool>) {
+    pub fn publish(&self, text: String, out: Vec<bool>) {
         *self.told.lock().unwrap_or_else(PoisonError::into_inner) = Told { text, out };
     }
 
@@ -40,7 +40,7 @@
     ///
     /// # Errors
     /// One plain line: what is missing, unknown or out of range, or why it can't be.
-    pub(crate) fn wish(&self, path: &str, query: &str) -> Result<Wish, String> {
+    pub(crate) fn wish(&self, path: &str, query: &str) -> Result<ZoneOrder, String> {
         if !self.agrees {
             return Err("accord.on is false: nodes that do not agree can't keep a zone in or out".into());
         }
@@ -54,8 +54,8 @@
                         Some(found.ok_or_else(|| format!("zone: there is no {value:?}; there are {all}"))?);
                 }
                 "how" if path == HOLD => {
-                    let words = [How::In, How::Out, How::Drained];
-                    let found = words.into_iter().find(|how| how.word() == value);
+                    let words = [OrderKind::KeepIn, OrderKind::KeepOut, OrderKind::Drain];
+                    let found = words.into_iter().find(|how| how.as_str() == value);
                     how = Some(found.ok_or_else(|| format!("how: {value:?} is none of in, out, drain"))?);
                 }
                 "for_s" if path == HOLD => {
@@ -68,7 +68,7 @@
         }
         let zone = zone.ok_or("zone: is missing")?;
         if path == RELEASE {
-            return Ok(Wish { zone, how: How::Released, span: 0 });
+            return Ok(ZoneOrder { zone, kind: OrderKind::Released, duration_ms: 0 });
         }
         let how = how.ok_or("how: is missing")?;
         let span = 1000 * seconds.ok_or("for_s: is missing: an order needs an end")?;
@@ -77,15 +77,15 @@
         if how.is_out() && (0..self.zones.len()).all(|z| z == zone || out(z)) {
             return Err("zone: every other one is kept out already; none would be left".into());
         }
-        Ok(Wish { zone, how, span })
+        Ok(ZoneOrder { zone, kind: how, duration_ms: span })
     }
 
     /// The order in words.
-    pub(crate) fn say(&self, wish: Wish) -> String {
+    pub(crate) fn say(&self, wish: ZoneOrder) -> String {
         let zone = &self.zones[wish.zone];
-        match wish.how {
-            How::Released => format!("{zone} released\n"),
-            how => format!("{zone} {} for {} s\n", how.word(), wish.span / 1000),
+        match wish.kind {
+            OrderKind::Released => format!("{zone} released\n"),
+            how => format!("{zone} {} for {} s\n", how.as_str(), wish.duration_ms / 1000),
         }
     }
 }
--- a/crates/ops/src/call.rs
+++ b/crates/ops/src/call.rs
@@ -2,19 +2,19 @@
 
 use httparse::{Error, Request, Status};
 
-use mothpier_plan::Wish;
+use mothpier_plan::ZoneOrder;
 
-use crate::board::{Board, HOLD, PLACES, RELEASE};
-use crate::{Desk, Phase, Step};
+use crate::board::{HOLD, PLACES, RELEASE, ZoneStatusBoard};
+use crate::{LifecycleEvent, OpsEndpoint, Phase};
 
 /// The longest head that is read.
-pub const MAX_HEAD: usize = 8 * 1024;
+pub const MAX_HEAD_BYTES: usize = 8 * 1024;
 /// Headers of one head; callers of ours send a handful.
 const MAX_HEADERS: usize = 64;
 
 /// What has come of a call.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Called {
+pub enum CallResult {
     /// Its head has not all come.
     Unfinished,
     /// Its answer, behind which the connection is closed, and what the node does about it.
@@ -22,17 +22,17 @@
         /// The bytes.
         bytes: Vec<u8>,
         /// What follows from it, if anything.
-        follows: Option<Follows>,
+        effect: Option<CallEffect>,
     },
 }
 
 /// What follows from a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Follows {
+pub enum CallEffect {
     /// The node was told to drain or undrain, and is this now.
-    Step(Step, Phase),
+    PhaseChanged(LifecycleEvent, Phase),
     /// Staff have ordered something of a zone.
-    Order(Wish),
+    Order(ZoneOrder),
 }
 
 /// An answer before it is bytes.
@@ -63,16 +63,16 @@
     }
 }
 
-impl Desk {
+impl OpsEndpoint {
     /// Takes what has come of a call and answers it once its head is whole. A body is not waited for: none of the
     /// calls has one.
-    pub fn call(&self, head: &[u8]) -> Called {
+    pub fn handle_call(&self, head: &[u8]) -> CallResult {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = Request::new(&mut headers);
-        let parsed = request.parse(&head[..head.len().min(MAX_HEAD)]);
+        let parsed = request.parse(&head[..head.len().min(MAX_HEAD_BYTES)]);
         match parsed {
             Ok(Status::Complete(_)) => {}
-            Ok(Status::Partial) if head.len() < MAX_HEAD => return Called::Unfinished,
+            Ok(Status::Partial) if head.len() < MAX_HEAD_BYTES => return CallResult::Unfinished,
             Ok(Status::Partial) | Err(Error::TooManyHeaders) => {
                 let status = "431 Request Header Fields Too Large";
                 return answer(Answer::plain(status, "the head is too large\n"), false, None);
@@ -92,24 +92,24 @@
     }
 
     /// A call that did not come whole in time.
-    pub fn too_slow(&self) -> Vec<u8> {
+    pub fn timeout_response(&self) -> Vec<u8> {
         Answer::plain("408 Request Timeout", "the head has not come\n").bytes(false)
     }
 
-    fn route(&self, method: &str, target: &str) -> (Answer, Option<Follows>) {
+    fn route(&self, method: &str, target: &str) -> (Answer, Option<CallEffect>) {
         let reads = matches!(method, "GET" | "HEAD");
         let path = path(target);
-        if let Some(board) = self.board.get().filter(|_| [PLACES, HOLD, RELEASE].contains(&path)) {
+        if let Some(board) = self.zone_status.get().filter(|_| [PLACES, HOLD, RELEASE].contains(&path)) {
             return places(board, method, (path, query(target)));
         }
         match path {
             "/ready" if reads => (self.ready(), None),
             "/metrics" if reads => {
                 let kind = "text/plain; version=0.0.4; charset=utf-8";
-                (Answer { kind, ..Answer::plain("200 OK", self.figures.text()) }, None)
+                (Answer { kind, ..Answer::plain("200 OK", self.metrics.to_text()) }, None)
             }
-            "/drain" if method == "PUT" => self.told(Step::Drain),
-            "/undrain" if method == "PUT" => self.told(Step::Undrain),
+            "/drain" if method == "PUT" => self.told(LifecycleEvent::Drain),
+            "/undrain" if method == "PUT" => self.told(LifecycleEvent::Undrain),
             "/ready" | "/metrics" => (wrong_method("GET, HEAD"), None),
             "/drain" | "/undrain" => (wrong_method("PUT"), None),
             _ => {
@@ -127,17 +127,17 @@
         }
     }
 
-    fn told(&self, step: Step) -> (Answer, Option<Follows>) {
-        let (was, is) = self.lifecycle.step(step);
+    fn told(&self, step: LifecycleEvent) -> (Answer, Option<CallEffect>) {
+        let (was, is) = self.lifecycle.apply(step);
         let body = match is {
             Phase::Drained => "drained\n",
             Phase::Serving => "serving\n",
             Phase::Starting => "no longer drained; no list of servers yet\n",
             // It goes in any case, and what drains takes nothing new either.
-            Phase::Stopping if step == Step::Drain => "stopping\n",
+            Phase::Stopping if step == LifecycleEvent::Drain => "stopping\n",
             Phase::Stopping => return (Answer::plain("409 Conflict", "stopping\n"), None),
         };
-        (Answer::plain("200 OK", body), (was != is).then_some(Follows::Step(step, is)))
+        (Answer::plain("200 OK", body), (was != is).then_some(CallEffect::PhaseChanged(step, is)))
     }
 }
 
@@ -145,12 +145,16 @@
     Answer { allow: Some(allow), ..Answer::plain("405 Method Not Allowed", format!("use {allow}\n")) }
 }
 
-fn answer(answer: Answer, head_only: bool, follows: Option<Follows>) -> Called {
-    Called::Answer { bytes: answer.bytes(head_only), follows }
+fn answer(answer: Answer, head_only: bool, follows: Option<CallEffect>) -> CallResult {
+    CallResult::Answer { bytes: answer.bytes(head_only), effect: follows }
 }
 
 /// Reads and orders of zones.
-fn places(board: &Board, method: &str, (path, query): (&str, &str)) -> (Answer, Option<Follows>) {
+fn places(
+    board: &ZoneStatusBoard,
+    method: &str,
+    (path, query): (&str, &str),
+) -> (Answer, Option<CallEffect>) {
     match (path, method) {
         (PLACES, "GET" | "HEAD") => {
             let json = Answer { kind: "application/json", ..Answer::plain("200 OK", board.text()) };
@@ -159,7 +163,7 @@
         (PLACES, _) => (wrong_method("GET, HEAD"), None),
         (_, "PUT") => match board.wish(path, query) {
             // The other nodes and the plan follow within a second; the board tells when.
-            Ok(wish) => (Answer::plain("202 Accepted", board.say(wish)), Some(Follows::Order(wish))),
+            Ok(wish) => (Answer::plain("202 Accepted", board.say(wish)), Some(CallEffect::Order(wish))),
             Err(why) => (Answer::plain("400 Bad Request", format!("{why}\n")), None),
         },
         _ => (wrong_method("PUT"), None),
--- a/crates/ops/src/figures.rs
+++ b/crates/ops/src/figures.rs
@@ -8,7 +8,7 @@
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum RequestEnd {
     /// Its value or receipt was passed on whole.
     Served,
     /// It was turned away: trying again is harmless.
@@ -27,7 +27,7 @@
 
 /// The figures of one process, from 0.
 #[derive(Debug)]
-pub struct Figures {
+pub struct Metrics {
     pub(crate) classes: Vec<(String, Ends)>,
     pub(crate) in_flight: AtomicU64,
     pub(crate) attempts: AtomicU64,
@@ -78,23 +78,23 @@
 
 /// What a node holds at a moment.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Holds {
+pub struct Gauges {
     /// Cache servers in the list.
-    pub known: usize,
+    pub servers_known: usize,
     /// Of these, the ones that it avoids.
-    pub excluded: usize,
+    pub servers_excluded: usize,
     /// Calls out at the origin.
-    pub origin_out: u32,
+    pub origin_calls_out: u32,
     /// As many as it may have out there now.
-    pub origin_most: u32,
+    pub origin_calls_limit: u32,
     /// Time since discovery last answered, or since the start.
     pub list_age: Duration,
 }
 
-impl Figures {
+impl Metrics {
     /// All figures at 0, each class present.
     pub fn new<S: Into<String>>(classes: impl IntoIterator<Item = S>) -> Self {
-        Figures {
+        Metrics {
             classes: classes.into_iter().map(|name| (name.into(), Ends::default())).collect(),
             in_flight: AtomicU64::new(0),
             attempts: AtomicU64::new(0),
@@ -119,13 +119,13 @@
     }
 
     /// A request of a class, by its place, was taken.
-    pub fn taken(self: &Arc<Self>, class: usize) -> Ticket {
+    pub fn request_started(self: &Arc<Self>, class: usize) -> RequestTicket {
         self.in_flight.fetch_add(1, Relaxed);
-        Ticket { figures: self.clone(), class }
+        RequestTicket { figures: self.clone(), class }
     }
 
     /// An attempt was written to a cache server or to the origin.
-    pub fn attempt(&self) {
+    pub fn attempt_sent(&self) {
         self.attempts.fetch_add(1, Relaxed);
     }
 
@@ -135,7 +135,7 @@
     }
 
     /// A list of discovery, of this revision, was taken in.
-    pub fn list_taken(&self, revision: u64) {
+    pub fn list_applied(&self, revision: u64) {
         self.list_revision.store(revision, Relaxed);
     }
 
@@ -145,12 +145,12 @@
     }
 
     /// As many calls as the node may have out at the origin, as it last told.
-    pub fn origin_most(&self) -> u64 {
+    pub fn origin_calls_limit(&self) -> u64 {
         self.origin_most.load(Relaxed)
     }
 
     /// A connection to a cache server was begun.
-    pub fn connect(&self) {
+    pub fn connect_started(&self) {
         self.connects.fetch_add(1, Relaxed);
     }
 
@@ -196,11 +196,11 @@
     }
 
     /// What the node holds now.
-    pub fn holds(&self, now: Holds) {
-        self.known.store(now.known as u64, Relaxed);
-        self.excluded.store(now.excluded.min(now.known) as u64, Relaxed);
-        self.origin_out.store(now.origin_out.into(), Relaxed);
-        self.origin_most.store(now.origin_most.into(), Relaxed);
+    pub fn set_gauges(&self, now: Gauges) {
+        self.known.store(now.servers_known as u64, Relaxed);
+        self.excluded.store(now.servers_excluded.min(now.servers_known) as u64, Relaxed);
+        self.origin_out.store(now.origin_calls_out.into(), Relaxed);
+        self.origin_most.store(now.origin_calls_limit.into(), Relaxed);
         self.list_age_ms.store(now.list_age.as_millis() as u64, Relaxed);
     }
 
@@ -212,26 +212,26 @@
 
 /// A request that was taken. It is counted once, by the way it ends; dropped without an end it was abandoned.
 #[derive(Debug)]
-pub struct Ticket {
-    figures: Arc<Figures>,
+pub struct RequestTicket {
+    figures: Arc<Metrics>,
     class: usize,
 }
 
-impl Ticket {
+impl RequestTicket {
     /// It ended.
-    pub fn end(self, end: End) {
+    pub fn end(self, end: RequestEnd) {
         if let Some((_, ends)) = self.figures.classes.get(self.class) {
             let count = match end {
-                End::Served => &ends.served,
-                End::Refused => &ends.refused,
-                End::Failed => &ends.failed,
+                RequestEnd::Served => &ends.served,
+                RequestEnd::Refused => &ends.refused,
+                RequestEnd::Failed => &ends.failed,
             };
             count.fetch_add(1, Relaxed);
         }
     }
 }
 
-impl Drop for Ticket {
+impl Drop for RequestTicket {
     fn drop(&mut self) {
         self.figures.in_flight.fetch_sub(1, Relaxed);
     }
--- a/crates/ops/src/lib.rs
+++ b/crates/ops/src/lib.rs
@@ -12,27 +12,31 @@
 
 use std::sync::{Arc, OnceLock};
 
-pub use board::Board;
-pub use call::{Called, Follows, MAX_HEAD};
-pub use figures::{DoubtedAnswers, End, Figures, Holds, Ticket};
-pub use lifecycle::{Lifecycle, Phase, Step};
+pub use board::ZoneStatusBoard;
+pub use call::{CallEffect, CallResult, MAX_HEAD_BYTES};
+pub use figures::{DoubtedAnswers, Gauges, Metrics, RequestEnd, RequestTicket};
+pub use lifecycle::{Lifecycle, LifecycleEvent, Phase};
 pub use reasons::{ByReason, CloseReason, Reason, RefuseReason, RetryReason};
 
 /// What the node shares with those who ask.
 #[derive(Debug)]
-pub struct Desk {
+pub struct OpsEndpoint {
     /// Whether the node serves.
     pub lifecycle: Lifecycle,
     /// What it has done.
-    pub figures: Arc<Figures>,
+    pub metrics: Arc<Metrics>,
     /// What staff read and order of zones; nothing where places are off.
-    pub board: OnceLock<Board>,
+    pub zone_status: OnceLock<ZoneStatusBoard>,
 }
 
-impl Desk {
+impl OpsEndpoint {
     /// The desk of a node that has just begun.
     pub fn new<S: Into<String>>(classes: impl IntoIterator<Item = S>) -> Arc<Self> {
-        let figures = Arc::new(Figures::new(classes));
-        Arc::new(Desk { lifecycle: Lifecycle::default(), figures, board: OnceLock::new() })
+        let figures = Arc::new(Metrics::new(classes));
+        Arc::new(OpsEndpoint {
+            lifecycle: Lifecycle::default(),
+            metrics: figures,
+            zone_status: OnceLock::new(),
+        })
     }
 }
--- a/crates/ops/src/lifecycle.rs
+++ b/crates/ops/src/lifecycle.rs
@@ -13,7 +13,7 @@
 
 /// Something that happens to a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum LifecycleEvent {
     /// It can serve from now on.
     Ready,
     /// Staff want no clients at it.
@@ -53,20 +53,20 @@
 
     /// Whether clients that ask are served. A node that ends takes all that still comes to it, so it says yes for as long
     /// as it listens; only one that staff have drained, by itself or with its zone, wants none.
-    pub fn serves(&self) -> bool {
+    pub fn accepts_clients(&self) -> bool {
         self.0.load(Ordering::Acquire) & (READY | DRAINED | AWAY) == READY
     }
 
     /// Takes a step; what the node was before and is now. A step that is made already, or that can't be made any
     /// more, changes nothing.
-    pub fn step(&self, step: Step) -> (Phase, Phase) {
+    pub fn apply(&self, step: LifecycleEvent) -> (Phase, Phase) {
         let facts = |was: u8| match step {
-            Step::Ready => was | READY,
-            Step::Drain => was | DRAINED,
-            Step::Undrain => was & !DRAINED,
-            Step::Leave => was | AWAY,
-            Step::Return => was & !AWAY,
-            Step::Stop => was | STOPPING,
+            LifecycleEvent::Ready => was | READY,
+            LifecycleEvent::Drain => was | DRAINED,
+            LifecycleEvent::Undrain => was & !DRAINED,
+            LifecycleEvent::Leave => was | AWAY,
+            LifecycleEvent::Return => was & !AWAY,
+            LifecycleEvent::Stop => was | STOPPING,
         };
         let was = self.0.fetch_update(Ordering::AcqRel, Ordering::Acquire, |was| Some(facts(was)));
         let was = was.unwrap_or_else(|same| same);
@@ -93,41 +93,65 @@
     #[test]
     fn each_step_leads_where_it_should_from_everywhere() {
         use Phase::*;
-        let after = |steps: &[Step]| {
+        let after = |steps: &[LifecycleEvent]| {
             let life = Lifecycle::default();
             for step in steps {
-                life.step(*step);
+                life.apply(*step);
             }
             life.phase()
         };
         for (steps, phase) in [
             (&[][..], Starting),
-            (&[Step::Ready], Serving),
-            (&[Step::Drain], Drained),
-            (&[Step::Drain, Step::Undrain], Starting),
-            (&[Step::Drain, Step::Ready], Drained),
-            (&[Step::Drain, Step::Ready, Step::Undrain], Serving),
-            (&[Step::Ready, Step::Drain, Step::Drain, Step::Undrain], Serving),
-            (&[Step::Ready, Step::Undrain], Serving),
-            (&[Step::Ready, Step::Leave], Drained),
-            (&[Step::Ready, Step::Leave, Step::Undrain], Drained),
-            (&[Step::Ready, Step::Leave, Step::Drain, Step::Return], Drained),
-            (&[Step::Ready, Step::Leave, Step::Return], Serving),
-            (&[Step::Ready, Step::Drain, Step::Stop], Stopping),
-            (&[Step::Ready, Step::Stop, Step::Drain, Step::Undrain], Stopping),
+            (&[LifecycleEvent::Ready], Serving),
+            (&[LifecycleEvent::Drain], Drained),
+            (&[LifecycleEvent::Drain, LifecycleEvent::Undrain], Starting),
+            (&[LifecycleEvent::Drain, LifecycleEvent::Ready], Drained),
+            (&[LifecycleEvent::Drain, LifecycleEvent::Ready, LifecycleEvent::Undrain], Serving),
+            (
+                &[
+                    LifecycleEvent::Ready,
+                    LifecycleEvent::Drain,
+                    LifecycleEvent::Drain,
+                    LifecycleEvent::Undrain,
+                ],
+                Serving,
+            ),
+            (&[LifecycleEvent::Ready, LifecycleEvent::Undrain], Serving),
+            (&[LifecycleEvent::Ready, LifecycleEvent::Leave], Drained),
+            (&[LifecycleEvent::Ready, LifecycleEvent::Leave, LifecycleEvent::Undrain], Drained),
+            (
+                &[
+                    LifecycleEvent::Ready,
+                    LifecycleEvent::Leave,
+                    LifecycleEvent::Drain,
+                    LifecycleEvent::Return,
+                ],
+                Drained,
+            ),
+            (&[LifecycleEvent::Ready, LifecycleEvent::Leave, LifecycleEvent::Return], Serving),
+            (&[LifecycleEvent::Ready, LifecycleEvent::Drain, LifecycleEvent::Stop], Stopping),
+            (
+                &[
+                    LifecycleEvent::Ready,
+                    LifecycleEvent::Stop,
+                    LifecycleEvent::Drain,
+                    LifecycleEvent::Undrain,
+                ],
+                Stopping,
+            ),
         ] {
             assert_eq!(after(steps), phase, "{steps:?}");
         }
         let life = Lifecycle::default();
-        assert!(!life.serves());
-        life.step(Step::Ready);
-        life.step(Step::Stop);
-        assert!(life.serves(), "what still comes is taken");
-        life.step(Step::Drain);
-        assert!(!life.serves());
+        assert!(!life.accepts_clients());
+        life.apply(LifecycleEvent::Ready);
+        life.apply(LifecycleEvent::Stop);
+        assert!(life.accepts_clients(), "what still comes is taken");
+        life.apply(LifecycleEvent::Drain);
+        assert!(!life.accepts_clients());
         let life = Lifecycle::default();
-        assert_eq!(life.step(Step::Ready), (Starting, Serving));
-        assert_eq!(life.step(Step::Drain), (Serving, Drained));
-        assert_eq!(life.step(Step::Drain), (Drained, Drained));
+        assert_eq!(life.apply(LifecycleEvent::Ready), (Starting, Serving));
+        assert_eq!(life.apply(LifecycleEvent::Drain), (Serving, Drained));
+        assert_eq!(life.apply(LifecycleEvent::Drain), (Drained, Drained));
     }
 }
--- a/crates/ops/src/reasons.rs
+++ b/crates/ops/src/reasons.rs
@@ -132,7 +132,7 @@
 
 impl<R: Reason> ByReason<R> {
     /// It occurred once more.
-    pub fn count(&self, reason: R) {
+    pub fn increment(&self, reason: R) {
         if let Some(count) = self.counts.get(reason.number()) {
             count.fetch_add(1, Relaxed);
         }
@@ -165,9 +165,9 @@
     #[test]
     fn each_reason_is_counted_by_itself() {
         let counts = ByReason::default();
-        counts.count(CloseReason::Drained);
-        counts.count(CloseReason::Drained);
-        counts.count(CloseReason::TurnedAway);
+        counts.increment(CloseReason::Drained);
+        counts.increment(CloseReason::Drained);
+        counts.increment(CloseReason::TurnedAway);
         let seen: Vec<_> = counts.all().filter(|(_, count)| *count > 0).collect();
         assert_eq!(seen, [("drained", 2), ("turned_away", 1)]);
     }
--- a/crates/ops/src/text.rs
+++ b/crates/ops/src/text.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-use crate::figures::{Ends, Figures};
+use crate::figures::{Ends, Metrics};
 use crate::reasons::{ByReason, Reason};
 
 /// Stands before the name of each figure.
@@ -17,9 +17,9 @@
     ("failed_total", "Requests that failed.", |e| &e.failed),
 ];
 
-impl Figures {
+impl Metrics {
     /// All figures as text.
-    pub fn text(&self) -> String {
+    pub fn to_text(&self) -> String {
         let mut out = String::with_capacity(1024 + 256 * self.classes.len());
         for (name, help, count) in BY_CLASS {
             head(&mut out, name, help, "counter");
@@ -108,34 +108,40 @@
     use std::time::Duration;
 
     use super::*;
-    use crate::{CloseReason, End, Holds, RefuseReason, RetryReason};
+    use crate::{CloseReason, Gauges, RefuseReason, RequestEnd, RetryReason};
 
     #[test]
     fn every_class_is_there_from_the_start_and_each_end_counts_once() {
-        let figures = Arc::new(Figures::new(["read", "a \"quoted\\\n\" one"]));
+        let figures = Arc::new(Metrics::new(["read", "a \"quoted\\\n\" one"]));
         let of_classes =
             |text: &str| text.lines().filter(|l| l.contains("{class=") && l.ends_with("} 0")).count();
-        assert_eq!(of_classes(&figures.text()), 6, "{}", figures.text());
-        for (end, times) in [(End::Served, 3), (End::Refused, 2), (End::Failed, 1)] {
-            (0..times).for_each(|_| figures.taken(0).end(end));
+        assert_eq!(of_classes(&figures.to_text()), 6, "{}", figures.to_text());
+        for (end, times) in [(RequestEnd::Served, 3), (RequestEnd::Refused, 2), (RequestEnd::Failed, 1)] {
+            (0..times).for_each(|_| figures.request_started(0).end(end));
         }
-        drop(figures.taken(1));
-        let open = figures.taken(1);
-        figures.attempt();
+        drop(figures.request_started(1));
+        let open = figures.request_started(1);
+        figures.attempt_sent();
         let (origin_out, origin_most, list_age) = (3, 20, Duration::from_millis(2_340));
-        figures.holds(Holds { known: 9, excluded: 12, origin_out, origin_most, list_age });
+        figures.set_gauges(Gauges {
+            servers_known: 9,
+            servers_excluded: 12,
+            origin_calls_out: origin_out,
+            origin_calls_limit: origin_most,
+            list_age,
+        });
         figures.list_call_failed();
-        (0..4).for_each(|_| figures.connect());
+        (0..4).for_each(|_| figures.connect_started());
         (0..2).for_each(|_| figures.connect_refused());
         (0..4).for_each(|_| figures.unasked_answer());
         (0..3).for_each(|_| figures.answer_doubted());
         (0..2).for_each(|_| figures.doubt_confirmed());
         figures.doubt_refuted();
         (0..5).for_each(|_| figures.answer_held_back());
-        figures.closed.count(CloseReason::Drained);
-        figures.refusals.count(RefuseReason::Retiring);
-        figures.retries.count(RetryReason::Miss);
-        let text = figures.text();
+        figures.closed.increment(CloseReason::Drained);
+        figures.refusals.increment(RefuseReason::Retiring);
+        figures.retries.increment(RetryReason::Miss);
+        let text = figures.to_text();
         for line in [
             "# TYPE edge_router_served_total counter",
             "edge_router_served_total{class=\"read\"} 3",
--- a/crates/ops/tests/calls.rs
+++ b/crates/ops/tests/calls.rs
@@ -1,37 +1,39 @@
 //! Calls as an HTTP client makes them, and as none should.
 
-use mothpier_ops::{Board, Called, Desk, Follows, MAX_HEAD, Phase, Step};
-use mothpier_plan::{How, Wish};
+use mothpier_ops::{
+    CallEffect, CallResult, LifecycleEvent, MAX_HEAD_BYTES, OpsEndpoint, Phase, ZoneStatusBoard,
+};
+use mothpier_plan::{OrderKind, ZoneOrder};
 
-fn said(desk: &Desk, call: &[u8]) -> (String, Option<Follows>) {
-    match desk.call(call) {
-        Called::Unfinished => ("unfinished".into(), None),
-        Called::Answer { bytes, follows } => (String::from_utf8(bytes).unwrap(), follows),
+fn said(desk: &OpsEndpoint, call: &[u8]) -> (String, Option<CallEffect>) {
+    match desk.handle_call(call) {
+        CallResult::Unfinished => ("unfinished".into(), None),
+        CallResult::Answer { bytes, effect: follows } => (String::from_utf8(bytes).unwrap(), follows),
     }
 }
 
-fn status(desk: &Desk, line: &str) -> String {
+fn status(desk: &OpsEndpoint, line: &str) -> String {
     let (answer, _) = said(desk, format!("{line} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes());
     answer.split(' ').nth(1).unwrap_or_default().to_owned()
 }
 
 #[test]
 fn the_calls_answer_by_the_state_of_the_node() {
-    let desk = Desk::new(["read"]);
+    let desk = OpsEndpoint::new(["read"]);
     assert_eq!(status(&desk, "GET /ready"), "503");
     assert_eq!(status(&desk, "GET /metrics"), "200", "figures are there before the node serves");
-    desk.lifecycle.step(Step::Ready);
+    desk.lifecycle.apply(LifecycleEvent::Ready);
     assert_eq!(status(&desk, "GET /ready"), "200");
     let put =
         |path: &str| said(&desk, format!("PUT {path} HTTP/1.1\r\nContent-Length: 0\r\n\r\n").as_bytes());
-    assert_eq!(put("/drain").1, Some(Follows::Step(Step::Drain, Phase::Drained)));
+    assert_eq!(put("/drain").1, Some(CallEffect::PhaseChanged(LifecycleEvent::Drain, Phase::Drained)));
     assert_eq!(put("/drain").1, None, "drained already");
     assert!(put("/drain").0.starts_with("HTTP/1.1 200 OK\r\n"));
     assert_eq!(status(&desk, "GET /ready"), "503");
-    assert_eq!(put("/undrain").1, Some(Follows::Step(Step::Undrain, Phase::Serving)));
+    assert_eq!(put("/undrain").1, Some(CallEffect::PhaseChanged(LifecycleEvent::Undrain, Phase::Serving)));
     assert_eq!(put("/undrain").1, None);
     assert_eq!(status(&desk, "GET /ready"), "200");
-    desk.lifecycle.step(Step::Stop);
+    desk.lifecycle.apply(LifecycleEvent::Stop);
     assert_eq!(status(&desk, "GET /ready"), "503");
     assert_eq!(status(&desk, "PUT /undrain"), "409", "nothing brings back a node that ends");
     assert_eq!(status(&desk, "PUT /drain"), "200");
@@ -39,8 +41,8 @@
 
 #[test]
 fn wrong_calls_get_the_answers_of_http() {
-    let desk = Desk::new(["read"]);
-    desk.lifecycle.step(Step::Ready);
+    let desk = OpsEndpoint::new(["read"]);
+    desk.lifecycle.apply(LifecycleEvent::Ready);
     for (line, wanted) in [
         ("GET /", "404"),
         ("GET /drain/", "404"),
@@ -66,7 +68,7 @@
 
 #[test]
 fn heads_are_waited_for_refused_or_cut_but_never_guessed() {
-    let desk = Desk::new(["read"]);
+    let desk = OpsEndpoint::new(["read"]);
     let call = b"PUT /drain HTTP/1.1\r\nHost: x\r\n\r\n";
     for cut in 0..call.len() {
         assert_eq!(said(&desk, &call[..cut]), ("unfinished".into(), None), "{cut}");
@@ -76,26 +78,26 @@
     {
         assert!(said(&desk, bad).0.starts_with("HTTP/1.1 400 "), "{bad:?}");
     }
-    let long = [b"GET /ready HTTP/1.1\r\nX: ".to_vec(), vec![b'x'; MAX_HEAD]].concat();
+    let long = [b"GET /ready HTTP/1.1\r\nX: ".to_vec(), vec![b'x'; MAX_HEAD_BYTES]].concat();
     assert!(said(&desk, &long).0.starts_with("HTTP/1.1 431 "));
     let many = format!("GET /ready HTTP/1.1\r\n{}\r\n", "A: b\r\n".repeat(100));
     assert!(said(&desk, many.as_bytes()).0.starts_with("HTTP/1.1 431 "));
-    assert!(desk.too_slow().starts_with(b"HTTP/1.1 408 "));
+    assert!(desk.timeout_response().starts_with(b"HTTP/1.1 408 "));
 }
 
 #[test]
 fn zones_are_read_and_ordered_only_where_there_is_a_board_and_with_an_end() {
-    let desk = Desk::new(["read"]);
+    let desk = OpsEndpoint::new(["read"]);
     assert_eq!(status(&desk, "GET /places"), "404", "switched off, there is nothing of it");
     assert_eq!(status(&desk, "PUT /places/hold?zone=a&how=out&for_s=60"), "404");
     let zones = || ["a", "b c"].map(String::from).to_vec();
-    desk.board.set(Board::new(zones(), true)).unwrap();
+    desk.zone_status.set(ZoneStatusBoard::new(zones(), true)).unwrap();
     let put = |target: &str| said(&desk, format!("PUT {target} HTTP/1.1\r\n\r\n").as_bytes());
-    let order = |zone, how, span| Some(Follows::Order(Wish { zone, how, span }));
+    let order = |zone, how, span| Some(CallEffect::Order(ZoneOrder { zone, kind: how, duration_ms: span }));
     let (told, follows) = put("/places/hold?zone=b%20c&how=drain&for_s=60");
-    assert_eq!(follows, order(1, How::Drained, 60_000));
+    assert_eq!(follows, order(1, OrderKind::Drain, 60_000));
     assert!(told.starts_with("HTTP/1.1 202 ") && told.ends_with("\r\nb c drain for 60 s\n"), "{told}");
-    assert_eq!(put("/places/release?zone=a").1, order(0, How::Released, 0));
+    assert_eq!(put("/places/release?zone=a").1, order(0, OrderKind::Released, 0));
     for (target, why) in [
         ("/places/hold?zone=x&how=out&for_s=60", "zone: there is no \"x\"; there are a, b c"),
         ("/places/hold?zone=a&how=off&for_s=60", "how: \"off\" is none of in, out, drain"),
@@ -114,12 +116,12 @@
     for (line, wanted) in [("GET /places/hold", "405"), ("PUT /places", "405"), ("GET /places", "200")] {
         assert_eq!(status(&desk, line), wanted, "{line}");
     }
-    desk.board.get().unwrap().post("{}".into(), vec![false, true]);
+    desk.zone_status.get().unwrap().publish("{}".into(), vec![false, true]);
     assert!(said(&desk, b"GET /places HTTP/1.1\r\n\r\n").0.ends_with("\r\n\r\n{}"));
     let (told, follows) = put("/places/hold?zone=a&how=out&for_s=60");
     assert!(told.contains("none would be left") && follows.is_none(), "{told}");
-    let alone = Desk::new(["read"]);
-    alone.board.set(Board::new(zones(), false)).unwrap();
+    let alone = OpsEndpoint::new(["read"]);
+    alone.zone_status.set(ZoneStatusBoard::new(zones(), false)).unwrap();
     let (told, follows) = said(&alone, b"PUT /places/hold?zone=a&how=out&for_s=60 HTTP/1.1\r\n\r\n");
     assert!(told.starts_with("HTTP/1.1 400 ") && follows.is_none(), "nodes that do not agree hold nothing");
 }
--- a/crates/places/src/near.rs
+++ b/crates/places/src/near.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use brassrouter::Pool;
+use brassrouter::ZoneRouting;
 use oorandom::Rand64;
 
-use crate::places::Figures;
+use crate::places::Tuning;
 
 /// Rings that keys can be kept in: near and next. What is far has nothing beyond it to spill to.
 const INNER: usize = 2;
@@ -28,22 +28,22 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
     /// Answered in time, whatever the answer.
-    pub came: u32,
+    pub answered: u32,
     /// Turned away or failed, of those that came.
     pub refused: u32,
     /// Not answered within the silent time, or lost with their connection, or never connected.
-    pub silent: u32,
+    pub unanswered: u32,
     /// Of those, answered after all.
-    pub late: u32,
+    pub answered_late: u32,
 }
 
 /// How a ring looks from here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum RingState {
     /// It bears what it gets.
-    Well,
+    Healthy,
     /// Much is turned away or late.
-    Strained,
+    Overloaded,
     /// Next to nothing comes back.
     Lost,
     /// It gets less than its part, and bears that.
@@ -65,12 +65,12 @@
         [&mut *all, &mut *silent, &mut *trouble].into_iter().for_each(|f| *f *= FADE);
         let (mut came, mut bad) = (0u32, 0u32);
         for t in tallies {
-            *all += f64::from(t.came + t.silent);
+            *all += f64::from(t.answered + t.unanswered);
             // What comes late after all was not lost: its server is slow, and not silent.
-            *silent = (*silent + f64::from(t.silent) - f64::from(t.late)).max(0.0);
-            *trouble += f64::from(t.refused + t.silent);
-            came += t.came.saturating_sub(t.refused);
-            bad += t.refused + t.silent;
+            *silent = (*silent + f64::from(t.unanswered) - f64::from(t.answered_late)).max(0.0);
+            *trouble += f64::from(t.refused + t.unanswered);
+            came += t.answered.saturating_sub(t.refused);
+            bad += t.refused + t.unanswered;
         }
         // One that fails among many that come well is no reason to begin again.
         self.well =
@@ -85,7 +85,7 @@
 #[derive(Clone, Debug)]
 struct Ring {
     seen: Faded,
-    state: State,
+    state: RingState,
     /// The part of its keys that goes farther out.
     spilt: f64,
     /// The next step away from it, while it is lost.
@@ -100,8 +100,8 @@
 
 /// One node's machine.
 #[derive(Debug)]
-pub struct Near {
-    figures: Figures,
+pub struct LocalitySteering {
+    figures: Tuning,
     /// The ring of each zone.
     rings: Vec<u8>,
     inner: [Ring; INNER],
@@ -110,12 +110,12 @@
     next: Duration,
 }
 
-impl Near {
+impl LocalitySteering {
     /// A node in whose view zones lie in these rings (0 near, 1 next, 2 far), with nothing seen yet.
-    pub fn new(figures: Figures, rings: Vec<u8>, seed: u64) -> Near {
+    pub fn new(figures: Tuning, rings: Vec<u8>, seed: u64) -> LocalitySteering {
         let ring = Ring {
             seen: Faded::default(),
-            state: State::Well,
+            state: RingState::Healthy,
             spilt: 0.0,
             step: figures.first_step,
             trouble_at: Duration::ZERO,
@@ -123,32 +123,43 @@
             returning: false,
         };
         let rng = Rand64::new(seed.into());
-        Near { figures, rings, inner: [ring.clone(), ring], far: Faded::default(), rng, next: Duration::ZERO }
+        LocalitySteering {
+            figures,
+            rings,
+            inner: [ring.clone(), ring],
+            far: Faded::default(),
+            rng,
+            next: Duration::ZERO,
+        }
     }
 
     /// How the near ring looks, and the part of its keys that goes farther out.
-    pub fn state(&self) -> (State, f64) {
+    pub fn state(&self) -> (RingState, f64) {
         (self.inner[0].state, self.inner[0].spilt)
     }
 
     /// Where keys' orders are taken now.
-    pub fn pool(&self) -> Pool {
+    pub fn routing(&self) -> ZoneRouting {
         let [near, next] = [0, 1].map(|ring: usize| 1.0 - self.inner[ring].spilt);
         // Where no zone lies in the next ring, what leaves the near one goes to what is far.
         let next = if self.rings.contains(&1) { next } else { 0.0 };
-        Pool { rings: self.rings.clone(), keep: [near, near + (1.0 - near) * next], ..Pool::default() }
+        ZoneRouting {
+            zone_rings: self.rings.clone(),
+            cumulative_key_shares: [near, near + (1.0 - near) * next],
+            ..ZoneRouting::default()
+        }
     }
 
     /// When the next step is due.
-    pub fn due(&self) -> Duration {
+    pub fn next_due(&self) -> Duration {
         self.next
     }
 
     /// One step: what became of the attempts in each zone since the last. A pool, where it has changed.
-    pub fn step(&mut self, now: Duration, tallies: &[Tally]) -> Option<Pool> {
+    pub fn step(&mut self, now: Duration, tallies: &[Tally]) -> Option<ZoneRouting> {
         let apart = 1.0 + OUT_OF_STEP * (2.0 * self.rng.rand_float() - 1.0);
         self.next = now + Duration::from_millis(self.figures.step_ms).mul_f64(apart);
-        let before = self.pool();
+        let before = self.routing();
         for ring in 0..=INNER {
             let of = |zone: &usize| usize::from(self.rings[*zone].min(INNER as u8)) == ring;
             let counted = (0..self.rings.len().min(tallies.len())).filter(of).map(|zone| tallies[zone]);
@@ -161,12 +172,12 @@
             let beyond = beyond.map(|r| if r < INNER { self.inner[r].seen } else { self.far });
             self.inner[ring].step(&self.figures, now, beyond);
         }
-        Some(self.pool()).filter(|pool| *pool != before)
+        Some(self.routing()).filter(|pool| *pool != before)
     }
 }
 
 impl Ring {
-    fn step(&mut self, figures: &Figures, now: Duration, beyond: Option<Faded>) {
+    fn step(&mut self, figures: &Tuning, now: Duration, beyond: Option<Faded>) {
         let seen = &self.seen;
         let (silent, trouble) = (Faded::part(seen.silent, seen.all), Faded::part(seen.trouble, seen.all));
         // While it is spilt little comes here: few attempts must do.
@@ -190,21 +201,21 @@
             }
         };
         if lost {
-            self.state = State::Lost;
+            self.state = RingState::Lost;
             self.spilt = (self.spilt + self.step).min(most.max(self.spilt));
             self.step = (self.step * 2.0).min(1.0);
         } else if strained {
-            self.state = State::Strained;
+            self.state = RingState::Overloaded;
             self.spilt = (self.spilt + figures.strained_step).min(most.max(self.spilt));
         } else if self.spilt > 0.0 {
             let hold = Duration::from_millis(figures.hold_ms) * self.hold;
             if now >= self.trouble_at + hold && self.seen.well >= SCOUTS {
-                self.state = State::Returning;
+                self.state = RingState::Returning;
                 self.returning = true;
                 self.spilt = (self.spilt - figures.back_step).max(0.0);
             }
         } else {
-            self.state = State::Well;
+            self.state = RingState::Healthy;
             self.step = figures.first_step;
             if now >= self.trouble_at + Duration::from_millis(figures.hold_ms) * LONGEST_HOLD {
                 self.hold = 1;
--- a/crates/places/src/places.rs
+++ b/crates/places/src/places.rs
@@ -39,17 +39,19 @@
     #[serde(rename = "region")]
     pub regions: Vec<Region>,
     /// Figures of the spill-over.
-    pub figures: Figures,
+    #[serde(rename = "figures")]
+    pub tuning: Tuning,
 }
 
 /// Figures of the spill-over.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Figures {
+pub struct Tuning {
     /// Between two steps, in milliseconds. Each node's steps differ from it by up to a quarter, by chance.
     pub step_ms: u64,
     /// An attempt that nobody has answered for this long counts as silent, in milliseconds.
-    pub silent_ms: u64,
+    #[serde(rename = "silent_ms")]
+    pub unanswered_after_ms: u64,
     /// The part of silent attempts from which a ring counts as lost.
     pub lost: f64,
     /// The part of attempts that are turned away, fail or are late from which a ring counts as strained.
@@ -67,11 +69,11 @@
     pub scouts: f64,
 }
 
-impl Default for Figures {
+impl Default for Tuning {
     fn default() -> Self {
-        Figures {
+        Tuning {
             step_ms: 250,
-            silent_ms: 200,
+            unanswered_after_ms: 200,
             lost: 0.6,
             strained: 0.15,
             first_step: 0.25,
@@ -85,31 +87,31 @@
 
 /// What is wrong with places: the key, and what is wrong with it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Unusable {
+pub struct InvalidSetting {
     /// The key, from `places` on.
     pub key: String,
     /// What is wrong, with the value and what is allowed.
-    pub what: String,
+    pub problem: String,
 }
 
-impl fmt::Display for Unusable {
+impl fmt::Display for InvalidSetting {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.key, self.what)
+        write!(f, "{}: {}", self.key, self.problem)
     }
 }
 
-impl std::error::Error for Unusable {}
+impl std::error::Error for InvalidSetting {}
 
 impl Places {
     /// Looks whether figures and regions make sense by themselves.
     ///
     /// # Errors
     /// The first thing that does not, with its key.
-    pub fn check(&self) -> Result<(), Unusable> {
-        let f = &self.figures;
+    pub fn validate(&self) -> Result<(), InvalidSetting> {
+        let f = &self.tuning;
         let figures = [
             ("step_ms", f.step_ms as f64, 50.0, 10_000.0),
-            ("silent_ms", f.silent_ms as f64, 10.0, 60_000.0),
+            ("silent_ms", f.unanswered_after_ms as f64, 10.0, 60_000.0),
             ("lost", f.lost, 0.1, 1.0),
             ("strained", f.strained, 0.01, 1.0),
             ("first_step", f.first_step, 0.01, 1.0),
@@ -121,10 +123,10 @@
         for (key, value, least, most) in figures {
             if !(least..=most).contains(&value) {
                 let what = format!("{value} is not between {least} and {most}");
-                return Err(Unusable { key: format!("figures.{key}"), what });
+                return Err(InvalidSetting { key: format!("figures.{key}"), problem: what });
             }
         }
-        let bad = |what: String| Err(Unusable { key: "region".into(), what });
+        let bad = |what: String| Err(InvalidSetting { key: "region".into(), problem: what });
         for (i, region) in self.regions.iter().enumerate() {
             if region.name.is_empty() || region.zones.is_empty() {
                 return bad(format!("region {:?} needs a name and a zone", region.name));
@@ -148,17 +150,17 @@
     ///
     /// # Errors
     /// A zone that the settings lack, or a node that has no zone.
-    pub fn rings(&self, zones: &[String], own: Option<u8>) -> Result<Vec<u8>, Unusable> {
+    pub fn rings(&self, zones: &[String], own: Option<u8>) -> Result<Vec<u8>, InvalidSetting> {
         for zone in self.regions.iter().flat_map(|r| &r.zones) {
             if !zones.contains(zone) {
                 let what = format!("there is no zone {zone:?}; the settings have {}", zones.join(", "));
-                return Err(Unusable { key: "region".into(), what });
+                return Err(InvalidSetting { key: "region".into(), problem: what });
             }
         }
         let Some(own) = own.map(usize::from).filter(|own| *own < zones.len()) else {
-            return Err(Unusable {
+            return Err(InvalidSetting {
                 key: "on".into(),
-                what: "the settings name no zone for this node".into(),
+                problem: "the settings name no zone for this node".into(),
             });
         };
         let region = |zone: usize| self.regions.iter().position(|r| r.zones.contains(&zones[zone]));
--- a/crates/places/tests/near.rs
+++ b/crates/places/tests/near.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use mothpier_places::{Figures, Near, Places, Reach, Region, State, Tally};
+use mothpier_places::{LocalitySteering, Places, Reach, Region, RingState, Tally, Tuning};
 
 fn places() -> Places {
     let region = |name: &str, zones: &[&str]| Region {
@@ -30,8 +30,8 @@
     assert_eq!(p.rings(&zones(), Some(1)).unwrap(), [1, 0, 2, 2]);
     p.pool = Reach::All;
     assert_eq!(p.rings(&zones(), Some(1)).unwrap(), [0, 0, 0, 0]);
-    let bad = |p: &Places| p.check().unwrap_err().to_string();
-    assert!(p.check().is_ok());
+    let bad = |p: &Places| p.validate().unwrap_err().to_string();
+    assert!(p.validate().is_ok());
     p.regions[1].zones.push("east".into());
     assert_eq!(bad(&p), "region: zone \"east\" is named twice");
     p.regions[1] = Region { name: "north".into(), zones: vec!["south".into()] };
@@ -40,13 +40,13 @@
     let told = p.rings(&zones(), Some(0)).unwrap_err().to_string();
     assert_eq!(told, "region: there is no zone \"nowhere\"; the settings have east, west, south, alone");
     assert!(places().rings(&zones(), None).unwrap_err().to_string().starts_with("on: "));
-    p.figures.scouts = f64::NAN;
+    p.tuning.scouts = f64::NAN;
     assert_eq!(bad(&p), "figures.scouts: NaN is not between 0.001 and 0.2");
 }
 
 /// A node in zone 0 of two, the other one far, that sends so many attempts a step.
 struct Site {
-    near: Near,
+    near: LocalitySteering,
     now: Duration,
     rate: f64,
     sent: [f64; 2],
@@ -54,7 +54,7 @@
 
 impl Site {
     fn new(seed: u64) -> Site {
-        let near = Near::new(Figures::default(), vec![0, 2], seed);
+        let near = LocalitySteering::new(Tuning::default(), vec![0, 2], seed);
         Site { near, now: Duration::from_secs(1000), rate: 8.0, sent: [0.0; 2] }
     }
 
@@ -70,10 +70,10 @@
             let (silent, refused) = how(zone, all);
             let silent = (all * silent).round();
             let t = &mut tallies[zone];
-            (t.silent, t.came) = (silent as u32, (all - silent) as u32);
+            (t.unanswered, t.answered) = (silent as u32, (all - silent) as u32);
             t.refused = ((all - silent) * refused).round() as u32;
         }
-        self.now = self.near.due().max(self.now + Duration::from_millis(1));
+        self.now = self.near.next_due().max(self.now + Duration::from_millis(1));
         self.near.step(self.now, &tallies);
         self.near.state().1
     }
@@ -100,14 +100,17 @@
         site.step(LOST);
         assert!(site.now - begin < Duration::from_secs(2), "{:?}", site.near.state());
     }
-    let pool = site.near.pool();
-    assert!(pool.keep[0] < 0.03 && pool.keep[1] < 0.03, "no zone is next: {pool:?}");
+    let pool = site.near.routing();
+    assert!(
+        pool.cumulative_key_shares[0] < 0.03 && pool.cumulative_key_shares[1] < 0.03,
+        "no zone is next: {pool:?}"
+    );
     let spilt = site.run(20.0, LOST);
     assert!(spilt.iter().all(|s| *s > 0.97 && *s < 1.0), "scouts go on, and nothing swings: {spilt:?}");
     let back = site.run(30.0, WELL);
     assert_eq!(*back.last().unwrap(), 0.0, "{back:?}");
     let largest = back.windows(2).map(|w| w[0] - w[1]).fold(0.0, f64::max);
-    assert!(largest <= Figures::default().back_step + 1e-9, "{largest}");
+    assert!(largest <= Tuning::default().back_step + 1e-9, "{largest}");
 }
 
 #[test]
@@ -129,8 +132,8 @@
     let mut site = Site::new(3);
     let spilt = site.run(20.0, |_, _| (0.0, 0.5));
     assert!(spilt.iter().all(|s| *s <= 0.1 + 1e-9), "{spilt:?}");
-    let mut alone = Near::new(Figures::default(), vec![0], 3);
-    let lost = [Tally { silent: 30, ..Tally::default() }];
+    let mut alone = LocalitySteering::new(Tuning::default(), vec![0], 3);
+    let lost = [Tally { unanswered: 30, ..Tally::default() }];
     for step in 1..100 {
         assert_eq!(
             alone.step(Duration::from_millis(250 * step), &lost),
@@ -163,22 +166,24 @@
 
 #[test]
 fn what_comes_late_is_slow_and_not_silent() {
-    let mut near = Near::new(Figures::default(), vec![0, 2], 5);
+    let mut near = LocalitySteering::new(Tuning::default(), vec![0, 2], 5);
     for step in 1..20 {
-        let tallies =
-            [Tally { silent: 10, late: 10, ..Tally::default() }, Tally { came: 2, ..Tally::default() }];
+        let tallies = [
+            Tally { unanswered: 10, answered_late: 10, ..Tally::default() },
+            Tally { answered: 2, ..Tally::default() },
+        ];
         near.step(Duration::from_millis(250 * step), &tallies);
-        assert_ne!(near.state().0, State::Lost);
+        assert_ne!(near.state().0, RingState::Lost);
     }
-    assert_eq!(near.state().0, State::Strained);
+    assert_eq!(near.state().0, RingState::Overloaded);
 }
 
 #[test]
 fn nodes_of_other_seeds_are_out_of_step() {
     let due = |seed| {
-        let mut near = Near::new(Figures::default(), vec![0, 2], seed);
+        let mut near = LocalitySteering::new(Tuning::default(), vec![0, 2], seed);
         near.step(Duration::from_secs(1), &[]);
-        near.due()
+        near.next_due()
     };
     assert!((1..50).map(due).collect::<std::collections::BTreeSet<_>>().len() > 40);
     assert_eq!(due(7), due(7));
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -12,10 +12,10 @@
 mod planner;
 mod seen;
 
-pub use evidence::{Evidence, PARTS, Plan, Spoilt, State, Zone};
-pub use orders::{How, LONGEST, Orders, Refused, Told, Wish};
-pub use planner::{Figures, Planner};
-pub use seen::{Seen, Step};
+pub use evidence::{Evidence, PARTS, Plan, Spoilt, Zone, ZoneState};
+pub use orders::{LONGEST, OrderKind, OrderMessage, Refused, ZoneOrder, ZoneOrders};
+pub use planner::{Planner, Tuning};
+pub use seen::{AttemptCounts, RecentAttempts};
 
 /// A clock value or a span, in milliseconds.
 pub type Millis = u64;
--- a/crates/plan/src/orders.rs
+++ b/crates/plan/src/orders.rs
@@ -26,43 +26,43 @@
 
 /// What staff want of a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum How {
+pub enum OrderKind {
     /// Nothing any more: what nodes see decides.
     Released,
     /// It keeps its keys, whatever nodes see.
-    In,
+    KeepIn,
     /// None of its keys go there.
-    Out,
+    KeepOut,
     /// None of its keys go there, and its nodes' clients go elsewhere.
-    Drained,
+    Drain,
 }
 
-impl How {
+impl OrderKind {
     /// Whether keys are kept away.
     pub fn is_out(self) -> bool {
-        matches!(self, How::Out | How::Drained)
+        matches!(self, OrderKind::KeepOut | OrderKind::Drain)
     }
 
     /// One word for people and for the second address.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            How::Released => "released",
-            How::In => "in",
-            How::Out => "out",
-            How::Drained => "drain",
+            OrderKind::Released => "released",
+            OrderKind::KeepIn => "in",
+            OrderKind::KeepOut => "out",
+            OrderKind::Drain => "drain",
         }
     }
 }
 
 /// An order as staff give it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Wish {
+pub struct ZoneOrder {
     /// The zone, by its number in the settings.
     pub zone: usize,
     /// What they want of it.
-    pub how: How,
+    pub kind: OrderKind,
     /// For how long, in milliseconds.
-    pub span: Millis,
+    pub duration_ms: Millis,
 }
 
 /// Why an order is not taken.
@@ -95,7 +95,7 @@
 struct Order {
     number: u16,
     node: u16,
-    how: How,
+    how: OrderKind,
     /// When it ends, by this node's clock.
     until: Millis,
 }
@@ -106,31 +106,31 @@
     }
 
     fn stands(&self, now: Millis) -> bool {
-        self.how != How::Released && now < self.until
+        self.how != OrderKind::Released && now < self.until
     }
 }
 
 /// An order as nodes tell it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Told {
+pub struct OrderMessage {
     zone: u8,
     number: u16,
     node: u16,
-    how: How,
+    how: OrderKind,
     left_s: u16,
 }
 
-impl Told {
+impl OrderMessage {
     pub(crate) fn is_of(&self, zone: usize) -> bool {
         usize::from(self.zone) == zone
     }
 
     /// Whether it has neither run out nor been taken back.
     pub(crate) fn stands(&self) -> bool {
-        self.how != How::Released && self.left_s > 0
+        self.how != OrderKind::Released && self.left_s > 0
     }
 
-    pub(crate) fn how(&self) -> How {
+    pub(crate) fn how(&self) -> OrderKind {
         self.how
     }
 
@@ -142,20 +142,20 @@
     }
 
     /// Reads all that are told.
-    pub(crate) fn read(bytes: &[u8]) -> Result<Vec<Told>, Spoilt> {
+    pub(crate) fn read(bytes: &[u8]) -> Result<Vec<OrderMessage>, Spoilt> {
         if !bytes.len().is_multiple_of(BYTES) || bytes.len() > MOST_ZONES * BYTES {
             return Err(Spoilt);
         }
         let one = |b: &[u8]| {
             let how = match b[0] >> 4 {
-                0 => How::Released,
-                1 => How::In,
-                2 => How::Out,
-                3 => How::Drained,
+                0 => OrderKind::Released,
+                1 => OrderKind::KeepIn,
+                2 => OrderKind::KeepOut,
+                3 => OrderKind::Drain,
                 _ => return Err(Spoilt),
             };
             let field = |at: usize| u16::from_le_bytes([b[at], b[at + 1]]);
-            Ok(Told { zone: b[0] & 15, number: field(1), node: field(3), how, left_s: field(5) })
+            Ok(OrderMessage { zone: b[0] & 15, number: field(1), node: field(3), how, left_s: field(5) })
         };
         bytes.chunks_exact(BYTES).map(one).collect()
     }
@@ -163,67 +163,67 @@
 
 /// What is known of staff's orders, by zone.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Orders {
+pub struct ZoneOrders {
     zones: BTreeMap<u8, Order>,
 }
 
-impl Orders {
+impl ZoneOrders {
     /// Staff order something at this node.
     ///
     /// # Errors
     /// Why it is not taken.
-    pub fn give(&mut self, now: Millis, node: u16, wish: Wish, zones: usize) -> Result<(), Refused> {
+    pub fn issue(&mut self, now: Millis, node: u16, wish: ZoneOrder, zones: usize) -> Result<(), Refused> {
         if wish.zone >= zones.min(MOST_ZONES) {
             return Err(Refused::NoZone);
         }
-        if wish.how != How::Released && !(1000..=LONGEST).contains(&wish.span) {
+        if wish.kind != OrderKind::Released && !(1000..=LONGEST).contains(&wish.duration_ms) {
             return Err(Refused::Span);
         }
         let zone = wish.zone as u8;
-        let out = |z: usize| self.of(z, now).is_some_and(|(how, _)| how.is_out());
-        if wish.how.is_out() && (0..zones).all(|z| z == wish.zone || out(z)) {
+        let out = |z: usize| self.active(z, now).is_some_and(|(how, _)| how.is_out());
+        if wish.kind.is_out() && (0..zones).all(|z| z == wish.zone || out(z)) {
             return Err(Refused::LastZone);
         }
         let number = self.zones.get(&zone).map_or(0, |o| o.number) + 1;
         if number >= MOST_NUMBER {
             return Err(Refused::Numbers);
         }
-        self.zones.insert(zone, Order { number, node, how: wish.how, until: now + wish.span });
+        self.zones.insert(zone, Order { number, node, how: wish.kind, until: now + wish.duration_ms });
         Ok(())
     }
 
     /// What is ordered of a zone now, and for how much longer.
-    pub fn of(&self, zone: usize, now: Millis) -> Option<(How, Millis)> {
+    pub fn active(&self, zone: usize, now: Millis) -> Option<(OrderKind, Millis)> {
         let order = self.zones.get(&u8::try_from(zone).ok()?)?;
         order.stands(now).then(|| (order.how, order.until - now))
     }
 
     /// Which node took the last order of a zone.
-    pub fn by(&self, zone: usize) -> Option<u16> {
+    pub fn issued_by(&self, zone: usize) -> Option<u16> {
         self.zones.get(&u8::try_from(zone).ok()?).map(|o| o.node)
     }
 
     /// What this node tells others, releases and what has run out included.
-    pub fn told(&self, now: Millis) -> Vec<Told> {
+    pub fn messages(&self, now: Millis) -> Vec<OrderMessage> {
         self.tell(now, |_| SECOND)
     }
 
     /// The same for a plan, which is another one only now and then while an order's time goes on.
-    pub fn planned(&self, now: Millis) -> Vec<Told> {
+    pub fn planned(&self, now: Millis) -> Vec<OrderMessage> {
         self.tell(now, |left| if left > GRAIN.1 { GRAIN.0 } else { SECOND })
     }
 
-    fn tell(&self, now: Millis, step: impl Fn(Millis) -> Millis) -> Vec<Told> {
+    fn tell(&self, now: Millis, step: impl Fn(Millis) -> Millis) -> Vec<OrderMessage> {
         let one = |(zone, o): (&u8, &Order)| {
             let left = if o.stands(now) { o.until - now } else { 0 };
             let left_s = (left.next_multiple_of(step(left)) / 1000).min(u64::from(u16::MAX)) as u16;
-            Told { zone: *zone, number: o.number, node: o.node, how: o.how, left_s }
+            OrderMessage { zone: *zone, number: o.number, node: o.node, how: o.how, left_s }
         };
         self.zones.iter().map(one).collect()
     }
 
     /// Hears what another tells. What is newer holds; of the same order the shorter count does.
-    pub fn hear(&mut self, now: Millis, told: &[Told], zones: usize) {
+    pub fn merge(&mut self, now: Millis, told: &[OrderMessage], zones: usize) {
         for t in told {
             let left = Millis::from(t.left_s) * 1000;
             if usize::from(t.zone) >= zones || t.number >= MOST_NUMBER || left > LONGEST + GRAIN.0 {
@@ -244,7 +244,7 @@
     }
 
     /// Whether it knows an order that what was told lacks.
-    pub fn beyond(&self, told: &[Told]) -> bool {
+    pub fn has_newer_than(&self, told: &[OrderMessage]) -> bool {
         let lacks = |(zone, o): (&u8, &Order)| {
             !told.iter().any(|t| t.zone == *zone && (t.number, t.node) >= o.rank())
         };
--- a/crates/plan/src/planner.rs
+++ b/crates/plan/src/planner.rs
@@ -5,8 +5,8 @@
 use serde::Deserialize;
 
 use crate::announcement::{Announced, Announcement};
-use crate::evidence::{ENOUGH, Evidence, PARTS, Plan, State, Zone};
-use crate::orders::{How, Orders};
+use crate::evidence::{ENOUGH, Evidence, PARTS, Plan, Zone, ZoneState};
+use crate::orders::{OrderKind, ZoneOrders};
 use crate::{MOST_ZONES, Millis};
 
 /// All nodes together must have sent a zone that is given up so many to tell how it is, and a node that decides for itself.
@@ -28,7 +28,7 @@
 /// Figures of the planner.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Figures {
+pub struct Tuning {
     /// A node sees a zone as lost from this part of silent attempts on.
     pub lost: f64,
     /// A zone is given up when this part of the nodes that can tell see it as lost.
@@ -47,9 +47,9 @@
     pub most: f64,
 }
 
-impl Default for Figures {
+impl Default for Tuning {
     fn default() -> Self {
-        Figures {
+        Tuning {
             lost: 0.6,
             nodes: 0.25,
             confirm_ms: 200,
@@ -62,12 +62,12 @@
     }
 }
 
-impl Figures {
+impl Tuning {
     /// Looks whether every figure makes sense.
     ///
     /// # Errors
     /// The first one that does not: its key, and its value and range.
-    pub fn check(&self) -> Result<(), (&'static str, String)> {
+    pub fn validate(&self) -> Result<(), (&'static str, String)> {
         let figures = [
             ("lost", self.lost, 0.1, 1.0),
             ("nodes", self.nodes, 0.01, 1.0),
@@ -106,10 +106,10 @@
 /// Makes plans. Whoever begins to decide begins with the plan that it has acted on, and with no evidence.
 #[derive(Debug)]
 pub struct Planner {
-    figures: Figures,
+    figures: Tuning,
     courses: Vec<Course>,
     heard: BTreeMap<u16, (Millis, Evidence)>,
-    orders: Orders,
+    orders: ZoneOrders,
     /// It is one node's own.
     alone: bool,
     /// What others know of its plans, where it decides for them.
@@ -118,9 +118,10 @@
 
 impl Planner {
     /// For so many zones, going on from a plan.
-    pub fn new(figures: Figures, zones: usize, plan: &Plan, now: Millis) -> Planner {
+    pub fn new(figures: Tuning, zones: usize, plan: &Plan, now: Millis) -> Planner {
         let course = |i: usize| {
-            let zone = plan.zones.get(i).copied().unwrap_or(Zone { state: State::Serving, open: ALL });
+            let zone =
+                plan.zones.get(i).copied().unwrap_or(Zone { state: ZoneState::Serving, open_percent: ALL });
             Course {
                 zone,
                 since: now,
@@ -132,16 +133,16 @@
                 hold: 1,
             }
         };
-        let mut orders = Orders::default();
-        orders.hear(now, &plan.orders, zones);
+        let mut orders = ZoneOrders::default();
+        orders.merge(now, &plan.orders, zones);
         let courses = (0..zones.min(MOST_ZONES)).map(course).collect();
         Planner { figures, courses, heard: BTreeMap::new(), orders, alone: false, announcement: None }
     }
 
     /// The same for a node that begins to decide for others: until a time it only learns what its predecessor had planned, and it
     /// gives a zone up only when others know that it is the one.
-    pub fn takes_over(
-        figures: Figures,
+    pub fn for_new_leader(
+        figures: Tuning,
         zones: usize,
         plan: &Plan,
         (now, learns_until): (Millis, Millis),
@@ -152,14 +153,14 @@
 
     /// The predecessor's last plan, as a node has told it: goes on from that. Orders are told with evidence. Returns whether there
     /// was still time for it.
-    pub fn adopt(&mut self, now: Millis, plan: &Plan) -> bool {
+    pub fn adopt_predecessor_plan(&mut self, now: Millis, plan: &Plan) -> bool {
         if self.announcement.as_ref().is_none_or(|announcement| announcement.may_choose(now)) {
             return false;
         }
         for (course, zone) in self.courses.iter_mut().zip(&plan.zones) {
             (course.zone, course.since, course.stepped) = (*zone, now, now);
             course.announced = match zone.state {
-                State::Suspected => Announced::Earlier,
+                ZoneState::Suspected => Announced::Earlier,
                 _ => Announced::No,
             };
         }
@@ -167,19 +168,19 @@
     }
 
     /// The plan as it is now is told to others under a sequence number; this node acts on it at once.
-    pub fn published(&mut self, me: u16, sequence: u32) {
+    pub fn plan_published(&mut self, me: u16, sequence: u32) {
         for course in &mut self.courses {
             course.announced = match (course.zone.state, course.announced) {
-                (State::Suspected, Announced::No) => Announced::With(sequence),
-                (State::Suspected, announced) => announced,
+                (ZoneState::Suspected, Announced::No) => Announced::With(sequence),
+                (ZoneState::Suspected, announced) => announced,
                 _ => Announced::No,
             };
         }
-        self.follows(me, sequence);
+        self.plan_applied(me, sequence);
     }
 
     /// A node has acted on the plan of a sequence number, or on a later one.
-    pub fn follows(&mut self, node: u16, sequence: u32) {
+    pub fn plan_applied(&mut self, node: u16, sequence: u32) {
         if let Some(announcement) = &mut self.announcement {
             announcement.follows(node, sequence);
         }
@@ -187,10 +188,9 @@
 
     /// What one node does by itself about zones that the common plan keeps: fewer nodes than the plan goes by may have no way there,
     /// or there is no room to give one more up. It waits until a plan would have moved, and leaves at least one zone.
-    pub fn alone(figures: &Figures, zones: usize, now: Millis) -> Planner {
+    pub fn for_single_node(figures: &Tuning, zones: usize, now: Millis) -> Planner {
         let most = zones.saturating_sub(1) as f64 / zones.max(1) as f64;
-        let figures =
-            Figures { confirm_ms: ALONE, scouts: ALONE_SCOUTS, nodes: 1.0, most, ..figures.clone() };
+        let figures = Tuning { confirm_ms: ALONE, scouts: ALONE_SCOUTS, nodes: 1.0, most, ..figures.clone() };
         Planner { alone: true, ..Planner::new(figures, zones, &Plan::default(), now) }
     }
 
@@ -198,12 +198,12 @@
     /// left by itself and the common plan keeps it sends fewer attempts than others need to tell by. It
     /// tells the zone as lost while those few are silent. What is left of earlier attempts fades in number
     /// and not in its silent part, so that less than half an attempt tells nothing any more.
-    pub fn tells(&self, seen: &Evidence, common: &Plan) -> Evidence {
+    pub fn evidence_to_report(&self, seen: &Evidence, common: &Plan) -> Evidence {
         let mut tells = seen.clone();
         for (zone, (course, told)) in self.courses.iter().zip(&mut tells.zones).enumerate() {
             let (all, silent) = (f64::from(told.0), f64::from(told.1) / 255.0);
             let still_lost = all >= ENOUGH_SCOUTS.1 * PARTS && silent >= self.figures.lost;
-            if still_lost && course.zone.state == State::GivenUp && common.open(zone) >= 1.0 {
+            if still_lost && course.zone.state == ZoneState::GivenUp && common.open_share(zone) >= 1.0 {
                 *told = Evidence::LOST;
             }
         }
@@ -211,8 +211,8 @@
     }
 
     /// What a node sees.
-    pub fn hear(&mut self, now: Millis, node: u16, evidence: Evidence) {
-        self.orders.hear(now, &evidence.orders, self.courses.len());
+    pub fn add_evidence(&mut self, now: Millis, node: u16, evidence: Evidence) {
+        self.orders.merge(now, &evidence.orders, self.courses.len());
         self.heard.insert(node, (now, evidence));
     }
 
@@ -222,7 +222,7 @@
     }
 
     /// How many nodes see a zone as lost, and how many see that it answers: why the plan is as it is.
-    pub fn why(&self, zone: usize) -> Option<(usize, usize)> {
+    pub fn vote_counts(&self, zone: usize) -> Option<(usize, usize)> {
         (zone < self.courses.len()).then(|| self.votes(zone))
     }
 
@@ -236,7 +236,7 @@
             let (lost, well) = self.votes(i);
             let room = self.reserved_beside(i) < most;
             let known = self.is_known(i, now);
-            match self.orders.of(i, now) {
+            match self.orders.active(i, now) {
                 Some((how, _)) => self.courses[i].ordered(&self.figures, now, how),
                 None => {
                     self.courses[i].see(&self.figures, now, (lost, well));
@@ -252,12 +252,12 @@
     /// How many other zones are given up or are about to be. Of several that are suspected (a plan of an earlier version may have
     /// those) the first ones go before the others.
     fn reserved_beside(&self, zone: usize) -> usize {
-        let suspected = self.courses[zone].zone.state == State::Suspected;
+        let suspected = self.courses[zone].zone.state == ZoneState::Suspected;
         let reserves = |(other, course): &(usize, &Course)| match course.zone.state {
             _ if *other == zone => false,
-            State::GivenUp | State::Returning => true,
-            State::Suspected => !suspected || *other < zone,
-            State::Serving => false,
+            ZoneState::GivenUp | ZoneState::Returning => true,
+            ZoneState::Suspected => !suspected || *other < zone,
+            ZoneState::Serving => false,
         };
         self.courses.iter().enumerate().filter(reserves).count()
     }
@@ -273,7 +273,7 @@
     /// How many nodes see a zone as lost, and how many see that it answers.
     fn votes(&self, zone: usize) -> (usize, usize) {
         let figures = || self.heard.values().filter_map(|(_, e)| e.zones.get(zone));
-        if self.courses[zone].zone.open < ALL {
+        if self.courses[zone].zone.open_percent < ALL {
             // Few go there: what all nodes together see counts as one that tells. It was given up for a part of the nodes,
             // and must not come back while that part still loses what it sends.
             let (all, silent) = figures().fold((0.0, 0.0), |(all, silent), (a, s)| {
@@ -292,18 +292,18 @@
 }
 
 impl Course {
-    fn become_(&mut self, now: Millis, state: State) {
+    fn become_(&mut self, now: Millis, state: ZoneState) {
         if self.zone.state != state {
             (self.zone.state, self.since) = (state, now);
         }
     }
 
     /// What nodes tell of it now. Where nobody can tell, nothing changes but what time alone moves.
-    fn see(&mut self, figures: &Figures, now: Millis, (lost, well): (usize, usize)) {
+    fn see(&mut self, figures: &Tuning, now: Millis, (lost, well): (usize, usize)) {
         let told = lost + well;
         self.bad = lost > 0 && lost as f64 >= figures.nodes * told as f64;
         let well = !self.bad && told > 0;
-        if well || !self.bad && self.zone.state == State::Serving {
+        if well || !self.bad && self.zone.state == ZoneState::Serving {
             self.lost_since = None;
         } else if self.bad {
             self.lost_since = self.lost_since.or(Some(now));
@@ -311,90 +311,90 @@
         self.well_since = if self.bad { None } else { self.well_since.or(well.then_some(now)) };
     }
 
-    fn step(&mut self, figures: &Figures, now: Millis, told: usize, room: bool, known: bool) {
+    fn step(&mut self, figures: &Tuning, now: Millis, told: usize, room: bool, known: bool) {
         let bad = self.bad;
         let confirmed = self.lost_since.is_some_and(|since| now >= since + figures.confirm_ms);
         let due = now >= self.stepped + figures.step_ms;
         match self.zone.state {
             // The one that is suspected is the one that others know to be given up next: no more of them than there is room for.
-            State::Serving if bad && room => self.become_(now, State::Suspected),
-            State::Serving => {
+            ZoneState::Serving if bad && room => self.become_(now, ZoneState::Suspected),
+            ZoneState::Serving => {
                 if now >= self.since + figures.hold_ms * LONGEST_HOLD {
                     self.hold = 1;
                 }
             }
-            State::Suspected if !bad && told > 0 => self.become_(now, State::Serving),
+            ZoneState::Suspected if !bad && told > 0 => self.become_(now, ZoneState::Serving),
             // Nobody can tell any more: it does not keep the room from others.
-            State::Suspected if !bad && now >= self.since + figures.confirm_ms + LONGEST_ANNOUNCEMENT => {
-                self.become_(now, State::Serving);
+            ZoneState::Suspected if !bad && now >= self.since + figures.confirm_ms + LONGEST_ANNOUNCEMENT => {
+                self.become_(now, ZoneState::Serving);
             }
-            State::Suspected => {
+            ZoneState::Suspected => {
                 if bad && confirmed && room && known {
-                    self.become_(now, State::GivenUp);
+                    self.become_(now, ZoneState::GivenUp);
                     self.away(figures, now);
                 }
             }
             // Kept out by hand until now: scouts first, by which it is seen whether it answers.
-            State::GivenUp if self.zone.open < figures.scouts => {
-                self.zone.open = figures.scouts;
+            ZoneState::GivenUp if self.zone.open_percent < figures.scouts => {
+                self.zone.open_percent = figures.scouts;
                 (self.stepped, self.well_since) = (now, None);
             }
-            State::GivenUp => {
+            ZoneState::GivenUp => {
                 let answers = self.well_since.is_some_and(|since| now >= since + figures.hold_ms * self.hold);
                 if answers && due {
-                    self.become_(now, State::Returning);
+                    self.become_(now, ZoneState::Returning);
                     self.back(now);
-                } else if due && self.zone.open > figures.scouts {
+                } else if due && self.zone.open_percent > figures.scouts {
                     self.away(figures, now);
                 }
             }
-            State::Returning if bad => {
+            ZoneState::Returning if bad => {
                 self.hold = (self.hold * 2).min(LONGEST_HOLD);
-                self.become_(now, State::GivenUp);
-                self.zone.open = figures.scouts;
+                self.become_(now, ZoneState::GivenUp);
+                self.zone.open_percent = figures.scouts;
                 self.stepped = now;
             }
-            State::Returning if due => self.back(now),
-            State::Returning => {}
+            ZoneState::Returning if due => self.back(now),
+            ZoneState::Returning => {}
         }
     }
 
     /// Staff's word goes before what nodes see; it moves keys in the same steps.
-    fn ordered(&mut self, figures: &Figures, now: Millis, how: How) {
+    fn ordered(&mut self, figures: &Tuning, now: Millis, how: OrderKind) {
         // What is seen meanwhile is not held against the zone, nor for it, when the order ends.
         (self.well_since, self.lost_since, self.hold) = (None, None, 1);
         let due = now >= self.stepped + figures.step_ms;
         match how {
-            How::Out | How::Drained => {
-                let first = self.zone.state != State::GivenUp;
-                self.become_(now, State::GivenUp);
-                if self.zone.open > 0 && (first || due) {
-                    self.zone.open = self.zone.open.saturating_sub(figures.away);
+            OrderKind::KeepOut | OrderKind::Drain => {
+                let first = self.zone.state != ZoneState::GivenUp;
+                self.become_(now, ZoneState::GivenUp);
+                if self.zone.open_percent > 0 && (first || due) {
+                    self.zone.open_percent = self.zone.open_percent.saturating_sub(figures.away);
                     self.stepped = now;
                 }
             }
-            How::In if self.zone.open == ALL => self.become_(now, State::Serving),
-            How::In => {
-                self.become_(now, State::Returning);
+            OrderKind::KeepIn if self.zone.open_percent == ALL => self.become_(now, ZoneState::Serving),
+            OrderKind::KeepIn => {
+                self.become_(now, ZoneState::Returning);
                 if due {
                     self.back(now);
                 }
             }
-            How::Released => {}
+            OrderKind::Released => {}
         }
     }
 
-    fn away(&mut self, figures: &Figures, now: Millis) {
-        self.zone.open = self.zone.open.saturating_sub(figures.away).max(figures.scouts);
+    fn away(&mut self, figures: &Tuning, now: Millis) {
+        self.zone.open_percent = self.zone.open_percent.saturating_sub(figures.away).max(figures.scouts);
         self.stepped = now;
     }
 
     /// Cold as it is, it gets its keys back in steps that double.
     fn back(&mut self, now: Millis) {
-        self.zone.open = self.zone.open.saturating_mul(2).clamp(10, ALL);
+        self.zone.open_percent = self.zone.open_percent.saturating_mul(2).clamp(10, ALL);
         self.stepped = now;
-        if self.zone.open == ALL {
-            self.become_(now, State::Serving);
+        if self.zone.open_percent == ALL {
+            self.become_(now, ZoneState::Serving);
         }
     }
 }
--- a/crates/plan/tests/orders.rs
+++ b/crates/plan/tests/orders.rs
@@ -3,24 +3,25 @@
 #![allow(missing_docs)]
 
 use mothpier_plan::{
-    Evidence, Figures, How, LONGEST, MOST_ZONES, Millis, Orders, Plan, Planner, Refused, State, Wish, Zone,
+    Evidence, LONGEST, MOST_ZONES, Millis, OrderKind, Plan, Planner, Refused, Tuning, Zone, ZoneOrder,
+    ZoneOrders, ZoneState,
 };
 use oorandom::Rand64;
 
-fn wish(zone: usize, how: How, seconds: Millis) -> Wish {
-    Wish { zone, how, span: seconds * 1000 }
+fn wish(zone: usize, how: OrderKind, seconds: Millis) -> ZoneOrder {
+    ZoneOrder { zone, kind: how, duration_ms: seconds * 1000 }
 }
 
 /// Nodes that hear of each other's orders only by messages, each with a clock of its own.
 struct Fleet {
-    nodes: Vec<(Orders, Millis)>,
-    sent: Vec<Vec<mothpier_plan::Told>>,
+    nodes: Vec<(ZoneOrders, Millis)>,
+    sent: Vec<Vec<mothpier_plan::OrderMessage>>,
 }
 
 impl Fleet {
     fn new(count: usize) -> Fleet {
         // Clocks begin anywhere.
-        let nodes = (0..count).map(|i| (Orders::default(), 1_000 * i as Millis)).collect();
+        let nodes = (0..count).map(|i| (ZoneOrders::default(), 1_000 * i as Millis)).collect();
         Fleet { nodes, sent: Vec::new() }
     }
 
@@ -30,32 +31,32 @@
 
     fn tells(&mut self, node: usize) -> usize {
         let (orders, now) = &self.nodes[node];
-        self.sent.push(orders.told(*now));
+        self.sent.push(orders.messages(*now));
         self.sent.len() - 1
     }
 
     fn hears(&mut self, node: usize, message: usize) {
         let (orders, now) = &mut self.nodes[node];
-        orders.hear(*now, &self.sent[message], 3);
+        orders.merge(*now, &self.sent[message], 3);
     }
 
-    fn of(&self, node: usize, zone: usize) -> Option<How> {
-        self.nodes[node].0.of(zone, self.nodes[node].1).map(|(how, _)| how)
+    fn of(&self, node: usize, zone: usize) -> Option<OrderKind> {
+        self.nodes[node].0.active(zone, self.nodes[node].1).map(|(how, _)| how)
     }
 }
 
 #[test]
 fn an_order_passes_from_node_to_node_ends_everywhere_and_is_not_brought_back_by_what_is_old() {
     let mut fleet = Fleet::new(3);
-    fleet.nodes[0].0.give(0, 0, wish(2, How::Out, 60), 3).unwrap();
+    fleet.nodes[0].0.issue(0, 0, wish(2, OrderKind::KeepOut, 60), 3).unwrap();
     let early = fleet.tells(0);
     fleet.hears(1, early);
     // The one that took it dies and comes back from nothing; the second tells the third.
-    fleet.nodes[0].0 = Orders::default();
+    fleet.nodes[0].0 = ZoneOrders::default();
     fleet.pass(5_000);
     let later = fleet.tells(1);
     (0..3).for_each(|node| fleet.hears(node, later));
-    assert_eq!([0, 1, 2].map(|node| fleet.of(node, 2)), [Some(How::Out); 3]);
+    assert_eq!([0, 1, 2].map(|node| fleet.of(node, 2)), [Some(OrderKind::KeepOut); 3]);
     assert_eq!([0, 1, 2].map(|node| fleet.of(node, 1)), [None; 3]);
     fleet.pass(56_000);
     assert_eq!([0, 1, 2].map(|node| fleet.of(node, 2)), [None; 3], "its end comes without a word");
@@ -64,16 +65,16 @@
     assert_eq!([0, 1, 2].map(|node| fleet.of(node, 2)), [None; 3], "a late message has brought it back");
     // A release is newer than what it releases, whoever hears them in which order.
     let (orders, now) = &mut fleet.nodes[1];
-    orders.give(*now, 1, wish(2, How::In, 600), 3).unwrap();
+    orders.issue(*now, 1, wish(2, OrderKind::KeepIn, 600), 3).unwrap();
     let held = fleet.tells(1);
     fleet.hears(2, held);
     let (orders, now) = &mut fleet.nodes[2];
-    orders.give(*now, 2, wish(2, How::Released, 0), 3).unwrap();
+    orders.issue(*now, 2, wish(2, OrderKind::Released, 0), 3).unwrap();
     let released = fleet.tells(2);
     for messages in [[held, released], [released, held]] {
         messages.iter().for_each(|m| fleet.hears(0, *m));
         assert_eq!(fleet.of(0, 2), None);
-        assert_eq!(fleet.nodes[0].0.by(2), Some(2));
+        assert_eq!(fleet.nodes[0].0.issued_by(2), Some(2));
     }
 }
 
@@ -93,13 +94,14 @@
             match draw(20) {
                 0 => {
                     let (zone, seconds) = (draw(3) as usize, 1 + draw(30));
-                    let how = [How::Released, How::In, How::Out, How::Drained][draw(4) as usize];
+                    let how = [OrderKind::Released, OrderKind::KeepIn, OrderKind::KeepOut, OrderKind::Drain]
+                        [draw(4) as usize];
                     let (orders, now) = &mut fleet.nodes[node];
-                    if orders.give(*now, node as u16, wish(zone, how, seconds), 3).is_ok() {
+                    if orders.issue(*now, node as u16, wish(zone, how, seconds), 3).is_ok() {
                         last_end[zone] = last_end[zone].max(time + seconds * 1000 + 15_000);
                     }
                 }
-                1 => fleet.nodes[node].0 = Orders::default(),
+                1 => fleet.nodes[node].0 = ZoneOrders::default(),
                 2..8 => drop(fleet.tells(node)),
                 // The last few messages may come, each any number of times; older ones are gone.
                 _ if !fleet.sent.is_empty() => {
@@ -129,27 +131,27 @@
 
 #[test]
 fn orders_that_make_no_sense_are_refused_and_the_last_zone_is_kept() {
-    let mut orders = Orders::default();
-    assert_eq!(orders.give(0, 0, wish(3, How::Out, 60), 3), Err(Refused::NoZone));
-    assert_eq!(orders.give(0, 0, wish(0, How::Out, 0), 3), Err(Refused::Span));
-    assert_eq!(orders.give(0, 0, wish(0, How::Out, LONGEST / 1000 + 1), 3), Err(Refused::Span));
-    orders.give(0, 0, wish(0, How::Out, 60), 3).unwrap();
-    orders.give(0, 0, wish(2, How::Drained, 60), 3).unwrap();
-    assert_eq!(orders.give(0, 0, wish(1, How::Out, 60), 3), Err(Refused::LastZone));
-    orders.give(0, 0, wish(1, How::In, 60), 3).unwrap();
-    orders.give(61_000, 0, wish(1, How::Out, 60), 3).unwrap();
-    assert_eq!(orders.of(0, 59_999), Some((How::Out, 1)));
-    assert_eq!(orders.of(0, 60_000), None);
+    let mut orders = ZoneOrders::default();
+    assert_eq!(orders.issue(0, 0, wish(3, OrderKind::KeepOut, 60), 3), Err(Refused::NoZone));
+    assert_eq!(orders.issue(0, 0, wish(0, OrderKind::KeepOut, 0), 3), Err(Refused::Span));
+    assert_eq!(orders.issue(0, 0, wish(0, OrderKind::KeepOut, LONGEST / 1000 + 1), 3), Err(Refused::Span));
+    orders.issue(0, 0, wish(0, OrderKind::KeepOut, 60), 3).unwrap();
+    orders.issue(0, 0, wish(2, OrderKind::Drain, 60), 3).unwrap();
+    assert_eq!(orders.issue(0, 0, wish(1, OrderKind::KeepOut, 60), 3), Err(Refused::LastZone));
+    orders.issue(0, 0, wish(1, OrderKind::KeepIn, 60), 3).unwrap();
+    orders.issue(61_000, 0, wish(1, OrderKind::KeepOut, 60), 3).unwrap();
+    assert_eq!(orders.active(0, 59_999), Some((OrderKind::KeepOut, 1)));
+    assert_eq!(orders.active(0, 60_000), None);
 }
 
 /// A plan's course over a time in which all nodes tell the same.
-fn run(planner: &mut Planner, from: Millis, to: Millis, silent: f64, orders: &Orders) -> Plan {
+fn run(planner: &mut Planner, from: Millis, to: Millis, silent: f64, orders: &ZoneOrders) -> Plan {
     let mut plan = planner.plan(from);
     for now in (from..to).step_by(100) {
         let sees = (0..3).map(|z| (12.0, if z == 2 { 12.0 * silent } else { 0.0 }));
-        let evidence = Evidence { orders: orders.told(now), ..Evidence::of(sees) };
+        let evidence = Evidence { orders: orders.messages(now), ..Evidence::from_counts(sees) };
         let node = (now / 100 % 9) as u16;
-        planner.hear(now, node, Evidence::decode(&evidence.encode()).unwrap());
+        planner.add_evidence(now, node, Evidence::decode(&evidence.encode()).unwrap());
         plan = planner.step(now);
     }
     plan
@@ -157,43 +159,43 @@
 
 #[test]
 fn the_plan_keeps_a_zone_out_or_in_as_ordered_moves_in_steps_and_goes_by_what_is_seen_afterwards() {
-    let serving = Zone { state: State::Serving, open: 100 };
-    let mut planner = Planner::new(Figures::default(), 3, &Plan::default(), 0);
-    let mut orders = Orders::default();
-    orders.give(0, 4, wish(2, How::Out, 60), 3).unwrap();
+    let serving = Zone { state: ZoneState::Serving, open_percent: 100 };
+    let mut planner = Planner::new(Tuning::default(), 3, &Plan::default(), 0);
+    let mut orders = ZoneOrders::default();
+    orders.issue(0, 4, wish(2, OrderKind::KeepOut, 60), 3).unwrap();
     let first = run(&mut planner, 0, 200, 0.0, &orders);
-    assert_eq!(first.zones[2], Zone { state: State::GivenUp, open: 40 }, "in steps, as any move");
+    assert_eq!(first.zones[2], Zone { state: ZoneState::GivenUp, open_percent: 40 }, "in steps, as any move");
     let plan = run(&mut planner, 200, 20_000, 0.0, &orders);
-    assert_eq!(plan.zones, [serving, serving, Zone { state: State::GivenUp, open: 0 }]);
-    assert_eq!(plan.ordered(2), Some(How::Out));
+    assert_eq!(plan.zones, [serving, serving, Zone { state: ZoneState::GivenUp, open_percent: 0 }]);
+    assert_eq!(plan.active_order(2), Some(OrderKind::KeepOut));
     let names = ["east", "west", "south"].map(String::from);
-    assert_eq!(plan.tell(&names), "south is kept out by staff, 0% of its keys go there");
+    assert_eq!(plan.describe(&names), "south is kept out by staff, 0% of its keys go there");
     // A new decider that knows this plan alone goes on from it.
-    let mut next = Planner::new(Figures::default(), 3, &Plan::decode(&plan.encode()).unwrap(), 20_000);
-    let plan = run(&mut next, 20_000, 50_000, 0.0, &Orders::default());
-    assert_eq!(plan.zones[2].open, 0);
-    let plan = run(&mut next, 50_000, 90_000, 0.0, &Orders::default());
+    let mut next = Planner::new(Tuning::default(), 3, &Plan::decode(&plan.encode()).unwrap(), 20_000);
+    let plan = run(&mut next, 20_000, 50_000, 0.0, &ZoneOrders::default());
+    assert_eq!(plan.zones[2].open_percent, 0);
+    let plan = run(&mut next, 50_000, 90_000, 0.0, &ZoneOrders::default());
     assert_eq!(plan.zones[2], serving, "its end has come: scouts, then back in steps");
     // Kept in, it is not given up whatever nodes see, and a zone that is away comes back.
-    let mut orders = Orders::default();
+    let mut orders = ZoneOrders::default();
     let gone = run(&mut next, 90_000, 93_000, 1.0, &orders);
-    assert_eq!(gone.zones[2].open, 4);
-    orders.give(93_000, 1, wish(2, How::In, 20), 3).unwrap();
-    orders.give(93_000, 1, wish(2, How::In, 20), 3).unwrap();
+    assert_eq!(gone.zones[2].open_percent, 4);
+    orders.issue(93_000, 1, wish(2, OrderKind::KeepIn, 20), 3).unwrap();
+    orders.issue(93_000, 1, wish(2, OrderKind::KeepIn, 20), 3).unwrap();
     let plan = run(&mut next, 93_000, 100_000, 1.0, &orders);
     assert_eq!(plan.zones[2], serving);
     let plan = run(&mut next, 100_000, 140_000, 1.0, &orders);
-    assert_eq!(plan.zones[2].open, 4, "forgotten, it ends and evidence counts again");
+    assert_eq!(plan.zones[2].open_percent, 4, "forgotten, it ends and evidence counts again");
 }
 
 #[test]
 fn orders_fit_into_a_message_and_what_is_cut_or_nonsense_is_not_read() {
-    let mut orders = Orders::default();
+    let mut orders = ZoneOrders::default();
     for zone in 0..MOST_ZONES - 1 {
-        orders.give(0, 9, wish(zone, How::Out, LONGEST / 1000), MOST_ZONES).unwrap();
+        orders.issue(0, 9, wish(zone, OrderKind::KeepOut, LONGEST / 1000), MOST_ZONES).unwrap();
     }
-    let zones = vec![Zone { state: State::GivenUp, open: 0 }; MOST_ZONES];
-    let plan = Plan { zones, orders: orders.told(0) };
+    let zones = vec![Zone { state: ZoneState::GivenUp, open_percent: 0 }; MOST_ZONES];
+    let plan = Plan { zones, orders: orders.messages(0) };
     let bytes = plan.encode();
     assert!(bytes.len() <= 2 + 9 * MOST_ZONES);
     assert_eq!(Plan::decode(&bytes), Ok(plan));
@@ -203,11 +205,11 @@
     }
     assert!(Plan::decode(&[2, 0, 0x42, 0, 0, 0, 0, 0, 0]).is_err(), "no such order");
     // Numbers and spans that nobody gives are not heard.
-    let mut heard = Orders::default();
+    let mut heard = ZoneOrders::default();
     for told in [[2, 0, 0x20, 0xff, 0xff, 0, 0, 60, 0], [2, 0, 0x20, 1, 0, 0, 0, 0xff, 0xff]] {
-        heard.hear(0, &Plan::decode(&told).unwrap().orders, 3);
-        assert_eq!(heard, Orders::default());
+        heard.merge(0, &Plan::decode(&told).unwrap().orders, 3);
+        assert_eq!(heard, ZoneOrders::default());
     }
-    heard.hear(0, &Plan::decode(&[2, 0, 0x27, 1, 0, 0, 0, 60, 0]).unwrap().orders, 3);
-    assert_eq!(heard, Orders::default(), "a zone that is not there");
+    heard.merge(0, &Plan::decode(&[2, 0, 0x27, 1, 0, 0, 0, 60, 0]).unwrap().orders, 3);
+    assert_eq!(heard, ZoneOrders::default(), "a zone that is not there");
 }
--- a/crates/plan/tests/planner.rs
+++ b/crates/plan/tests/planner.rs
@@ -1,7 +1,9 @@
 //! Plans from evidence: zones that are lost for all or for some, that come back, that come back weak, and all at once.
 #![allow(missing_docs)]
 
-use mothpier_plan::{Evidence, Figures, MOST_ZONES, Millis, Plan, Planner, Seen, State, Step, Zone};
+use mothpier_plan::{
+    AttemptCounts, Evidence, MOST_ZONES, Millis, Plan, Planner, RecentAttempts, Tuning, Zone, ZoneState,
+};
 
 struct Site {
     planner: Planner,
@@ -11,7 +13,7 @@
 
 impl Site {
     fn new() -> Site {
-        let planner = Planner::new(Figures::default(), 3, &Plan::default(), 0);
+        let planner = Planner::new(Tuning::default(), 3, &Plan::default(), 0);
         Site { planner, now: 0, plans: Vec::new() }
     }
 
@@ -23,9 +25,9 @@
             let node = (self.now / 100 % 9) as u16;
             let open = self.planner.plan(self.now);
             // What is given up gets few attempts, and still enough to be told by over the nodes.
-            let sees = (0..3).map(|z| (if open.open(z) < 0.1 { 0.5 } else { 12.0 }, silent(node, z)));
-            let evidence = Evidence::of(sees.map(|(all, part)| (all, all * part)));
-            self.planner.hear(self.now, node, Evidence::decode(&evidence.encode()).unwrap());
+            let sees = (0..3).map(|z| (if open.open_share(z) < 0.1 { 0.5 } else { 12.0 }, silent(node, z)));
+            let evidence = Evidence::from_counts(sees.map(|(all, part)| (all, all * part)));
+            self.planner.add_evidence(self.now, node, Evidence::decode(&evidence.encode()).unwrap());
             let plan = self.planner.step(self.now);
             if self.plans.last().map(|(_, p)| p) != Some(&plan) {
                 self.plans.push((self.now, plan));
@@ -44,32 +46,32 @@
 fn a_zone_that_all_lose_is_given_up_in_steps_and_taken_back_in_steps() {
     let mut site = Site::new();
     site.run(5_000, NOTHING);
-    assert_eq!(site.planner.plan(site.now).tell(&[]), "all zones serve");
+    assert_eq!(site.planner.plan(site.now).describe(&[]), "all zones serve");
     let begin = site.now;
     site.run(3_000, |_, zone| if zone == 2 { 1.0 } else { 0.0 });
-    let first = site.plans.iter().find(|(_, p)| p.zones[2].state == State::GivenUp).unwrap();
+    let first = site.plans.iter().find(|(_, p)| p.zones[2].state == ZoneState::GivenUp).unwrap();
     assert!(first.0 - begin <= 1_500, "given up after {} ms", first.0 - begin);
-    assert_eq!(first.1.zones[2].open, 40, "in steps");
-    assert_eq!(site.zone(2), Zone { state: State::GivenUp, open: 4 });
-    assert_eq!(site.zone(0), Zone { state: State::Serving, open: 100 });
+    assert_eq!(first.1.zones[2].open_percent, 40, "in steps");
+    assert_eq!(site.zone(2), Zone { state: ZoneState::GivenUp, open_percent: 4 });
+    assert_eq!(site.zone(0), Zone { state: ZoneState::Serving, open_percent: 100 });
     site.run(10_000, |_, zone| if zone == 2 { 1.0 } else { 0.0 });
     site.run(12_000, NOTHING);
-    assert_eq!(site.zone(2), Zone { state: State::Serving, open: 100 });
-    let opens: Vec<u8> = site.plans.iter().map(|(_, p)| p.zones[2].open).collect();
+    assert_eq!(site.zone(2), Zone { state: ZoneState::Serving, open_percent: 100 });
+    let opens: Vec<u8> = site.plans.iter().map(|(_, p)| p.zones[2].open_percent).collect();
     assert!(opens.ends_with(&[4, 10, 20, 40, 80, 100]), "{opens:?}");
     let apart = site.plans.windows(2).rev().take(4).map(|w| w[1].0 - w[0].0).min().unwrap();
-    assert!(apart >= Figures::default().step_ms, "{apart} ms between two steps");
+    assert!(apart >= Tuning::default().step_ms, "{apart} ms between two steps");
 }
 
 #[test]
 fn what_few_cannot_reach_is_kept_and_what_a_third_cannot_is_given_up_by_all() {
     let mut site = Site::new();
     site.run(8_000, |node, zone| if node == 1 && zone == 2 { 1.0 } else { 0.0 });
-    assert_ne!(site.zone(2).state, State::GivenUp, "one of nine");
+    assert_ne!(site.zone(2).state, ZoneState::GivenUp, "one of nine");
     site.run(4_000, |node, zone| if node % 3 == 1 && zone == 2 { 1.0 } else { 0.0 });
     assert_eq!(
         site.zone(2).state,
-        State::GivenUp,
+        ZoneState::GivenUp,
         "three of nine: all or none, and a third is too many to leave waiting"
     );
 }
@@ -83,9 +85,9 @@
     site.run(3_000, |_, zone| if zone == 1 { 1.0 } else { 0.0 });
     let mut tries = Vec::new();
     for _ in 0..600 {
-        let returning = site.zone(1).open > 10;
+        let returning = site.zone(1).open_percent > 10;
         site.run(100, |_, zone| if zone == 1 && returning { 1.0 } else { 0.0 });
-        if site.zone(1).state == State::Returning && tries.last().is_none_or(|t| site.now > t + 3_000) {
+        if site.zone(1).state == ZoneState::Returning && tries.last().is_none_or(|t| site.now > t + 3_000) {
             tries.push(site.now);
         }
     }
@@ -97,28 +99,33 @@
 fn where_all_zones_fail_at_most_the_allowed_part_is_given_up_and_where_nobody_tells_nothing_moves() {
     let mut site = Site::new();
     site.run(10_000, |_, _| 1.0);
-    let gone = (0..3).filter(|z| site.zone(*z).state == State::GivenUp).count();
+    let gone = (0..3).filter(|z| site.zone(*z).state == ZoneState::GivenUp).count();
     assert_eq!(gone, 1, "half of three, rounded down");
     let mut quiet = Site::new();
     for _ in 0..100 {
         quiet.now += 100;
         quiet.planner.step(quiet.now);
     }
-    assert_eq!(quiet.planner.plan(quiet.now).tell(&[]), "all zones serve");
+    assert_eq!(quiet.planner.plan(quiet.now).describe(&[]), "all zones serve");
 }
 
 #[test]
 fn a_new_decider_goes_on_from_the_plan_that_it_has_acted_on() {
-    let zones = vec![Zone { state: State::Serving, open: 100 }, Zone { state: State::GivenUp, open: 4 }];
+    let zones = vec![
+        Zone { state: ZoneState::Serving, open_percent: 100 },
+        Zone { state: ZoneState::GivenUp, open_percent: 4 },
+    ];
     let plan = Plan { zones, ..Plan::default() };
-    let mut planner = Planner::new(Figures::default(), 2, &plan, 50_000);
+    let mut planner = Planner::new(Tuning::default(), 2, &plan, 50_000);
     assert_eq!(planner.step(50_100), plan, "without evidence nothing moves");
 }
 
 #[test]
 fn bytes_are_bounded_and_what_is_no_plan_is_not_taken_for_one() {
-    let full =
-        Plan { zones: vec![Zone { state: State::Returning, open: 100 }; MOST_ZONES], ..Plan::default() };
+    let full = Plan {
+        zones: vec![Zone { state: ZoneState::Returning, open_percent: 100 }; MOST_ZONES],
+        ..Plan::default()
+    };
     let bytes = full.encode();
     assert!(bytes.len() <= 40);
     assert_eq!(Plan::decode(&bytes), Ok(full));
@@ -130,35 +137,35 @@
         assert!(Plan::decode(spoilt).is_err(), "{spoilt:?}");
         assert!(Evidence::decode(&spoilt[..1]).is_err());
     }
-    assert!(Figures { most: 2.0, ..Figures::default() }.check().is_err());
+    assert!(Tuning { most: 2.0, ..Tuning::default() }.validate().is_err());
 }
 
 #[test]
 fn one_node_leaves_by_itself_what_it_alone_cannot_reach_after_a_plan_would_have_and_comes_back() {
-    let mut own = Planner::alone(&Figures::default(), 3, 0);
+    let mut own = Planner::for_single_node(&Tuning::default(), 3, 0);
     let mut open = Vec::new();
     for now in (0..30_000).step_by(100) {
         let plan = own.plan(now);
         // Lost from 2 s to 12 s: of what goes there 10 attempts are seen, and of scouts less than one.
         let lost = (2_000..12_000).contains(&now);
         let sees = (0..3).map(|z| {
-            let all = 10.0 * plan.open(z).max(0.05);
+            let all = 10.0 * plan.open_share(z).max(0.05);
             (all, if z == 2 && lost { all } else { 0.0 })
         });
-        own.hear(now, 0, Evidence::of(sees));
-        open.push((now, own.step(now).zones[2].open));
+        own.add_evidence(now, 0, Evidence::from_counts(sees));
+        open.push((now, own.step(now).zones[2].open_percent));
     }
     let at = |now: Millis| open.iter().find(|(at, _)| *at == now).unwrap().1;
     assert_eq!((at(3_400), at(4_300)), (100, 5), "not before a plan could have");
     assert_eq!((at(11_900), at(13_900)), (5, 5));
     assert_eq!(at(20_000), 100, "back in steps once it answers");
     // With nowhere else to go it stays.
-    let mut own = Planner::alone(&Figures::default(), 3, 0);
+    let mut own = Planner::for_single_node(&Tuning::default(), 3, 0);
     for now in (0..20_000).step_by(100) {
-        own.hear(now, 0, Evidence::of([(10.0, 10.0); 3].into_iter()));
+        own.add_evidence(now, 0, Evidence::from_counts([(10.0, 10.0); 3].into_iter()));
         own.step(now);
     }
-    let left = own.plan(20_000).zones.iter().filter(|z| z.open == 100).count();
+    let left = own.plan(20_000).zones.iter().filter(|z| z.open_percent == 100).count();
     assert_eq!(left, 1);
 }
 
@@ -166,27 +173,27 @@
 /// each of which so many attempts there were silent.
 fn told_after_leaving(steps: usize, silent: impl Fn(usize) -> u32, common: &Plan) -> (u8, u8) {
     const STEP: Millis = 250;
-    let mut own = Planner::alone(&Figures::default(), 3, 0);
-    let mut seen = Seen::new(3);
+    let mut own = Planner::for_single_node(&Tuning::default(), 3, 0);
+    let mut seen = RecentAttempts::new(3);
     let mut now = 0;
     let mut step = |own: &mut Planner, zone_2: u32| {
         now += STEP;
-        let well = Step { came: 10, ..Step::default() };
-        let open: Vec<f64> = (0..3).map(|zone| own.plan(now).open(zone)).collect();
-        seen.step(&[well, well, Step { silent: zone_2, ..Step::default() }], &open);
-        own.hear(now, 0, seen.evidence());
+        let well = AttemptCounts { answered: 10, ..AttemptCounts::default() };
+        let open: Vec<f64> = (0..3).map(|zone| own.plan(now).open_share(zone)).collect();
+        seen.record(&[well, well, AttemptCounts { unanswered: zone_2, ..AttemptCounts::default() }], &open);
+        own.add_evidence(now, 0, seen.evidence());
         own.step(now);
         seen.evidence()
     };
     let mut sees = Evidence::default();
     // As few as a node with little traffic sends, until it leaves.
-    while own.plan(0).zones[2].state != State::GivenUp || own.plan(0).open(2) > 0.05 {
+    while own.plan(0).zones[2].state != ZoneState::GivenUp || own.plan(0).open_share(2) > 0.05 {
         sees = step(&mut own, 2);
     }
     for at in 0..steps {
         sees = step(&mut own, silent(at));
     }
-    own.tells(&sees, common).zones[2]
+    own.evidence_to_report(&sees, common).zones[2]
 }
 
 #[test]
@@ -205,7 +212,7 @@
         assert!(told.0 < 4, "after {steps} steps: {told:?}");
     }
     // Where the common plan has given it up, the node tells what it sees.
-    let zones = [100, 100, 4].map(|open| Zone { state: State::Serving, open }).to_vec();
+    let zones = [100, 100, 4].map(|open| Zone { state: ZoneState::Serving, open_percent: open }).to_vec();
     let given_up = Plan { zones, ..Plan::default() };
     assert_ne!(told_after_leaving(30, |at| u32::from(at % 4 == 3), &given_up), Evidence::LOST);
 }
--- a/crates/plan/tests/succession.rs
+++ b/crates/plan/tests/succession.rs
@@ -1,15 +1,15 @@
 //! A decider whose predecessor may have given a zone up: of two zones that can't both be, the same one is given up.
 #![allow(missing_docs)]
 
-use mothpier_plan::{Evidence, Figures, Millis, Plan, Planner, State, Zone};
+use mothpier_plan::{Evidence, Millis, Plan, Planner, Tuning, Zone, ZoneState};
 
 /// Until when a decider that begins at 0 learns.
 const LEARNS_UNTIL: Millis = 300;
-const SERVING: Zone = Zone { state: State::Serving, open: 100 };
-const SUSPECTED: Zone = Zone { state: State::Suspected, open: 100 };
+const SERVING: Zone = Zone { state: ZoneState::Serving, open_percent: 100 };
+const SUSPECTED: Zone = Zone { state: ZoneState::Suspected, open_percent: 100 };
 
 fn decider(plan: &Plan) -> Planner {
-    Planner::takes_over(Figures::default(), 3, plan, (0, LEARNS_UNTIL))
+    Planner::for_new_leader(Tuning::default(), 3, plan, (0, LEARNS_UNTIL))
 }
 
 /// Zones 0 and 2 of three are cut from each other: six of nine nodes see the other one silent.
@@ -19,17 +19,17 @@
             (0, 2) | (2, 0) => 12.0,
             _ => 0.0,
         };
-        planner.hear(now, node, Evidence::of((0..3).map(|zone| (12.0, silent(zone)))));
+        planner.add_evidence(now, node, Evidence::from_counts((0..3).map(|zone| (12.0, silent(zone)))));
     }
     planner.step(now)
 }
 
 fn given_up(plan: &Plan) -> Vec<usize> {
-    (0..plan.zones.len()).filter(|zone| plan.zones[*zone].state == State::GivenUp).collect()
+    (0..plan.zones.len()).filter(|zone| plan.zones[*zone].state == ZoneState::GivenUp).collect()
 }
 
 fn suspected(plan: &Plan) -> Vec<usize> {
-    (0..plan.zones.len()).filter(|zone| plan.zones[*zone].state == State::Suspected).collect()
+    (0..plan.zones.len()).filter(|zone| plan.zones[*zone].state == ZoneState::Suspected).collect()
 }
 
 #[test]
@@ -41,10 +41,12 @@
         let mut chosen = Vec::new();
         for now in (0..2_000).step_by(100) {
             if now == 200 {
-                assert!(planner.adopt(now, &Plan { zones: zones.clone(), ..Plan::default() }));
+                assert!(
+                    planner.adopt_predecessor_plan(now, &Plan { zones: zones.clone(), ..Plan::default() })
+                );
             }
             let plan = cut(&mut planner, now);
-            planner.published(0, (now / 100) as u32);
+            planner.plan_published(0, (now / 100) as u32);
             assert!(now >= LEARNS_UNTIL || given_up(&plan).is_empty(), "{now} ms: it has yet to learn");
             chosen.extend(given_up(&plan));
         }
@@ -61,7 +63,7 @@
     }
     assert_eq!(suspected(&cut(&mut planner, LEARNS_UNTIL)), [0]);
     let zones = vec![SERVING, SERVING, SUSPECTED];
-    assert!(!planner.adopt(LEARNS_UNTIL, &Plan { zones, ..Plan::default() }));
+    assert!(!planner.adopt_predecessor_plan(LEARNS_UNTIL, &Plan { zones, ..Plan::default() }));
     assert_eq!(suspected(&planner.plan(LEARNS_UNTIL)), [0]);
 }
 
@@ -72,14 +74,14 @@
     while suspected(&cut(&mut planner, now)).is_empty() {
         now += 100;
     }
-    planner.published(0, 7);
-    (1..4).for_each(|node| planner.follows(node, 7));
+    planner.plan_published(0, 7);
+    (1..4).for_each(|node| planner.plan_applied(node, 7));
     // One that has acted on an earlier plan only does not know.
-    planner.follows(4, 6);
+    planner.plan_applied(4, 6);
     for later in [100, 400, 700] {
         assert!(given_up(&cut(&mut planner, now + later)).is_empty(), "four of nine know");
     }
-    planner.follows(4, 8);
+    planner.plan_applied(4, 8);
     let plan = cut(&mut planner, now + 800);
     assert_eq!((given_up(&plan), suspected(&plan)), (vec![0], vec![]));
 }
@@ -92,7 +94,7 @@
         if !given_up(&cut(&mut planner, now)).is_empty() {
             at = at.or(Some(now));
         }
-        planner.published(0, 1);
+        planner.plan_published(0, 1);
     }
     assert!(at.is_some_and(|at| (1_000..=2_000).contains(&at)), "{at:?}");
 }
@@ -105,10 +107,10 @@
     let mut chosen = Vec::new();
     for now in (500..6_000).step_by(100) {
         let sees = [(0.0, 0.0), (12.0, 0.0), (12.0, 12.0)];
-        (0..9).for_each(|node| planner.hear(now, node, Evidence::of(sees.into_iter())));
+        (0..9).for_each(|node| planner.add_evidence(now, node, Evidence::from_counts(sees.into_iter())));
         chosen.extend(given_up(&planner.step(now)));
-        planner.published(0, (now / 100) as u32);
-        (1..9).for_each(|node| planner.follows(node, (now / 100) as u32));
+        planner.plan_published(0, (now / 100) as u32);
+        (1..9).for_each(|node| planner.plan_applied(node, (now / 100) as u32));
     }
     chosen.dedup();
     assert_eq!(chosen, [2]);
