--- a/crates/record/src/entry.rs
+++ b/crates/record/src/entry.rs
@@ -9,8 +9,8 @@
 use std::hash::Hash;
 
 use brassrouter::{
-    Action, Condition, Event, Key, Legacy, ListKind, Load, Micros, Note, OriginAllowance, Outcome, Pool,
-    Request, RequestId, ServerId, ServerLine, Status,
+    Action, CacheResult, Condition, Event, InheritedState, Key, ListKind, LoadReport, Micros,
+    OriginAllowance, Outcome, Request, RequestId, ServerEntry, ServerId, Status, ZoneRouting,
 };
 
 use crate::wire::{Bad, Input, put, put_delta, put_figure};
@@ -61,7 +61,7 @@
     Probe(ServerId),
     /// As [`Action::CloseIdle`].
     CloseIdle(ServerId),
-    /// As [`Action::Tell`].
+    /// As [`Action::SendToPeers`].
     Tell {
         /// The peer; `None` for all.
         to: Option<u32>,
@@ -77,7 +77,7 @@
 impl From<&Action> for Noted {
     fn from(action: &Action) -> Self {
         match action {
-            Action::Send { request, server, give_up_after } => {
+            Action::Send { request, server, timeout: give_up_after } => {
                 Noted::Send { request: *request, server: *server, give_up_after: *give_up_after }
             }
             Action::Refuse { request, retry_after } => {
@@ -90,7 +90,7 @@
             Action::FetchList => Noted::FetchList,
             Action::Probe(server) => Noted::Probe(*server),
             Action::CloseIdle(server) => Noted::CloseIdle(*server),
-            Action::Tell { to, bytes } => Noted::Tell { to: *to, sum: crc32fast::hash(bytes) },
+            Action::SendToPeers { to, bytes } => Noted::Tell { to: *to, sum: crc32fast::hash(bytes) },
             Action::Log(text) => Noted::Log(crc32fast::hash(text.as_bytes())),
             Action::Fault(text) => Noted::Fault(crc32fast::hash(text.as_bytes())),
         }
@@ -151,9 +151,9 @@
         match &self.body {
             Body::Told { event: Event::Request(r), .. } => Some(r.id),
             Body::Told { event: Event::Outcome(o), .. } => Some(o.request),
-            Body::Told { event: Event::AnswerBegan { request, .. } | Event::ClientGone(request), .. } => {
-                Some(*request)
-            }
+            Body::Told {
+                event: Event::ResponseStarted { request, .. } | Event::ClientGone(request), ..
+            } => Some(*request),
             _ => None,
         }
     }
@@ -283,12 +283,12 @@
             Event::ServerList { .. } => LIST,
             Event::PeerMessage { .. } => PEER,
             Event::ClientGone(_) => GONE,
-            Event::AnswerBegan { .. } => BEGAN,
+            Event::ResponseStarted { .. } => BEGAN,
             Event::Probed { .. } => PROBED,
             Event::Storm(_) => STORM,
-            Event::Legacy(_) => LEGACY,
-            Event::Sharing(_) => SHARING,
-            Event::Pool(_) => POOL,
+            Event::Inherited(_) => LEGACY,
+            Event::ProcessCount(_) => SHARING,
+            Event::ZoneRouting(_) => POOL,
             Event::OriginAllowance(_) => LATER,
         };
         out.push(kind);
@@ -297,7 +297,7 @@
             Event::Request(r) => {
                 self.request(out, r.id);
                 let sized = r.size != 0.0 || r.size.is_sign_negative();
-                let flags = [r.write, r.repeat, r.cost.is_some(), sized, reference.is_some()];
+                let flags = [r.is_write, r.is_retry, r.cost.is_some(), sized, reference.is_some()];
                 out.push(flags.iter().enumerate().fold(0, |all, (i, on)| all | u8::from(*on) << i));
                 put(out, r.class as u64);
                 put(out, r.tenant as u64);
@@ -315,12 +315,12 @@
             }
             Event::Outcome(o) => {
                 self.request(out, o.request);
-                let note = NOTES.iter().position(|n| *n == o.note).unwrap_or(0) as u8;
+                let note = NOTES.iter().position(|n| *n == o.cache_result).unwrap_or(0) as u8;
                 let status = STATUSES.iter().position(|s| *s == o.status).unwrap_or(0) as u8;
-                out.push(status | note << 4 | u8::from(o.over) << 6);
+                out.push(status | note << 4 | u8::from(o.request_finished) << 6);
                 put(out, u64::from(o.attempt));
                 self.server(out, o.server);
-                put(out, o.took);
+                put(out, o.duration);
                 load(out, &o.load);
             }
             Event::Timer(token) => put(out, u64::from(*token)),
@@ -332,9 +332,9 @@
                     out.push(CONDITIONS.iter().position(|c| *c == line.condition).unwrap_or(0) as u8);
                     out.push(line.zone);
                     put(out, u64::from(line.cell));
-                    put(out, u64::from(line.kind));
+                    put(out, u64::from(line.machine_type));
                     put_figure(out, line.weight);
-                    put(out, line.started);
+                    put(out, line.started_at);
                 }
             }
             Event::PeerMessage { from, bytes } => {
@@ -343,11 +343,11 @@
                 out.extend(bytes);
             }
             Event::ClientGone(request) => self.request(out, *request),
-            Event::AnswerBegan { request, attempt } => {
+            Event::ResponseStarted { request, attempt } => {
                 self.request(out, *request);
                 put(out, u64::from(*attempt));
             }
-            Event::Probed { server, ok, took, load: report } => {
+            Event::Probed { server, succeeded: ok, duration: took, load: report } => {
                 self.server(out, *server);
                 out.push(u8::from(*ok));
                 put(out, *took);
@@ -356,33 +356,36 @@
             Event::OriginAllowance(allowance) => {
                 out.extend([ALLOWANCE, u8::from(allowance.is_some())]);
                 if let Some(a) = allowance {
-                    let counts = [a.outstanding, a.calls, a.kept_for_writes];
+                    let counts = [a.outstanding, a.calls_left, a.reserved_for_writes];
                     counts.into_iter().for_each(|count| put(out, u64::from(count)));
-                    put(out, a.until);
+                    put(out, a.expires_at);
                 }
             }
             Event::Storm(on) => out.push(u8::from(*on)),
-            Event::Sharing(processes) => put(out, u64::from(*processes)),
-            Event::Pool(pool) => {
+            Event::ProcessCount(processes) => put(out, u64::from(*processes)),
+            Event::ZoneRouting(pool) => {
                 out.push(u8::from(pool.is_some()));
                 if let Some(pool) = pool {
-                    put(out, pool.rings.len() as u64);
-                    out.extend(&pool.rings);
-                    put(out, pool.open.len() as u64);
-                    pool.keep.iter().chain(&pool.open).for_each(|part| out.extend(part.to_le_bytes()));
+                    put(out, pool.zone_rings.len() as u64);
+                    out.extend(&pool.zone_rings);
+                    put(out, pool.zone_key_shares.len() as u64);
+                    pool.cumulative_key_shares
+                        .iter()
+                        .chain(&pool.zone_key_shares)
+                        .for_each(|part| out.extend(part.to_le_bytes()));
                 }
             }
-            Event::Legacy(left) => {
-                put(out, left.calls.len() as u64);
-                for (fetch, until) in &left.calls {
+            Event::Inherited(left) => {
+                put(out, left.origin_calls.len() as u64);
+                for (fetch, until) in &left.origin_calls {
                     out.push(u8::from(*fetch));
                     put(out, *until);
                 }
-                put(out, left.window);
-                left.tally.iter().for_each(|count| put(out, u64::from(*count)));
-                out.extend(left.limit.to_le_bytes());
-                put(out, left.writes.len() as u64);
-                for (key, first) in &left.writes {
+                put(out, left.window_start);
+                left.calls_in_window.iter().for_each(|count| put(out, u64::from(*count)));
+                out.extend(left.outstanding_limit.to_le_bytes());
+                put(out, left.keyed_writes.len() as u64);
+                for (key, first) in &left.keyed_writes {
                     out.extend(key.to_le_bytes());
                     put(out, *first);
                 }
@@ -503,8 +506,8 @@
                     class: input.below()?,
                     tenant: input.below()?,
                     key: self.read_key(input)?,
-                    write: flags & 1 != 0,
-                    repeat: flags & 2 != 0,
+                    is_write: flags & 1 != 0,
+                    is_retry: flags & 2 != 0,
                     time_left: input.number()?,
                     cost: if flags & 4 != 0 { Some(input.number()?) } else { None },
                     size: if flags & 8 != 0 { input.figure()? } else { 0.0 },
@@ -520,11 +523,11 @@
                 Event::Outcome(Outcome {
                     request,
                     status: pick(&STATUSES, ends & 15)?,
-                    note: pick(&NOTES, ends >> 4 & 3)?,
-                    over: ends & 64 != 0,
+                    cache_result: pick(&NOTES, ends >> 4 & 3)?,
+                    request_finished: ends & 64 != 0,
                     attempt: input.below()?,
                     server: self.read_server(input)?,
-                    took: input.number()?,
+                    duration: input.number()?,
                     load: read_load(input)?,
                 })
             }
@@ -534,14 +537,14 @@
                 let count = input.count()?;
                 let mut servers = Vec::with_capacity(count.min(1024));
                 for _ in 0..count {
-                    servers.push(ServerLine {
+                    servers.push(ServerEntry {
                         id: self.read_server(input)?,
                         condition: pick(&CONDITIONS, input.byte()?)?,
                         zone: input.byte()?,
                         cell: input.below()?,
-                        kind: input.below()?,
+                        machine_type: input.below()?,
                         weight: input.figure()?,
-                        started: input.number()?,
+                        started_at: input.number()?,
                     });
                 }
                 Event::ServerList { kind, servers }
@@ -552,16 +555,16 @@
                 Event::PeerMessage { from, bytes: input.bytes(count)?.to_vec() }
             }
             GONE => Event::ClientGone(self.read_request(input)?),
-            BEGAN => Event::AnswerBegan { request: self.read_request(input)?, attempt: input.below()? },
+            BEGAN => Event::ResponseStarted { request: self.read_request(input)?, attempt: input.below()? },
             PROBED => Event::Probed {
                 server: self.read_server(input)?,
-                ok: input.byte()? != 0,
-                took: input.number()?,
+                succeeded: input.byte()? != 0,
+                duration: input.number()?,
                 load: read_load(input)?,
             },
             STORM => Event::Storm(input.byte()? != 0),
-            SHARING => Event::Sharing(input.below()?),
-            POOL if input.byte()? == 0 => Event::Pool(None),
+            SHARING => Event::ProcessCount(input.below()?),
+            POOL if input.byte()? == 0 => Event::ZoneRouting(None),
             POOL => {
                 let count = input.count()?;
                 let rings = input.bytes(count)?.to_vec();
@@ -569,20 +572,24 @@
                 let keep = [f64::from_bits(read_u64(input)?), f64::from_bits(read_u64(input)?)];
                 let open =
                     (0..open).map(|_| read_u64(input).map(f64::from_bits)).collect::<Result<_, _>>()?;
-                Event::Pool(Some(Pool { rings, keep, open }))
+                Event::ZoneRouting(Some(ZoneRouting {
+                    zone_rings: rings,
+                    cumulative_key_shares: keep,
+                    zone_key_shares: open,
+                }))
             }
             LEGACY => {
-                let mut left = Legacy::default();
+                let mut left = InheritedState::default();
                 for _ in 0..input.count()? {
-                    left.calls.push((input.byte()? != 0, input.number()?));
+                    left.origin_calls.push((input.byte()? != 0, input.number()?));
                 }
-                left.window = input.number()?;
-                left.tally = [input.below()?, input.below()?];
-                left.limit = f64::from_bits(read_u64(input)?);
+                left.window_start = input.number()?;
+                left.calls_in_window = [input.below()?, input.below()?];
+                left.outstanding_limit = f64::from_bits(read_u64(input)?);
                 for _ in 0..input.count()? {
-                    left.writes.push((read_u64(input)?, input.number()?));
+                    left.keyed_writes.push((read_u64(input)?, input.number()?));
                 }
-                Event::Legacy(left)
+                Event::Inherited(left)
             }
             LATER if input.byte()? == ALLOWANCE => {
                 let told = input.byte()? != 0;
@@ -634,7 +641,8 @@
     Status::NotSent,
     Status::LocalFailure,
 ];
-const NOTES: [Note; 4] = [Note::None, Note::Hit, Note::Miss, Note::MissBeingFetched];
+const NOTES: [CacheResult; 4] =
+    [CacheResult::None, CacheResult::Hit, CacheResult::Miss, CacheResult::MissBeingFetched];
 const LISTS: [ListKind; 4] = [ListKind::Full, ListKind::Cached, ListKind::Delta, ListKind::Failed];
 const CONDITIONS: [Condition; 3] = [Condition::Ready, Condition::Draining, Condition::Gone];
 
@@ -642,14 +650,14 @@
     all.get(usize::from(place)).copied().ok_or("a value of an unknown kind")
 }
 
-fn load(out: &mut Vec<u8>, load: &Load) {
+fn load(out: &mut Vec<u8>, load: &LoadReport) {
     let count = load.count.min(4);
     out.push(count);
     load.values.iter().take(usize::from(count)).for_each(|v| put_figure(out, *v));
 }
 
-fn read_load(input: &mut Input) -> Result<Load, Bad> {
-    let mut load = Load { count: input.byte()?, ..Load::default() };
+fn read_load(input: &mut Input) -> Result<LoadReport, Bad> {
+    let mut load = LoadReport { count: input.byte()?, ..LoadReport::default() };
     if load.count > 4 {
         return Err("a load report of too many figures");
     }
@@ -662,9 +670,9 @@
 fn read_allowance(input: &mut Input) -> Result<OriginAllowance, Bad> {
     Ok(OriginAllowance {
         outstanding: input.below()?,
-        calls: input.below()?,
-        kept_for_writes: input.below()?,
-        until: input.number()?,
+        calls_left: input.below()?,
+        reserved_for_writes: input.below()?,
+        expires_at: input.number()?,
     })
 }
 
--- a/crates/record/src/recorder.rs
+++ b/crates/record/src/recorder.rs
@@ -6,8 +6,8 @@
 
 use std::fmt;
 
-use brassrouter::settings::Site;
-use brassrouter::{Action, Event, Legacy, Micros, Policy, STATE};
+use brassrouter::settings::DeploymentSettings;
+use brassrouter::{Action, Event, InheritedState, Micros, Policy, STATE_VERSION};
 use serde::Deserialize;
 
 use crate::entry::{Body, Noted};
@@ -139,7 +139,7 @@
 pub struct Recorder {
     figures: Figures,
     sink: Box<dyn Sink>,
-    legacy: Option<Legacy>,
+    legacy: Option<InheritedState>,
     header: Option<Header>,
     on: bool,
     open: Option<Open>,
@@ -168,7 +168,7 @@
 impl Recorder {
     /// A recorder that gives its pieces to a sink. `legacy` is what an earlier life's record says that this one must
     /// count.
-    pub fn new(figures: Figures, on: bool, sink: Box<dyn Sink>, legacy: Option<Legacy>) -> Self {
+    pub fn new(figures: Figures, on: bool, sink: Box<dyn Sink>, legacy: Option<InheritedState>) -> Self {
         Recorder {
             figures,
             sink,
@@ -217,7 +217,7 @@
     }
 
     /// The node begins: its name, its seed, its settings and its clock.
-    pub fn born(&mut self, node: &str, seed: u64, site: &Site, now: Micros) {
+    pub fn born(&mut self, node: &str, seed: u64, site: &DeploymentSettings, now: Micros) {
         self.begun = Now { clock: now, monotonic: (self.monotonic)() };
         if let (Some(then), Some(legacy)) = (self.recovered_at.take(), &mut self.legacy) {
             move_times(legacy, then, now);
@@ -228,19 +228,19 @@
             number: 0,
             at: now,
             program: self.program.clone(),
-            state: STATE,
+            state: STATE_VERSION,
             seed,
             secret_keys: self.secret_keys,
-            settings: site.decisions.clone(),
-            classes: site.classes.clone(),
-            tenants: site.tenants.clone(),
+            settings: site.policy.clone(),
+            classes: site.class_names.clone(),
+            tenants: site.tenant_names.clone(),
             servers: Vec::new(),
             monotonic: None,
         });
     }
 
     /// What this life must count of an earlier one; told once.
-    pub fn legacy(&mut self) -> Option<Legacy> {
+    pub fn legacy(&mut self) -> Option<InheritedState> {
         self.legacy.take()
     }
 
@@ -325,7 +325,7 @@
     fn begin(&mut self, now: Micros, policy: &Policy) -> Notice {
         self.late_losses();
         let header = self.header.as_mut()?;
-        (header.at, header.servers) = (now, policy.list());
+        (header.at, header.servers) = (now, policy.listed_servers());
         let since_birth = now.saturating_sub(self.begun.clock);
         header.monotonic = self.begun.monotonic.map(|reading| reading.later(since_birth));
         let begun = Writer::begin(header).and_then(|mut writer| {
@@ -422,11 +422,11 @@
 }
 
 /// Moves the times of a legacy from a clock that stands at `from` to one that stands at `to`.
-fn move_times(legacy: &mut Legacy, from: Micros, to: Micros) {
+fn move_times(legacy: &mut InheritedState, from: Micros, to: Micros) {
     let moved = |time: Micros| to.saturating_add_signed(time.wrapping_sub(from).cast_signed());
-    legacy.calls.iter_mut().for_each(|(_, until)| *until = moved(*until));
-    legacy.writes.iter_mut().for_each(|(_, first)| *first = moved(*first));
-    legacy.window = moved(legacy.window);
+    legacy.origin_calls.iter_mut().for_each(|(_, until)| *until = moved(*until));
+    legacy.keyed_writes.iter_mut().for_each(|(_, first)| *first = moved(*first));
+    legacy.window_start = moved(legacy.window_start);
 }
 
 /// Bytes of one piece, about.
--- a/crates/record/src/recover.rs
+++ b/crates/record/src/recover.rs
@@ -7,7 +7,7 @@
 use std::io;
 
 use brassrouter::interface::Class;
-use brassrouter::{Legacy, Micros, Policy, STATE, Settings};
+use brassrouter::{InheritedState, Micros, Policy, STATE_VERSION, Settings};
 
 use crate::monotonic::Now;
 use crate::replay::{Outcome, replay};
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Found {
     /// What the earlier life left behind, and a line for the log.
-    Legacy(Legacy, String),
+    Legacy(InheritedState, String),
     /// Nothing that could be used, and why.
     Nothing(String),
 }
@@ -92,7 +92,7 @@
         }
     }
 
-    fn read(&self, bytes: &[u8], passed_over: usize) -> Result<(Legacy, String), Unusable> {
+    fn read(&self, bytes: &[u8], passed_over: usize) -> Result<(InheritedState, String), Unusable> {
         let mut segment = Segment::open(bytes).map_err(|torn| Unusable::Unreadable(torn.to_string()))?;
         self.is_own(&segment).map_err(Unusable::Foreign)?;
         let (outcome, policy) = replay(&mut segment).map_err(Unusable::Unreadable)?;
@@ -120,8 +120,8 @@
         if header.node != self.node {
             return Err(format!("it is of node {:?}", header.node));
         }
-        if header.state != STATE {
-            return Err(format!("its state is of layout {}, not {STATE}", header.state));
+        if header.state != STATE_VERSION {
+            return Err(format!("its state is of layout {}, not {STATE_VERSION}", header.state));
         }
         if header.settings != *self.settings {
             return Err("it was made with other settings".into());
@@ -142,24 +142,25 @@
 
     /// For how long anything that a node did matters to the next incarnation.
     fn longest_memory(&self) -> Micros {
-        let windows = self.settings.classes.iter().filter_map(Class::window).max().unwrap_or(0);
+        let windows = self.settings.classes.iter().filter_map(Class::dedup_window).max().unwrap_or(0);
         self.longest_deadline().max(2 * windows)
     }
 
-    fn legacy(&self, policy: &Policy, ending: &Ending) -> Legacy {
+    fn legacy(&self, policy: &Policy, ending: &Ending) -> InheritedState {
         let now = self.now.clock;
         let longest = self.longest_deadline();
         let age = ending.age.unwrap_or(0);
-        let mut left = policy.legacy();
+        let mut left = policy.inheritable_state();
         let assumed = if ending.whole { 0 } else { self.assumed(&left, ending) };
-        left.calls.retain_mut(|(_, until)| {
+        left.origin_calls.retain_mut(|(_, until)| {
             let rest = until.saturating_sub(ending.at).min(longest).saturating_sub(age);
             *until = now + rest;
             rest > 0
         });
-        left.calls.extend(std::iter::repeat_n((true, now + longest), assumed));
-        left.window = now.saturating_sub(ending.at.saturating_sub(left.window).saturating_add(age));
-        for (_, first) in &mut left.writes {
+        left.origin_calls.extend(std::iter::repeat_n((true, now + longest), assumed));
+        left.window_start =
+            now.saturating_sub(ending.at.saturating_sub(left.window_start).saturating_add(age));
+        for (_, first) in &mut left.keyed_writes {
             let then = ending.at.saturating_sub(*first);
             *first = now.saturating_sub(self.age_of_write(then, ending.age));
         }
@@ -172,7 +173,11 @@
     /// the write is as old as makes a repeat fail from now on, whatever its class, and no older, so that it stays known
     /// for as long as can be.
     fn age_of_write(&self, then: Micros, age: Option<Micros>) -> Micros {
-        let windows = self.settings.classes.iter().filter_map(|c| Some(c.window()?.saturating_sub(c.aim)));
+        let windows = self
+            .settings
+            .classes
+            .iter()
+            .filter_map(|c| Some(c.dedup_window()?.saturating_sub(c.target_latency)));
         match age {
             Some(age) => then.saturating_add(age).saturating_add(READ_APART),
             None => then.max(windows.max().unwrap_or(0)),
@@ -182,16 +187,16 @@
     /// Calls that may have been begun and are not in the record: at the pace of its last moments, for as long as entries
     /// may be missing, and no more than the gate lets be out at once. Where entries of a longest deadline or more may be
     /// missing, as after a failing disk, the pace then says nothing of the end: as many as the gate let be out.
-    fn assumed(&self, left: &Legacy, ending: &Ending) -> usize {
+    fn assumed(&self, left: &InheritedState, ending: &Ending) -> usize {
         let longest = self.longest_deadline();
-        let most = left.limit.ceil().clamp(1.0, MOST_ASSUMED);
+        let most = left.outstanding_limit.ceil().clamp(1.0, MOST_ASSUMED);
         let span = match ending.age {
             Some(age) if age < longest => age.max(self.unseen.span),
             _ => return most as usize,
         };
-        let in_window = ending.at.saturating_sub(left.window).max(self.unseen.span).max(1);
-        let of_window = f64::from(left.tally[0]) / in_window as f64;
-        let of_calls_out = left.calls.len() as f64 / longest.max(1) as f64;
+        let in_window = ending.at.saturating_sub(left.window_start).max(self.unseen.span).max(1);
+        let of_window = f64::from(left.calls_in_window[0]) / in_window as f64;
+        let of_calls_out = left.origin_calls.len() as f64 / longest.max(1) as f64;
         let begun = (of_window.max(of_calls_out) * span as f64).ceil();
         begun.clamp(1.0, most) as usize
     }
@@ -199,10 +204,10 @@
     /// There was an earlier incarnation, and nothing is known of it: as many calls as the gate lets be out may run.
     pub fn assume_most(&self, why: &str) -> Found {
         let now = self.now.clock;
-        let mut left = Policy::new(self.settings.clone(), 0).legacy();
-        let most = left.limit.ceil().clamp(1.0, MOST_ASSUMED) as usize;
-        left.calls = vec![(true, now + self.longest_deadline()); most];
-        left.window = now;
+        let mut left = Policy::new(self.settings.clone(), 0).inheritable_state();
+        let most = left.outstanding_limit.ceil().clamp(1.0, MOST_ASSUMED) as usize;
+        left.origin_calls = vec![(true, now + self.longest_deadline()); most];
+        left.window_start = now;
         let line = format!(
             "the record is not used: {why}; {most} calls at the origin are taken to run until the longest deadline"
         );
@@ -224,7 +229,7 @@
     Found::Nothing(format!("the record is not used: {why}"))
 }
 
-fn line(legacy: &Legacy, ending: &Ending, outcome: &Outcome, passed_over: usize) -> String {
+fn line(legacy: &InheritedState, ending: &Ending, outcome: &Outcome, passed_over: usize) -> String {
     let order = if outcome.ended { "in order" } else { "without its end" };
     let ago = match ending.age {
         Some(age) => format!("{:.3} s ago", age as f64 / 1e6),
@@ -238,7 +243,7 @@
     format!(
         "from the record: {} calls at the origin may still run, {} keyed writes may have run; it ended {order} \
          {ago}{torn}{passed_over}",
-        legacy.calls.len(),
-        legacy.writes.len(),
+        legacy.origin_calls.len(),
+        legacy.keyed_writes.len(),
     )
 }
--- a/crates/record/src/replay.rs
+++ b/crates/record/src/replay.rs
@@ -1,6 +1,6 @@
 //! The same events through the module again: the same actions, or the first that differ.
 
-use brassrouter::{Action, Event, ListKind, Micros, Policy, RequestId, STATE};
+use brassrouter::{Action, Event, ListKind, Micros, Policy, RequestId, STATE_VERSION};
 
 use crate::entry::{Body, Entry, Noted};
 use crate::segment::{Segment, Torn};
@@ -149,7 +149,7 @@
     })?;
     let Body::State(state) = first.body else { return Err("its first entry is no state".into()) };
     let header = &segment.header;
-    if header.state == STATE {
+    if header.state == STATE_VERSION {
         let policy: Policy =
             postcard::from_bytes(&state).map_err(|e| format!("the module's state can't be read: {e}"))?;
         let same = *policy.settings() == header.settings;
@@ -157,7 +157,7 @@
     }
     if start == Start::Recorded {
         return Err(format!(
-            "the module's state is of layout {}, and this program has layout {STATE}: --policy-changed plays the \
+            "the module's state is of layout {}, and this program has layout {STATE_VERSION}: --policy-changed plays the \
              events through the present module",
             header.state
         ));
--- a/crates/record/src/segment.rs
+++ b/crates/record/src/segment.rs
@@ -2,7 +2,7 @@
 //!
 //! A segment begins with the module's whole state, so each can be read without those before it.
 
-use brassrouter::{Event, Micros, Policy, ServerLine, Settings};
+use brassrouter::{Event, Micros, Policy, ServerEntry, Settings};
 use serde::{Deserialize, Serialize};
 
 use crate::entry::{Body, Context, Entry, Noted};
@@ -32,7 +32,7 @@
     pub at: Micros,
     /// Version of the node's program.
     pub program: String,
-    /// Layout of the state, [`brassrouter::STATE`].
+    /// Layout of the state, [`brassrouter::STATE_VERSION`].
     pub state: u32,
     /// Seed of the module's random numbers.
     pub seed: u64,
@@ -45,7 +45,7 @@
     /// Names of the tenants, in the order of the settings.
     pub tenants: Vec<String>,
     /// The server list at the begin, for a module that can't read the state.
-    pub servers: Vec<ServerLine>,
+    pub servers: Vec<ServerEntry>,
     /// The monotonic clock at the segment's begin, where it was read. Written behind the other fields, where programs
     /// that don't know it don't look, and absent from records of earlier programs.
     #[serde(skip)]
--- a/crates/record/tests/allowance.rs
+++ b/crates/record/tests/allowance.rs
@@ -14,8 +14,12 @@
 use mothpier_record::{Figures, Header, Recorder, Segment};
 
 fn allowances() -> Vec<Option<OriginAllowance>> {
-    let most =
-        OriginAllowance { outstanding: u32::MAX, calls: u32::MAX, kept_for_writes: 7, until: u64::MAX / 2 };
+    let most = OriginAllowance {
+        outstanding: u32::MAX,
+        calls_left: u32::MAX,
+        reserved_for_writes: 7,
+        expires_at: u64::MAX / 2,
+    };
     vec![None, Some(OriginAllowance::default()), Some(OriginAllowance::new(3, 100, 5_000_000)), Some(most)]
 }
 
--- a/crates/record/tests/common/mod.rs
+++ b/crates/record/tests/common/mod.rs
@@ -2,9 +2,10 @@
 
 #![allow(dead_code)] // Every test file uses a part.
 
-use brassrouter::settings::{Site, read};
+use brassrouter::settings::{DeploymentSettings, parse};
 use brassrouter::{
-    Action, Condition, Event, ListKind, Load, Micros, Note, Outcome, Policy, Request, ServerLine, Status,
+    Action, CacheResult, Condition, Event, ListKind, LoadReport, Micros, Outcome, Policy, Request,
+    ServerEntry, Status,
 };
 use mothpier_record::Header;
 use mothpier_record::entry::{Body, Noted, reference};
@@ -14,14 +15,14 @@
 pub const BEGIN: Micros = 1_700_000_000_000_000;
 
 /// A site with an origin, a keyed class and two tenants.
-pub fn site() -> Site {
+pub fn site() -> DeploymentSettings {
     let text = r#"{"balancers":3,"me":1,"classes":[
         {"name":"read","effect":"pure","goalTimeUs":300000,"deadlineUs":1500000},
         {"name":"correction","effect":"token","goalTimeUs":900000,"deadlineUs":3000000,"dedupWindowUs":12000000}],
         "realms":[{"name":"a","quotaPerS":40},{"name":"b","quotaPerS":10}],
         "specifics":{"mode":"aside","originKind":1},"machineTypes":["m","origin"],"zones":["x"],
         "limits":{"maxAttempts":3,"mayDuplicate":true,"peers":true},"report":{"fields":["lat_ms","busy"]}}"#;
-    read(text.as_bytes()).expect("settings of the test")
+    parse(text.as_bytes()).expect("settings of the test")
 }
 
 /// Numbers from a seed (xorshift64*).
@@ -89,10 +90,10 @@
                 bytes: (0..dice.below(40)).map(|_| dice.below(256) as u8).collect(),
             },
             3 if self.pools && dice.below(2) == 0 => {
-                Event::Pool((dice.below(4) > 0).then(|| brassrouter::Pool {
-                    rings: (0..dice.below(4)).map(|_| dice.below(4) as u8).collect(),
-                    keep: [dice.below(8) as f64 / 8.0, dice.below(8) as f64 / 8.0],
-                    open: (0..dice.below(4)).map(|_| dice.below(5) as f64 / 4.0).collect(),
+                Event::ZoneRouting((dice.below(4) > 0).then(|| brassrouter::ZoneRouting {
+                    zone_rings: (0..dice.below(4)).map(|_| dice.below(4) as u8).collect(),
+                    cumulative_key_shares: [dice.below(8) as f64 / 8.0, dice.below(8) as f64 / 8.0],
+                    zone_key_shares: (0..dice.below(4)).map(|_| dice.below(5) as f64 / 4.0).collect(),
                 }))
             }
             3 => Event::Storm(dice.below(2) == 0),
@@ -109,16 +110,16 @@
                 ];
                 let status =
                     if dice.below(3) > 0 { Status::Served } else { statuses[dice.below(6) as usize] };
-                let load = Load { count: 2, values: [dice.below(9000) as f32 / 100.0, 0.25, 0.0, 0.0] };
+                let load = LoadReport { count: 2, values: [dice.below(9000) as f32 / 100.0, 0.25, 0.0, 0.0] };
                 let took = self.now - since;
                 Event::Outcome(Outcome {
                     request,
                     attempt,
                     server,
                     status,
-                    over: false,
-                    note: Note::None,
-                    took,
+                    request_finished: false,
+                    cache_result: CacheResult::None,
+                    duration: took,
                     load,
                 })
             }
@@ -131,8 +132,8 @@
                     class: usize::from(write),
                     tenant: dice.below(2) as usize,
                     key: 1 + dice.below(40),
-                    write,
-                    repeat: dice.below(5) == 0,
+                    is_write: write,
+                    is_retry: dice.below(5) == 0,
                     time_left: 100_000 + dice.below(1_400_000),
                     cost: (dice.below(4) == 0).then_some(2500),
                     size: dice.below(3) as f32 * 0.5,
@@ -161,12 +162,12 @@
     let conditions =
         [Condition::Ready, Condition::Ready, Condition::Ready, Condition::Draining, Condition::Gone];
     let mut servers: Vec<_> = (1..=6)
-        .map(|id| ServerLine {
+        .map(|id| ServerEntry {
             id,
-            kind: u16::from(id == 6),
+            machine_type: u16::from(id == 6),
             condition: if id == 6 { Condition::Ready } else { conditions[dice.below(5) as usize] },
-            started: if dice.below(4) == 0 { BEGIN - dice.below(9_000_000) } else { 0 },
-            ..ServerLine::default()
+            started_at: if dice.below(4) == 0 { BEGIN - dice.below(9_000_000) } else { 0 },
+            ..ServerEntry::default()
         })
         .collect();
     if kind == ListKind::Delta {
@@ -177,7 +178,7 @@
 
 /// A policy of the site.
 pub fn policy(seed: u64) -> Policy {
-    Policy::new(site().decisions, seed)
+    Policy::new(site().policy, seed)
 }
 
 pub fn header() -> Header {
@@ -188,12 +189,12 @@
         number: 0,
         at: BEGIN,
         program: "test".into(),
-        state: brassrouter::STATE,
+        state: brassrouter::STATE_VERSION,
         seed: 7,
         secret_keys: false,
-        settings: site.decisions,
-        classes: site.classes,
-        tenants: site.tenants,
+        settings: site.policy,
+        classes: site.class_names,
+        tenants: site.tenant_names,
         servers: Vec::new(),
         monotonic: None,
     }
--- a/crates/record/tests/format.rs
+++ b/crates/record/tests/format.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use brassrouter::{Event, Load, Note, Outcome, Status};
+use brassrouter::{CacheResult, Event, LoadReport, Outcome, Status};
 use mothpier_record::Segment;
 use mothpier_record::entry::{Body, Entry};
 use mothpier_record::replay::replay;
@@ -53,10 +53,10 @@
             attempt: 0,
             server: 0,
             status,
-            over: false,
-            note: Note::None,
-            took: 0,
-            load: Load::default(),
+            request_finished: false,
+            cache_result: CacheResult::None,
+            duration: 0,
+            load: LoadReport::default(),
         };
         let event = Event::Outcome(ended);
         let mut writer = Writer::begin(&common::header()).expect("a header");
--- a/crates/record/tests/recover.rs
+++ b/crates/record/tests/recover.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use brassrouter::{Action, Event, Legacy, ListKind, Micros, Policy, Request, ServerLine, Settings};
+use brassrouter::{Action, Event, InheritedState, ListKind, Micros, Policy, Request, ServerEntry, Settings};
 use mothpier_record::Header;
 use mothpier_record::entry::{Body, Noted};
 use mothpier_record::monotonic::{Now, Reading};
@@ -23,7 +23,7 @@
 }
 
 fn settings() -> Settings {
-    Settings { balancers: 1, tenants: Vec::new(), ..common::site().decisions }
+    Settings { node_count: 1, tenants: Vec::new(), ..common::site().policy }
 }
 
 /// A life that sends so many writes to the origin, each with an answer still out; its record, with or without an end.
@@ -32,7 +32,7 @@
     let header = Header { settings: settings(), monotonic: Some(BOOTED), ..common::header() };
     let mut writer = Writer::begin(&header).unwrap();
     writer.entry(common::BEGIN, &Body::State(postcard::to_allocvec(&policy).unwrap()));
-    let origin = ServerLine { id: 6, kind: 1, ..ServerLine::default() };
+    let origin = ServerEntry { id: 6, machine_type: 1, ..ServerEntry::default() };
     let mut now = common::BEGIN;
     let mut tell = |now: Micros, event: Event| {
         let mut actions: Vec<Action> = Vec::new();
@@ -44,8 +44,14 @@
     tell(now, Event::ServerList { kind: ListKind::Full, servers: vec![origin] });
     for id in 1..=writes {
         now += 1000;
-        let request =
-            Request { id, class: 1, key: 100 + id, write: true, time_left: 3_000_000, ..Request::default() };
+        let request = Request {
+            id,
+            class: 1,
+            key: 100 + id,
+            is_write: true,
+            time_left: 3_000_000,
+            ..Request::default()
+        };
         assert_eq!(tell(now, Event::Request(request)), 1, "write {id} goes out");
     }
     if ended {
@@ -54,11 +60,11 @@
     (writer.take(), now)
 }
 
-fn left(bytes: &[u8], now: Micros) -> Legacy {
+fn left(bytes: &[u8], now: Micros) -> InheritedState {
     left_at(bytes, both(now))
 }
 
-fn left_at(bytes: &[u8], now: Now) -> Legacy {
+fn left_at(bytes: &[u8], now: Now) -> InheritedState {
     match recover(bytes, "n1", &settings(), now) {
         Found::Legacy(left, _) => left,
         Found::Nothing(why) => panic!("{why}"),
@@ -76,28 +82,28 @@
 fn calls_that_may_still_run_and_writes_that_may_have_run_come_along() {
     let (bytes, end) = life(4, true);
     let found = left(&bytes, end + 500_000);
-    assert_eq!((found.calls.len(), found.tally, found.writes.len()), (4, [4, 0], 4));
-    assert!(found.calls.iter().all(|(fetch, until)| !fetch && *until > end + 500_000));
+    assert_eq!((found.origin_calls.len(), found.calls_in_window, found.keyed_writes.len()), (4, [4, 0], 4));
+    assert!(found.origin_calls.iter().all(|(fetch, until)| !fetch && *until > end + 500_000));
     // Their clients have given up by then, and the origin was told so: only the window of the writes is left.
     let late = left(&bytes, end + 3_500_000);
-    assert_eq!((late.calls.len(), late.writes.len()), (0, 4));
+    assert_eq!((late.origin_calls.len(), late.keyed_writes.len()), (0, 4));
 }
 
 /// A new life counts them until they have ended: the old and the new ones together stay under the cap.
 #[test]
 fn old_and_new_calls_together_stay_under_the_cap() {
-    let sent = |legacy: Option<Legacy>, now: Micros| {
+    let sent = |legacy: Option<InheritedState>, now: Micros| {
         let mut policy = Policy::new(settings(), 2);
         let (mut actions, mut out) = (Vec::new(), 0);
         if let Some(left) = legacy {
-            policy.handle(now, Event::Legacy(left), &mut actions);
+            policy.handle(now, Event::Inherited(left), &mut actions);
         }
-        let origin = ServerLine { id: 6, kind: 1, ..ServerLine::default() };
+        let origin = ServerEntry { id: 6, machine_type: 1, ..ServerEntry::default() };
         policy.handle(now, Event::ServerList { kind: ListKind::Full, servers: vec![origin] }, &mut actions);
         for id in 1..=40 {
             actions.clear();
             let request =
-                Request { id, class: 1, key: id, write: true, time_left: 3_000_000, ..Request::default() };
+                Request { id, class: 1, key: id, is_write: true, time_left: 3_000_000, ..Request::default() };
             // So far apart that the tally of a window stops none of them.
             policy.handle(now + 60_000 * id, Event::Request(request), &mut actions);
             out += actions.iter().filter(|a| matches!(a, Action::Send { .. })).count();
@@ -109,7 +115,7 @@
         let (bytes, end) = life(writes, false);
         let now = end + away;
         let left = left(&bytes, now);
-        let unseen = left.calls.len() - writes as usize;
+        let unseen = left.origin_calls.len() - writes as usize;
         assert!(unseen >= 1, "what was not handed to the disk may have been calls");
         let (with, without) = (sent(Some(left), now), sent(None, now));
         assert!(without > 6);
@@ -129,8 +135,8 @@
     let now = end + 2_000_000;
     let mut policy = Policy::new(settings(), 3);
     let mut actions = Vec::new();
-    policy.handle(now, Event::Legacy(left(&bytes, now)), &mut actions);
-    let origin = ServerLine { id: 6, kind: 1, ..ServerLine::default() };
+    policy.handle(now, Event::Inherited(left(&bytes, now)), &mut actions);
+    let origin = ServerEntry { id: 6, machine_type: 1, ..ServerEntry::default() };
     policy.handle(now, Event::ServerList { kind: ListKind::Full, servers: vec![origin] }, &mut actions);
     let mut repeat = |id, at| {
         let mut actions = Vec::new();
@@ -138,8 +144,8 @@
             id,
             class: 1,
             key: 101,
-            write: true,
-            repeat: true,
+            is_write: true,
+            is_retry: true,
             time_left: 3_000_000,
             ..Request::default()
         };
@@ -159,7 +165,7 @@
     let (bytes, end) = life(4, true);
     let now = end + 100_000;
     assert!(refused(&bytes, "n2", &settings(), now).contains("of node \"n1\""));
-    let other = Settings { balancers: 2, ..settings() };
+    let other = Settings { node_count: 2, ..settings() };
     assert!(refused(&bytes, "n1", &other, now).contains("other settings"));
     assert!(refused(&bytes, "n1", &settings(), now + 3_600_000_000).contains("3600.1 s ago"));
     assert!(refused(&bytes[..100], "n1", &settings(), now).contains("cut off"));
@@ -173,11 +179,11 @@
     for length in 0..bytes.len() {
         if let Found::Legacy(left, line) = recover(&bytes[..length], "n1", &settings(), both(end)) {
             assert!(
-                left.writes.len() <= 5 && left.calls.len() >= left.writes.len(),
+                left.keyed_writes.len() <= 5 && left.origin_calls.len() >= left.keyed_writes.len(),
                 "cut to {length}: {line}"
             );
-            assert!(left.writes.len() >= most, "a longer beginning never tells of less");
-            most = left.writes.len();
+            assert!(left.keyed_writes.len() >= most, "a longer beginning never tells of less");
+            most = left.keyed_writes.len();
         }
     }
     assert_eq!(most, 5);
@@ -189,7 +195,7 @@
     let (bytes, end) = life(4, true);
     let now = end - 3_600_000_000;
     let found = left_at(&bytes, Now { clock: now, ..both(end + 100_000) });
-    assert_eq!(found.calls.len(), 4);
-    assert!(found.calls.iter().all(|(_, until)| *until <= now + 3_000_000));
-    assert!(found.writes.iter().all(|(_, first)| *first <= now) && found.window <= now);
+    assert_eq!(found.origin_calls.len(), 4);
+    assert!(found.origin_calls.iter().all(|(_, until)| *until <= now + 3_000_000));
+    assert!(found.keyed_writes.iter().all(|(_, first)| *first <= now) && found.window_start <= now);
 }
--- a/crates/record/tests/restart.rs
+++ b/crates/record/tests/restart.rs
@@ -7,7 +7,7 @@
 use std::io;
 use std::rc::Rc;
 
-use brassrouter::{Action, Event, Legacy, ListKind, Micros, Policy, Request, ServerLine, Settings};
+use brassrouter::{Action, Event, InheritedState, ListKind, Micros, Policy, Request, ServerEntry, Settings};
 use mothpier_record::entry::{Body, Noted};
 use mothpier_record::monotonic::{Now, Reading};
 use mothpier_record::recorder::{Piece, Sink};
@@ -23,11 +23,11 @@
 const WRITES: u64 = 4;
 
 fn settings() -> Settings {
-    Settings { balancers: 1, tenants: Vec::new(), ..common::site().decisions }
+    Settings { node_count: 1, tenants: Vec::new(), ..common::site().policy }
 }
 
 fn origin() -> Event {
-    let servers = vec![ServerLine { id: 6, kind: 1, ..ServerLine::default() }];
+    let servers = vec![ServerEntry { id: 6, machine_type: 1, ..ServerEntry::default() }];
     Event::ServerList { kind: ListKind::Full, servers }
 }
 
@@ -36,8 +36,8 @@
         id,
         class: 1,
         key: 100 + id,
-        write: true,
-        repeat,
+        is_write: true,
+        is_retry: repeat,
         time_left: 3_000_000,
         ..Request::default()
     };
@@ -74,7 +74,7 @@
     segment(&mut Policy::new(settings(), 1), 0, common::BEGIN, 1..WRITES + 1, ended)
 }
 
-fn found(segments: &[&[u8]], now: Now) -> (Legacy, String) {
+fn found(segments: &[&[u8]], now: Now) -> (InheritedState, String) {
     let names: Vec<String> = (0..segments.len()).map(|i| i.to_string()).collect();
     let settings = settings();
     let recovery = Recovery { node: "n1", settings: &settings, now, unseen: Unseen { span: 20_000 } };
@@ -99,20 +99,23 @@
     let now = end + 500_000;
     let monotonic = Some(BOOTED.later(now - common::BEGIN));
     let (expected, _) = found(&[&bytes], Now { clock: now, monotonic });
-    assert_eq!((expected.calls.len(), expected.writes.len()), (WRITES as usize, WRITES as usize));
+    assert_eq!(
+        (expected.origin_calls.len(), expected.keyed_writes.len()),
+        (WRITES as usize, WRITES as usize)
+    );
     for step in STEPS {
         let clock = stepped(now, step);
         let (left, _) = found(&[&bytes], Now { clock, monotonic });
         let moved = |time: Micros| stepped(time, step);
         assert_eq!(
-            left.calls,
-            expected.calls.iter().map(|(f, until)| (*f, moved(*until))).collect::<Vec<_>>()
+            left.origin_calls,
+            expected.origin_calls.iter().map(|(f, until)| (*f, moved(*until))).collect::<Vec<_>>()
         );
         assert_eq!(
-            left.writes,
-            expected.writes.iter().map(|(k, first)| (*k, moved(*first))).collect::<Vec<_>>()
+            left.keyed_writes,
+            expected.keyed_writes.iter().map(|(k, first)| (*k, moved(*first))).collect::<Vec<_>>()
         );
-        assert_eq!(left.window, moved(expected.window), "step {step}");
+        assert_eq!(left.window_start, moved(expected.window_start), "step {step}");
     }
 }
 
@@ -126,11 +129,14 @@
             let clock = stepped(end + 500_000, step);
             let (left, line) = found(&[&bytes], Now { clock, monotonic });
             assert!(line.contains("not known"), "{line}");
-            assert_eq!(left.calls.len(), WRITES as usize, "step {step}");
+            assert_eq!(left.origin_calls.len(), WRITES as usize, "step {step}");
             let bound = clock + 1..=clock + LONGEST_DEADLINE;
-            assert!(left.calls.iter().all(|(_, until)| bound.contains(until)), "step {step}: {left:?}");
+            assert!(
+                left.origin_calls.iter().all(|(_, until)| bound.contains(until)),
+                "step {step}: {left:?}"
+            );
             let mut policy = Policy::new(settings(), 2);
-            policy.handle(clock, Event::Legacy(left), &mut Vec::new());
+            policy.handle(clock, Event::Inherited(left), &mut Vec::new());
             policy.handle(clock, origin(), &mut Vec::new());
             for (id, after) in [(1, 1000), (2, 6_000_000), (3, 11_000_000)] {
                 let mut actions = Vec::new();
@@ -157,14 +163,20 @@
         let whole = Segment::open(cut).ok().and_then(|mut segment| replay(&mut segment).ok());
         match whole {
             Some((outcome, policy)) => {
-                let known = policy.legacy();
-                assert_eq!(left.writes.len(), known.writes.len(), "cut at {length}");
-                assert!(left.calls.len() > known.calls.len(), "cut at {length}: some may be missing");
+                let known = policy.inheritable_state();
+                assert_eq!(left.keyed_writes.len(), known.keyed_writes.len(), "cut at {length}");
+                assert!(
+                    left.origin_calls.len() > known.origin_calls.len(),
+                    "cut at {length}: some may be missing"
+                );
                 assert_eq!(line.contains("torn at byte"), outcome.torn.is_some(), "cut at {length}: {line}");
             }
             None => {
-                assert_eq!(left.writes.len(), 2, "cut at {length}");
-                assert!(left.calls.len() > 2 && line.contains("1 newer segments can't be read"), "{line}");
+                assert_eq!(left.keyed_writes.len(), 2, "cut at {length}");
+                assert!(
+                    left.origin_calls.len() > 2 && line.contains("1 newer segments can't be read"),
+                    "{line}"
+                );
             }
         }
     }
@@ -176,22 +188,22 @@
     let now = Now { clock: end + 100_000, monotonic: Some(BOOTED.later(end + 100_000 - common::BEGIN)) };
     for newest in [&b""[..], b"EIO", b"chalkrec", &[0xff; 300], &bytes[..40]] {
         let (left, line) = found(&[newest, newest, &bytes], now);
-        assert_eq!(left.writes.len(), WRITES as usize, "{line}");
-        assert!(left.calls.len() > WRITES as usize, "what the newer ones said is missing: {line}");
+        assert_eq!(left.keyed_writes.len(), WRITES as usize, "{line}");
+        assert!(left.origin_calls.len() > WRITES as usize, "what the newer ones said is missing: {line}");
     }
 }
 
 /// Where as much as the longest deadline is missing, or all, the whole limit of calls counts as out; that ends.
 #[test]
 fn after_a_failing_disk_as_many_calls_are_counted_as_the_gate_lets_be_out() {
-    let limit = Policy::new(settings(), 1).legacy().limit as usize;
+    let limit = Policy::new(settings(), 1).inheritable_state().outstanding_limit as usize;
     let (bytes, end) = record(false);
     let late = end + 10_000_000;
     for segments in [&[&bytes[..]][..], &[b"EIO"], &[b""]] {
         let (left, _) =
             found(segments, Now { clock: late, monotonic: Some(BOOTED.later(late - common::BEGIN)) });
-        assert!(left.calls.len() >= limit, "{} of {limit}", left.calls.len());
-        assert!(left.calls.iter().all(|(_, until)| *until <= late + LONGEST_DEADLINE));
+        assert!(left.origin_calls.len() >= limit, "{} of {limit}", left.origin_calls.len());
+        assert!(left.origin_calls.iter().all(|(_, until)| *until <= late + LONGEST_DEADLINE));
     }
 }
 
@@ -214,14 +226,21 @@
     for step in STEPS {
         let begin = stepped(common::BEGIN, step);
         let headers = Rc::new(RefCell::new(Vec::new()));
-        let legacy = Legacy { calls: vec![(true, common::BEGIN + 700_000)], ..Legacy::default() };
+        let legacy = InheritedState {
+            origin_calls: vec![(true, common::BEGIN + 700_000)],
+            ..InheritedState::default()
+        };
         let sink = Box::new(Headers(headers.clone()));
         let mut recorder = Recorder::new(Figures::default(), true, sink, Some(legacy))
             .recovered_at(common::BEGIN)
             .monotonic(|| Some(BOOTED))
             .after_incarnation(Some(common::BEGIN));
         recorder.born("n1", 1, &common::site(), begin);
-        assert_eq!(recorder.legacy().map(|l| l.calls), Some(vec![(true, begin + 700_000)]), "step {step}");
+        assert_eq!(
+            recorder.legacy().map(|l| l.origin_calls),
+            Some(vec![(true, begin + 700_000)]),
+            "step {step}"
+        );
         recorder.before(begin + 5_000_000, &Policy::new(settings(), 1), &origin(), None);
         recorder.after(begin + 5_000_000, &[]);
         recorder.end(begin + 5_000_000);
--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -7,9 +7,9 @@
 use redis_protocol::resp2::{decode, encode};
 
 /// The largest value of a key.
-pub const MAX_VALUE: usize = 4 << 20;
+pub const MAX_VALUE_BYTES: usize = 4 << 20;
 /// A value up to this size is taken whole; what is larger passes in pieces.
-pub const WHOLE: usize = 64 * 1024;
+pub const MAX_BUFFERED_VALUE_BYTES: usize = 64 * 1024;
 /// The longest simple string or error line.
 const MAX_LINE: usize = 1024;
 /// The longest number of a header, with its end of line.
@@ -53,17 +53,17 @@
 /// # Errors
 /// Where its extent can't be read.
 pub fn first_frame(bytes: &[u8], most: usize) -> Result<Option<&[u8]>, Malformed> {
-    match extent(bytes, most)? {
-        Extent::Whole(end) => Ok(Some(&bytes[..end])),
-        Extent::Unknown | Extent::InValue { .. } => Ok(None),
+    match frame_extent(bytes, most)? {
+        FrameExtent::Complete(end) => Ok(Some(&bytes[..end])),
+        FrameExtent::Unknown | FrameExtent::InValue { .. } => Ok(None),
     }
 }
 
 /// How far the first frame of a buffer goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Extent {
+pub enum FrameExtent {
     /// It is all there, and so long.
-    Whole(usize),
+    Complete(usize),
     /// The head of an element, or of the frame, has not all come.
     Unknown,
     /// It stops inside a value.
@@ -79,13 +79,13 @@
 
 /// How far the first frame goes. Walks headers only, so that a value that comes in many parts is not decoded
 /// anew with each, and refuses what is too large or too deep before anything is kept for it.
-pub fn extent(bytes: &[u8], most: usize) -> Result<Extent, Malformed> {
+pub fn frame_extent(bytes: &[u8], most: usize) -> Result<FrameExtent, Malformed> {
     let (mut at, mut left, mut seen) = (0, 1usize, 0usize);
     while left > 0 {
         left -= 1;
         seen += 1;
         let header = at;
-        let Some(kind) = bytes.get(at) else { return Ok(Extent::Unknown) };
+        let Some(kind) = bytes.get(at) else { return Ok(FrameExtent::Unknown) };
         let limit = match kind {
             b'$' | b'*' => MAX_NUMBER,
             b':' => MAX_NUMBER * 2,
@@ -94,7 +94,11 @@
         };
         let line = &bytes[at + 1..bytes.len().min(at + 1 + limit)];
         let Some(length) = line.iter().position(|b| *b == b'\n') else {
-            return if line.len() == limit { Err(Malformed("line too long")) } else { Ok(Extent::Unknown) };
+            return if line.len() == limit {
+                Err(Malformed("line too long"))
+            } else {
+                Ok(FrameExtent::Unknown)
+            };
         };
         let Some(text) = line[..length].strip_suffix(b"\r") else { return Err(Malformed("bad end of line")) };
         at += 2 + length;
@@ -115,31 +119,32 @@
         }
         at += number + 2;
         match bytes.get(at - 2..at) {
-            None => return Ok(Extent::InValue { header, end: at, last: left == 0 }),
+            None => return Ok(FrameExtent::InValue { header, end: at, last: left == 0 }),
             Some(b"\r\n") => {}
             Some(_) => return Err(Malformed("bad end of value")),
         }
     }
-    Ok(Extent::Whole(at))
+    Ok(FrameExtent::Complete(at))
 }
 
 /// A large value at the beginning of a cache server's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Large {
+pub struct LargeValue {
     /// The bytes before the value.
-    pub head: usize,
+    pub header_length: usize,
     /// The bytes of the value.
     pub length: usize,
 }
 
 /// Whether a buffer begins with an array whose first element is a value too large to be taken whole.
-pub fn large_answer(buffer: &[u8]) -> Option<Large> {
+pub fn large_value_header(buffer: &[u8]) -> Option<LargeValue> {
     let rest = buffer.strip_prefix(b"*3\r\n")?;
     let line = rest.strip_prefix(b"$")?.get(..MAX_NUMBER.min(rest.len() - 1))?;
     let digits = line.iter().position(|b| *b == b'\r').filter(|end| line.get(end + 1) == Some(&b'\n'))?;
     let text = std::str::from_utf8(&line[..digits]).ok().filter(|t| t.bytes().all(|b| b.is_ascii_digit()))?;
-    let length = text.parse().ok().filter(|n| (WHOLE + 1..=MAX_VALUE).contains(n))?;
-    Some(Large { head: 4 + 1 + digits + 2, length })
+    let length =
+        text.parse().ok().filter(|n| (MAX_BUFFERED_VALUE_BYTES + 1..=MAX_VALUE_BYTES).contains(n))?;
+    Some(LargeValue { header_length: 4 + 1 + digits + 2, length })
 }
 
 /// The header of a value; its bytes and an end of line follow.
@@ -167,12 +172,12 @@
 }
 
 /// A command's bytes: an array of bulk strings.
-pub fn command(words: impl IntoIterator<Item = Bytes>) -> Bytes {
+pub fn encode_command(words: impl IntoIterator<Item = Bytes>) -> Bytes {
     encode(&BytesFrame::Array(words.into_iter().map(BytesFrame::BulkString).collect()))
 }
 
 /// An error line's bytes; the text must hold no line end.
-pub fn error(text: &str) -> Bytes {
+pub fn encode_error(text: &str) -> Bytes {
     encode(&BytesFrame::Error(text.into()))
 }
 
@@ -184,12 +189,19 @@
     fn a_frame_is_taken_only_whole_and_bad_ones_are_told_apart() {
         let whole = b"*2\r\n$3\r\nGET\r\n$1\r\nk\r\n";
         for cut in 0..whole.len() {
-            assert_eq!(take_frame(&mut BytesMut::from(&whole[..cut]), WHOLE), Ok(None), "{cut}");
+            assert_eq!(
+                take_frame(&mut BytesMut::from(&whole[..cut]), MAX_BUFFERED_VALUE_BYTES),
+                Ok(None),
+                "{cut}"
+            );
         }
         let mut two = BytesMut::from(&[whole.as_slice(), b"+PONG\r\n"].concat()[..]);
         let words = ["GET", "k"].map(|w| BytesFrame::BulkString(Bytes::from(w))).to_vec();
-        assert_eq!(take_frame(&mut two, WHOLE), Ok(Some(BytesFrame::Array(words))));
-        assert_eq!(take_frame(&mut two, WHOLE), Ok(Some(BytesFrame::SimpleString("PONG".into()))));
+        assert_eq!(take_frame(&mut two, MAX_BUFFERED_VALUE_BYTES), Ok(Some(BytesFrame::Array(words))));
+        assert_eq!(
+            take_frame(&mut two, MAX_BUFFERED_VALUE_BYTES),
+            Ok(Some(BytesFrame::SimpleString("PONG".into())))
+        );
         assert!(two.is_empty());
         let nested = "*1\r\n".repeat(100_000); // Would exhaust the stack of a decoder that recurses.
         for bad in [
@@ -202,7 +214,7 @@
             "$1\n",
             nested.as_str(),
         ] {
-            assert!(take_frame(&mut BytesMut::from(bad), WHOLE).is_err(), "{:.20}", bad);
+            assert!(take_frame(&mut BytesMut::from(bad), MAX_BUFFERED_VALUE_BYTES).is_err(), "{:.20}", bad);
         }
     }
 
@@ -230,24 +242,30 @@
             (frames.len(), &[11, 7, 8]),
         ];
         for (cut, expected) in lengths {
-            assert_eq!(whole(&frames[..cut], WHOLE), expected, "{cut}");
+            assert_eq!(whole(&frames[..cut], MAX_BUFFERED_VALUE_BYTES), expected, "{cut}");
         }
-        assert_eq!(whole(b"+one\r\nnothing\r\n+two\r\n", WHOLE), [6]);
+        assert_eq!(whole(b"+one\r\nnothing\r\n+two\r\n", MAX_BUFFERED_VALUE_BYTES), [6]);
         assert_eq!(whole(frames, 1), [11, 7], "a value that is too large");
-        assert!(first_frame(b"nothing\r\n", WHOLE).is_err());
+        assert!(first_frame(b"nothing\r\n", MAX_BUFFERED_VALUE_BYTES).is_err());
     }
 
     #[test]
     fn a_large_value_is_known_by_its_header_alone() {
         let answer = |length: usize| format!("*3\r\n${length}\r\nabc");
-        assert_eq!(large_answer(answer(70_000).as_bytes()), Some(Large { head: 12, length: 70_000 }));
-        assert_eq!(large_answer(answer(MAX_VALUE).as_bytes()), Some(Large { head: 14, length: MAX_VALUE }));
+        assert_eq!(
+            large_value_header(answer(70_000).as_bytes()),
+            Some(LargeValue { header_length: 12, length: 70_000 })
+        );
+        assert_eq!(
+            large_value_header(answer(MAX_VALUE_BYTES).as_bytes()),
+            Some(LargeValue { header_length: 14, length: MAX_VALUE_BYTES })
+        );
         let whole = answer(70_000);
         for cut in 0..12 {
-            assert_eq!(large_answer(&whole.as_bytes()[..cut]), None, "{cut}");
+            assert_eq!(large_value_header(&whole.as_bytes()[..cut]), None, "{cut}");
         }
-        for other in [answer(WHOLE), answer(MAX_VALUE + 1)] {
-            assert_eq!(large_answer(other.as_bytes()), None, "{other}");
+        for other in [answer(MAX_BUFFERED_VALUE_BYTES), answer(MAX_VALUE_BYTES + 1)] {
+            assert_eq!(large_value_header(other.as_bytes()), None, "{other}");
         }
         for other in [
             "*2\r\n$70000\r\n",
@@ -257,18 +275,21 @@
             "$70000\r\n",
             "*3\r\n$",
         ] {
-            assert_eq!(large_answer(other.as_bytes()), None, "{other}");
+            assert_eq!(large_value_header(other.as_bytes()), None, "{other}");
         }
     }
 
     #[test]
     fn the_extent_of_a_command_tells_what_is_still_to_come() {
         let command = b"*2\r\n$3\r\nSET\r\n$100\r\nabc";
-        let last = Extent::InValue { header: 13, end: 13 + 6 + 100 + 2, last: true };
-        assert_eq!(extent(command, WHOLE), Ok(last));
-        assert_eq!(extent(&command[..10], WHOLE), Ok(Extent::InValue { header: 4, end: 13, last: false }));
-        assert_eq!(extent(&command[..15], WHOLE), Ok(Extent::Unknown));
-        assert!(extent(command, 99).is_err());
+        let last = FrameExtent::InValue { header: 13, end: 13 + 6 + 100 + 2, last: true };
+        assert_eq!(frame_extent(command, MAX_BUFFERED_VALUE_BYTES), Ok(last));
+        assert_eq!(
+            frame_extent(&command[..10], MAX_BUFFERED_VALUE_BYTES),
+            Ok(FrameExtent::InValue { header: 4, end: 13, last: false })
+        );
+        assert_eq!(frame_extent(&command[..15], MAX_BUFFERED_VALUE_BYTES), Ok(FrameExtent::Unknown));
+        assert!(frame_extent(command, 99).is_err());
         let mut end = BytesMut::from(&b"\r"[..]);
         assert_eq!(take_line_end(&mut end), Ok(None));
         end.extend_from_slice(b"\nx");
--- a/crates/scale/src/arithmetic/failures.rs
+++ b/crates/scale/src/arithmetic/failures.rs
@@ -44,7 +44,7 @@
             "a node is restarted",
             "most of 910 machines a day",
             "it asks discovery for the list; as a voter it abstains for its hold",
-            format!("{} s as a voter", figure(Timing::default().hold as f64 / 1_000.0)),
+            format!("{} s as a voter", figure(Timing::default().grant as f64 / 1_000.0)),
             format!("{} bytes of lists a day", figure(restart_bytes_per_day(fleet))),
         ),
         failure(
--- a/crates/scale/src/arithmetic/formulas.rs
+++ b/crates/scale/src/arithmetic/formulas.rs
@@ -1,12 +1,12 @@
 //! Formulas: each is a function of the fleet and tells one figure, worked out from the constants of the protocols.
 
-use mothpier_accord::{Ballot, MOST, Message, Number, Timing};
+use mothpier_accord::{Ballot, MAX_MESSAGE_BYTES, Message, PlanNumber, Timing};
 
 use crate::target::{DAY_S, TARGET, Target};
 
 /// Times as often as in calm a member of the agreement asks its leader while a zone is in trouble or moves (`Member::hurries`).
 const HURRY: f64 = 3.0;
-/// Bytes of an order of staff in a message (`mothpier_plan::Told`).
+/// Bytes of an order of staff in a message (`mothpier_plan::OrderMessage`).
 pub const ORDER_BYTES: f64 = 7.0;
 /// Calls out at the origin that each node may have at the least (`Policy::new`).
 const LEAST_OUT: f64 = 2.0;
@@ -59,14 +59,14 @@
 }
 
 /// The longest numbers that a message of the agreement commonly has: a day's clock, a life of four bytes.
-fn number() -> Number {
-    Number { tenure: Ballot { round: 1_000, voter: 6_599, life: u32::MAX }, sequence: 1_000 }
+fn number() -> PlanNumber {
+    PlanNumber { term: Ballot { round: 1_000, voter: 6_599, incarnation: u32::MAX }, sequence: 1_000 }
 }
 
 const STAMP_MS: u64 = 86_400_000;
 
 fn encoded(message: &Message) -> f64 {
-    message.encode().map_or(MOST, |bytes| bytes.len()) as f64
+    message.encode().map_or(MAX_MESSAGE_BYTES, |bytes| bytes.len()) as f64
 }
 
 /// Bytes of what the length of a payload takes beyond one byte.
@@ -76,19 +76,26 @@
 
 /// Bytes of a member's question with so many bytes of evidence.
 pub fn ask_bytes(payload: f64) -> f64 {
-    let ask = Message::Ask { stamp: STAMP_MS, life: u32::MAX, number: number(), evidence: Vec::new() };
+    let ask =
+        Message::Query { asked_at: STAMP_MS, incarnation: u32::MAX, number: number(), evidence: Vec::new() };
     encoded(&ask) + payload + longer_length(payload)
 }
 
 /// Bytes of the leader's answer with so many bytes of a plan.
 pub fn told_bytes(payload: f64) -> f64 {
     let left = Timing::default().lease;
-    let told = Message::Told { stamp: STAMP_MS, life: u32::MAX, number: number(), left, plan: Vec::new() };
+    let told = Message::Reply {
+        asked_at: STAMP_MS,
+        incarnation: u32::MAX,
+        number: number(),
+        lease_left: left,
+        plan: Vec::new(),
+    };
     encoded(&told) + payload + longer_length(payload)
 }
 
 fn asks_per_s() -> f64 {
-    1_000.0 / Timing::default().ask as f64
+    1_000.0 / Timing::default().query_interval as f64
 }
 
 /// Messages of the leader of the agreement a second, both ways, in calm: each other member asks and is told.
@@ -300,7 +307,7 @@
 
 /// Bytes a second of messages between peers, both ways, where they are as long as they may be and the longest aim is a second.
 pub fn peer_bytes(fleet: &Target) -> f64 {
-    2.0 * PEERS_TOLD.min(fleet.nodes - 1.0) / TELL_AIMS * MOST as f64
+    2.0 * PEERS_TOLD.min(fleet.nodes - 1.0) / TELL_AIMS * MAX_MESSAGE_BYTES as f64
 }
 
 /// Seconds between two restarts of machines.
@@ -336,12 +343,12 @@
 /// Seconds until another member leads after the leader has died: voters hold their grant, and the slowest looks again after that.
 pub fn leader_change_s() -> f64 {
     let timing = Timing::default();
-    (timing.hold + timing.hold / 2 + 2 * timing.ask) as f64 / 1_000.0
+    (timing.grant + timing.grant / 2 + 2 * timing.query_interval) as f64 / 1_000.0
 }
 
 /// Seconds for which a follower that hears nothing acts on its plan.
 pub fn plan_life_s() -> f64 {
-    Timing::default().life as f64 / 1_000.0
+    Timing::default().plan_validity as f64 / 1_000.0
 }
 
 /// Bytes that a node that starts asks of discovery: the whole list.
--- a/crates/scale/src/arithmetic/rows.rs
+++ b/crates/scale/src/arithmetic/rows.rs
@@ -1,6 +1,6 @@
 //! The rows of the capacity page by arithmetic: a formula, its bound, and where the bound is passed.
 
-use mothpier_accord::MOST;
+use mothpier_accord::MAX_MESSAGE_BYTES;
 use mothpier_plan::MOST_ZONES;
 
 use super::formulas::*;
@@ -15,7 +15,7 @@
 }
 
 fn most_message(_: &Target) -> f64 {
-    MOST as f64
+    MAX_MESSAGE_BYTES as f64
 }
 
 fn discovery_capacity(_: &Target) -> f64 {
--- a/crates/scale/src/real_sockets/counting.rs
+++ b/crates/scale/src/real_sockets/counting.rs
@@ -352,8 +352,8 @@
         self.reading.acknowledge_at_once();
     }
 
-    fn other_side_has_ended(&self) -> bool {
-        self.reading.other_side_has_ended()
+    fn remote_end_closed(&self) -> bool {
+        self.reading.remote_end_closed()
     }
 }
 
--- a/crates/scale/src/real_sockets/hollow.rs
+++ b/crates/scale/src/real_sockets/hollow.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use chalksill_world::{agreement, process};
-use mothpier_host::Machine;
+use mothpier_host::SystemHost;
 use mothpier_node::config::{self, Config, Environment, Precedence};
-use mothpier_node::{Control, Start, operator, run};
-use mothpier_ops::Desk;
+use mothpier_node::{Control, StartOptions, operator, run};
+use mothpier_ops::OpsEndpoint;
 use tokio::sync::mpsc;
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep};
@@ -20,7 +20,7 @@
 use super::worker::{Command, reply};
 
 /// The machine of a hollow node.
-const MACHINE: Machine = Machine { program: "mothpier" };
+const MACHINE: SystemHost = SystemHost { program: "mothpier" };
 /// All nodes have heard of discovery within this time.
 const READY: Duration = Duration::from_secs(60);
 /// Between two looks whether they have.
@@ -65,13 +65,13 @@
 }
 
 /// Starts a node on a set of tasks of its own.
-fn start(node: u32, host: CountingHost<Machine>, config: Config, ends: mpsc::Sender<String>) {
+fn start(node: u32, host: CountingHost<SystemHost>, config: Config, ends: mpsc::Sender<String>) {
     let local = LocalSet::new();
     local.spawn_local(async move {
-        let desk = Desk::new(&config.site.classes);
+        let desk = OpsEndpoint::new(&config.site.class_names);
         // Kept until the node ends: one that nobody can tell anything any more would end.
         let (words, told): (mpsc::Sender<Control>, _) = mpsc::channel(WORDS);
-        let end = run(host, config, desk, told, Start::default()).await;
+        let end = run(host, config, desk, told, StartOptions::default()).await;
         drop(words);
         let why = end.err().unwrap_or_else(|| "ended by itself".into());
         let _ = ends.send(format!("hollow node {node}: {why}")).await;
@@ -97,12 +97,12 @@
     let mut config = config::read(&text, Environment::default(), Precedence::File).map_err(bad)?;
     let text = plan.fleet.operator(node)?;
     config.operator = operator::read(&text).map_err(bad)?;
-    config.operator.fits(&text, &config.site).map_err(bad)?;
+    config.operator.check_against(&text, &config.site).map_err(bad)?;
     Ok(config)
 }
 
 /// Waits until discovery has answered every node.
-async fn ready(hosts: &[CountingHost<Machine>]) -> Result<(), RealSocketsError> {
+async fn ready(hosts: &[CountingHost<SystemHost>]) -> Result<(), RealSocketsError> {
     let until = Instant::now() + READY;
     while hosts.iter().any(|host| host.counts().watch_answered_ms.is_none()) {
         if Instant::now() > until {
@@ -113,6 +113,6 @@
     Ok(())
 }
 
-fn counts(hosts: &[CountingHost<Machine>]) -> Vec<HostCounts> {
+fn counts(hosts: &[CountingHost<SystemHost>]) -> Vec<HostCounts> {
     hosts.iter().map(CountingHost::counts).collect()
 }
--- a/crates/scale/src/real_sockets/stage.rs
+++ b/crates/scale/src/real_sockets/stage.rs
@@ -6,7 +6,7 @@
 use chalksill_world::clients::Clients;
 use chalksill_world::fleet::Fleet;
 use chalksill_world::observe::Witness;
-use mothpier_host::Machine;
+use mothpier_host::SystemHost;
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{Instant, sleep};
 
@@ -20,7 +20,7 @@
 use super::usage::Usage;
 
 /// The machine of the command's clients.
-const MACHINE: Machine = Machine { program: "chalksill" };
+const MACHINE: SystemHost = SystemHost { program: "chalksill" };
 /// The agreement has a leader within this time.
 const LEADER: Duration = Duration::from_secs(30);
 /// All watches are open again within this time after discovery's return.
--- a/crates/scale/src/real_sockets/stand_ins.rs
+++ b/crates/scale/src/real_sockets/stand_ins.rs
@@ -11,7 +11,7 @@
 use chalksill_world::fleet::{Fleet, Member};
 use chalksill_world::observe::{NodeNo, Phase, Seen, Witness};
 use chalksill_world::origin::Origin;
-use mothpier_host::{Host, Listener, Machine};
+use mothpier_host::{Host, Listener, SystemHost};
 use tokio::task::{AbortHandle, LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until};
 
@@ -22,7 +22,7 @@
 use super::worker::{Command, reply};
 
 /// The machine of a stand-in.
-const MACHINE: Machine = Machine { program: "chalksill" };
+const MACHINE: SystemHost = SystemHost { program: "chalksill" };
 /// Hollow nodes are this one to stand-ins, all together.
 const HOLLOW: NodeNo = 0;
 /// Real nodes are this one.
@@ -32,8 +32,8 @@
 
 /// A host for each kind of nodes, so that their traffic is told apart.
 struct Hosts {
-    hollow: CountingHost<Machine>,
-    real: CountingHost<Machine>,
+    hollow: CountingHost<SystemHost>,
+    real: CountingHost<SystemHost>,
 }
 
 impl Hosts {
@@ -60,8 +60,8 @@
 
 /// A listener for each kind of nodes.
 struct Listeners {
-    hollow: CountingListener<Machine>,
-    real: CountingListener<Machine>,
+    hollow: CountingListener<SystemHost>,
+    real: CountingListener<SystemHost>,
 }
 
 impl Listeners {
@@ -90,14 +90,14 @@
         let cache = Cache::new(&fleet, number, 0, false);
         fleet.witness.saw(Seen::BoxUp { at: number, start: 0, power: cache.power(), cold: false });
         fleet.add(number, cache.clone());
-        spawn_local(cache.clone().serve::<CountingHost<Machine>>(listeners.hollow, |_| HOLLOW));
-        spawn_local(cache.serve::<CountingHost<Machine>>(listeners.real, |_| REAL));
+        spawn_local(cache.clone().serve::<CountingHost<SystemHost>>(listeners.hollow, |_| HOLLOW));
+        spawn_local(cache.serve::<CountingHost<SystemHost>>(listeners.real, |_| REAL));
     }
     let listeners = hosts.listen().await?;
     addresses.push(listeners.addresses()?);
     let all = Origin::new(&fleet, origin);
-    spawn_local(all.clone().serve::<CountingHost<Machine>>(listeners.hollow, |_| HOLLOW));
-    spawn_local(all.serve::<CountingHost<Machine>>(listeners.real, |_| REAL));
+    spawn_local(all.clone().serve::<CountingHost<SystemHost>>(listeners.hollow, |_| HOLLOW));
+    spawn_local(all.serve::<CountingHost<SystemHost>>(listeners.real, |_| REAL));
     fleet.fill(&(0..origin).collect::<Vec<_>>());
     reply(&Reply::CacheServersReady(addresses));
     loop {
@@ -147,8 +147,8 @@
 /// Serves the list; what is aborted by the handle takes all connections with it.
 fn serve_lists(discovery: &Rc<Discovery>, listeners: Listeners) -> AbortHandle {
     let local = LocalSet::new();
-    local.spawn_local(discovery.clone().serve::<CountingHost<Machine>>(listeners.hollow, |_| HOLLOW));
-    local.spawn_local(discovery.clone().serve::<CountingHost<Machine>>(listeners.real, |_| REAL));
+    local.spawn_local(discovery.clone().serve::<CountingHost<SystemHost>>(listeners.hollow, |_| HOLLOW));
+    local.spawn_local(discovery.clone().serve::<CountingHost<SystemHost>>(listeners.real, |_| REAL));
     spawn_local(local).abort_handle()
 }
 
--- a/crates/scale/src/virtual_clock.rs
+++ b/crates/scale/src/virtual_clock.rs
@@ -144,7 +144,7 @@
     loop {
         looked.connections.look(fleet);
         let allowed = Cell::new(0);
-        fleet.each_node(|_, node| allowed.set(allowed.get() + node.desk.figures.origin_most()));
+        fleet.each_node(|_, node| allowed.set(allowed.get() + node.desk.metrics.origin_calls_limit()));
         looked.allowed_out = looked.allowed_out.max(allowed.get() as f64);
         let left = end.saturating_duration_since(Instant::now());
         if left.is_zero() {
--- a/crates/scale/src/virtual_clock/fleet.rs
+++ b/crates/scale/src/virtual_clock/fleet.rs
@@ -15,8 +15,8 @@
 use chalksill_world::observe::{Phase, Witness};
 use chalksill_world::origin::Origin;
 use mothpier_host::Host;
-use mothpier_node::{Control, Start};
-use mothpier_ops::Desk;
+use mothpier_node::{Control, StartOptions};
+use mothpier_ops::OpsEndpoint;
 use rand::Rng;
 use tokio::sync::mpsc;
 use tokio::task::{AbortHandle, LocalSet, spawn_local};
@@ -34,7 +34,7 @@
 /// A node that runs.
 pub struct Node {
     /// What staff read of it.
-    pub desk: Arc<Desk>,
+    pub desk: Arc<OpsEndpoint>,
     /// Orders to it.
     pub control: mpsc::Sender<Control>,
     host: SimHost,
@@ -162,11 +162,16 @@
         let lives = u64::from(self.size.nodes) * life + node as u64;
         let seed: u64 = self.fleet.random("node", lives).random();
         let config = configurations.of(node, seed);
-        let desk = Desk::new(&config.site.classes);
+        let desk = OpsEndpoint::new(&config.site.class_names);
         let (control, told) = mpsc::channel(4);
         let (log, local) = (host.clone(), LocalSet::new());
-        let running =
-            local.spawn_local(mothpier_node::run(host.clone(), config, desk.clone(), told, Start::default()));
+        let running = local.spawn_local(mothpier_node::run(
+            host.clone(),
+            config,
+            desk.clone(),
+            told,
+            StartOptions::default(),
+        ));
         // The set lives as long as the node does; dropping it with its task ends all of the node's tasks.
         let task = spawn_local(async move {
             if let Ok(Err(e)) = local.run_until(running).await {
--- a/crates/scale/src/virtual_clock/settings.rs
+++ b/crates/scale/src/virtual_clock/settings.rs
@@ -150,11 +150,11 @@
         config.listen.set_ip(layout::node_ip(node));
         config.seed = seed;
         config.peer_listen = Some(layout::peer_address(node));
-        config.ops = Some(layout::staff_address(node));
-        config.site.decisions.me = node as u32;
+        config.ops_listen = Some(layout::staff_address(node));
+        config.site.policy.node_index = node as u32;
         config.site.zone = Some(self.layout.settings_zone(self.layout.node_zone(node)) as u8);
-        if config.operator.accord.on {
-            config.operator.accord.listen = Some(agreement_address(node));
+        if config.operator.agreement.on {
+            config.operator.agreement.listen = Some(agreement_address(node));
         }
         config
     }
--- a/crates/scale/src/virtual_clock/spread.rs
+++ b/crates/scale/src/virtual_clock/spread.rs
@@ -7,7 +7,7 @@
 
 use chalksill_world::agreement::{self, Told};
 use mothpier_node::Control;
-use mothpier_plan::{How, Wish};
+use mothpier_plan::{OrderKind, ZoneOrder};
 use tokio::time::{Instant, sleep};
 
 use super::fleet::SimulatedFleet;
@@ -85,7 +85,7 @@
     while begin.elapsed() < LONGEST && acted.len() < fleet.size.nodes as usize {
         sleep(LOOK).await;
         fleet.each_node(|number, node| {
-            if node.desk.figures.list_revision() >= revision {
+            if node.desk.metrics.list_revision() >= revision {
                 acted.entry(number).or_insert_with(|| begin.elapsed());
             }
         });
@@ -98,7 +98,11 @@
     let zone = fleet.layout.settings_zones().len() - 1;
     let begin = Instant::now();
     log.forget_plans();
-    let order = Control::Order(Wish { zone, how: How::Out, span: ORDER.as_millis() as u64 });
+    let order = Control::ZoneOrder(ZoneOrder {
+        zone,
+        kind: OrderKind::KeepOut,
+        duration_ms: ORDER.as_millis() as u64,
+    });
     fleet.each_node(|number, node| {
         if number == 0 {
             let _ = node.control.try_send(order);
--- a/crates/scale/tests/arithmetic.rs
+++ b/crates/scale/tests/arithmetic.rs
@@ -4,7 +4,7 @@
 use chalksill_scale::arithmetic::{self, CONTROL, ORDER_BYTES, Passed, with_nodes};
 use chalksill_scale::target::{TARGET, Target};
 use chalksill_scale::text::figure;
-use mothpier_plan::{Evidence, How, Orders, Wish};
+use mothpier_plan::{Evidence, OrderKind, ZoneOrder, ZoneOrders};
 
 #[test]
 fn figures_at_the_target() {
@@ -73,9 +73,9 @@
     let zones = vec![(1, 1); 16];
     let bare = Evidence { zones: zones.clone(), orders: Vec::new() }.encode().len();
     assert_eq!(bare as f64, arithmetic::zones_bytes(16.0));
-    let mut orders = Orders::default();
-    orders.give(0, 1, Wish { zone: 2, how: How::Out, span: 600_000 }, 16).unwrap();
-    let told = Evidence { zones, orders: orders.told(0) }.encode().len();
+    let mut orders = ZoneOrders::default();
+    orders.issue(0, 1, ZoneOrder { zone: 2, kind: OrderKind::KeepOut, duration_ms: 600_000 }, 16).unwrap();
+    let told = Evidence { zones, orders: orders.messages(0) }.encode().len();
     assert_eq!(told - bare, ORDER_BYTES as usize);
 }
 
--- a/crates/simnet/src/socket.rs
+++ b/crates/simnet/src/socket.rs
@@ -328,7 +328,7 @@
         Some(state.conns.get(&self.0.id)?.ends[self.0.side].arrived.elapsed())
     }
 
-    fn other_side_has_ended(&self) -> bool {
+    fn remote_end_closed(&self) -> bool {
         let state = self.0.net.state.borrow();
         let end = state.conns.get(&self.0.id).map(|connection| &connection.ends[self.0.side]);
         end.is_none_or(|end| end.ended || end.error.is_some())
--- a/crates/storm/src/detector.rs
+++ b/crates/storm/src/detector.rs
@@ -128,7 +128,7 @@
 
 /// The weather has changed.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Change {
+pub struct LoadStateChange {
     /// What it was.
     pub from: Weather,
     /// What it is now.
@@ -139,7 +139,7 @@
     pub figures: Figures,
 }
 
-impl fmt::Display for Change {
+impl fmt::Display for LoadStateChange {
     /// One line for the log.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let g = &self.figures;
@@ -236,7 +236,7 @@
     }
 
     /// What kind of time it is.
-    pub fn weather(&self) -> Weather {
+    pub fn state(&self) -> Weather {
         self.weather
     }
 
@@ -247,7 +247,7 @@
 
     /// A request has come. The fingerprint stands for what it asks and for whom, so that a repeat which does not say
     /// that it is one is known by an earlier try that ended unserved. Whether it is a repeat.
-    pub fn arrived(&mut self, now: Duration, tenant: usize, fingerprint: u64, marked: bool) -> bool {
+    pub fn request_arrived(&mut self, now: Duration, tenant: usize, fingerprint: u64, marked: bool) -> bool {
         let place = &mut self.unserved[fingerprint as usize % PLACES];
         let known = place.0 == fingerprint && place.1 + REMEMBERED >= now && place.1 > Duration::ZERO;
         if known {
@@ -262,18 +262,18 @@
     }
 
     /// A request ended without being served.
-    pub fn unserved(&mut self, now: Duration, fingerprint: u64) {
+    pub fn request_unserved(&mut self, now: Duration, fingerprint: u64) {
         self.ended_unserved.counted += 1.0;
         self.unserved[fingerprint as usize % PLACES] = (fingerprint, now);
     }
 
     /// A connection was made by a client.
-    pub fn connected(&mut self) {
+    pub fn connection_opened(&mut self) {
         self.connections.counted += 1.0;
     }
 
     /// An attempt has ended after so much time; whether its request was still open.
-    pub fn worked(&mut self, took: Duration, wanted: bool) {
+    pub fn attempt_ended(&mut self, took: Duration, wanted: bool) {
         self.work.counted += took.as_secs_f64();
         if !wanted {
             self.wasted.counted += took.as_secs_f64();
@@ -281,13 +281,13 @@
     }
 
     /// A peer tells whether it is in a storm.
-    pub fn peer(&mut self, now: Duration, from: u32, storm: bool) {
+    pub fn peer_reported(&mut self, now: Duration, from: u32, storm: bool) {
         self.peers.insert(from, (now, storm));
     }
 
     /// Reads the signs; to be called a few times a second. `capacity` is what the fleet can do now, as a part of what
     /// it can do when warm.
-    pub fn look(&mut self, now: Duration, capacity: f64) -> Option<Change> {
+    pub fn evaluate(&mut self, now: Duration, capacity: f64) -> Option<LoadStateChange> {
         let Some(began) = self.began else {
             (self.began, self.looked, self.coming.1) = (Some(now), now, now);
             return None;
@@ -309,7 +309,7 @@
         }
         let from = std::mem::replace(&mut self.weather, would);
         let signs = SIGNS.into_iter().zip(self.on).filter(|(_, on)| *on).map(|(sign, _)| sign).collect();
-        Some(Change { from, to: would, signs, figures: self.figures })
+        Some(LoadStateChange { from, to: would, signs, figures: self.figures })
     }
 
     fn read(&mut self, now: Duration, age: Duration, seconds: f64, capacity: f64) {
--- a/crates/storm/src/door.rs
+++ b/crates/storm/src/door.rs
@@ -13,7 +13,7 @@
     /// It is taken.
     Take,
     /// It is told to come back after this long, and closed.
-    TurnAway(Duration),
+    Reject(Duration),
 }
 
 /// Decides about connections: a token bucket for the rate, and a bound on those that have not sent a command yet.
@@ -23,7 +23,7 @@
 /// answered after its client has left. Those that are half known are bounded apart, for a client that connects and says
 /// nothing holds a descriptor like one that asks.
 #[derive(Debug)]
-pub struct Door {
+pub struct ConnectionAdmission {
     per_s: f64,
     at_once: f64,
     half_known: usize,
@@ -33,10 +33,10 @@
     line: Duration,
 }
 
-impl Door {
+impl ConnectionAdmission {
     /// A door for a node that may have `most` connections of clients open.
-    pub fn new(settings: &Settings, most: usize) -> Door {
-        Door {
+    pub fn new(settings: &Settings, most: usize) -> ConnectionAdmission {
+        ConnectionAdmission {
             per_s: settings.accepts_per_s,
             at_once: settings.accepts_at_once,
             half_known: ((most as f64 * settings.half_known) as usize).max(1),
@@ -47,7 +47,7 @@
     }
 
     /// Judges a connection that has come while `half_known` others have not sent a whole command yet.
-    pub fn came(&mut self, now: Duration, half_known: usize) -> Verdict {
+    pub fn admit(&mut self, now: Duration, half_known: usize) -> Verdict {
         if self.per_s <= 0.0 {
             return Verdict::Take;
         }
@@ -61,7 +61,7 @@
         // Given places one behind the other, at the rate of the door, they do not come back together.
         let end = self.line.max(now) + Duration::from_secs_f64(1.0 / self.per_s);
         self.line = end.min(now + LONGEST);
-        Verdict::TurnAway((self.line.saturating_sub(now)).max(Duration::from_millis(1)))
+        Verdict::Reject((self.line.saturating_sub(now)).max(Duration::from_millis(1)))
     }
 }
 
@@ -72,21 +72,21 @@
     const SECOND: Duration = Duration::from_secs(1);
 
     /// What a wave of a thousand connections in a second meets: how many are taken, and when the others may come back.
-    fn wave(door: &mut Door, half_known: usize) -> (usize, Vec<Duration>) {
+    fn wave(door: &mut ConnectionAdmission, half_known: usize) -> (usize, Vec<Duration>) {
         let (mut taken, mut back) = (0, Vec::new());
         for i in 0..1000 {
             let now = SECOND + Duration::from_millis(i);
-            match door.came(now, half_known) {
+            match door.admit(now, half_known) {
                 Verdict::Take => taken += 1,
-                Verdict::TurnAway(after) => back.push(now + after),
+                Verdict::Reject(after) => back.push(now + after),
             }
         }
         (taken, back)
     }
 
-    fn door() -> Door {
+    fn door() -> ConnectionAdmission {
         let settings = Settings { accepts_per_s: 100.0, accepts_at_once: 10.0, ..Settings::default() };
-        Door::new(&settings, 40)
+        ConnectionAdmission::new(&settings, 40)
     }
 
     #[test]
@@ -107,7 +107,9 @@
     #[test]
     fn a_clock_that_stands_or_goes_back_gives_no_tokens() {
         let mut door = door();
-        let taken = |door: &mut Door, now| (0..100).filter(|_| door.came(now, 0) == Verdict::Take).count();
+        let taken = |door: &mut ConnectionAdmission, now| {
+            (0..100).filter(|_| door.admit(now, 0) == Verdict::Take).count()
+        };
         assert_eq!(taken(&mut door, SECOND), 10);
         assert_eq!(taken(&mut door, SECOND), 0);
         assert_eq!(taken(&mut door, Duration::ZERO), 0);
--- a/crates/storm/src/lib.rs
+++ b/crates/storm/src/lib.rs
@@ -9,6 +9,6 @@
 mod door;
 mod settings;
 
-pub use detector::{Change, Detector, Figures, Sign, Weather};
-pub use door::{Door, Verdict};
+pub use detector::{Detector, Figures, LoadStateChange, Sign, Weather};
+pub use door::{ConnectionAdmission, Verdict};
 pub use settings::{Settings, Unusable};
--- a/crates/storm/src/settings.rs
+++ b/crates/storm/src/settings.rs
@@ -86,7 +86,7 @@
     ///
     /// # Errors
     /// The first one that does not, with its value and its range.
-    pub fn check(&self) -> Result<(), Unusable> {
+    pub fn validate(&self) -> Result<(), Unusable> {
         let within = |key, value: f64, least: f64, most: f64| {
             let allowed = (least, most);
             if (least..=most).contains(&value) { Ok(()) } else { Err(Unusable { key, value, allowed }) }
--- a/crates/storm/tests/detector.rs
+++ b/crates/storm/tests/detector.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use mothpier_storm::{Change, Detector, Settings, Weather};
+use mothpier_storm::{Detector, LoadStateChange, Settings, Weather};
 
 const LOOK: Duration = Duration::from_millis(100);
 
@@ -11,7 +11,7 @@
     detector: Detector,
     now: Duration,
     number: u64,
-    changes: Vec<Change>,
+    changes: Vec<LoadStateChange>,
 }
 
 /// What comes in a second: first tries of each of four tenants, the part of them that is repeated, new connections, the
@@ -51,16 +51,16 @@
                     owed[i] -= 1.0;
                     self.number += 1;
                     match i {
-                        8 => self.detector.connected(),
-                        _ => drop(self.detector.arrived(self.now, i % 4, self.number, i >= 4)),
+                        8 => self.detector.connection_opened(),
+                        _ => drop(self.detector.request_arrived(self.now, i % 4, self.number, i >= 4)),
                     }
                 }
             }
-            self.detector.worked(Duration::from_millis(100), true);
-            self.detector.worked(Duration::from_millis((100.0 * load.wasted) as u64), false);
-            self.changes.extend(self.detector.look(self.now, load.capacity));
+            self.detector.attempt_ended(Duration::from_millis(100), true);
+            self.detector.attempt_ended(Duration::from_millis((100.0 * load.wasted) as u64), false);
+            self.changes.extend(self.detector.evaluate(self.now, load.capacity));
         }
-        self.detector.weather()
+        self.detector.state()
     }
 }
 
@@ -128,16 +128,16 @@
 fn repeats_that_do_not_say_so_are_known_by_what_ended_unserved() {
     let mut detector = Detector::new(Settings::default(), 1);
     let at = Duration::from_secs(9);
-    assert!(!detector.arrived(at, 0, 77, false));
-    detector.unserved(at, 77);
-    assert!(!detector.arrived(at, 0, 78, false), "another request");
-    assert!(detector.arrived(at + Duration::from_secs(1), 0, 77, false));
+    assert!(!detector.request_arrived(at, 0, 77, false));
+    detector.request_unserved(at, 77);
+    assert!(!detector.request_arrived(at, 0, 78, false), "another request");
+    assert!(detector.request_arrived(at + Duration::from_secs(1), 0, 77, false));
     assert!(
-        !detector.arrived(at + Duration::from_secs(1), 0, 77, false),
+        !detector.request_arrived(at + Duration::from_secs(1), 0, 77, false),
         "one repeat for each try that ended"
     );
-    detector.unserved(at, 77);
-    assert!(!detector.arrived(at + Duration::from_secs(6), 0, 77, false), "long ago");
+    detector.request_unserved(at, 77);
+    assert!(!detector.request_arrived(at + Duration::from_secs(6), 0, 77, false), "long ago");
 }
 
 #[test]
@@ -145,11 +145,11 @@
     let mut site = Site::new();
     site.play(60.0, USUAL);
     for peer in 0..3 {
-        site.detector.peer(site.now, peer, true);
+        site.detector.peer_reported(site.now, peer, true);
     }
     assert_eq!(site.play(2.0, USUAL), Weather::Calm, "hearsay alone changes nothing");
     for peer in 0..3 {
-        site.detector.peer(site.now, peer, true);
+        site.detector.peer_reported(site.now, peer, true);
     }
     assert!(site.play(1.5, Load { repeats: [40.0; 4], ..USUAL }).is_storm(), "with repeats here");
     let mut alone = Site::new();
--- a/crates/trial/src/soak.rs
+++ b/crates/trial/src/soak.rs
@@ -10,7 +10,7 @@
 use chalksill_world::observe::{NodeNo, Seen};
 use chalksill_world::rules::Violation;
 use chalksill_world::users::{Held, Users};
-use mothpier_host::Machine;
+use mothpier_host::SystemHost;
 use nix::sys::signal::Signal;
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until};
@@ -141,7 +141,7 @@
 /// One seed that is being played.
 struct Soak {
     stage: Rc<Stage>,
-    users: Rc<Users<Machine>>,
+    users: Rc<Users<SystemHost>>,
     events: RefCell<Vec<String>>,
     broken: RefCell<Vec<String>>,
 }
--- a/crates/trial/src/stage.rs
+++ b/crates/trial/src/stage.rs
@@ -17,7 +17,7 @@
 use chalksill_world::observe::{BoxNo, NodeNo, Phase, Seen, Witness};
 use chalksill_world::origin::Origin;
 use chalksill_world::process::{self, Platform, Process};
-use mothpier_host::{Host, Listener, Machine};
+use mothpier_host::{Host, Listener, SystemHost};
 use nix::sys::signal::Signal;
 use rand::Rng;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -119,7 +119,7 @@
     /// What stand-ins share.
     pub fleet: Rc<Fleet>,
     /// The clients.
-    pub clients: Rc<Clients<Machine>>,
+    pub clients: Rc<Clients<SystemHost>>,
     /// All ways.
     pub ways: Vec<Way>,
     /// The logs of all nodes by time.
@@ -211,7 +211,7 @@
             if party.kind == Kind::Origin {
                 let origin = Origin::new(&fleet, number);
                 for (node, listener) in listeners.into_iter().enumerate() {
-                    spawn_local(origin.clone().serve::<Machine>(listener, move |_| node));
+                    spawn_local(origin.clone().serve::<SystemHost>(listener, move |_| node));
                 }
             } else {
                 let task = live::serve(&fleet, number, 0, cold.then_some(started), listeners);
@@ -237,7 +237,7 @@
             let zone = if count == 1 { map.origin } else { map.zone_of_discovery(region) };
             let (listener, real) = listen().await?;
             let discovery = discoveries[if count == 1 { 0 } else { region }].clone();
-            spawn_local(discovery.serve::<Machine>(listener, move |_| node));
+            spawn_local(discovery.serve::<SystemHost>(listener, move |_| node));
             discovery_for.push(relay(party, Party { kind: Kind::Discovery, number: region, zone }, real)?);
         }
         let mut fronts = Vec::new();
--- a/crates/world/src/cache.rs
+++ b/crates/world/src/cache.rs
@@ -231,7 +231,7 @@
         };
         loop {
             while pending.len() < PIPELINE {
-                match resp::take_frame(&mut buffer, resp::MAX_VALUE) {
+                match resp::take_frame(&mut buffer, resp::MAX_VALUE_BYTES) {
                     Ok(None) => break,
                     Ok(Some(frame)) => match self.command(frame) {
                         Ok(Command::Attempt(asked)) => {
@@ -244,12 +244,12 @@
                         }
                         Ok(Command::Other(line)) => pending.push_back(Due::Line(line)),
                         Err(text) => {
-                            let _ = writing.write_all(&resp::error(text)).await;
+                            let _ = writing.write_all(&resp::encode_error(text)).await;
                             return lost(&mut pending);
                         }
                     },
                     Err(_) => {
-                        let _ = writing.write_all(&resp::error("SYNTAX")).await;
+                        let _ = writing.write_all(&resp::encode_error("SYNTAX")).await;
                         return lost(&mut pending);
                     }
                 }
@@ -354,7 +354,7 @@
         let arrived = Seen::Arrived { at: self.number, node, request, write, work, running: 0, came, until };
         self.fleet.witness.saw(arrived);
         self.press(work);
-        let busy = || (resp::error("BUSY"), How::Busy);
+        let busy = || (resp::encode_error("BUSY"), How::Busy);
         let full = self.waiting.get() >= boxes.room && self.cores.available_permits() == 0;
         if crowded || full || self.draining.get() || self.fallen.get() {
             let _ = done.send(busy());
--- a/crates/world/src/clients.rs
+++ b/crates/world/src/clients.rs
@@ -478,7 +478,7 @@
                 sleep(patience.mul_f64(rng.random::<f64>() * 0.8)).await;
             }
             let frame = loop {
-                match resp::take_frame(&mut kept.buffer, resp::MAX_VALUE) {
+                match resp::take_frame(&mut kept.buffer, resp::MAX_VALUE_BYTES) {
                     Ok(Some(frame)) => break Some(frame),
                     Ok(None) => {}
                     Err(_) => {
@@ -555,7 +555,7 @@
         let name = if write { "CACHE.SET" } else { "CACHE.GET" };
         let words = [name.to_owned(), format!("{:016x}", ask.key), format!("{request:016x}"), extras];
         let value = write.then(|| "new".to_owned());
-        resp::command(words.into_iter().chain(value).map(Into::into))
+        resp::encode_command(words.into_iter().chain(value).map(Into::into))
     }
 
     /// A kept connection that is still good; the one used last first.
@@ -591,7 +591,7 @@
 fn passed_on(come: &[u8]) -> bool {
     let head = come.strip_prefix(b"$").and_then(|rest| rest.split(|b| *b == b'\r').next());
     let length = head.and_then(|digits| std::str::from_utf8(digits).ok()?.parse::<usize>().ok());
-    length.is_some_and(|length| length > resp::WHOLE)
+    length.is_some_and(|length| length > resp::MAX_BUFFERED_VALUE_BYTES)
 }
 
 /// Writes a command in pieces, with pauses; whether the other side took all of it.
--- a/crates/world/src/live.rs
+++ b/crates/world/src/live.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use mothpier_host::{Host, Listener, Machine};
+use mothpier_host::{Host, Listener, SystemHost};
 use rand::Rng;
 use tokio::task::{AbortHandle, LocalSet, spawn_local};
 use tokio::time::sleep;
@@ -25,7 +25,7 @@
 use crate::storm::Hit;
 
 /// The machine that stand-ins run on.
-pub const HOST: Machine = Machine { program: "chalksill" };
+pub const HOST: SystemHost = SystemHost { program: "chalksill" };
 /// A node that was told to stop is killed after its longest deadline and this much.
 const STOP: Duration = Duration::from_secs(2);
 
@@ -59,7 +59,7 @@
     listeners: Vec<L>,
 ) -> AbortHandle
 where
-    Machine: Host<Listener = L>,
+    SystemHost: Host<Listener = L>,
     L: 'static,
 {
     let cold = started.is_some();
@@ -69,7 +69,7 @@
     fleet.add(number, cache.clone());
     let local = LocalSet::new();
     for (node, listener) in listeners.into_iter().enumerate() {
-        local.spawn_local(cache.clone().serve::<Machine>(listener, move |_| node));
+        local.spawn_local(cache.clone().serve::<SystemHost>(listener, move |_| node));
     }
     spawn_local(local).abort_handle()
 }
@@ -117,7 +117,7 @@
             if number == origin {
                 let all = Origin::new(&fleet, number);
                 for (node, listener) in listeners.into_iter().enumerate() {
-                    spawn_local(all.clone().serve::<Machine>(listener, move |_| node));
+                    spawn_local(all.clone().serve::<SystemHost>(listener, move |_| node));
                 }
             } else {
                 let task = serve(&fleet, number, 0, cold.then_some(started), listeners);
@@ -151,7 +151,7 @@
         for node in 0..nodes {
             let listener = HOST.listen(any).await.map_err(|e| format!("cannot listen for discovery: {e}"))?;
             let at = Listener::local_addr(&listener).map_err(|e| e.to_string())?;
-            spawn_local(live.discovery.clone().serve::<Machine>(listener, move |_| node));
+            spawn_local(live.discovery.clone().serve::<SystemHost>(listener, move |_| node));
             let process = live.start_node(node, at, &peers, program).await?;
             witness.saw(Seen::NodeUp { node });
             live.nodes.push(process);
--- a/crates/world/src/mutant.rs
+++ b/crates/world/src/mutant.rs
@@ -358,8 +358,8 @@
         self.reading.as_ref()?.since_last_arrival()
     }
 
-    fn other_side_has_ended(&self) -> bool {
-        !self.deaf && self.reading.as_ref().is_some_and(Reading::other_side_has_ended)
+    fn remote_end_closed(&self) -> bool {
+        !self.deaf && self.reading.as_ref().is_some_and(Reading::remote_end_closed)
     }
 }
 
--- a/crates/world/src/scenario.rs
+++ b/crates/world/src/scenario.rs
@@ -585,7 +585,7 @@
 
     /// Whether the operator's file makes nodes agree on which zones serve.
     pub fn agrees(&self) -> bool {
-        mothpier_node::operator::read(&self.nodes.operator).is_ok_and(|o| o.accord.on)
+        mothpier_node::operator::read(&self.nodes.operator).is_ok_and(|o| o.agreement.on)
     }
 
     /// For how long requests arrive.
--- a/crates/world/src/sim.rs
+++ b/crates/world/src/sim.rs
@@ -10,12 +10,12 @@
 use std::time::Duration;
 
 use chalksill_simnet::{Links, Net, SimHost};
-use mothpier_handover::{Decoder, Message, State, encode};
+use mothpier_handover::{Decoder, Message, PredecessorState, encode};
 use mothpier_host::Host;
 use mothpier_node::config::{self, Config};
 use mothpier_node::handover::{Handover, Link};
-use mothpier_node::{Control, Start, operator};
-use mothpier_ops::{Desk, Step};
+use mothpier_node::{Control, StartOptions, operator};
+use mothpier_ops::{LifecycleEvent, OpsEndpoint};
 use rand::Rng;
 use tokio::sync::mpsc;
 use tokio::task::{AbortHandle, JoinHandle, LocalSet, spawn_local};
@@ -95,7 +95,7 @@
     control: mpsc::Sender<Control>,
     ended: JoinHandle<()>,
     number: u64,
-    desk: Arc<Desk>,
+    desk: Arc<OpsEndpoint>,
     /// To those that would take its place; nobody in a world without upgrades.
     successors: Option<mpsc::Sender<Link>>,
 }
@@ -167,7 +167,7 @@
                 };
                 let Some(frame) = message.and_then(|m| encode(&m).ok()) else { return };
                 decoder.push(&frame);
-                while let Ok(Some(message)) = decoder.message() {
+                while let Ok(Some(message)) = decoder.next_message() {
                     if hears.send(message).await.is_err() {
                         return;
                     }
@@ -395,7 +395,7 @@
     }
 
     /// A process of a node begins, beside another where it is given what that one knows.
-    fn run_node(self: &Rc<Self>, node: NodeNo, before: Option<(State, Link)>) -> Option<NodeRun> {
+    fn run_node(self: &Rc<Self>, node: NodeNo, before: Option<(PredecessorState, Link)>) -> Option<NodeRun> {
         let scenario = &self.fleet.scenario;
         let life = self.life();
         if before.is_none() {
@@ -435,30 +435,30 @@
             }
         }
         let (control, told) = mpsc::channel(4);
-        let desk = Desk::new(&config.site.classes);
+        let desk = OpsEndpoint::new(&config.site.class_names);
         let local = LocalSet::new();
         let (runs, log) = (host.clone(), host.clone());
         // Where nodes are upgraded the platform holds their sockets, and they are handed over.
         let listener = self.sockets.then(|| host.inherit(config.listen).ok()).flatten();
         let (found, successors) = mpsc::channel(1);
-        let handover = self.sockets.then_some(Handover { before, successors });
+        let handover = self.sockets.then_some(Handover { predecessor: before, successors });
         let lives = desk.clone();
         let garbles_errors = self.mutant.is_none_or(Mutant::garbles_errors);
         let running = match (self.mutant, self.failing.clone().filter(|_| garbles_errors)) {
             (mutant, Some(calls)) => {
                 let runs = FailingHost::new(runs, node, calls, mutant);
                 let listener = listener.map(|l| runs.listener(l));
-                let start = Start { recorder, listener, handover };
+                let start = StartOptions { recorder, listener, handover };
                 local.spawn_local(mothpier_node::run(runs, config, lives, told, start))
             }
             (None, None) => {
-                let start = Start { recorder, listener, handover };
+                let start = StartOptions { recorder, listener, handover };
                 local.spawn_local(mothpier_node::run(runs, config, lives, told, start))
             }
             (Some(mutant), None) => {
                 let runs = MutantHost::new(runs, mutant);
                 let listener = listener.map(|l| runs.listener(l));
-                let start = Start { recorder, listener, handover };
+                let start = StartOptions { recorder, listener, handover };
                 local.spawn_local(mothpier_node::run(runs, config, lives, told, start))
             }
         };
@@ -475,15 +475,17 @@
     }
 
     /// Staff tell a node something of its lifecycle.
-    fn staff_tell(&self, node: NodeNo, step: Step) {
+    fn staff_tell(&self, node: NodeNo, step: LifecycleEvent) {
         match step {
-            Step::Drain => *self.drained_since.borrow_mut().entry(node).or_insert_with(Instant::now),
+            LifecycleEvent::Drain => {
+                *self.drained_since.borrow_mut().entry(node).or_insert_with(Instant::now)
+            }
             _ => self.drained_since.borrow_mut().remove(&node).unwrap_or_else(Instant::now),
         };
         if let Some(run) = self.nodes.borrow().get(&node) {
-            run.desk.lifecycle.step(step);
+            run.desk.lifecycle.apply(step);
             if self.mutant != Some(Mutant::KeepsDrained) {
-                let _ = run.control.try_send(Control::Lifecycle);
+                let _ = run.control.try_send(Control::LifecycleChanged);
             }
         }
     }
@@ -491,9 +493,9 @@
     /// Staff drain a node and bring it back so often, and drain it then.
     async fn drain_series(self: &Rc<Self>, node: NodeNo, times: u32, apart: Duration, span: Duration) {
         for _ in 0..times {
-            self.staff_tell(node, Step::Drain);
+            self.staff_tell(node, LifecycleEvent::Drain);
             sleep(apart).await;
-            self.staff_tell(node, Step::Undrain);
+            self.staff_tell(node, LifecycleEvent::Undrain);
             sleep(apart).await;
         }
         self.drain_node(node, span).await;
@@ -515,8 +517,8 @@
 
     /// Staff drain a node and bring it back: the front sees it within moments.
     async fn drain_node(self: &Rc<Self>, node: NodeNo, span: Duration) {
-        let tell = |step: Step| self.staff_tell(node, step);
-        tell(Step::Drain);
+        let tell = |step: LifecycleEvent| self.staff_tell(node, step);
+        tell(LifecycleEvent::Drain);
         let told = Instant::now();
         if self.users.borrow().is_some() && self.drained_since.borrow().get(&node) == Some(&told) {
             spawn_local(self.clone().judge_drain(node, told));
@@ -526,7 +528,7 @@
             clients.stop_using(node);
         }
         sleep(span).await;
-        tell(Step::Undrain);
+        tell(LifecycleEvent::Undrain);
         sleep(FRONT_LOOKS).await;
         let there = self.nodes.borrow().contains_key(&node);
         if let Some(clients) = self.clients.borrow().as_ref().filter(|_| there) {
@@ -540,7 +542,8 @@
         let Some(found) = found else { return };
         let (mine, others) = linked();
         let mut mine = mine;
-        let hello = Message::Hello { name: format!("n{node}"), layout: brassrouter::STATE };
+        let hello =
+            Message::Hello { node_name: format!("n{node}"), state_layout: brassrouter::STATE_VERSION };
         if found.try_send(others).is_err() || mine.outbox.send(hello).await.is_err() {
             return;
         }
@@ -677,7 +680,7 @@
     async fn move_discovery(&self, port: u16) {
         let controls: Vec<_> = self.nodes.borrow().values().map(|run| run.control.clone()).collect();
         for control in controls {
-            let _ = control.send(Control::Discovery(SocketAddr::new(DISCOVERY, port))).await;
+            let _ = control.send(Control::SetDiscoveryAddress(SocketAddr::new(DISCOVERY, port))).await;
         }
     }
 
--- a/crates/world/src/swapped_values.rs
+++ b/crates/world/src/swapped_values.rs
@@ -23,6 +23,6 @@
 
 fn is_one_value(answer: &[u8]) -> bool {
     let mut rest = BytesMut::from(answer);
-    let frame = resp::take_frame(&mut rest, resp::MAX_VALUE);
+    let frame = resp::take_frame(&mut rest, resp::MAX_VALUE_BYTES);
     matches!(frame, Ok(Some(BytesFrame::BulkString(_)))) && rest.is_empty()
 }
--- a/crates/world/src/tape.rs
+++ b/crates/world/src/tape.rs
@@ -3,7 +3,7 @@
 use std::cell::{OnceCell, RefCell};
 use std::rc::Rc;
 
-use brassrouter::{Legacy, Settings};
+use brassrouter::{InheritedState, Settings};
 use mothpier_node::config::Config;
 use mothpier_record::monotonic::{Now, Reading};
 use mothpier_record::recorder::{Piece, Sink};
@@ -66,7 +66,7 @@
             Some(Found::Nothing(line)) => (None, Some(line)),
             None => (None, None),
         };
-        let left: Option<Legacy> = left;
+        let left: Option<InheritedState> = left;
         let reel = Box::new(Reel { node, all: self.all.clone() });
         let recorder = Recorder::new(self.recording.figures.clone(), true, reel, left)
             .about("world", false)
@@ -83,7 +83,8 @@
     fn left(&self, node: NodeNo, config: &Config, now: u64) -> Option<Found> {
         let all = self.all.borrow();
         let last = all.iter().rev().find(|t| t.node == node).filter(|_| self.recording.recover)?;
-        let settings = Settings { damping: config.operator.storm.damping(), ..config.site.decisions.clone() };
+        let settings =
+            Settings { storm_mitigation: config.operator.storm.damping(), ..config.site.policy.clone() };
         let unseen = Unseen { span: (self.recording.figures.hand_over_ms * 1000.0) as u64 };
         let now = Now { clock: now, monotonic: self.monotonic()() };
         Some(Recovery { node: &config.name, settings: &settings, now, unseen }.recover(&last.bytes))
--- a/crates/world/src/time_told.rs
+++ b/crates/world/src/time_told.rs
@@ -22,7 +22,7 @@
 impl TimesAsTheyCame {
     /// Takes the commands that are whole off what has come from a client.
     pub fn heard(&self, come: &mut BytesMut) {
-        while let Ok(Some(frame)) = resp::take_frame(come, resp::WHOLE) {
+        while let Ok(Some(frame)) = resp::take_frame(come, resp::MAX_BUFFERED_VALUE_BYTES) {
             let Some(words) = words(frame) else { continue };
             if let (Some(id), Some(extras)) = (text(&words, ID), text(&words, EXTRAS))
                 && let Some(time) = time_of(extras)
@@ -43,10 +43,10 @@
 
     fn put_back_in_command(&self, written: &[u8]) -> Option<Vec<u8>> {
         let mut rest = BytesMut::from(written);
-        let mut words = words(resp::take_frame(&mut rest, resp::MAX_VALUE).ok()??)?;
+        let mut words = words(resp::take_frame(&mut rest, resp::MAX_VALUE_BYTES).ok()??)?;
         let extras = self.extras(text(&words, ID)?, text(&words, EXTRAS)?)?;
         words[EXTRAS] = extras.into();
-        Some([resp::command(words).as_ref(), rest.as_ref()].concat())
+        Some([resp::encode_command(words).as_ref(), rest.as_ref()].concat())
     }
 
     fn put_back_in_call(&self, written: &[u8]) -> Option<Vec<u8>> {
--- a/crates/world/src/users.rs
+++ b/crates/world/src/users.rs
@@ -232,7 +232,7 @@
         }
         extras += &format!(",d={}", self.patience().as_millis());
         let words = ["CACHE.GET".to_owned(), format!("{key:016x}"), format!("{request:016x}"), extras];
-        (Request { number: request, key }, resp::command(words.into_iter().map(Into::into)))
+        (Request { number: request, key }, resp::encode_command(words.into_iter().map(Into::into)))
     }
 
     /// The request was written whole.
@@ -287,7 +287,7 @@
     fn take_answers(&self, number: usize, node: NodeNo, buffer: &mut BytesMut) -> bool {
         let witness = &self.clients.fleet().witness;
         loop {
-            let frame = match resp::take_frame(buffer, resp::MAX_VALUE) {
+            let frame = match resp::take_frame(buffer, resp::MAX_VALUE_BYTES) {
                 Ok(Some(frame)) => frame,
                 Ok(None) => return true,
                 Err(_) => return false,
--- a/crates/world/tests/records.rs
+++ b/crates/world/tests/records.rs
@@ -57,7 +57,7 @@
             let taken_over = tapes.iter().filter(|tape| {
                 Segment::open(&tape.bytes)
                     .expect("a header")
-                    .any(|e| matches!(e.body, Body::Told { event: brassrouter::Event::Legacy(_), .. }))
+                    .any(|e| matches!(e.body, Body::Told { event: brassrouter::Event::Inherited(_), .. }))
             });
             assert_eq!(taken_over.count(), if recover { 6 } else { 0 }, "seed {seed}");
             *over += report.origin_over;
--- a/crates/world/tests/second_answers.rs
+++ b/crates/world/tests/second_answers.rs
@@ -30,7 +30,7 @@
 /// A read of a key, as a node writes it.
 fn read(key: u64, request: u64) -> Vec<u8> {
     let words = ["CACHE.GET".into(), format!("{key:016x}"), format!("{request:016x}"), "c=read,d=900".into()];
-    resp::command(words.into_iter().map(Into::into)).to_vec()
+    resp::encode_command(words.into_iter().map(Into::into)).to_vec()
 }
 
 /// What a connection to one cache server saw.
@@ -89,7 +89,7 @@
             buffer.reserve(4096);
             assert_ne!(reading.try_read_buf(&mut buffer).ok(), Some(0), "the server has closed");
             while let Some(frame) =
-                resp::take_frame(&mut buffer, resp::MAX_VALUE).expect("whole answers only")
+                resp::take_frame(&mut buffer, resp::MAX_VALUE_BYTES).expect("whole answers only")
             {
                 sees.borrow_mut().frames.push(frame);
             }
@@ -152,8 +152,8 @@
     let told = ask(of_one_core(), 3, true, vec![(0, read(1, 1))]);
     all_come_twice(&told, 1);
     assert_eq!(told.first, [(1, How::Busy)]);
-    let client = resp::command(["CLIENT".into(), "ID".into()]).to_vec();
-    let hello = resp::command(["HELLO".into()]).to_vec();
+    let client = resp::encode_command(["CLIENT".into(), "ID".into()]).to_vec();
+    let hello = resp::encode_command(["HELLO".into()]).to_vec();
     let told = ask(of_one_core(), 3, false, vec![(0, client), (100, hello)]);
     all_come_twice(&told, 2);
     assert_eq!(told.second, [(None, 0), (None, 0)]);
@@ -163,7 +163,7 @@
 /// What is answered with a line waits its turn behind what came before.
 #[test]
 fn lines_come_in_the_order_of_the_commands() {
-    let client = resp::command(["CLIENT".into(), "ID".into()]).to_vec();
+    let client = resp::encode_command(["CLIENT".into(), "ID".into()]).to_vec();
     let told = ask(of_one_core(), 0, false, vec![(0, [read(1, 1), client].concat())]);
     let lines = told.frames.iter().position(|f| matches!(f, BytesFrame::SimpleString(_)));
     assert!(lines > Some(0), "{:?}", told.frames);
