--- a/crates/brassrouter/src/policy.rs
+++ b/crates/brassrouter/src/policy.rs
@@ -30,10 +30,11 @@
 const FULL_BACKLOG_SHARE: f64 = 0.5;
 /// Answers that each server is credited with when its backlog is estimated.
 const BACKLOG_CREDIT_ANSWERS: f64 = 2.0;
-/// Gate: outstanding calls of one node at most, or the calls of `GATE_CALL_SECONDS` if those are more.
+/// Gate: most outstanding calls of one node, or the calls that its part of the quotas allows in
+/// `GATE_CALL_SECONDS` if those are more.
 const GATE_NODE_OUTSTANDING: f64 = 20.0;
-/// Gate: outstanding calls of all nodes together at most, or the calls of `GATE_CALL_SECONDS` if those are
-/// more. Each node has an equal part.
+/// Gate: most outstanding calls of all nodes together, or the calls that all quotas allow in
+/// `GATE_CALL_SECONDS` if those are more. Each node has an equal part.
 const GATE_FLEET_OUTSTANDING: f64 = 80.0;
 /// Gate: usual duration of a call in seconds. At the rate of all quotas, the calls of this time are
 /// outstanding at once (Little's law).
@@ -52,9 +53,11 @@
 const GATE_MIN_LIMIT_SHARE: f64 = 0.1;
 /// Gate: a call that takes longer than this share of the shortest latency target is a sign of congestion.
 const GATE_SLOW_CALL_TARGETS: f64 = 0.8;
-/// Shortest random delay of a postponed request, in latency targets of its class: 1 s of a limit of 60 s.
+/// Shortest random delay of a postponed or refused request, in latency targets of its class: 1 s of a limit
+/// of 60 s.
 const MIN_POSTPONE_TARGETS: f64 = 1.0 / 60.0;
-/// Longest random delay of a postponed request, in latency targets of its class: 3 s of a limit of 60 s.
+/// Longest random delay of a postponed or refused request, in latency targets of its class: 3 s of a limit of
+/// 60 s.
 const MAX_POSTPONE_TARGETS: f64 = 3.0 / 60.0;
 /// Shortest delay after an attempt that this machine could not make, so that no class retries in a tight
 /// loop.
@@ -412,30 +415,35 @@
         let time_left = self.useful_until(pending).saturating_sub(self.now) as f64;
         // Answers are counted over about this time.
         let target_latency = self.settings.classes[pending.class].target_latency;
-        let full = |s: &Server| {
-            s.backlog(self.now, target_latency, BACKLOG_CREDIT_ANSWERS) > time_left * FULL_BACKLOG_SHARE
+        let full = |server: &Server| {
+            server.backlog(self.now, target_latency, BACKLOG_CREDIT_ANSWERS) > time_left * FULL_BACKLOG_SHARE
         };
         let min_bound = (MIN_LOAD_BOUND_ATTEMPTS / f64::from(self.settings.node_count.max(2))).max(2.0);
         let mut best = None;
-        for s in self
+        for server in self
             .ready_servers(false)
-            .filter(|s| self.may_use(pending.class, s) && !pending.tried.contains(&s.entry.id))
+            .filter(|server| self.may_use(pending.class, server) && !pending.tried.contains(&server.entry.id))
         {
-            if !self.slow_start_permits(pending.order_key, pending.tried.is_empty(), s, pending.class) {
+            if !self.slow_start_permits(pending.order_key, pending.tried.is_empty(), server, pending.class) {
                 continue;
             }
-            let (due, total) = self.due_share(s, pending.class, false);
+            let (due, total) = self.due_share(server, pending.class, false);
             let bound = LOAD_BOUND_MULTIPLE * f64::from(self.cache_attempts_in_flight + 1) * due / total;
-            let over_bound = f64::from(s.in_flight - s.overtaken) >= bound.max(min_bound);
-            let avoided = unit_hash(id, s.entry.id, 1) >= s.key_share;
+            let over_bound = f64::from(server.in_flight - server.overtaken) >= bound.max(min_bound);
+            let avoided = unit_hash(id, server.entry.id, 1) >= server.key_share;
             let zone_rank = self.zone_router.rank(
                 (pending.order_key, id),
-                s.entry.zone,
+                server.entry.zone,
                 !pending.tried.is_empty(),
-                || over_bound || full(s),
+                || over_bound || full(server),
+            );
+            let rank = (
+                zone_rank,
+                avoided,
+                over_bound,
+                self.key_order_rank(pending.order_key, server),
+                server.entry.id,
             );
-            let rank =
-                (zone_rank, avoided, over_bound, self.key_order_rank(pending.order_key, s), s.entry.id);
             if best.is_none_or(|b| rank < b) {
                 best = Some(rank);
             }
@@ -450,30 +458,31 @@
     }
 
     /// Whether requests of a class may be sent to a server. The origin is open to all classes.
-    fn may_use(&self, class: usize, s: &Server) -> bool {
+    fn may_use(&self, class: usize, server: &Server) -> bool {
         let class = &self.settings.classes[class];
-        let zone_allowed = |zones: &Option<Vec<u8>>| zones.as_ref().is_none_or(|z| z.contains(&s.entry.zone));
+        let zone_allowed =
+            |zones: &Option<Vec<u8>>| zones.as_ref().is_none_or(|z| z.contains(&server.entry.zone));
         let type_allowed =
-            |types: &Option<Vec<u16>>| types.as_ref().is_none_or(|t| t.contains(&s.entry.machine_type));
-        s.is_origin || (zone_allowed(&class.allowed_zones) && type_allowed(&class.allowed_machine_types))
+            |types: &Option<Vec<u16>>| types.as_ref().is_none_or(|t| t.contains(&server.entry.machine_type));
+        server.is_origin || (zone_allowed(&class.allowed_zones) && type_allowed(&class.allowed_machine_types))
     }
 
-    fn weight(&self, s: &Server) -> f64 {
+    fn weight(&self, server: &Server) -> f64 {
         let capacity =
-            if self.settings.weights_are_capacities { f64::from(s.entry.weight).max(0.01) } else { 1.0 };
-        capacity * self.machine_types.get(&s.entry.machine_type).map_or(1.0, |t| t.weight)
+            if self.settings.weights_are_capacities { f64::from(server.entry.weight).max(0.01) } else { 1.0 };
+        capacity * self.machine_types.get(&server.entry.machine_type).map_or(1.0, |t| t.weight)
     }
 
     /// The share of the attempts of a class that is due to a server, as numerator and denominator.
-    fn due_share(&self, s: &Server, class: usize, recent: bool) -> (f64, f64) {
+    fn due_share(&self, server: &Server, class: usize, recent: bool) -> (f64, f64) {
         let total =
             if recent { self.recent_class_weights[class].max(0.01) } else { self.class_weights[class] };
-        self.zone_router.due_share(class, s.entry.zone, self.weight(s), (total, recent))
+        self.zone_router.due_share(class, server.entry.zone, self.weight(server), (total, recent))
     }
 
     /// A server's position in a key's order, lowest first (weighted rendezvous hashing).
-    fn key_order_rank(&self, key: Key, s: &Server) -> f64 {
-        -unit_hash(key, s.entry.id, 0).ln() / self.weight(s)
+    fn key_order_rank(&self, key: Key, server: &Server) -> f64 {
+        -unit_hash(key, server.entry.id, 0).ln() / self.weight(server)
     }
 
     fn call_origin(&mut self, id: RequestId, out: &mut Vec<Action>) {
@@ -677,14 +686,14 @@
     /// Records what an outcome shows about its server and the overload of the fleet, or about the origin.
     fn record_outcome(&mut self, attempt: &InFlightAttempt, outcome: &Outcome, out: &mut Vec<Action>) {
         self.release(attempt.kind);
-        let Some(s) = self.servers.get_mut(&attempt.server) else { return };
-        s.in_flight = s.in_flight.saturating_sub(1);
-        s.overtaken -= u32::from(attempt.overtaken);
-        s.last_outcome_at = self.now;
+        let Some(server) = self.servers.get_mut(&attempt.server) else { return };
+        server.in_flight = server.in_flight.saturating_sub(1);
+        server.overtaken -= u32::from(attempt.overtaken);
+        server.last_outcome_at = self.now;
         if outcome.status == Status::LocalFailure {
             return; // Shows nothing about the server or the origin.
         }
-        s.connected |= !matches!(outcome.status, Status::Reset | Status::ConnectFailed);
+        server.connected |= !matches!(outcome.status, Status::Reset | Status::ConnectFailed);
         let slow_connect =
             outcome.status == Status::ConnectFailed && outcome.duration >= self.settings.connect_timeout;
         self.slow_connects.add(f64::from(u8::from(slow_connect)), 1.0);
@@ -692,15 +701,15 @@
             return self.record_origin_outcome(attempt, outcome, out);
         }
         if outcome.status == Status::Served {
-            self.machine_types.entry(s.entry.machine_type).or_default().latency.record(outcome.duration);
+            self.machine_types.entry(server.entry.machine_type).or_default().latency.record(outcome.duration);
         }
         if let Some(busy) = outcome.load.value_of(&self.settings.load_fields, LoadField::Busy) {
-            self.machine_types.entry(s.entry.machine_type).or_default().busy.add(busy, 1.0);
+            self.machine_types.entry(server.entry.machine_type).or_default().busy.add(busy, 1.0);
         }
         if matches!(outcome.status, Status::Served | Status::Miss | Status::Full) {
-            s.recent_answers = 1.0 + s.recent_answers_at(self.now, attempt.target_latency);
-            (s.last_answer_at, s.newest_answered_sent_at) =
-                (self.now, s.newest_answered_sent_at.max(attempt.sent_at));
+            server.recent_answers = 1.0 + server.recent_answers_at(self.now, attempt.target_latency);
+            (server.last_answer_at, server.newest_answered_sent_at) =
+                (self.now, server.newest_answered_sent_at.max(attempt.sent_at));
         }
         // A slow attempt was counted when it became slow: counting it at its end would detect overload late.
         if self.now - attempt.sent_at < attempt.slow_after {
@@ -724,9 +733,9 @@
     /// Counts signs of trouble at a server. They count as overload only by the share of its keys that the
     /// server keeps, since known trouble of one server is no overload of the fleet.
     fn count_trouble(&mut self, server: ServerId, cases: f64, total: f64, overload: bool) {
-        let Some(s) = self.servers.get_mut(&server) else { return };
-        self.overload.add(if overload { cases * s.key_share } else { 0.0 }, total * s.key_share);
-        s.trouble.add(cases, total);
+        let Some(server) = self.servers.get_mut(&server) else { return };
+        self.overload.add(if overload { cases * server.key_share } else { 0.0 }, total * server.key_share);
+        server.trouble.add(cases, total);
     }
 
     /// Lowers the gate's limit, down to a minimum, when the origin is slow, fails or refuses; good answers
@@ -761,21 +770,21 @@
         let tolerated = TOLERATED_TROUBLE + TOLERATED_FLEET_MULTIPLE * overload.value();
         // When most servers look bad, the cause is shared: moving their keys would overload the rest.
         let shared_cause =
-            self.ready_servers(false).map(|s| s.key_share - AVOIDED_KEY_SHARE).sum::<f64>() < 0.0;
+            self.ready_servers(false).map(|server| server.key_share - AVOIDED_KEY_SHARE).sum::<f64>() < 0.0;
         let peer_trouble = self.peers.trouble();
         let step = period as f64 / self.settings.warm_up_time.max(1) as f64;
         let attempts_per_server = overload.total / self.ready_servers(false).count().max(1) as f64;
-        for (id, s) in &mut self.servers {
-            let mut trouble = s.trouble;
+        for (id, server) in &mut self.servers {
+            let mut trouble = server.trouble;
             trouble.add(peer_trouble.get(id).copied().unwrap_or(0.0), 0.0);
             let bad =
-                trouble.cases > tolerated * (attempts_per_server * s.key_share).max(trouble.total) + 1.0;
-            s.key_share = if bad && !shared_cause {
-                (s.key_share * KEY_SHARE_DECAY).max(MIN_KEY_SHARE)
+                trouble.cases > tolerated * (attempts_per_server * server.key_share).max(trouble.total) + 1.0;
+            server.key_share = if bad && !shared_cause {
+                (server.key_share * KEY_SHARE_DECAY).max(MIN_KEY_SHARE)
             } else {
-                (s.key_share + step).min(1.0)
+                (server.key_share + step).min(1.0)
             };
-            s.trouble.decay(REVIEW_DECAY);
+            server.trouble.decay(REVIEW_DECAY);
         }
     }
 
@@ -917,28 +926,28 @@
             (self.subscribed, self.discovery_backoff) = (true, Backoff::default());
         }
         if kind != ListKind::Delta {
-            self.servers.values_mut().for_each(|s| s.entry.condition = Condition::Gone);
+            self.servers.values_mut().for_each(|server| server.entry.condition = Condition::Gone);
         }
         for entry in entries {
-            let s = self
+            let server = self
                 .servers
                 .entry(entry.id)
                 .or_insert_with(|| Server { key_share: 1.0, ..Server::default() });
-            s.is_origin = self.settings.origin_machine_type == Some(entry.machine_type);
+            server.is_origin = self.settings.origin_machine_type == Some(entry.machine_type);
             // A restarted server begins without a history of trouble.
-            if entry.started_at > s.entry.started_at {
-                s.key_share = 1.0;
+            if entry.started_at > server.entry.started_at {
+                server.key_share = 1.0;
                 // If many nodes could each send one attempt at once, the server would get a burst: a random
                 // level at each node prevents that.
-                (s.slow_start_level, s.last_used_at) =
+                (server.slow_start_level, server.last_used_at) =
                     (slow_start::MIN_BUCKET_DEPTH - self.rng.unit(), self.now);
             }
             let id = entry.id;
-            if !s.is_origin {
+            if !server.is_origin {
                 // Peers may report the latency of a type before this node knows it.
                 self.machine_types.entry(entry.machine_type).or_default();
             }
-            s.entry = entry;
+            server.entry = entry;
             self.close_drained(id, true, out);
         }
         self.sum_weights();
@@ -1048,12 +1057,14 @@
             let idle_time = (self.max_target_latency as f64 * IDLE_TARGETS)
                 .max(use_interval * IDLE_USE_INTERVALS) as Micros;
             let since = self.now.saturating_sub(idle_time);
-            let idle = |s: &&mut Server| {
-                s.connected && s.in_flight == 0 && s.last_outcome_at.max(s.last_used_at) <= since
+            let idle = |server: &&mut Server| {
+                server.connected
+                    && server.in_flight == 0
+                    && server.last_outcome_at.max(server.last_used_at) <= since
             };
-            for s in self.servers.values_mut().filter(idle) {
-                s.connected = false;
-                out.push(Action::CloseIdle(s.entry.id));
+            for server in self.servers.values_mut().filter(idle) {
+                server.connected = false;
+                out.push(Action::CloseIdle(server.entry.id));
             }
         }
         self.slow_connects.decay(SLOW_CONNECTS_DECAY);
--- a/crates/brassrouter/src/policy/slow_start.rs
+++ b/crates/brassrouter/src/policy/slow_start.rs
@@ -32,31 +32,32 @@
 impl Policy {
     /// Whether slow start permits an attempt at a server. A cold server gets a growing share of its keys, the
     /// same keys from every node, within its budget, and no requests that other servers have rejected.
-    pub(super) fn slow_start_permits(&self, key: Key, first: bool, s: &Server, class: usize) -> bool {
-        let capacity_share = s.capacity_share(self.now, &self.settings);
+    pub(super) fn slow_start_permits(&self, key: Key, first: bool, server: &Server, class: usize) -> bool {
+        let capacity_share = server.capacity_share(self.now, &self.settings);
         if capacity_share >= 1.0 {
             return true;
         }
-        let (level, depth) = self.slow_start_bucket(s, class);
-        let key_share = capacity_share.min(AVERAGE_BUDGET_SHARE * self.window_budget(s));
-        first && unit_hash(key, s.entry.id, 1) < key_share && level + 1.0 <= depth
+        let (level, depth) = self.slow_start_bucket(server, class);
+        let key_share = capacity_share.min(AVERAGE_BUDGET_SHARE * self.window_budget(server));
+        first && unit_hash(key, server.entry.id, 1) < key_share && level + 1.0 <= depth
     }
 
     /// Budget of the window that ends now, as a multiple of the attempts due to the server when it is warm.
-    fn window_budget(&self, s: &Server) -> f64 {
-        let window_start = self.now.saturating_sub(self.settings.collapse_window).max(s.entry.started_at);
-        self.settings.collapse_multiple.max(1.0) * s.capacity_share(window_start, &self.settings)
+    fn window_budget(&self, server: &Server) -> f64 {
+        let window_start =
+            self.now.saturating_sub(self.settings.collapse_window).max(server.entry.started_at);
+        self.settings.collapse_multiple.max(1.0) * server.capacity_share(window_start, &self.settings)
     }
 
     /// Level and depth of a server's bucket. The server's share is that of the recent fleet: if the list
     /// shrinks to a few cold servers, a large share of all requests would be due to each.
-    pub(super) fn slow_start_bucket(&self, s: &Server, class: usize) -> (f64, f64) {
-        let (due, total) = self.due_share(s, class, true);
+    pub(super) fn slow_start_bucket(&self, server: &Server, class: usize) -> (f64, f64) {
+        let (due, total) = self.due_share(server, class, true);
         let due_per_us = due / total * self.admitted.per_s / 1e6 / f64::from(self.process_count.max(1));
         let collapse_multiple = self.settings.collapse_multiple.max(1.0);
         let max_fill_rate = MAX_FILL_RATE.min(collapse_multiple * MAX_FILL_RATE_COLLAPSE_SHARE)
-            * s.capacity_share(self.now, &self.settings);
-        let budget = BUCKET_BUDGET_SHARE * self.window_budget(s);
+            * server.capacity_share(self.now, &self.settings);
+        let budget = BUCKET_BUDGET_SHARE * self.window_budget(server);
         let depth = due_per_us * self.settings.collapse_window as f64 * budget * BUCKET_BURST_SHARE;
         // Below the smallest depth a node sends too little for its bucket to limit the sum over all nodes.
         let fill_rate = if depth < MIN_BUCKET_DEPTH {
@@ -65,7 +66,7 @@
             max_fill_rate.min(budget * (1.0 - BUCKET_BURST_SHARE))
         };
         let tokens_per_us = due_per_us * fill_rate;
-        let level = s.slow_start_level - tokens_per_us * (self.now - s.last_used_at) as f64;
+        let level = server.slow_start_level - tokens_per_us * (self.now - server.last_used_at) as f64;
         (level.max(0.0), depth.max(MIN_BUCKET_DEPTH))
     }
 }
