--- a/crates/brassrouter/tests/policy.rs
+++ b/crates/brassrouter/tests/policy.rs
@@ -8,11 +8,11 @@
 
 #[test]
 fn a_key_has_one_server_order_at_every_node_and_few_keys_move_when_a_server_leaves() {
-    let place = |servers: &[u32], key: Key, seed: u64| {
+    let first_server = |servers: &[u32], key: Key, seed: u64| {
         let mut policy = Policy::new(settings(), seed);
-        let lines = servers.iter().map(|id| server(*id)).collect();
+        let entries = servers.iter().map(|id| server(*id)).collect();
         let mut out = Vec::new();
-        policy.handle(SECOND, Event::ServerList { kind: ListKind::Cached, servers: lines }, &mut out);
+        policy.handle(SECOND, Event::ServerList { kind: ListKind::Cached, servers: entries }, &mut out);
         policy.handle(SECOND, Event::Request(read(1, key)), &mut out);
         sent_to(&out).expect("sent")
     };
@@ -20,9 +20,9 @@
     let without: Vec<u32> = (1..=9).collect();
     let mut moved = 0;
     for key in 1..=500 {
-        let first = place(&all, key, 1);
-        assert_eq!(first, place(&all, key, 2), "the same server at another node with another seed");
-        let now = place(&without, key, 1);
+        let first = first_server(&all, key, 1);
+        assert_eq!(first, first_server(&all, key, 2), "the same server at another node with another seed");
+        let now = first_server(&without, key, 1);
         assert!(now == first || first == 10, "only keys of the server that left move");
         moved += usize::from(now != first);
     }
@@ -303,11 +303,11 @@
     ] {
         let mut node = Node::new(settings(), 3);
         let first = sent_to(&node.request(read(1, 9))).unwrap();
-        let lines = match kind {
+        let entries = match kind {
             ListKind::Full => (1..=3).filter(|id| *id != first).map(server).chain([origin()]).collect(),
             _ => vec![ServerEntry { condition, ..server(first) }],
         };
-        node.list(kind, lines);
+        node.list(kind, entries);
         for id in 2..=40 {
             assert_ne!(sent_to(&node.request(read(id, id))), Some(first));
         }
@@ -370,8 +370,8 @@
         at_victim
     };
     share(&mut node, 1000, true);
-    let on_trial = share(&mut node, 400, true);
-    assert!(on_trial < 40, "{on_trial} of 400 at a server that answers nothing");
+    let while_silent = share(&mut node, 400, true);
+    assert!(while_silent < 40, "{while_silent} of 400 at a server that answers nothing");
     share(&mut node, 1500, false);
     assert!(share(&mut node, 400, false) > 70, "back");
 }
@@ -549,8 +549,8 @@
     }
     assert!(sent < 12, "{sent} requests in flight at two servers that have answered nothing");
     assert!(refused(&node.actions, 40));
-    let mut quiet = Node::new(settings(), 2);
-    let sent = (1..=10).map(|id| sends(&quiet.request(read(id, id)))).sum::<usize>();
+    let mut idle = Node::new(settings(), 2);
+    let sent = (1..=10).map(|id| sends(&idle.request(read(id, id)))).sum::<usize>();
     assert_eq!(sent, 10, "a burst at an idle fleet is served");
 }
 
@@ -699,12 +699,12 @@
 
 /// Whether tenants are held to their quotas when every eighth attempt has this status, or no answer, and the
 /// others are served.
-fn sheds_when_one_in_eight(ends: Option<Status>) -> bool {
+fn sheds_if_one_in_eight_ends_with(status: Option<Status>) -> bool {
     let mut node = Node::new(settings(), 4);
     for id in 1..=800 {
         let server = sent_to(&node.request(read(id, id)));
         node.pass(5 * MS);
-        match (id % 8, server, ends) {
+        match (id % 8, server, status) {
             (0, Some(server), Some(status)) => {
                 if let Some(again) = sent_to(&node.outcome(id, 0, server, status)) {
                     node.outcome(id, 1, again, Status::Served);
@@ -720,13 +720,13 @@
 
 #[test]
 fn errors_count_as_overload_and_lost_connections_do_not() {
-    assert!(!sheds_when_one_in_eight(Some(Status::Reset)));
-    assert!(sheds_when_one_in_eight(Some(Status::Error)));
+    assert!(!sheds_if_one_in_eight_ends_with(Some(Status::Reset)));
+    assert!(sheds_if_one_in_eight_ends_with(Some(Status::Error)));
 }
 
 #[test]
 fn overtaken_attempts_do_not_count_as_overload() {
-    assert!(!sheds_when_one_in_eight(None));
+    assert!(!sheds_if_one_in_eight_ends_with(None));
 }
 
 #[test]
@@ -905,8 +905,8 @@
         let mut config = settings();
         (config.classes[0].allowed_zones, config.classes[0].allowed_machine_types) = (zones, machine_types);
         let mut node = Node::new(config, 0);
-        let lines = vec![in_zone(1, 0, 7), in_zone(2, 1, 8), in_zone(3, 1, 7), in_zone(4, 0, 8), origin()];
-        node.list(ListKind::Full, lines);
+        let entries = vec![in_zone(1, 0, 7), in_zone(2, 1, 8), in_zone(3, 1, 7), in_zone(4, 0, 8), origin()];
+        node.list(ListKind::Full, entries);
         for id in 1..=40 {
             let (mut to, mut attempt) = (sent_to(&node.request(read(id, id))), 0);
             while let Some(server) = to {
@@ -978,11 +978,11 @@
             Node::new(Settings { load_fields: vec![LoadField::Other, LoadField::Busy], ..settings() }, 0);
         let servers = (1..=8).map(|id| ServerEntry { machine_type: 2 + (id % 2) as u16, ..server(id) });
         node.list(ListKind::Full, servers.chain([origin()]).collect());
-        let mut odd = 0;
+        let mut at_odd_servers = 0;
         for id in 1..=1500u64 {
             node.pass(20 * MS);
             let server = sent_to(&node.request(read(id, id))).unwrap();
-            odd += usize::from(server % 2 == 1 && id > 1000);
+            at_odd_servers += usize::from(server % 2 == 1 && id > 1000);
             let load =
                 LoadReport { count: 2, values: [9.0, if server % 2 == 1 { busy } else { 0.3 }, 0.0, 0.0] };
             let (status, cache_result) = (Status::Served, CacheResult::None);
@@ -998,7 +998,7 @@
             };
             node.event(Event::Outcome(o));
         }
-        odd
+        at_odd_servers
     };
     assert!((200..300).contains(&share(0.3)), "{} of 500 at half of the servers", share(0.3));
     assert!(share(0.9) < 150, "{} of 500 at the busier half", share(0.9));
@@ -1097,10 +1097,10 @@
     // it.
     let mut node = Node::new(Settings { may_duplicate: true, may_cancel: true, ..settings() }, 4);
     let first = sent_to(&node.request(read(1, 9))).unwrap();
-    let copy = sent_to(&node.pass(400 * MS)).expect("a hedge within the latency target");
-    assert_ne!(first, copy);
+    let hedge = sent_to(&node.pass(400 * MS)).expect("a hedge within the latency target");
+    assert_ne!(first, hedge);
     assert_eq!(
-        sent_to(&node.outcome(1, 1, copy, Status::Miss)),
+        sent_to(&node.outcome(1, 1, hedge, Status::Miss)),
         Some(ORIGIN),
         "the miss is fetched from the origin"
     );
@@ -1122,7 +1122,7 @@
 
 #[test]
 fn under_overload_only_overtaken_attempts_are_hedged() {
-    let copies = |overtaken: bool| {
+    let hedges = |overtaken: bool| {
         let settings = Settings { may_duplicate: true, may_cancel: true, ..settings() };
         let mut node = Node::overloaded(settings, 4);
         let first = sent_to(&node.request(read(1, 9))).unwrap();
@@ -1134,8 +1134,8 @@
         }
         sends(&node.pass(400 * MS))
     };
-    assert_eq!(copies(false), 0, "it may be slow because of the overload");
-    assert_eq!(copies(true), 1, "its answer is lost");
+    assert_eq!(hedges(false), 0, "it may be slow because of the overload");
+    assert_eq!(hedges(true), 1, "its answer is lost");
 }
 
 #[test]
@@ -1252,7 +1252,7 @@
 }
 
 /// A node in a storm that serves ten reads per second.
-fn in_a_storm(storm_mitigation: StormMitigation) -> Node {
+fn node_in_storm(storm_mitigation: StormMitigation) -> Node {
     let tenants = vec![Tenant { quota_per_s: 1e3 }];
     let mut node =
         Node::new(Settings { tenants, storm_mitigation, max_retry_after: 2 * SECOND, ..settings() }, 3);
@@ -1275,7 +1275,7 @@
 #[test]
 fn in_a_storm_client_retries_are_limited_to_half_of_the_first_tries() {
     let sent = |storm_mitigation: StormMitigation| {
-        let mut node = in_a_storm(storm_mitigation);
+        let mut node = node_in_storm(storm_mitigation);
         let (mut first_tries, mut retries) = (0, 0);
         for id in 1001..=1040 {
             first_tries += sends(&node.request(read(id, id)));
@@ -1297,7 +1297,7 @@
 
 #[test]
 fn retry_delays_in_a_storm_are_spaced_and_do_not_synchronize() {
-    let mut node = in_a_storm(StormMitigation::default());
+    let mut node = node_in_storm(StormMitigation::default());
     let mut refusals = (0..40).map(|i| node.request(Request { is_retry: true, ..read(2000 + i, 7) }));
     let delays: Vec<_> = refusals.by_ref().filter_map(|actions| retry_delay(&actions)).collect();
     assert!(delays.len() >= 28, "{delays:?}");
@@ -1305,10 +1305,13 @@
     // client honours. Beyond that, delays are random in the second half of the 2 s.
     assert!((250 * MS..650 * MS).contains(&delays[0]), "{delays:?}");
     assert!(delays[2] > delays[0] && delays[3] > delays[1], "{delays:?}");
-    let far = &delays[8..];
-    assert!(far.iter().all(|t| (SECOND..2100 * MS).contains(t)), "{far:?}");
-    let early = far.iter().filter(|t| **t < 1500 * MS).count();
-    assert!((far.len() / 5..far.len() * 4 / 5).contains(&early), "spread over the second half: {far:?}");
+    let beyond_limit = &delays[8..];
+    assert!(beyond_limit.iter().all(|t| (SECOND..2100 * MS).contains(t)), "{beyond_limit:?}");
+    let early = beyond_limit.iter().filter(|t| **t < 1500 * MS).count();
+    assert!(
+        (beyond_limit.len() / 5..beyond_limit.len() * 4 / 5).contains(&early),
+        "spread over the second half: {beyond_limit:?}"
+    );
 }
 
 #[test]
--- a/crates/brassrouter/tests/quick_succession.rs
+++ b/crates/brassrouter/tests/quick_succession.rs
@@ -30,9 +30,9 @@
 #[test]
 fn retries_and_hedges_that_fail_at_once_stay_within_their_budget_and_all_requests_are_answered() {
     // A refused connection costs a server nothing, so only the four attempts of the settings limit those.
-    let most =
+    let max_sent =
         [(Status::Full, 130), (Status::Error, 130), (Status::Reset, 130), (Status::ConnectFailed, 400)];
-    for (status, most) in most {
+    for (status, max_sent) in max_sent {
         let mut node = Node::new(settings(), 6);
         let begun = node.now;
         let mut numbers = vec![0; 101];
@@ -49,12 +49,12 @@
             let passed = node.pass(20 * MS);
             sent += end_all(&mut node, passed, status, &mut numbers);
         }
-        let rest = node.pass(2 * SECOND);
-        sent += end_all(&mut node, rest, status, &mut numbers);
+        let last = node.pass(2 * SECOND);
+        sent += end_all(&mut node, last, status, &mut numbers);
         let answers = node.actions.iter().filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail(_)));
         assert_eq!(answers.count(), 100, "{status:?}: every request has one final answer");
         assert!(node.now <= begun + 4 * SECOND);
-        assert!(sent <= most, "{status:?}: {sent} attempts of 100 requests");
+        assert!(sent <= max_sent, "{status:?}: {sent} attempts of 100 requests");
         assert!(numbers.iter().all(|n| *n <= 4), "{status:?}: more attempts than a request may make");
         assert!(node.policy.view(None).retry_budget >= 0.0);
     }
--- a/crates/brassrouter/tests/succession.rs
+++ b/crates/brassrouter/tests/succession.rs
@@ -7,7 +7,7 @@
 use common::*;
 
 /// A node that may have many calls outstanding.
-fn busy() -> Node {
+fn node_with_high_quota() -> Node {
     let settings = Settings { tenants: vec![Tenant { quota_per_s: 1000.0 }], node_count: 2, ..settings() };
     Node::new(settings, 4)
 }
@@ -67,14 +67,14 @@
 
 #[test]
 fn calls_of_both_processes_at_the_origin_stay_within_the_limits_of_one() {
-    let mut alone = busy();
-    let most = fetches(&mut alone, 1, 400);
-    assert!(most >= 4, "{most} calls permitted: too few to share");
+    let mut alone = node_with_high_quota();
+    let max_calls = fetches(&mut alone, 1, 400);
+    assert!(max_calls >= 4, "{max_calls} calls permitted: too few to share");
     // For any number of calls outstanding when the second process starts, and either order of the following
     // calls.
-    for before in 0..=most as u64 {
+    for before in 0..=max_calls as u64 {
         for old_first in [true, false] {
-            let mut old = busy();
+            let mut old = node_with_high_quota();
             let out = fetches(&mut old, 1, before);
             let mut new = successor(&mut old);
             let mut more = 0;
@@ -82,17 +82,17 @@
                 let node = if (turn == 0) == old_first { &mut old } else { &mut new };
                 more += fetches(node, 10_000 * (turn + 1), 400);
             }
-            assert!(out + more <= most, "{out} and {more} of {most}, old first: {old_first}");
+            assert!(out + more <= max_calls, "{out} and {more} of {max_calls}, old first: {old_first}");
         }
     }
 }
 
 #[test]
 fn the_remaining_process_gets_all_calls_and_counts_those_of_the_other() {
-    let mut alone = busy();
-    let most = fetches(&mut alone, 1, 400);
+    let mut alone = node_with_high_quota();
+    let max_calls = fetches(&mut alone, 1, 400);
     for later in [0, 10 * SECOND] {
-        let mut old = busy();
+        let mut old = node_with_high_quota();
         let mut new = successor(&mut old);
         let out = fetches(&mut old, 1, 400);
         assert!(out > 0);
@@ -102,9 +102,9 @@
         new.pass(later);
         let more = fetches(&mut new, 10_000, 400);
         if later == 0 {
-            assert!(out + more <= most, "{out} and {more} of {most}");
+            assert!(out + more <= max_calls, "{out} and {more} of {max_calls}");
         } else {
-            assert!(more + 1 >= most, "{more} of {most}");
+            assert!(more + 1 >= max_calls, "{more} of {max_calls}");
         }
     }
 }
