--- a/crates/node/src/agreement.rs
+++ b/crates/node/src/agreement.rs
@@ -1,5 +1,6 @@
-//! The way of the accord: datagrams between members, on a socket of its own, and what the node tells and is told. It is there
-//! only where the operator's file switches it on; without it no socket is opened and nothing is sent.
+//! Transport and integration of the agreement among nodes: datagrams between members on a separate socket,
+//! and the exchange with the node. Exists only if the operator's file enables it; otherwise no socket is
+//! opened and nothing is sent.
 
 use std::cell::OnceCell;
 use std::collections::VecDeque;
@@ -18,66 +19,67 @@
 
 use crate::input::Input;
 use crate::locality::LocalityController;
-use crate::operator::Accord as Settings;
+use crate::operator::AgreementConfig;
 
-/// Between two looks of the decider at what all members see.
-const PLANS: Duration = Duration::from_millis(100);
-/// Where this part of a zone's attempts (of 255) is silent, the decider is asked, and told, more often.
-const HURRY: u8 = 80;
-/// The longest that the node sleeps over the accord.
-const LONGEST: Duration = Duration::from_millis(250);
-/// Between two tries to have the address while another process of this node has it.
-const ADDRESS: Duration = Duration::from_millis(100);
-/// As often people are told of an order of theirs that still stands: it may have been forgotten.
-const REMIND: Duration = Duration::from_secs(600);
+/// Interval at which the leader evaluates the evidence of all members.
+const PLAN_INTERVAL: Duration = Duration::from_millis(100);
+/// Share of a zone's attempts (of 255) without a response from which the exchange with the leader is
+/// accelerated.
+const URGENT_UNANSWERED_SHARE: u8 = 80;
+/// Maximum time between two calls of [`Agreement::tick`].
+const MAX_WAIT: Duration = Duration::from_millis(250);
+/// Interval between attempts to open the address while another process of this node owns it.
+const OPEN_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval of log reminders of an operator's order that is still in force, since it may have been forgotten.
+const ORDER_REMINDER_INTERVAL: Duration = Duration::from_secs(600);
 
-/// What it wants of the node.
+/// Changes that the node has to apply.
 #[derive(Default)]
-pub struct Wanted {
-    /// Keys' orders are taken so from now on.
-    pub pool: Option<ZoneRouting>,
-    /// Clients are to go elsewhere from now on, or may come again.
-    pub away: Option<bool>,
-    /// Lines for people.
-    pub lines: Vec<String>,
+pub struct AgreementChanges {
+    /// New routing of keys to zones.
+    pub routing: Option<ZoneRouting>,
+    /// Whether clients must leave this node, if that has changed.
+    pub clients_leave: Option<bool>,
+    /// Lines for the log.
+    pub log_lines: Vec<String>,
 }
 
-/// This node as a member.
+/// This node as a member of the agreement.
 pub struct Agreement<H: Host> {
     member: Member,
-    /// Its address; while another process of this node has it, this one takes no part.
+    /// Empty while another process of this node owns the address; this process does not participate then.
     socket: Rc<OnceCell<H::Datagrams>>,
-    takes_part: bool,
-    inbox: AbortHandle,
+    participates: bool,
+    receive_task: AbortHandle,
     members: Arc<[SocketAddr]>,
-    me: MemberId,
-    figures: mothpier_plan::Tuning,
+    own_id: MemberId,
+    tuning: mothpier_plan::Tuning,
     zones: Vec<String>,
     start: Instant,
     planner: Option<Planner>,
-    plans_at: Instant,
-    acts_on: Plan,
+    next_plan_at: Instant,
+    active_plan: Plan,
     /// This node's own zone.
-    zone: Option<usize>,
+    own_zone: Option<usize>,
     orders: ZoneOrders,
-    /// What this node does by itself about zones that it can't reach and the plan keeps.
-    own: Planner,
-    apart: Vec<bool>,
-    /// By zone, the order that people were last told of, and when.
-    told: Vec<(Option<OrderKind>, Instant)>,
-    /// What the module was last told of each zone, and whether clients were told to go elsewhere.
-    opened: Vec<f64>,
-    away: bool,
+    /// Decides about zones that this node alone cannot reach and that the plan keeps in service.
+    local_planner: Planner,
+    abandoned_zones: Vec<bool>,
+    /// By zone, the order that was logged last, and when.
+    logged_orders: Vec<(Option<OrderKind>, Instant)>,
+    /// By zone, the share of keys that the module was given last.
+    key_shares: Vec<f64>,
+    clients_leave: bool,
 }
 
 impl<H: Host> Drop for Agreement<H> {
     fn drop(&mut self) {
-        self.inbox.abort();
+        self.receive_task.abort();
     }
 }
 
-/// Takes the address, as soon as it can be had, and hears members.
-async fn hear<H: Host>(
+/// Opens the address as soon as it is free, and receives the messages of members.
+async fn receive_messages<H: Host>(
     host: H,
     listen: SocketAddr,
     socket: Rc<OnceCell<H::Datagrams>>,
@@ -85,12 +87,12 @@
     events: mpsc::Sender<Input>,
 ) {
     while socket.get().is_none() {
-        sleep(ADDRESS).await;
-        if let Ok(opened) = host.datagrams(listen).await {
-            host.log(format_args!("accord: this process takes part from now on"));
-            // Before any message: the node must not take one for a member that has not begun.
-            let _ = events.send(Input::Joins).await;
-            let _ = socket.set(opened);
+        sleep(OPEN_RETRY_INTERVAL).await;
+        if let Ok(datagrams) = host.datagrams(listen).await {
+            host.log(format_args!("accord: this process now takes part"));
+            // Sent before any message: the node must not handle one for a member that has not started.
+            let _ = events.send(Input::JoinAgreement).await;
+            let _ = socket.set(datagrams);
         }
     }
     let Some(socket) = socket.get() else { return };
@@ -99,70 +101,72 @@
         let (length, sender) = mothpier_host::receiving::receive_with_backoff(socket, &mut buffer).await;
         let Some(member) = members.iter().position(|a| *a == sender) else { continue };
         if let Ok(message) = Message::decode(&buffer[..length]) {
-            // One that finds the queue full is dropped, as it might have been on its way.
-            let _ = events.try_send(Input::Member { from: member as MemberId, message });
+            // Dropped if the queue is full, as any datagram may be.
+            let _ = events.try_send(Input::AgreementMessage { from: member as MemberId, message });
         }
         tokio::task::yield_now().await;
     }
 }
 
 impl<H: Host> Agreement<H> {
-    /// Opens the socket and begins to listen; `None` where it is switched off. Datagrams of strangers, and what is no message,
-    /// are dropped. Where another process of this node may have the address, it is tried for until it is free.
+    /// Opens the socket and starts to receive; `None` if the agreement is disabled. Datagrams from unknown
+    /// senders and invalid ones are dropped. If another process of this node may own the address, opening is
+    /// retried until it is free.
     ///
     /// # Errors
-    /// A socket that can't be opened.
+    /// The socket cannot be opened.
     pub async fn open(
         host: &H,
-        (settings, shared): (&Settings, bool),
-        (me, seed): (u32, u64),
-        (zones, zone): (Vec<String>, Option<u8>),
+        (settings, shared): (&AgreementConfig, bool),
+        (own_id, seed): (u32, u64),
+        (zones, own_zone): (Vec<String>, Option<u8>),
         events: mpsc::Sender<Input>,
     ) -> Result<Option<Agreement<H>>, String> {
         let Some(listen) = settings.listen.filter(|_| settings.on) else { return Ok(None) };
         let socket = Rc::new(OnceCell::new());
-        let opened = mothpier_host::opening::datagrams_with_retry(host, listen, shared).await;
-        let takes_part = opened.is_ok();
-        match opened {
-            Ok(opened) => drop(socket.set(opened)),
+        let result = mothpier_host::opening::datagrams_with_retry(host, listen, shared).await;
+        let participates = result.is_ok();
+        match result {
+            Ok(datagrams) => drop(socket.set(datagrams)),
             Err(e) if shared => host.log(format_args!(
-                "accord: cannot open {listen}: {e}: this process takes part when the other has ended"
+                "accord: cannot open {listen}: {e}: this process takes part after its predecessor has ended"
             )),
             Err(e) => return Err(format!("cannot open {listen}: {e}")),
         }
-        let inbox = hear(host.clone(), listen, socket.clone(), settings.members.clone(), events);
+        let receive_task =
+            receive_messages(host.clone(), listen, socket.clone(), settings.members.clone(), events);
         let timing = Timing::default();
-        let config = Config { me: me as MemberId, voters: settings.voters.clone(), timing };
-        let (start, site_zones) = (Instant::now(), zones.len());
-        // A seed is new with each start; a life is never 0, which stands for none.
-        let life = (seed ^ (seed >> 32)) as u32 | 1;
+        let config = Config { me: own_id as MemberId, voters: settings.voters.clone(), timing };
+        let (start, zone_count) = (Instant::now(), zones.len());
+        // The seed differs at each start. Incarnation 0 stands for none.
+        let incarnation = (seed ^ (seed >> 32)) as u32 | 1;
         Ok(Some(Agreement {
-            member: Member::start(config, life, 0),
+            member: Member::start(config, incarnation, 0),
             socket,
-            takes_part,
-            inbox: tokio::task::spawn_local(inbox).abort_handle(),
+            participates,
+            receive_task: tokio::task::spawn_local(receive_task).abort_handle(),
             members: settings.members.clone(),
-            me: me as MemberId,
-            figures: settings.plan.clone(),
-            told: vec![(None, start); zones.len()],
+            own_id: own_id as MemberId,
+            tuning: settings.plan.clone(),
+            logged_orders: vec![(None, start); zones.len()],
             zones,
             start,
             planner: None,
-            plans_at: start,
-            acts_on: Plan::default(),
-            zone: zone.map(usize::from),
+            next_plan_at: start,
+            active_plan: Plan::default(),
+            own_zone: own_zone.map(usize::from),
             orders: ZoneOrders::default(),
-            own: Planner::for_single_node(&settings.plan, site_zones, 0),
-            apart: vec![false; site_zones],
-            opened: Vec::new(),
-            away: false,
+            local_planner: Planner::for_single_node(&settings.plan, zone_count, 0),
+            abandoned_zones: vec![false; zone_count],
+            key_shares: Vec::new(),
+            clients_leave: false,
         }))
     }
 
-    /// The address is this process's from now on. What it was as a member begins only here: until a moment ago another process
-    /// voted under this number, and what that one has granted has to run out first.
-    pub fn begin(&mut self) {
-        if !std::mem::replace(&mut self.takes_part, true) {
+    /// Starts as a member now that this process owns the address. Until a moment ago another process voted
+    /// under the same index, and what that one has granted must expire first.
+    pub fn join(&mut self) {
+        if !std::mem::replace(&mut self.participates, true) {
             self.member = self.member.restarted(self.now());
         }
     }
@@ -171,84 +175,97 @@
         self.start.elapsed().as_millis() as Millis
     }
 
-    /// How long until it has something to do by itself.
+    /// Time until the agreement has work to do.
     pub fn wait(&self) -> Duration {
-        // What comes to a process that takes no part yet comes as an input.
-        if !self.takes_part {
-            return LONGEST;
+        // A process that does not participate yet is woken by an input.
+        if !self.participates {
+            return MAX_WAIT;
         }
-        let due = Duration::from_millis(self.member.next_due().saturating_sub(self.now()));
-        let plans = match self.planner {
-            Some(_) => self.plans_at.saturating_duration_since(Instant::now()),
-            None => LONGEST,
+        let until_member_due = Duration::from_millis(self.member.next_due().saturating_sub(self.now()));
+        let until_next_plan = match self.planner {
+            Some(_) => self.next_plan_at.saturating_duration_since(Instant::now()),
+            None => MAX_WAIT,
         };
-        due.min(plans).clamp(Duration::from_millis(1), LONGEST)
+        until_member_due.min(until_next_plan).clamp(Duration::from_millis(1), MAX_WAIT)
     }
 
-    /// Time has gone on.
-    pub fn tick(&mut self, near: &mut LocalityController) -> Wanted {
-        let mut seen = near.seen().evidence();
-        let ordered = self.orders.has_newer_than(&self.acts_on.orders);
-        if ordered {
-            seen.orders = self.orders.messages(self.now());
+    /// Advances the agreement to the present time.
+    pub fn tick(&mut self, locality: &mut LocalityController) -> AgreementChanges {
+        let mut evidence = locality.evidence().evidence();
+        let has_new_orders = self.orders.has_newer_than(&self.active_plan.orders);
+        if has_new_orders {
+            evidence.orders = self.orders.messages(self.now());
         }
-        let tells = self.own.evidence_to_report(&seen, &self.acts_on);
-        self.member.set_evidence(tells.encode());
-        let silent = seen.zones.iter().any(|(_, silent)| *silent >= HURRY);
-        self.member.set_urgent(silent || ordered || self.moves());
+        let report = self.local_planner.evidence_to_report(&evidence, &self.active_plan);
+        self.member.set_evidence(report.encode());
+        let is_unanswered = evidence.zones.iter().any(|(_, share)| *share >= URGENT_UNANSWERED_SHARE);
+        self.member.set_urgent(is_unanswered || has_new_orders || self.has_zone_in_transition());
         let now = self.now();
-        // Orders are no matter of its own: they go before all that nodes see.
-        self.own.add_evidence(now, self.me, Evidence { orders: Vec::new(), ..seen.clone() });
-        self.own.step(now);
-        let mut out = Vec::new();
-        if !self.takes_part {
-            return self.carry_out(out, near);
+        // Orders apply before any evidence, so the local decision ignores them.
+        self.local_planner.add_evidence(
+            now,
+            self.own_id,
+            Evidence { orders: Vec::new(), ..evidence.clone() },
+        );
+        self.local_planner.step(now);
+        let mut effects = Vec::new();
+        if !self.participates {
+            return self.apply_effects(effects, locality);
         }
-        self.member.tick(self.now(), &mut out);
-        if self.member.leader_ballot().is_some() && Instant::now() >= self.plans_at {
-            self.plans_at = Instant::now() + PLANS;
+        self.member.tick(self.now(), &mut effects);
+        if self.member.leader_ballot().is_some() && Instant::now() >= self.next_plan_at {
+            self.next_plan_at = Instant::now() + PLAN_INTERVAL;
             let now = self.now();
             if let Some(planner) = &mut self.planner {
-                planner.add_evidence(now, self.me, tells);
+                planner.add_evidence(now, self.own_id, report);
                 let plan = planner.step(now).encode();
-                self.member.set_plan(now, plan, &mut out);
+                self.member.set_plan(now, plan, &mut effects);
                 if let Some((number, _)) = self.member.applied_plan() {
-                    planner.plan_published(self.me, number.sequence);
+                    planner.plan_published(self.own_id, number.sequence);
                 }
             }
         }
-        self.carry_out(out, near)
+        self.apply_effects(effects, locality)
     }
 
-    /// Whether some zone is on its way; one that staff keep out, and that has no keys left, is not.
-    fn moves(&self) -> bool {
-        let plan = &self.acts_on;
-        let rests = |zone: usize| plan.open_share(zone) == 0.0 && plan.active_order(zone).is_some();
-        plan.zones.iter().enumerate().any(|(zone, z)| z.state != ZoneState::Serving && !rests(zone))
+    /// Whether a zone is in transition; one without keys that the operator keeps out is not.
+    fn has_zone_in_transition(&self) -> bool {
+        let plan = &self.active_plan;
+        let is_kept_out = |zone: usize| plan.open_share(zone) == 0.0 && plan.active_order(zone).is_some();
+        plan.zones.iter().enumerate().any(|(zone, z)| z.state != ZoneState::Serving && !is_kept_out(zone))
     }
 
-    /// Staff order something of a zone at this node.
-    pub fn order(&mut self, wish: ZoneOrder, near: &mut LocalityController) -> Wanted {
+    /// The operator has given an order about a zone at this node.
+    pub fn give_order(&mut self, order: ZoneOrder, locality: &mut LocalityController) -> AgreementChanges {
         let now = self.now();
-        match self.orders.issue(now, self.me, wish, self.zones.len()) {
-            Ok(()) => self.tick(near),
-            Err(why) => Wanted {
-                lines: vec![format!("accord: staff's order is not taken: {why}")],
-                ..Wanted::default()
+        match self.orders.issue(now, self.own_id, order, self.zones.len()) {
+            Ok(()) => self.tick(locality),
+            Err(reason) => AgreementChanges {
+                log_lines: vec![format!("accord: operator's order rejected: {reason}")],
+                ..AgreementChanges::default()
             },
         }
     }
 
-    /// A message of a member has come.
-    pub fn told(&mut self, from: MemberId, message: Message, near: &mut LocalityController) -> Wanted {
-        let mut out = Vec::new();
-        self.member.handle(self.now(), from, message, &mut out);
-        self.carry_out(out, near)
+    /// Handles a message from a member.
+    pub fn handle_message(
+        &mut self,
+        from: MemberId,
+        message: Message,
+        locality: &mut LocalityController,
+    ) -> AgreementChanges {
+        let mut effects = Vec::new();
+        self.member.handle(self.now(), from, message, &mut effects);
+        self.apply_effects(effects, locality)
     }
 
-    fn carry_out(&mut self, out: Vec<Effect>, near: &mut LocalityController) -> Wanted {
-        let mut wanted = Wanted::default();
-        let mut effects = VecDeque::from(out);
+    fn apply_effects(
+        &mut self,
+        new_effects: Vec<Effect>,
+        locality: &mut LocalityController,
+    ) -> AgreementChanges {
+        let mut changes = AgreementChanges::default();
+        let mut effects = VecDeque::from(new_effects);
         while let Some(effect) = effects.pop_front() {
             match effect {
                 Effect::Send(to, message) => {
@@ -256,44 +273,46 @@
                     if let (Some(bytes), Some(address), Some(socket)) =
                         (message.encode(), address, self.socket.get())
                     {
-                        // One that can't go at once is lost.
+                        // A message that cannot be sent at once is lost.
                         let _ = socket.try_send_to(&bytes, *address);
                     }
                 }
                 Effect::ApplyPlan(number, bytes) => {
                     let Ok(plan) = Plan::decode(&bytes) else {
-                        wanted.lines.push(format!(
-                            "accord: plan {} of node {} can't be read, and is not acted on",
+                        changes.log_lines.push(format!(
+                            "accord: ignoring unreadable plan {} of node {}",
                             number.sequence, number.term.voter
                         ));
                         continue;
                     };
-                    if plan.describe(&self.zones) != self.acts_on.describe(&self.zones) {
-                        let (round, voter, what) =
+                    if plan.describe(&self.zones) != self.active_plan.describe(&self.zones) {
+                        let (round, voter, description) =
                             (number.term.round, number.term.voter, plan.describe(&self.zones));
                         let number = number.sequence;
-                        wanted.lines.push(format!("accord: plan {round}.{number} of node {voter}: {what}"));
+                        changes
+                            .log_lines
+                            .push(format!("accord: plan {round}.{number} of node {voter}: {description}"));
                     }
                     let now = self.now();
                     self.orders.merge(now, &plan.orders, self.zones.len());
-                    self.acts_on = plan;
+                    self.active_plan = plan;
                 }
                 Effect::DropPlan => {
-                    wanted.lines.push("accord: nothing heard for too long: no plan is acted on".into());
-                    self.acts_on = Plan::default();
+                    changes.log_lines.push("accord: nothing heard for too long: no plan is acted on".into());
+                    self.active_plan = Plan::default();
                 }
                 Effect::BecameLeader(ballot) => {
-                    wanted
-                        .lines
+                    changes
+                        .log_lines
                         .push(format!("accord: this node decides from now on (round {})", ballot.round));
                     let (zones, now) = (self.zones.len(), self.now());
-                    let learns_until = self.member.recovery_ends().unwrap_or(now);
-                    let figures = self.figures.clone();
+                    let recovery_ends = self.member.recovery_ends().unwrap_or(now);
+                    let tuning = self.tuning.clone();
                     self.planner =
-                        Some(Planner::for_new_leader(figures, zones, &self.acts_on, (now, learns_until)));
+                        Some(Planner::for_new_leader(tuning, zones, &self.active_plan, (now, recovery_ends)));
                 }
                 Effect::SteppedDown => {
-                    wanted.lines.push("accord: this node no longer decides".into());
+                    changes.log_lines.push("accord: this node no longer decides".into());
                     self.planner = None;
                 }
                 Effect::PlanApplied(from, sequence) => {
@@ -301,131 +320,140 @@
                         planner.plan_applied(from, sequence);
                     }
                 }
-                Effect::RecoveredPlan(bytes) => effects.extend(self.learn(&bytes)),
+                Effect::RecoveredPlan(bytes) => effects.extend(self.adopt_plan(&bytes)),
                 Effect::Evidence(from, bytes) => {
                     let now = self.now();
                     if let (Some(planner), Ok(evidence)) = (&mut self.planner, Evidence::decode(&bytes)) {
-                        // What this node knows of orders lives on in the plan when it has ceased to decide.
+                        // The orders remain in force after this node has ceased to be the leader, since the
+                        // plan contains them.
                         self.orders.merge(now, &evidence.orders, self.zones.len());
                         planner.add_evidence(now, from, evidence);
                     }
                 }
             }
         }
-        self.obey(&mut wanted, near);
-        wanted
+        self.apply_changes(&mut changes, locality);
+        changes
     }
 
-    /// An earlier decider's plan, which this node goes on from: all are told of it at once.
-    fn learn(&mut self, bytes: &[u8]) -> Vec<Effect> {
-        let (mut out, now) = (Vec::new(), self.now());
+    /// Adopts the plan of an earlier leader, and publishes it at once.
+    fn adopt_plan(&mut self, bytes: &[u8]) -> Vec<Effect> {
+        let (mut effects, now) = (Vec::new(), self.now());
         if let (Some(planner), Ok(plan)) = (&mut self.planner, Plan::decode(bytes))
             && planner.adopt_predecessor_plan(now, &plan)
         {
-            self.member.set_plan(now, planner.plan(now).encode(), &mut out);
+            self.member.set_plan(now, planner.plan(now).encode(), &mut effects);
         }
-        out
+        effects
     }
 
-    /// The part of its keys that goes to each zone: as the plan says, and without one as staff have ordered. A plan of somebody who
-    /// has yet to hear of an order, or who begins anew with its steps, gives no keys back to what staff keep out.
-    fn opens(&self) -> Vec<f64> {
-        let planned = self.member.applied_plan().is_some();
-        let own = self.own.plan(self.now());
-        let one = |zone: usize| {
-            let planned_open = if planned { self.acts_on.open_share(zone) } else { 1.0 };
-            let open = planned_open.min(own.open_share(zone));
+    /// The share of its keys that goes to each zone: by the plan, or without one by the operator's orders. A
+    /// plan by a leader that has not received an order yet, or that restarts its steps, returns no keys to a
+    /// zone that the operator keeps out.
+    fn compute_key_shares(&self) -> Vec<f64> {
+        let has_plan = self.member.applied_plan().is_some();
+        let local_plan = self.local_planner.plan(self.now());
+        let share_of = |zone: usize| {
+            let planned_share = if has_plan { self.active_plan.open_share(zone) } else { 1.0 };
+            let share = planned_share.min(local_plan.open_share(zone));
             match self.orders.active(zone, self.now()) {
-                Some((how, _)) if how.is_out() && !planned => 0.0,
-                Some((how, _)) if how.is_out() => open.min(self.opened.get(zone).copied().unwrap_or(1.0)),
-                Some((OrderKind::KeepIn, _)) => planned_open,
-                _ => open,
+                Some((kind, _)) if kind.is_out() && !has_plan => 0.0,
+                Some((kind, _)) if kind.is_out() => {
+                    share.min(self.key_shares.get(zone).copied().unwrap_or(1.0))
+                }
+                Some((OrderKind::KeepIn, _)) => planned_share,
+                _ => share,
             }
         };
-        (0..self.zones.len()).map(one).collect()
+        (0..self.zones.len()).map(share_of).collect()
     }
 
-    /// Whether clients are to leave this node. Where all zones are drained none is: somebody has to serve.
-    fn leaves(&self) -> bool {
-        let drained =
-            |z: usize| self.orders.active(z, self.now()).is_some_and(|(how, _)| how == OrderKind::Drain);
-        self.zone.is_some_and(drained) && !(0..self.zones.len()).all(drained)
+    /// Whether clients must leave this node. If all zones are drained none does, since some node has to
+    /// serve.
+    fn must_clients_leave(&self) -> bool {
+        let is_drained = |zone: usize| {
+            self.orders.active(zone, self.now()).is_some_and(|(kind, _)| kind == OrderKind::Drain)
+        };
+        self.own_zone.is_some_and(is_drained) && !(0..self.zones.len()).all(is_drained)
     }
 
-    /// Does what has changed by plans, by orders, or by time alone, and tells people of orders.
-    fn obey(&mut self, wanted: &mut Wanted, near: &mut LocalityController) {
-        let open = self.opens();
-        if open != self.opened {
-            wanted.pool = Some(near.act_on(open.clone()));
-            self.opened = open;
+    /// Applies changes caused by plans, orders or the passage of time, and logs orders.
+    fn apply_changes(&mut self, changes: &mut AgreementChanges, locality: &mut LocalityController) {
+        let key_shares = self.compute_key_shares();
+        if key_shares != self.key_shares {
+            changes.routing = Some(locality.apply_plan(key_shares.clone()));
+            self.key_shares = key_shares;
         }
-        let own = self.own.plan(self.now());
-        for (zone, apart) in self.apart.iter_mut().enumerate() {
-            let now = own.zones.get(zone).is_some_and(|z| z.state == ZoneState::GivenUp);
-            if std::mem::replace(apart, now) != now {
+        let local_plan = self.local_planner.plan(self.now());
+        for (zone, was_abandoned) in self.abandoned_zones.iter_mut().enumerate() {
+            let now = local_plan.zones.get(zone).is_some_and(|z| z.state == ZoneState::GivenUp);
+            if std::mem::replace(was_abandoned, now) != now {
                 let name = &self.zones[zone];
-                wanted.lines.push(match now {
-                    true => format!("accord: this node has no way to {name} and leaves it by itself"),
-                    false => format!("accord: this node has a way to {name} again"),
+                changes.log_lines.push(match now {
+                    true => format!("accord: this node cannot reach {name} and stops using it on its own"),
+                    false => format!("accord: this node can reach {name} again"),
                 });
             }
         }
-        let leaves = self.leaves();
-        if std::mem::replace(&mut self.away, leaves) != leaves {
-            wanted.away = Some(leaves);
+        let must_leave = self.must_clients_leave();
+        if std::mem::replace(&mut self.clients_leave, must_leave) != must_leave {
+            changes.clients_leave = Some(must_leave);
         }
         let now = self.now();
-        for (zone, (told, at)) in self.told.iter_mut().enumerate() {
+        for (zone, (logged_kind, logged_at)) in self.logged_orders.iter_mut().enumerate() {
             let order = self.orders.active(zone, now);
-            let how = order.map(|(how, _)| how);
-            if how == *told && (how.is_none() || at.elapsed() < REMIND) {
+            let kind = order.map(|(kind, _)| kind);
+            if kind == *logged_kind && (kind.is_none() || logged_at.elapsed() < ORDER_REMINDER_INTERVAL) {
                 continue;
             }
-            let (name, by) = (&self.zones[zone], self.orders.issued_by(zone).unwrap_or_default());
-            let still = if how == *told { "still " } else { "" };
-            let what = match order {
-                None => "no longer kept in or out by staff: what nodes see decides".into(),
-                Some((how, left)) => {
-                    let kept = match how {
+            let (name, issuer) = (&self.zones[zone], self.orders.issued_by(zone).unwrap_or_default());
+            let still = if kind == *logged_kind { "still " } else { "" };
+            let description = match order {
+                None => "no longer kept in or out by order: the observations of nodes decide".into(),
+                Some((kind, remaining_ms)) => {
+                    let kept = match kind {
                         OrderKind::KeepIn => "kept in",
                         OrderKind::Drain => "kept out, its clients sent elsewhere,",
                         _ => "kept out",
                     };
-                    format!("{kept} by staff for {} s more (ordered at node {by})", left.div_ceil(1000))
+                    format!(
+                        "{kept} by the operator for {} s more (ordered at node {issuer})",
+                        remaining_ms.div_ceil(1000)
+                    )
                 }
             };
-            wanted.lines.push(format!("accord: {name} is {still}{what}"));
-            (*told, *at) = (how, Instant::now());
+            changes.log_lines.push(format!("accord: {name} is {still}{description}"));
+            (*logged_kind, *logged_at) = (kind, Instant::now());
         }
     }
 
-    /// What holds, for the board: by zone whether staff keep it out, and all of it as a value.
+    /// Status for the operator: by zone whether it is kept out by order, and the full status as JSON.
     pub fn status(&self) -> (Vec<bool>, serde_json::Value) {
         let now = self.now();
         let plan = self.member.applied_plan().map(|(number, _)| {
-            let heard = now.saturating_sub(self.member.confirmed_at().unwrap_or(now));
+            let confirmed_ms_ago = now.saturating_sub(self.member.confirmed_at().unwrap_or(now));
             serde_json::json!({
                 "round": number.term.round, "node": number.term.voter, "sequence": number.sequence,
-                "heard_ms": heard, "says": self.acts_on.describe(&self.zones),
+                "heard_ms": confirmed_ms_ago, "says": self.active_plan.describe(&self.zones),
             })
         });
         let orders: Vec<_> = (0..self.zones.len()).map(|z| self.orders.active(z, now)).collect();
         let zones = self.zones.iter().enumerate().map(|(z, name)| {
-            let planned = self.acts_on.zones.get(z).map_or("serving", |zone| zone.state.as_str());
-            let order = orders[z].map(|(how, left)| {
-                let left_s = left.div_ceil(1000);
-                serde_json::json!({"how": how.as_str(), "left_s": left_s, "node": self.orders.issued_by(z)})
+            let planned = self.active_plan.zones.get(z).map_or("serving", |zone| zone.state.as_str());
+            let order = orders[z].map(|(kind, remaining_ms)| {
+                let left_s = remaining_ms.div_ceil(1000);
+                serde_json::json!({"how": kind.as_str(), "left_s": left_s, "node": self.orders.issued_by(z)})
             });
-            let why = self.planner.as_ref().and_then(|p| p.vote_counts(z));
-            let why = why.map(|(lost, well)| serde_json::json!({"lost": lost, "well": well}));
-            let open = self.opened.get(z).copied().unwrap_or(1.0);
-            serde_json::json!({"zone": name, "planned": planned, "open": open, "order": order, "seen": why})
+            let observed = self.planner.as_ref().and_then(|p| p.vote_counts(z));
+            let observed = observed.map(|(lost, well)| serde_json::json!({"lost": lost, "well": well}));
+            let open = self.key_shares.get(z).copied().unwrap_or(1.0);
+            serde_json::json!({"zone": name, "planned": planned, "open": open, "order": order, "seen": observed})
         });
         let status = serde_json::json!({
-            "decides": self.member.leader_ballot().is_some(), "plan": plan, "away": self.away,
+            "decides": self.member.leader_ballot().is_some(), "plan": plan, "away": self.clients_leave,
             "zones": zones.collect::<Vec<_>>(),
         });
-        let out = orders.iter().map(|o| o.is_some_and(|(how, _)| how.is_out())).collect();
-        (out, status)
+        let kept_out = orders.iter().map(|o| o.is_some_and(|(kind, _)| kind.is_out())).collect();
+        (kept_out, status)
     }
 }
--- a/crates/node/src/command.rs
+++ b/crates/node/src/command.rs
@@ -1,4 +1,4 @@
-//! A client's command, its final answer, and the names under which both are known inside the node.
+//! A client's command, the final reply to it, and the identifiers of both inside the node.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -10,19 +10,20 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// The largest piece of a large value, and how many of them may wait between its server and its client.
+/// Maximum size of a chunk of a large value.
 pub const MAX_CHUNK_BYTES: usize = 16 * 1024;
-const PIECES: usize = 2;
-/// A large value that does not go on for this long, on either side, is cut.
+/// Chunks of a large value that may be queued between its server and its client.
+const MAX_QUEUED_CHUNKS: usize = 2;
+/// A large value whose transfer stalls for this long, on either side, is cut off.
 pub const STREAM_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Digits by which `d` may grow when it is told anew; room for them saves a second allocation.
-const MOST_DIGITS: usize = 20;
+/// Number of digits by which a rewritten `d` may grow; reserving them avoids a second allocation.
+const MAX_TIME_DIGITS: usize = 20;
 
-/// Names one attempt or probe of this node.
+/// Identifies an attempt or probe of this node.
 pub type AttemptId = u64;
 
-/// A client's command as it came; what goes on to servers is made of it.
+/// A client's command as received; the commands to servers are derived from it.
 #[derive(Debug)]
 pub struct Command {
     pub name: Bytes,
@@ -31,14 +32,14 @@
     pub extras: Bytes,
     pub value: Option<Bytes>,
     pub write: bool,
-    /// Given back with the command: no other request may bear its id meanwhile.
+    /// Released with the command; until then no other request may use the same id.
     pub(crate) _id_guard: RequestIdGuard,
 }
 
-/// The ids of all open requests.
+/// The ids of all unfinished requests.
 pub(crate) type RequestIds = Rc<RefCell<HashSet<Bytes>>>;
 
-/// An id in use.
+/// Reserves a request id until it is dropped.
 #[derive(Debug)]
 pub(crate) struct RequestIdGuard(RequestIds, pub(crate) Bytes);
 
@@ -55,45 +56,45 @@
 }
 
 impl Command {
-    /// The extras of an attempt that is waited for until `attempt_ends`.
-    pub fn attempt_extras(&self, attempt_ends: Instant) -> AttemptExtras {
-        AttemptExtras { as_received: self.extras.clone(), attempt_ends }
+    /// The extras of an attempt whose reply is awaited until `deadline`.
+    pub fn attempt_extras(&self, deadline: Instant) -> AttemptExtras {
+        AttemptExtras { as_received: self.extras.clone(), deadline }
     }
 
-    /// The bytes for a cache server: the command as it came, with these extras.
+    /// Encodes the command for a cache server, unchanged but for these extras.
     pub fn encode_with(&self, extras: Bytes) -> Bytes {
         let words = [self.name.clone(), self.key.clone(), self.id.clone(), extras];
         resp::encode_command(words.into_iter().chain(self.value.clone()))
     }
 }
 
-/// The list of extras that goes out with an attempt.
+/// The list of extras that is sent with an attempt.
 ///
-/// All of it stays as the client sent it but for `d`, how long the answer is waited for: an attempt tells what is left to
-/// it when its first byte is written, which may be long after it was queued.
+/// Everything stays as the client sent it except `d`, the time for which the reply is awaited: an attempt
+/// states the time that is left when its first byte is written, which may be long after it was queued.
 #[derive(Clone, Debug)]
 pub struct AttemptExtras {
     as_received: Bytes,
-    attempt_ends: Instant,
+    deadline: Instant,
 }
 
 impl AttemptExtras {
-    /// Until when the attempt is waited for, which is what a cache server is told.
+    /// Time until which the reply is awaited, as reported to the cache server.
     pub fn deadline(&self) -> Instant {
-        self.attempt_ends
+        self.deadline
     }
 
-    /// The time that can be told now, in whole milliseconds; `None` where there is none left.
+    /// The time left now, in whole milliseconds; `None` if there is none.
     pub fn milliseconds_left(&self) -> Option<u128> {
-        let left = self.attempt_ends.saturating_duration_since(Instant::now()).as_millis();
+        let left = self.deadline.saturating_duration_since(Instant::now()).as_millis();
         (left > 0).then_some(left)
     }
 
-    /// The list to be written now; `None` where not one whole millisecond is left, the least that can be told.
+    /// Encodes the list as of now; `None` if less than a millisecond is left, the least that can be stated.
     pub fn encode_now(&self) -> Option<Bytes> {
         let left = self.milliseconds_left()?;
         let as_received = String::from_utf8_lossy(&self.as_received);
-        let mut list = String::with_capacity(self.as_received.len() + MOST_DIGITS);
+        let mut list = String::with_capacity(self.as_received.len() + MAX_TIME_DIGITS);
         for part in as_received.split(',') {
             if !list.is_empty() {
                 list.push(',');
@@ -107,7 +108,8 @@
     }
 }
 
-/// A large value that has begun to come. One whose channel ends before its length has come is cut.
+/// A large value whose transfer has begun. It is truncated if its channel ends before `length` bytes have
+/// arrived.
 #[derive(Debug)]
 pub struct LargeValue {
     pub length: usize,
@@ -115,26 +117,26 @@
 }
 
 impl LargeValue {
-    /// A stream, and the end into which its pieces go.
+    /// Creates a value and the sender for its chunks.
     pub fn new(length: usize) -> (mpsc::Sender<Bytes>, LargeValue) {
-        let (into, pieces) = mpsc::channel(PIECES);
-        (into, LargeValue { length, chunks: pieces })
+        let (sender, chunks) = mpsc::channel(MAX_QUEUED_CHUNKS);
+        (sender, LargeValue { length, chunks })
     }
 }
 
-/// A final answer.
+/// The final reply to a command.
 #[derive(Debug)]
 pub enum Reply {
     Value(Bytes),
-    /// A value that is passed on as it comes.
+    /// A value that is passed on while it arrives.
     Stream(LargeValue),
-    /// Refused; come back after so many milliseconds.
+    /// Refused; the client should retry after this many milliseconds.
     Busy(u64),
     Failed,
 }
 
 impl Reply {
-    /// Whether it brings the value.
+    /// Whether the reply carries a value.
     pub fn carries_value(&self) -> bool {
         matches!(self, Reply::Value(_) | Reply::Stream(_))
     }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,4 +1,4 @@
-//! What the node is told at its start: the environment and the JSON file that it names.
+//! Configuration at the start: the environment and the JSON file that it names.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,48 +9,49 @@
 use serde::de::IgnoredAny;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::clamped;
 use crate::discovery::ServerList;
 use crate::keys::KeyHasher;
-use crate::operator::Operator;
+use crate::operator::OperatorConfig;
+use crate::setting_ranges;
 
-/// Everything that the node is told.
+/// The complete configuration of a node.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name, the same after a restart.
+    /// Name of the node, the same after a restart.
     pub name: String,
-    /// The one address to listen on for clients.
+    /// Address on which clients are accepted.
     pub listen: SocketAddr,
-    /// Where discovery is asked.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// For random numbers; new with each start.
+    /// Seed of random numbers, different at each start.
     pub seed: u64,
-    /// File descriptors that the process may hold.
+    /// Maximum number of file descriptors of the process.
     pub max_descriptors: usize,
-    /// Bytes that the process may use.
+    /// Maximum memory of the process, in bytes.
     pub memory_bytes: usize,
-    /// What is odd about what it was told, for the log.
+    /// Warnings about the configuration, for the log.
     pub warnings: Vec<String>,
-    /// Where staff ask the node; nowhere without it.
+    /// Address of the operations endpoint; `None` for no endpoint.
     pub ops_listen: Option<SocketAddr>,
-    /// Where messages of other nodes come in.
+    /// Address on which messages from other nodes are received.
     pub peer_listen: Option<SocketAddr>,
-    /// The tier's nodes by their numbers; shared, since simulations run thousands of nodes in one process.
+    /// Addresses of all nodes of the tier, by node index; shared, since simulations run thousands of nodes in
+    /// one process.
     pub peers: Arc<[SocketAddr]>,
-    /// The address that reaches all of them.
+    /// Address that reaches all nodes.
     pub peer_broadcast: Option<SocketAddr>,
-    /// The list of servers as it was last held.
+    /// The server list as last known.
     pub cached_list: Option<ServerList>,
-    /// The settings.
+    /// Settings of the decision module and the deployment.
     pub site: DeploymentSettings,
-    /// What the operator's file switches on; nothing without one.
-    pub operator: Operator,
-    /// How keys become numbers.
+    /// What the operator's file enables; the default without a file.
+    pub operator: OperatorConfig,
+    /// How keys are hashed.
     pub key_hasher: KeyHasher,
 }
 
-/// The keys that [`File`] has.
-const KEYS: [&str; 11] = [
+/// The keys of [`File`].
+const FILE_KEYS: [&str; 11] = [
     "name",
     "listen",
     "discovery",
@@ -95,7 +96,7 @@
     }
 }
 
-/// What the environment says beside the file.
+/// Values from the environment, which complement the file.
 #[derive(Clone, Debug, Default)]
 pub struct Environment {
     /// `ROUTER_NAME`.
@@ -108,19 +109,19 @@
     pub ops: Option<String>,
 }
 
-/// What has the last word on the address of discovery.
+/// Which source takes precedence for the address of discovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Precedence {
-    /// At the start: the environment.
+    /// At the start, the environment.
     Environment,
-    /// At a reload: the file, since a process can't be given a new environment.
+    /// At a reload, the file, since the environment of a running process cannot be changed.
     File,
 }
 
-/// Reads the text of the file.
+/// Parses the configuration file.
 ///
 /// # Errors
-/// One plain line that names what is wrong.
+/// One line that names the invalid value.
 pub fn read(text: &[u8], env: Environment, precedence: Precedence) -> Result<Config, String> {
     let file: File = serde_json::from_slice(text).map_err(|e| e.to_string())?;
     let site = settings::parse(file.settings.to_string().as_bytes())?;
@@ -128,8 +129,8 @@
         return Err("unreadable settings: no classes".into());
     }
     let address = |name: &str, text: Option<String>| {
-        let text = text.ok_or_else(|| format!("no address for {name}"))?;
-        text.parse::<SocketAddr>().map_err(|_| format!("{name}: {text:?} is no address"))
+        let text = text.ok_or_else(|| format!("{name}: no address given"))?;
+        text.parse::<SocketAddr>().map_err(|_| format!("{name}: {text:?} is not an address"))
     };
     let optional = |name, text: Option<String>| text.map(|t| address(name, Some(t))).transpose();
     let seed = match &file.seed {
@@ -141,53 +142,56 @@
         Precedence::File => file.discovery.or(env.discovery),
     };
     if file.limits.sockets < 32 {
-        return Err(format!("limits.sockets: {} are too few to work with", file.limits.sockets));
+        return Err(format!("limits.sockets: {} is too few; at least 32 are needed", file.limits.sockets));
     }
-    let mut notes = unknown_keys(text);
-    notes.extend(clamped::settings(&file.settings));
-    notes.extend(clamped::memory(file.limits.memory_mb));
-    // Discovery has it anyhow: what can't be read of it must not keep the node from its start.
-    let known = file.known.and_then(|known| {
-        let list = serde_json::from_value(known);
-        list.map_err(|e| notes.push(format!("known: unreadable, and not used: {e}"))).ok()
+    let mut warnings = unknown_keys(text);
+    warnings.extend(setting_ranges::check_settings(&file.settings));
+    warnings.extend(setting_ranges::check_memory(file.limits.memory_mb));
+    // Discovery supplies the list as well: an unreadable one must not prevent the start.
+    let cached_list = file.known.and_then(|cached_list| {
+        let list = serde_json::from_value(cached_list);
+        list.map_err(|e| warnings.push(format!("known: ignoring an invalid server list: {e}"))).ok()
     });
     if let (Some(env), Some(file)) = (&env.ops, &file.ops)
         && env != file
     {
-        notes.push(format!("ops: the environment says {env}, the file {file}; the environment's holds"));
+        warnings.push(format!("ops: the environment gives {env}, the file {file}; using the environment's"));
     }
-    let ops = optional("ops", env.ops.or(file.ops))?;
-    if ops.is_none() {
-        notes.push("ops: no second address is given, so that staff can't drain this node".into());
+    let ops_listen = optional("ops", env.ops.or(file.ops))?;
+    if ops_listen.is_none() {
+        warnings.push("ops: no address of an operations endpoint, so this node cannot be drained".into());
     }
-    let (least_mb, most_mb) = clamped::MEMORY_MB;
     Ok(Config {
-        warnings: notes,
+        warnings,
         name: env.name.or(file.name).unwrap_or_else(|| "mothpier".into()),
         listen: address("listen", env.listen.or(file.listen))?,
         discovery: address("discovery", discovery)?,
         seed,
         max_descriptors: file.limits.sockets,
-        memory_bytes: (file.limits.memory_mb.clamp(least_mb, most_mb) * 1048576.0) as usize,
-        ops_listen: ops,
+        memory_bytes: (file
+            .limits
+            .memory_mb
+            .clamp(setting_ranges::MIN_MEMORY_MB, setting_ranges::MAX_MEMORY_MB)
+            * 1048576.0) as usize,
+        ops_listen,
         peer_listen: optional("peer_listen", file.peer_listen)?,
         peers: file.peers.into_iter().map(|p| address("peers", Some(p))).collect::<Result<_, _>>()?,
         peer_broadcast: optional("peers_all", file.peers_all)?,
-        cached_list: known,
+        cached_list,
         site,
-        operator: Operator::default(),
+        operator: OperatorConfig::default(),
         key_hasher: KeyHasher::default(),
     })
 }
 
-/// A line for the log that names the keys of the file that nothing here reads: one of them may be meant for something that the
-/// node knows by another name.
+/// A log line that names the keys of the file that are not used: they may be misspelt or meant for another
+/// version.
 fn unknown_keys(text: &[u8]) -> Vec<String> {
     let keys: BTreeMap<String, IgnoredAny> = serde_json::from_slice(text).unwrap_or_default();
-    let unknown: Vec<&str> = keys.keys().map(String::as_str).filter(|key| !KEYS.contains(key)).collect();
+    let unknown: Vec<&str> = keys.keys().map(String::as_str).filter(|key| !FILE_KEYS.contains(key)).collect();
     match unknown.as_slice() {
         [] => Vec::new(),
-        unknown => vec![format!("the configuration has keys that nothing reads: {}", unknown.join(", "))],
+        unknown => vec![format!("the configuration has unknown keys: {}", unknown.join(", "))],
     }
 }
 
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -1,4 +1,5 @@
-//! The list of servers: its form, the numbers behind its names, and the watch on its changes.
+//! The discovery client: the format of the server list, the ids derived from server names, and the watch for
+//! changes.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -17,45 +18,47 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::http::{self, Connection};
-use crate::input::{Heard, Input};
+use crate::input::{DiscoveryEvent, Input};
 use crate::start_times::StartTimes;
 
-/// How long a watch waits at the other side: short, so that a silent one is noticed soon. What it misses counts as told 6 s
-/// after it fell silent, and until then it must have been given up, opened anew and answered.
-const WAIT: Duration = Duration::from_millis(2000);
-/// The same of the first call of a watch at a service, which may have to wait for its turn beside that.
-const FIRST_WAIT: Duration = Duration::from_millis(500);
-/// An answer of an agent that is this late after the wait will not come; nor will one on a watch that a service has
-/// answered before, for only its first call waits for its turn.
-const WATCH_LATE: Duration = Duration::from_millis(1500);
-/// A service for all nodes takes calls in turn and fails those that have waited 2 s. Who gives up before loses what it has
-/// waited for and costs the service the call all the same: where many do, nobody gets an answer any more.
-const SERVICE_LATE: Duration = Duration::from_millis(2500);
-/// Between calls after a failure; a watch goes on if the next call comes within 200 ms.
-const PAUSE: Duration = Duration::from_millis(100);
-const MAX_LIST: usize = 4 << 20;
+/// Long-poll wait of a watch call. Short, so that a silent watch is noticed soon: changes that it misses
+/// count as delivered 6 s after it falls silent, and by then it must have been abandoned, reopened and
+/// answered.
+const WATCH_WAIT: Duration = Duration::from_millis(2000);
+/// Long-poll wait of the first watch call to a shared service, which may also have to queue for its turn.
+const FIRST_WATCH_WAIT: Duration = Duration::from_millis(500);
+/// Time after the wait by which an agent must have answered. It also holds for a shared service once the
+/// watch is established, since only the first call queues there.
+const WATCH_GRACE: Duration = Duration::from_millis(1500);
+/// The same for the first call to a shared service, which handles calls in turn and fails those that have
+/// queued for 2 s. A client that gives up earlier loses its place while the service still does the work: if
+/// many do so, none gets an answer.
+const SERVICE_GRACE: Duration = Duration::from_millis(2500);
+/// Pause between calls after a failure. A watch is not interrupted if the next call arrives within 200 ms.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// A list as it comes, whole or only what changed.
+/// A list from discovery, complete or with changes only.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ServerList {
-    /// The version of the list.
+    /// Version of the list.
     pub revision: u64,
-    /// Whether it is whole.
+    /// Whether the list is complete, rather than a set of changes.
     pub complete: bool,
-    /// Its lines.
-    pub members: Vec<Member>,
+    /// The servers.
+    pub members: Vec<ListedServer>,
 }
 
 impl ServerList {
-    /// Whether it has a server that may be asked, beside those of the origin's kind.
+    /// Whether the list has a ready server other than origins.
     pub(crate) fn has_ready_cache_server(&self, origin: Option<&String>) -> bool {
         self.members.iter().any(|member| member.phase == "ready" && Some(&member.flavor) != origin)
     }
 }
 
-/// One server in a list.
+/// A server as listed by discovery.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Member {
+pub struct ListedServer {
     pub(crate) id: String,
     #[serde(default)]
     host_port: String,
@@ -71,149 +74,158 @@
     pub(crate) up_since_ms: u64,
 }
 
-impl Member {
-    /// Whether it is there: what is neither ready nor draining has left.
-    pub(crate) fn is_listed(&self) -> bool {
+impl ListedServer {
+    /// Whether the server is in service; in any phase but ready and draining it has left.
+    pub(crate) fn is_in_service(&self) -> bool {
         matches!(self.phase.as_str(), "ready" | "draining")
     }
 }
 
-/// What the module asks for where discovery must be asked.
+/// What the decision module wants of discovery.
 #[derive(Clone, Copy, Default, PartialEq)]
 pub struct Subscription {
     pub watch: bool,
-    /// Counts the calls that are asked for beside or at the start of a watch.
+    /// Counts the calls requested in addition to a watch or to start one.
     pub requested_calls: u32,
 }
 
-/// The numbers by which the module knows servers. They are made from the ids alone, so that every node has
-/// the same and the order of servers is shared.
+/// Maps server names to the ids that the decision module uses. Ids depend on the names alone, so that all
+/// nodes rank servers in the same order.
 #[derive(Default)]
-pub struct Numbers(HashMap<String, ServerId>, HashSet<ServerId>);
+pub struct ServerIds(HashMap<String, ServerId>, HashSet<ServerId>);
 
-impl Numbers {
-    /// The number of a server.
-    pub(crate) fn of(&mut self, id: &str) -> ServerId {
-        if let Some(number) = self.0.get(id) {
-            return *number;
+impl ServerIds {
+    /// Returns the id of a server.
+    pub(crate) fn id_of(&mut self, name: &str) -> ServerId {
+        if let Some(id) = self.0.get(name) {
+            return *id;
         }
-        // Two ids of one hash must not merge: the later one takes the next hash that is free.
+        // On a hash collision the later name takes the next hash that is free.
         let mut seed = 0;
-        let number = loop {
-            let number = xxh3_64_with_seed(id.as_bytes(), seed) as ServerId;
-            if !self.1.contains(&number) {
-                break number;
+        let id = loop {
+            let id = xxh3_64_with_seed(name.as_bytes(), seed) as ServerId;
+            if !self.1.contains(&id) {
+                break id;
             }
             seed += 1;
         };
-        self.0.insert(id.into(), number);
-        self.1.insert(number);
-        number
+        self.0.insert(name.into(), id);
+        self.1.insert(id);
+        id
     }
 
-    /// How many are kept.
+    /// Number of ids kept.
     #[cfg(test)]
     pub fn len(&self) -> usize {
         self.0.len().max(self.1.len())
     }
 
-    /// Forgets the numbers of servers that have left. One that comes back gets the same again, for it is made from
-    /// the id.
-    pub fn forget(&mut self, left: impl Fn(ServerId) -> bool) {
-        self.0.retain(|_, number| !left(*number));
-        self.1.retain(|number| !left(*number));
+    /// Drops the ids of servers that have left. A server that returns gets the same id, since it is derived
+    /// from the name.
+    pub fn forget(&mut self, has_left: impl Fn(ServerId) -> bool) {
+        self.0.retain(|_, id| !has_left(*id));
+        self.1.retain(|id| !has_left(*id));
     }
 
-    /// Puts a list into the module's form, with the addresses beside it. Taken in the order of the ids, so
-    /// that nodes that hear the same list resolve a clash alike. Starts are told on this node's clock.
-    pub fn lines(
+    /// Converts a list for the decision module and adds the addresses. Servers are handled in the order of
+    /// their names, so that nodes with the same list resolve collisions alike. Start times are given on this
+    /// node's clock.
+    pub fn resolve_entries(
         &mut self,
         host: &impl Host,
         list: &mut ServerList,
-        site: &DeploymentSettings,
+        settings: &DeploymentSettings,
         start_times: &StartTimes,
     ) -> Vec<(ServerEntry, Option<SocketAddr>)> {
         list.members.sort_by(|a, b| a.id.cmp(&b.id));
-        let mut lines = Vec::with_capacity(list.members.len());
-        for m in &list.members {
-            let condition = match m.phase.as_str() {
+        let mut entries = Vec::with_capacity(list.members.len());
+        for server in &list.members {
+            let condition = match server.phase.as_str() {
                 "ready" => Condition::Ready,
                 "draining" => Condition::Draining,
                 _ => Condition::Gone,
             };
-            let address = m.host_port.parse().ok();
+            let address = server.host_port.parse().ok();
             if address.is_none() && condition == Condition::Ready {
-                host.log(format_args!("{}: {:?} is no address: passed over", m.id, m.host_port));
+                host.log(format_args!(
+                    "discovery: ignoring server {}: {:?} is not an address",
+                    server.id, server.host_port
+                ));
                 continue;
             }
-            let line = ServerEntry {
-                id: self.of(&m.id),
-                zone: place(&site.zone_names, &m.locality, u8::MAX.into()) as u8,
-                cell: m.cell,
-                machine_type: place(&site.machine_type_names, &m.flavor, u16::MAX.into()) as u16,
-                weight: m.size.filter(|s| s.is_finite()).unwrap_or(1.0),
-                started_at: start_times.started(&m.id, m.up_since_ms),
+            let entry = ServerEntry {
+                id: self.id_of(&server.id),
+                zone: name_index(&settings.zone_names, &server.locality, u8::MAX.into()) as u8,
+                cell: server.cell,
+                machine_type: name_index(&settings.machine_type_names, &server.flavor, u16::MAX.into())
+                    as u16,
+                weight: server.size.filter(|s| s.is_finite()).unwrap_or(1.0),
+                started_at: start_times.started(&server.id, server.up_since_ms),
                 condition,
             };
-            lines.push((line, address));
+            entries.push((entry, address));
         }
-        lines
+        entries
     }
 }
 
-/// The place of a name in the settings; a name that they lack gets a number past them, the same at every node.
-fn place(names: &[String], name: &str, most: u64) -> u64 {
+/// Index of a name in the settings. A name that is not configured gets an index beyond them, the same at
+/// every node.
+fn name_index(names: &[String], name: &str, max: u64) -> u64 {
     let hashed = || {
         names.len() as u64
-            + xxh3_64_with_seed(name.as_bytes(), 0) % most.saturating_sub(names.len() as u64).max(1)
+            + xxh3_64_with_seed(name.as_bytes(), 0) % max.saturating_sub(names.len() as u64).max(1)
     };
     names.iter().position(|n| n == name).map_or_else(hashed, |at| at as u64)
 }
 
-/// Who tells of the list.
+/// The kind of discovery that this node talks to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryKind {
-    /// An agent of this node's own, which is asked as often as one likes.
+    /// An agent of this node's own; calls to it are cheap.
     Agent,
-    /// One service of little capacity for all nodes.
+    /// One service of limited capacity, shared by all nodes.
     Service,
 }
 
 impl DiscoveryKind {
-    /// How long a call waits at the other side where nothing has changed, and how long after that it is given up.
-    fn patience(self, stage: Stage) -> (Duration, Duration) {
-        match (self, stage) {
-            (DiscoveryKind::Agent, _) | (DiscoveryKind::Service, Stage::Goes) => (WAIT, WATCH_LATE),
-            (DiscoveryKind::Service, Stage::Opens) => (FIRST_WAIT, SERVICE_LATE),
+    /// How long a call waits at the server if nothing has changed, and how much later it times out.
+    fn call_timeouts(self, state: WatchState) -> (Duration, Duration) {
+        match (self, state) {
+            (DiscoveryKind::Agent, _) | (DiscoveryKind::Service, WatchState::Established) => {
+                (WATCH_WAIT, WATCH_GRACE)
+            }
+            (DiscoveryKind::Service, WatchState::Opening) => (FIRST_WATCH_WAIT, SERVICE_GRACE),
         }
     }
 }
 
-/// How far a watch has come.
+/// Progress of a watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Stage {
-    /// Nothing has been answered on this connection yet.
-    Opens,
-    /// It goes on from an answer.
-    Goes,
+enum WatchState {
+    /// Nothing has been received on this connection.
+    Opening,
+    /// The watch continues from an earlier response.
+    Established,
 }
 
-/// The answer of a call, whatever it is.
-type Answer = Pin<Box<dyn Future<Output = Result<Bytes, String>>>>;
+/// The pending response to a call.
+type ResponseFuture = Pin<Box<dyn Future<Output = Result<Bytes, String>>>>;
 
-/// A call that nobody waits for any more. Its answer may have been written in that moment; what it tells counts as told then.
-struct LateAnswer {
-    answer: Answer,
+/// A call that has timed out. Its response may have been written at that moment, and then counts as
+/// delivered.
+struct LateResponse {
+    response: ResponseFuture,
     _connection: Connection,
 }
 
-impl LateAnswer {
-    /// Waits for the list; for ever where none comes.
-    async fn list(late: &mut Option<LateAnswer>) -> ServerList {
-        if let Some(LateAnswer { answer, .. }) = late {
-            let answer = answer.await;
+impl LateResponse {
+    /// Waits for the list; never returns if none arrives.
+    async fn wait_for_list(late: &mut Option<LateResponse>) -> ServerList {
+        if let Some(LateResponse { response, .. }) = late {
+            let response = response.await;
             *late = None;
-            if let Some(list) = answer.ok().and_then(|body| read(&body).ok()) {
+            if let Some(list) = response.ok().and_then(|body| parse_list(&body).ok()) {
                 return list;
             }
         }
@@ -221,211 +233,218 @@
     }
 }
 
-/// Why a call brought no list.
-enum Failure {
-    /// Nothing came: where the watch had gone on before, it has fallen silent.
-    Silent(LateAnswer),
-    /// It was answered otherwise, or broke.
+/// Why a call returned no list.
+enum CallFailure {
+    /// The call timed out. An established watch has fallen silent.
+    TimedOut(LateResponse),
+    /// The call was rejected or interrupted.
     Failed(String),
-    /// This machine could not make the connection, which tells nothing of discovery.
+    /// This machine could not open the connection, which says nothing about discovery.
     Local(std::io::Error),
 }
 
-impl std::fmt::Display for Failure {
+impl std::fmt::Display for CallFailure {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Failure::Silent(_) => f.write_str("no answer"),
-            Failure::Failed(why) => f.write_str(why),
-            Failure::Local(error) => write!(f, "this machine can't connect: {error}"),
+            CallFailure::TimedOut(_) => f.write_str("no response"),
+            CallFailure::Failed(why) => f.write_str(why),
+            CallFailure::Local(error) => write!(f, "this machine cannot connect: {error}"),
         }
     }
 }
 
-/// Watches the list for as long as the node wants it, at the address that holds at the time.
+/// Watches the list while the node wants it, at the current address of discovery.
 pub async fn run<H: Host>(
     host: H,
-    teller: DiscoveryKind,
+    kind: DiscoveryKind,
     mut addresses: watch::Receiver<SocketAddr>,
-    known: Option<u64>,
-    mut wanted: watch::Receiver<Subscription>,
+    known_revision: Option<u64>,
+    mut subscriptions: watch::Receiver<Subscription>,
     events: mpsc::Sender<Input>,
 ) {
-    let (mut connection, mut revision, mut calls, mut failing) = (None, known, 0, false);
-    let mut failing_locally = false;
-    // The module takes a list for the answer to its watch, also one that was asked for because discovery had moved: the
-    // watch goes on until a call fails, though a failure told before the list may still be taking back what is wanted.
-    let mut goes_on = false;
-    // What was held at the start may be old. An agent gives the whole list at no cost; where discovery is one
-    // service for all, only what changed since is asked for.
-    let mut first = teller == DiscoveryKind::Agent;
-    let mut moved = false;
-    let mut stage = Stage::Opens;
-    // The call that was given up last.
-    let mut late: Option<LateAnswer> = None;
+    let (mut connection, mut revision, mut served_calls, mut is_failing) = (None, known_revision, 0, false);
+    let mut is_failing_locally = false;
+    // The decision module takes any list for the response to its watch, including one requested because
+    // discovery has moved. The watch therefore continues until a call fails, even if a failure reported
+    // before that list has just withdrawn the subscription.
+    let mut continue_watch = false;
+    // The list known at the start may be stale. An agent supplies a complete list at no cost; a shared
+    // service is asked only for the changes since.
+    let mut needs_first_list = kind == DiscoveryKind::Agent;
+    let mut has_moved = false;
+    let mut watch_state = WatchState::Opening;
+    // The call that timed out last.
+    let mut late_response: Option<LateResponse> = None;
     loop {
-        let now = *wanted.borrow_and_update();
+        let subscription = *subscriptions.borrow_and_update();
         if addresses.has_changed().unwrap_or(false) {
-            moved = true;
+            has_moved = true;
         }
         let address = *addresses.borrow_and_update();
-        if moved {
-            // Another service: its revisions have nothing to do with the old ones, so the whole list is asked for,
-            // and what the old one has still to say is not waited for.
-            (connection, revision, failing, stage) = (None, None, false, Stage::Opens);
-            late = None;
+        if has_moved {
+            // A different service: its revisions are unrelated to the old ones, so the complete list is
+            // requested and late responses of the old service are ignored.
+            (connection, revision, is_failing, watch_state) = (None, None, false, WatchState::Opening);
+            late_response = None;
         }
-        let watch = now.watch || goes_on;
-        if !watch && now.requested_calls == calls && !moved {
+        let watch = subscription.watch || continue_watch;
+        if !watch && subscription.requested_calls == served_calls && !has_moved {
             tokio::select! {
                 biased;
-                changed = wanted.changed() => if changed.is_err() { return },
-                Ok(()) = addresses.changed() => moved = true,
-                list = LateAnswer::list(&mut late) => {
-                    // It is taken for the answer to a watch.
-                    goes_on = true;
+                changed = subscriptions.changed() => if changed.is_err() { return },
+                Ok(()) = addresses.changed() => has_moved = true,
+                list = LateResponse::wait_for_list(&mut late_response) => {
+                    // The decision module takes it for the response to a watch.
+                    continue_watch = true;
                     revision = Some(list.revision);
-                    if events.send(Input::Discovery(Heard::List(list))).await.is_err() {
+                    if events.send(Input::Discovery(DiscoveryEvent::List(list))).await.is_err() {
                         return;
                     }
                 }
             }
             continue;
         }
-        let whole = first || !watch;
-        let after = revision.filter(|_| !whole);
-        let is_kept = connection.is_some();
-        let answer = {
-            let mut call = pin!(call(&host, teller.patience(stage), &mut connection, address, after));
+        let is_complete = needs_first_list || !watch;
+        let after = revision.filter(|_| !is_complete);
+        let is_reused = connection.is_some();
+        let result = {
+            let mut call =
+                pin!(fetch_list(&host, kind.call_timeouts(watch_state), &mut connection, address, after));
             loop {
                 tokio::select! {
                     biased;
                     Ok(()) = addresses.changed() => {
-                        moved = true;
+                        has_moved = true;
                         break None;
                     }
-                    answer = &mut call => break Some(answer),
-                    list = LateAnswer::list(&mut late) => {
-                        // What the call under way brings is newer, or the same again.
+                    result = &mut call => break Some(result),
+                    list = LateResponse::wait_for_list(&mut late_response) => {
+                        // The response to the call in progress is newer, or the same.
                         revision = Some(list.revision);
-                        if events.send(Input::Discovery(Heard::List(list))).await.is_err() {
+                        if events.send(Input::Discovery(DiscoveryEvent::List(list))).await.is_err() {
                             return;
                         }
                     }
                 }
             }
         };
-        let Some(answer) = answer else { continue };
-        if let Err(Failure::Local(error)) = answer {
-            // Discovery has not been asked: the same call is made again, and nobody is told of a failure of discovery's.
-            if !failing_locally {
-                host.log(format_args!("discovery: {}; trying again until it can", Failure::Local(error)));
+        let Some(result) = result else { continue };
+        if let Err(CallFailure::Local(error)) = result {
+            // Discovery was not reached: the call is repeated, and no failure of discovery is reported.
+            if !is_failing_locally {
+                host.log(format_args!("discovery: {}; retrying", CallFailure::Local(error)));
             }
-            (connection, stage, failing_locally) = (None, Stage::Opens, true);
-            sleep(PAUSE).await;
+            (connection, watch_state, is_failing_locally) = (None, WatchState::Opening, true);
+            sleep(RETRY_DELAY).await;
             if events.is_closed() {
                 return;
             }
             continue;
         }
-        if let Ok(list) = &answer
-            && is_kept
+        if let Ok(list) = &result
+            && is_reused
             && after.is_some_and(|after| list.revision < after)
         {
-            // An answer to an earlier call that came twice: what a new connection brings is true.
-            host.log(format_args!("discovery: revision {} behind a newer one; asking again", list.revision));
-            (connection, stage) = (None, Stage::Opens);
+            // A duplicate response to an earlier call; a new connection has none.
+            host.log(format_args!(
+                "discovery: received revision {} after a newer one; reconnecting",
+                list.revision
+            ));
+            (connection, watch_state) = (None, WatchState::Opening);
             continue;
         }
-        let opened = watch || moved;
-        (moved, calls) = (false, now.requested_calls);
-        let heard = match answer {
+        let continues = watch || has_moved;
+        (has_moved, served_calls) = (false, subscription.requested_calls);
+        let event = match result {
             Ok(list) => {
-                (first, failing, stage, failing_locally) = (false, false, Stage::Goes, false);
-                late = None;
-                goes_on = opened;
+                (needs_first_list, is_failing, watch_state, is_failing_locally) =
+                    (false, false, WatchState::Established, false);
+                late_response = None;
+                continue_watch = continues;
                 revision = Some(list.revision);
-                Heard::List(list)
+                DiscoveryEvent::List(list)
             }
-            // It has to be opened anew at once: what it misses counts as told soon, and there is no pause in that time.
-            Err(Failure::Silent(answer)) if stage == Stage::Goes => {
-                host.log(format_args!("discovery: the watch has fallen silent; opening it anew"));
-                (late, stage) = (Some(answer), Stage::Opens);
+            // Reopened without a pause: changes that the watch misses count as delivered soon.
+            Err(CallFailure::TimedOut(result)) if watch_state == WatchState::Established => {
+                host.log(format_args!("discovery: the watch timed out; reopening it"));
+                (late_response, watch_state) = (Some(result), WatchState::Opening);
                 continue;
             }
             Err(e) => {
-                // A broken one must not hang the watch: begin again on a new connection.
-                (connection, stage, goes_on) = (None, Stage::Opens, false);
-                if !failing {
-                    host.log(format_args!("discovery: {e}; trying again until it answers"));
+                // Start again on a new connection, so that a broken one cannot block the watch.
+                (connection, watch_state, continue_watch) = (None, WatchState::Opening, false);
+                if !is_failing {
+                    host.log(format_args!("discovery: {e}; retrying"));
                 }
-                failing = true;
-                if let Failure::Silent(answer) = e {
-                    late = Some(answer);
+                is_failing = true;
+                if let CallFailure::TimedOut(result) = e {
+                    late_response = Some(result);
                 }
-                Heard::Failed
+                DiscoveryEvent::Failed
             }
         };
-        if events.send(Input::Discovery(heard)).await.is_err() {
+        if events.send(Input::Discovery(event)).await.is_err() {
             return;
         }
-        if failing {
-            sleep(PAUSE).await;
+        if is_failing {
+            sleep(RETRY_DELAY).await;
         }
     }
 }
 
-/// Reads why there is no connection.
-fn not_connected(error: std::io::Error) -> Failure {
+/// Classifies a failure to connect.
+fn classify_connect_error(error: std::io::Error) -> CallFailure {
     match ConnectFailure::from_error(&error) {
-        ConnectFailure::Local => Failure::Local(error),
-        ConnectFailure::Remote => Failure::Failed(format!("no connection: {error}")),
+        ConnectFailure::Local => CallFailure::Local(error),
+        ConnectFailure::Remote => CallFailure::Failed(format!("cannot connect: {error}")),
     }
 }
 
-async fn call<H: Host>(
+async fn fetch_list<H: Host>(
     host: &H,
-    (wait, late): (Duration, Duration),
-    open: &mut Option<Connection>,
+    (wait, grace): (Duration, Duration),
+    connection_slot: &mut Option<Connection>,
     address: SocketAddr,
     after: Option<u64>,
-) -> Result<ServerList, Failure> {
-    let failed = |why: String| Failure::Failed(why);
+) -> Result<ServerList, CallFailure> {
+    let failed = |why: String| CallFailure::Failed(why);
     let path = match after {
         Some(revision) => format!("/api/targets?after={revision}&wait_ms={}", wait.as_millis()),
         None => "/api/targets".into(),
     };
-    if open.as_ref().is_none_or(|c| !c.sender.is_ready()) {
-        *open = Some(http::connect(host, address, late).await.map_err(not_connected)?);
+    if connection_slot.as_ref().is_none_or(|c| !c.sender.is_ready()) {
+        *connection_slot = Some(http::connect(host, address, grace).await.map_err(classify_connect_error)?);
     }
-    let Some(mut connection) = open.take() else { return Err(failed("no connection".into())) };
+    let Some(mut connection) = connection_slot.take() else { return Err(failed("no connection".into())) };
     let request =
         hyper::Request::get(path).header("Host", address.to_string()).body(Full::<Bytes>::default());
     let request = request.map_err(|e| failed(e.to_string()))?;
-    // No call for a whole list waits at the other side: a longer one would take up the time in which a move must be done.
-    let within = if after.is_some() { wait + late } else { late };
+    // Calls for a complete list do not long-poll: a longer time-out would use up the time within which a move
+    // of discovery must be followed.
+    let time_limit = if after.is_some() { wait + grace } else { grace };
     let response = connection.sender.send_request(request);
-    let mut answer: Answer = Box::pin(async {
+    let mut response_body: ResponseFuture = Box::pin(async {
         let response = response.await.map_err(|e| e.to_string())?;
         if response.status() != 200 {
-            return Err(format!("answered {}", response.status()));
+            return Err(format!("unexpected status {}", response.status()));
         }
-        http::body(response.into_body(), MAX_LIST, None).await
+        http::read_body(response.into_body(), MAX_LIST_BYTES, None).await
     });
-    let Ok(body) = timeout(within, &mut answer).await else {
-        return Err(Failure::Silent(LateAnswer { answer, _connection: connection }));
+    let Ok(body) = timeout(time_limit, &mut response_body).await else {
+        return Err(CallFailure::TimedOut(LateResponse { response: response_body, _connection: connection }));
     };
     let body = body.map_err(failed)?;
-    let _ = tokio::time::timeout(PAUSE, connection.sender.ready()).await;
-    *open = Some(connection);
-    read(&body).map_err(failed)
+    let _ = tokio::time::timeout(RETRY_DELAY, connection.sender.ready()).await;
+    *connection_slot = Some(connection);
+    parse_list(&body).map_err(failed)
 }
 
-/// Reads the body of an answer.
+/// Parses the body of a response.
 ///
 /// # Errors
-/// It is no list; in words.
-fn read(body: &[u8]) -> Result<ServerList, String> {
-    serde_json::from_slice(body).map_err(|e| format!("unreadable list: {e}"))
+/// A message if the body is not a list.
+fn parse_list(body: &[u8]) -> Result<ServerList, String> {
+    serde_json::from_slice(body).map_err(|e| format!("invalid server list: {e}"))
 }
 
 #[cfg(test)]
--- a/crates/node/src/event_log.rs
+++ b/crates/node/src/event_log.rs
@@ -1,4 +1,5 @@
-//! Events in the log, one a line in `key=value` fields. Each kind has its own limit of lines, and what is beyond is counted.
+//! Log of events, one per line in `key=value` form. Lines are limited for each kind of event, and omitted
+//! ones are counted.
 
 use std::cell::Cell;
 use std::fmt;
@@ -7,23 +8,24 @@
 use mothpier_host::Host;
 use tokio::time::Instant;
 
-/// Lines of each kind in [`WINDOW`]: enough to see what happens, and cheap when it happens to thousands.
-const LINES: u32 = 10;
-/// See [`LINES`].
+/// Maximum number of lines of each kind in [`WINDOW`]: enough to see what happens, and cheap if thousands are
+/// affected.
+const MAX_LINES: u32 = 10;
+/// See [`MAX_LINES`].
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// Kinds of events, each with a limit of its own.
+/// Kinds of events, each with its own limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventKind {
-    /// The node has closed the connection of a client, or turned it away.
+    /// The node closed or rejected a client connection.
     ConnectionClosed,
-    /// A connection is still held when it had to be gone.
+    /// A connection is still open after the time by which it had to be closed.
     ConnectionHeld,
     /// A request was refused.
     RequestRefused,
     /// A request got a further attempt.
     FurtherAttempt,
-    /// A step of a drain or of the end of the process.
+    /// A step of a drain or of the shutdown of the process.
     Retirement,
 }
 
@@ -41,10 +43,10 @@
     }
 }
 
-/// The lines of one kind in the present window.
+/// The lines of one kind in the current window.
 #[derive(Clone, Copy, Default)]
 struct Window {
-    began: Option<Instant>,
+    started_at: Option<Instant>,
     lines: u32,
     omitted: u64,
 }
@@ -56,26 +58,26 @@
 }
 
 impl<H: Host> EventLog<H> {
-    /// A log that is written through this host.
+    /// Creates a log that writes through this host.
     pub fn new(host: H) -> Self {
         EventLog { host, windows: Default::default() }
     }
 
-    /// Writes an event with these fields, unless there were too many of its kind of late; the next one that is written tells how
-    /// many were left out.
+    /// Writes an event unless there were too many of its kind in the current window; the next one written
+    /// states how many were omitted.
     pub fn write(&self, kind: EventKind, fields: fmt::Arguments<'_>) {
-        let place = &self.windows[kind as usize];
-        let mut window = place.get();
+        let cell = &self.windows[kind as usize];
+        let mut window = cell.get();
         let now = Instant::now();
-        if window.began.is_none_or(|began| now - began >= WINDOW) {
-            (window.began, window.lines) = (Some(now), 0);
+        if window.started_at.is_none_or(|started_at| now - started_at >= WINDOW) {
+            (window.started_at, window.lines) = (Some(now), 0);
         }
         window.lines += 1;
         let omitted = window.omitted;
-        window.omitted = if window.lines > LINES { omitted + 1 } else { 0 };
-        place.set(window);
+        window.omitted = if window.lines > MAX_LINES { omitted + 1 } else { 0 };
+        cell.set(window);
         match omitted {
-            _ if window.lines > LINES => {}
+            _ if window.lines > MAX_LINES => {}
             0 => self.host.log(format_args!("event={} {fields}", kind.name())),
             _ => self.host.log(format_args!("event={} {fields} omitted_before={omitted}", kind.name())),
         }
--- a/crates/node/src/http.rs
+++ b/crates/node/src/http.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 connection, for the origin and for discovery. Nothing here sends a request a second time.
+//! An HTTP/1.1 connection, for the origin and for discovery. Requests are never repeated here.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,10 +14,10 @@
 
 use crate::memory_shortage::RetryingStream;
 
-/// Read ahead of one connection; a head without end goes no further.
-const MAX_HEAD: usize = 64 * 1024;
+/// Size of the read buffer, which limits the head of a response.
+const READ_BUFFER_BYTES: usize = 64 * 1024;
 
-/// An open connection; dropping it closes the socket, also under a request that is out.
+/// An open connection. Dropping it closes the socket, even with a request in flight.
 pub struct Connection {
     pub sender: SendRequest<Full<Bytes>>,
     driver: AbortHandle,
@@ -29,36 +29,42 @@
     }
 }
 
-/// Opens a connection within a time.
+/// Opens a connection within `connect_timeout`.
 pub async fn connect<H: Host>(
     host: &H,
     address: SocketAddr,
-    within: Duration,
+    connect_timeout: Duration,
 ) -> std::io::Result<Connection> {
-    let stream = tokio::time::timeout(within, host.connect(address)).await??;
+    let stream = tokio::time::timeout(connect_timeout, host.connect(address)).await??;
     let stream = TokioIo::new(RetryingStream::new(stream));
-    let handshake = http1::Builder::new().max_buf_size(MAX_HEAD).handshake(stream).await;
+    let handshake = http1::Builder::new().max_buf_size(READ_BUFFER_BYTES).handshake(stream).await;
     let (sender, connection) = handshake.map_err(std::io::Error::other)?;
-    // Driving the connection also while it is idle is what notices that the peer has closed it.
+    // Driven also while idle, so that a close by the server is noticed.
     let driver = tokio::task::spawn_local(async move { drop(connection.await) }).abort_handle();
     Ok(Connection { sender, driver })
 }
 
-/// Reads a body of at most `most` bytes, which must go on within a time where one is given.
-pub async fn body(mut body: Incoming, most: usize, within: Option<Duration>) -> Result<Bytes, String> {
-    let mut whole = BytesMut::new();
+/// Reads a body of at most `max_bytes`. If `stall_timeout` is given, each part must arrive within it.
+pub async fn read_body(
+    mut body: Incoming,
+    max_bytes: usize,
+    stall_timeout: Option<Duration>,
+) -> Result<Bytes, String> {
+    let mut collected = BytesMut::new();
     loop {
-        let frame = match within {
-            Some(within) => timeout(within, body.frame()).await.map_err(|_| "a body that stands still")?,
+        let frame = match stall_timeout {
+            Some(stall_timeout) => {
+                timeout(stall_timeout, body.frame()).await.map_err(|_| "response body stalled")?
+            }
             None => body.frame().await,
         };
         let Some(frame) = frame else { break };
         let frame = frame.map_err(|e| e.to_string())?;
         let Some(data) = frame.data_ref() else { continue };
-        if whole.len() + data.len() > most {
-            return Err(format!("a body of over {most} bytes"));
+        if collected.len() + data.len() > max_bytes {
+            return Err(format!("response body exceeds {max_bytes} bytes"));
         }
-        whole.extend_from_slice(data);
+        collected.extend_from_slice(data);
     }
-    Ok(whole.freeze())
+    Ok(collected.freeze())
 }
--- a/crates/node/src/input.rs
+++ b/crates/node/src/input.rs
@@ -1,4 +1,5 @@
-//! What comes to the node from its other parts. They know this module, not the node nor each other.
+//! Messages to the node from its other parts. They depend on this module, but not on the node or on each
+//! other.
 
 use std::time::Duration;
 
@@ -12,7 +13,7 @@
 use crate::discovery::ServerList;
 use crate::{origin, servers};
 
-/// What comes to the node from its other parts.
+/// A message to the node from one of its other parts.
 pub enum Input {
     Client(ClientEvent),
     Server {
@@ -22,57 +23,58 @@
     },
     Origin {
         attempt: AttemptId,
-        ended: origin::Ended,
+        result: origin::CallResult,
     },
-    Discovery(Heard),
+    Discovery(DiscoveryEvent),
     Peer {
         from: u32,
         bytes: Vec<u8>,
     },
-    /// A member of the accord has told something.
-    Member {
+    /// A message from a member of the agreement.
+    AgreementMessage {
         from: MemberId,
         message: Message,
     },
-    /// This process has the accord's address from now on.
-    Joins,
-    /// Staff have ordered something of a zone.
+    /// This process now owns the agreement's address and takes part in it.
+    JoinAgreement,
+    /// The operator has given an order about a zone.
     ZoneOrder(ZoneOrder),
-    /// The caps are divided into so many equal parts, of which one is this process': as many as processes are this node, and more
-    /// while some belong to processes that have died.
+    /// The number of equal shares that the limits are divided into, one of which belongs to this process: one
+    /// for each process of this node, plus those still held for processes that have died.
     ProcessCount(u32),
-    /// So many connections to servers may be open.
+    /// The number of descriptors available for connections to servers.
     ServerDescriptorLimit(usize),
-    /// The list as another process of this node has been told.
+    /// The server list as the predecessor process has received it.
     ListFromPredecessor(ServerList),
-    /// What another process of this node has left behind.
+    /// State that the predecessor process left behind.
     Inherited(InheritedState),
-    /// A process that shared the caps has ended; what it had out at the origin is over after this time at the latest. Its part
-    /// belongs to it until then.
+    /// A process that shared the limits has ended. Its share stays reserved until its origin calls are over,
+    /// after this time at the latest.
     ProcessEnded {
         origin_calls_end_within: Duration,
     },
-    /// What would be left behind, and with `whole` all that is known.
+    /// Requests the state for a successor process: what would be left behind, and with `full` everything that
+    /// is known.
     TakeSnapshot {
         full: bool,
         reply: oneshot::Sender<PredecessorState>,
     },
-    /// Another process of this node hears its peers from now on.
+    /// The successor receives the messages of peers from now on.
     ReleasePeerAddresses,
-    /// Another process of this node does its work from now on and needs the descriptors: connections to servers are closed as
-    /// soon as they carry nothing.
+    /// The successor takes over and needs the descriptors: connections to servers are closed as soon as they
+    /// are idle.
     CloseIdleConnections,
-    /// Recording goes on or off.
+    /// Switches recording on or off.
     SetRecording(bool),
-    /// The node ends in order: all that was taken is answered.
+    /// Ends the node after all accepted requests have been answered.
     Shutdown,
 }
 
-/// What clients tell the node.
+/// What a client connection reports to the node.
 pub enum ClientEvent {
     Request {
         request: Request,
-        /// The connection that it came on.
+        /// The connection that the request arrived on.
         connection: u64,
         command: Box<Command>,
         reply: oneshot::Sender<Reply>,
@@ -80,9 +82,9 @@
     Disconnected(RequestId),
 }
 
-/// What the node is told of the list.
-pub enum Heard {
+/// What the discovery client reports to the node.
+pub enum DiscoveryEvent {
     List(ServerList),
-    /// A call failed, or the watch broke.
+    /// A call failed, or the watch was interrupted.
     Failed,
 }
--- a/crates/node/src/keys.rs
+++ b/crates/node/src/keys.rs
@@ -1,20 +1,22 @@
-//! The numbers by which the decision module knows keys.
+//! Hashing of keys for the decision module.
 
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How keys become numbers. All nodes of a tier must do it alike, else each has an order of servers of its own.
+/// How keys are hashed. All nodes of a tier must use the same method, or they rank servers in different
+/// orders.
 #[derive(Clone, Copy, Default, PartialEq)]
 pub enum KeyHasher {
-    /// By a hash that everybody can compute.
+    /// An unkeyed hash that anyone can compute.
     #[default]
     Plain,
-    /// By SipHash-1-3 under a secret: whoever sees the numbers, in a record say, can't try out which keys they are.
+    /// SipHash-1-3 with a secret: someone who sees the hashes, for example in a record, cannot test which
+    /// keys they belong to.
     Secret([u8; 16]),
 }
 
-// The secret must not reach a log by way of a debug print.
+// The secret must not reach a log through a debug print.
 impl std::fmt::Debug for KeyHasher {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
@@ -25,10 +27,10 @@
 }
 
 impl KeyHasher {
-    /// Reads a secret: 32 hexadecimal digits, with white space round them.
+    /// Parses a secret: 32 hexadecimal digits, optionally surrounded by white space.
     ///
     /// # Errors
-    /// One plain line.
+    /// One line that names what is wrong.
     pub fn from_hex_secret(text: &str) -> Result<KeyHasher, String> {
         let digits = text.trim();
         if digits.len() != 32 || !digits.bytes().all(|b| b.is_ascii_hexdigit()) {
@@ -44,7 +46,7 @@
         Ok(KeyHasher::Secret(secret))
     }
 
-    /// The number of a key; never 0, which would mean none.
+    /// The hash of a key; never 0, which stands for no key.
     pub fn hash(&self, key: &[u8]) -> u64 {
         let number = match self {
             KeyHasher::Plain => xxh3_64(key),
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,16 +1,17 @@
-//! The node as a library: what stands between clients, cache servers, an origin, discovery and other nodes, round
-//! the decision module of `brassrouter`. It decides nothing itself.
+//! The node as a library: everything between clients, cache servers, an origin, discovery and other nodes
+//! around the decision module of `brassrouter`. It makes no routing decisions itself.
 //!
-//! [`run`] is a whole node on any [`Host`](mothpier_host::Host): the daemon gives it the machine that it runs on, the
-//! simulated world a simulated one. Dependencies run one way: `service` puts the parts together; `node` owns the
-//! module and drives `servers`, `origin` and `peers`; these and `clients` and `discovery` tell it what happened
-//! through `input`. `start_times` puts discovery's dates on the node's own clock. `weather` feeds the detector of storms, which the operator's file switches on, and `near` the machine that keeps traffic near
-//! (`mothpier-places`), which it switches on as well, as it does `accord`, by which nodes agree on zones; `node` hands what the
-//! module is told to a recorder (`mothpier-record`), where there is one.
+//! [`run`] runs a complete node on any [`Host`](mothpier_host::Host): the daemon supplies the real machine,
+//! tests the simulated environment. Dependencies are one-way. `service` assembles the components. `node` owns
+//! the decision module and drives `servers`, `origin` and `peers`; these, `clients` and `discovery` report to
+//! it through `input`. `start_times` translates the start times from discovery to the node's own clock. The
+//! operator's file can enable `storm_monitor`, which feeds the detector of request storms, `locality`, which
+//! connects the node to `mothpier-places` and keeps traffic in nearby zones, and `agreement`, by which nodes
+//! agree on the zones in service. `node` passes the events of the decision module to a recorder
+//! (`mothpier-record`), if there is one.
 
 mod accept_failures;
 mod agreement;
-mod clamped;
 mod clients;
 mod command;
 pub mod config;
@@ -36,9 +37,10 @@
 mod peers;
 mod servers;
 mod service;
+mod setting_ranges;
 mod start_times;
 mod storm_monitor;
 mod stream;
 
-pub use discovery::{Member, ServerList};
+pub use discovery::{ListedServer, ServerList};
 pub use service::{Control, StartOptions, run};
--- a/crates/node/src/locality.rs
+++ b/crates/node/src/locality.rs
@@ -1,5 +1,5 @@
-//! What the node tells the machine that keeps traffic near (`mothpier-places`): how each attempt at a cache server went, by
-//! zone. It is there only where the operator's file switches it on.
+//! Connects the node to the locality steering of `mothpier-places`: reports the outcome of each attempt at a
+//! cache server by zone, and returns where keys are routed. Exists only if the operator's file enables it.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -12,107 +12,107 @@
 
 use crate::command::AttemptId;
 
-/// An attempt that is out.
-struct Out {
+/// An attempt in flight.
+struct InFlightAttempt {
     zone: usize,
-    sent: Instant,
-    /// It was counted as silent already.
-    counted: bool,
+    sent_at: Instant,
+    /// Whether the attempt has been counted as unanswered.
+    counted_unanswered: bool,
 }
 
-/// The machine, and how to feed it.
+/// The steering and the state needed to feed it.
 pub struct LocalityController {
-    machine: LocalitySteering,
-    silent: Duration,
+    steering: LocalitySteering,
+    unanswered_after: Duration,
     start: Instant,
     zones: HashMap<ServerId, usize>,
-    out: HashMap<AttemptId, Out>,
+    in_flight: HashMap<AttemptId, InFlightAttempt>,
     tallies: Vec<Tally>,
-    told: RingState,
-    /// What a plan says of each zone: the part of its keys that goes there.
-    open: Vec<f64>,
-    seen: RecentAttempts,
-    names: Vec<String>,
-    /// Zones in which the list had no cache server when people were last told.
-    empty: Vec<usize>,
+    logged_state: RingState,
+    /// By zone, the share of its keys that the plan sends there.
+    planned_shares: Vec<f64>,
+    evidence: RecentAttempts,
+    zone_names: Vec<String>,
+    /// Zones without a cache server in the list, as logged last.
+    empty_zones: Vec<usize>,
 }
 
 impl LocalityController {
-    /// One that has seen nothing; `None` where it is switched off.
+    /// Creates a controller without observations; `None` if it is disabled.
     ///
     /// # Errors
-    /// Places that do not fit the settings.
+    /// The configured places do not match the settings.
     pub fn new(
         places: &Places,
-        site: &DeploymentSettings,
+        settings: &DeploymentSettings,
         seed: u64,
     ) -> Result<Option<LocalityController>, InvalidSetting> {
         if !places.on {
             return Ok(None);
         }
-        let rings = places.rings(&site.zone_names, site.zone)?;
+        let rings = places.rings(&settings.zone_names, settings.zone)?;
         Ok(Some(LocalityController {
             tallies: vec![Tally::default(); rings.len()],
-            machine: LocalitySteering::new(places.tuning.clone(), rings, seed),
-            silent: Duration::from_millis(places.tuning.unanswered_after_ms),
+            steering: LocalitySteering::new(places.tuning.clone(), rings, seed),
+            unanswered_after: Duration::from_millis(places.tuning.unanswered_after_ms),
             start: Instant::now(),
             zones: HashMap::new(),
-            out: HashMap::new(),
-            told: RingState::Healthy,
-            open: Vec::new(),
-            seen: RecentAttempts::new(site.zone_names.len()),
-            names: site.zone_names.clone(),
-            empty: Vec::new(),
+            in_flight: HashMap::new(),
+            logged_state: RingState::Healthy,
+            planned_shares: Vec::new(),
+            evidence: RecentAttempts::new(settings.zone_names.len()),
+            zone_names: settings.zone_names.clone(),
+            empty_zones: Vec::new(),
         }))
     }
 
-    /// Where keys' orders are taken now.
-    pub fn pool(&self) -> ZoneRouting {
-        ZoneRouting { zone_key_shares: self.open.clone(), ..self.machine.routing() }
+    /// Returns the current routing of keys to zones.
+    pub fn routing(&self) -> ZoneRouting {
+        ZoneRouting { zone_key_shares: self.planned_shares.clone(), ..self.steering.routing() }
     }
 
-    /// A plan says which part of its keys goes to each zone; without one, all of them.
-    pub fn act_on(&mut self, open: Vec<f64>) -> ZoneRouting {
-        self.open = open;
-        self.pool()
+    /// Applies the share of its keys that a plan sends to each zone; empty for all keys to all zones.
+    pub fn apply_plan(&mut self, shares: Vec<f64>) -> ZoneRouting {
+        self.planned_shares = shares;
+        self.routing()
     }
 
-    /// What was seen of late, by zone.
-    pub fn seen(&self) -> &RecentAttempts {
-        &self.seen
+    /// Recent observations by zone.
+    pub fn evidence(&self) -> &RecentAttempts {
+        &self.evidence
     }
 
-    /// How the near zones look, in a word, and the part of the keys that goes farther out.
+    /// The state of the nearby zones as a word, and the share of keys that spills over to other zones.
     pub fn state(&self) -> (&'static str, f64) {
-        let (state, spilt) = self.machine.state();
+        let (state, spillover) = self.steering.state();
         let word = match state {
             RingState::Healthy => "well",
             RingState::Overloaded => "strained",
             RingState::Lost => "lost",
             RingState::Returning => "returning",
         };
-        (word, spilt)
+        (word, spillover)
     }
 
-    /// What the list says of a cache server.
-    pub fn listed(&mut self, line: &ServerEntry) {
-        self.zones.insert(line.id, line.zone.into());
+    /// Records the zone of a listed cache server.
+    pub fn record_server(&mut self, server: &ServerEntry) {
+        self.zones.insert(server.id, server.zone.into());
     }
 
-    /// Forgets servers that have left the list.
-    pub fn forget(&mut self, left: impl Fn(ServerId) -> bool) {
-        self.zones.retain(|id, _| !left(*id));
+    /// Removes servers that have left the list.
+    pub fn forget(&mut self, has_left: impl Fn(ServerId) -> bool) {
+        self.zones.retain(|id, _| !has_left(*id));
     }
 
-    /// A list was taken in whole: a line for people where zones have lost their last cache server, or have one again. What is
-    /// near to nothing has its keys elsewhere, which nobody may have meant.
-    pub fn taken_in(&mut self) -> Option<String> {
-        let has = |zone: &usize| self.zones.values().any(|z| z == zone);
-        let empty: Vec<usize> = (0..self.names.len()).filter(|zone| !has(zone)).collect();
-        if std::mem::replace(&mut self.empty, empty.clone()) == empty {
+    /// Called after each list. Returns a log line if zones have lost their last cache server or have one
+    /// again: the keys of a zone without servers go elsewhere, which may be unintended.
+    pub fn list_applied(&mut self) -> Option<String> {
+        let has_server = |zone: &usize| self.zones.values().any(|z| z == zone);
+        let empty: Vec<usize> = (0..self.zone_names.len()).filter(|zone| !has_server(zone)).collect();
+        if std::mem::replace(&mut self.empty_zones, empty.clone()) == empty {
             return None;
         }
-        let names: Vec<&str> = empty.iter().map(|zone| self.names[*zone].as_str()).collect();
+        let names: Vec<&str> = empty.iter().map(|zone| self.zone_names[*zone].as_str()).collect();
         Some(match names.as_slice() {
             [] => "places: the list has a cache server in every zone again".into(),
             names => format!("places: the list has no cache server in {}", names.join(", ")),
@@ -120,66 +120,78 @@
     }
 
     /// An attempt was sent to a cache server.
-    pub fn sent(&mut self, attempt: AttemptId, server: ServerId) {
-        // One in a zone that the settings lack counts nowhere.
+    pub fn attempt_sent(&mut self, attempt: AttemptId, server: ServerId) {
+        // Attempts in zones that are not configured are not counted.
         if let Some(zone) = self.zones.get(&server).copied().filter(|zone| *zone < self.tallies.len()) {
-            self.out.insert(attempt, Out { zone, sent: Instant::now(), counted: false });
+            self.in_flight.insert(
+                attempt,
+                InFlightAttempt { zone, sent_at: Instant::now(), counted_unanswered: false },
+            );
         }
     }
 
     /// An attempt has ended.
-    pub fn ended(&mut self, attempt: AttemptId, status: Status) {
-        let Some(out) = self.out.remove(&attempt) else { return };
-        let tally = &mut self.tallies[out.zone];
+    pub fn attempt_ended(&mut self, attempt: AttemptId, status: Status) {
+        let Some(attempt_state) = self.in_flight.remove(&attempt) else { return };
+        let tally = &mut self.tallies[attempt_state.zone];
         match status {
-            Status::Served | Status::Miss if out.counted => tally.answered_late += 1,
+            Status::Served | Status::Miss if attempt_state.counted_unanswered => tally.answered_late += 1,
             Status::Served | Status::Miss => tally.answered += 1,
-            Status::Full | Status::Error if !out.counted => {
+            Status::Full | Status::Error if !attempt_state.counted_unanswered => {
                 tally.answered += 1;
                 tally.refused += 1;
             }
-            Status::Reset | Status::ConnectFailed | Status::TimedOut if !out.counted => tally.unanswered += 1,
-            // Called off, or never sent, before anything could be told by it; or counted before.
+            Status::Reset | Status::ConnectFailed | Status::TimedOut if !attempt_state.counted_unanswered => {
+                tally.unanswered += 1
+            }
+            // Cancelled or never sent, which says nothing about the zone, or counted before.
             _ => {}
         }
     }
 
-    /// How long until the next step.
+    /// Time until the next step.
     pub fn wait(&self) -> Duration {
-        self.machine.next_due().saturating_sub(self.start.elapsed())
+        self.steering.next_due().saturating_sub(self.start.elapsed())
     }
 
-    /// One step: a pool, where it has changed, and a line for people, where the near zones look otherwise than before.
+    /// Runs one step. Returns the routing if it has changed, and a log line if the state of the nearby zones
+    /// has changed.
     pub fn step(&mut self) -> (Option<ZoneRouting>, Option<String>) {
-        for out in self.out.values_mut().filter(|out| !out.counted && out.sent.elapsed() >= self.silent) {
-            out.counted = true;
-            self.tallies[out.zone].unanswered += 1;
+        for attempt in self.in_flight.values_mut().filter(|attempt| {
+            !attempt.counted_unanswered && attempt.sent_at.elapsed() >= self.unanswered_after
+        }) {
+            attempt.counted_unanswered = true;
+            self.tallies[attempt.zone].unanswered += 1;
         }
-        let step = |t: &Tally| AttemptCounts {
+        let counts_of = |t: &Tally| AttemptCounts {
             answered: t.answered,
             unanswered: t.unanswered,
             answered_late: t.answered_late,
         };
-        self.seen.record(&self.tallies.iter().map(step).collect::<Vec<_>>(), &self.open);
-        // What a plan has dealt with is no reason to leave what is near beside it.
-        for (tally, _) in self.tallies.iter_mut().zip(&self.open).filter(|(_, open)| **open < 1.0) {
+        self.evidence.record(&self.tallies.iter().map(counts_of).collect::<Vec<_>>(), &self.planned_shares);
+        // Zones handled by a plan are no reason for a spillover.
+        for (tally, _) in self.tallies.iter_mut().zip(&self.planned_shares).filter(|(_, share)| **share < 1.0)
+        {
             *tally = Tally::default();
         }
-        let changed = self.machine.step(self.start.elapsed(), &self.tallies).is_some();
-        let pool = changed.then(|| self.pool());
+        let changed = self.steering.step(self.start.elapsed(), &self.tallies).is_some();
+        let routing = changed.then(|| self.routing());
         self.tallies.fill(Tally::default());
-        let (state, spilt) = self.machine.state();
-        let changed = std::mem::replace(&mut self.told, state) != state;
+        let (state, spillover) = self.steering.state();
+        let changed = std::mem::replace(&mut self.logged_state, state) != state;
         let line = changed.then(|| {
-            let now = match state {
-                RingState::Healthy => "bear all of their traffic",
-                RingState::Overloaded => "are strained",
-                RingState::Lost => "do not answer",
-                RingState::Returning => "are taken back in steps",
+            let description = match state {
+                RingState::Healthy => "carry all of their traffic",
+                RingState::Overloaded => "are overloaded",
+                RingState::Lost => "do not respond",
+                RingState::Returning => "are being restored in steps",
             };
-            format!("places: the near zones {now}; {:.0}% of the keys go farther", spilt * 100.0)
+            format!(
+                "places: nearby zones {description}; {:.0}% of keys spill over to other zones",
+                spillover * 100.0
+            )
         });
-        (pool, line)
+        (routing, line)
     }
 }
 
@@ -188,70 +200,74 @@
     use super::*;
 
     #[test]
-    fn switched_off_there_is_nothing_of_it_and_on_it_tells_attempts_by_their_zones() {
+    fn disabled_creates_nothing_and_enabled_counts_attempts_by_zone() {
         let text = br#"{"classes":[{"name":"read"}],"zones":["a","b"],"zone":1}"#;
-        let site = brassrouter::settings::parse(text).unwrap();
+        let settings = brassrouter::settings::parse(text).unwrap();
         let mut places = Places::default();
-        assert!(LocalityController::new(&places, &site, 1).unwrap().is_none());
+        assert!(LocalityController::new(&places, &settings, 1).unwrap().is_none());
         places.on = true;
-        let mut near = LocalityController::new(&places, &site, 1).unwrap().unwrap();
+        let mut locality = LocalityController::new(&places, &settings, 1).unwrap().unwrap();
         assert_eq!(
-            near.pool(),
+            locality.routing(),
             ZoneRouting {
                 zone_rings: vec![2, 0],
                 cumulative_key_shares: [1.0, 1.0],
                 zone_key_shares: vec![]
             }
         );
-        // Past the zones of the settings, as those are that the list alone names.
+        // Zone 200 is beyond the configured ones, as zones known from the list alone are.
         for (id, zone) in [(1, 0), (2, 1), (3, 200)] {
-            near.listed(&ServerEntry { id, zone, ..ServerEntry::default() });
+            locality.record_server(&ServerEntry { id, zone, ..ServerEntry::default() });
         }
         let ends = [Status::Served, Status::Full, Status::ConnectFailed, Status::Cancelled, Status::NotSent];
         for (attempt, status) in ends.into_iter().enumerate() {
             for server in [1, 2, 3, 9] {
                 let id = attempt as AttemptId * 10 + AttemptId::from(server);
-                near.sent(id, server);
-                near.ended(id, status);
-                near.ended(id, status);
+                locality.attempt_sent(id, server);
+                locality.attempt_ended(id, status);
+                locality.attempt_ended(id, status);
             }
         }
         let each = Tally { answered: 2, refused: 1, unanswered: 1, answered_late: 0 };
-        assert_eq!(near.tallies, [each, each]);
-        assert_eq!(near.taken_in(), None);
-        near.forget(|id| id == 2);
-        assert_eq!(near.taken_in().as_deref(), Some("places: the list has no cache server in b"));
-        assert_eq!(near.taken_in(), None, "told once");
-        near.sent(500, 2);
-        assert!(near.out.is_empty(), "what is out and what the list has lost leave nothing behind");
+        assert_eq!(locality.tallies, [each, each]);
+        assert_eq!(locality.list_applied(), None);
+        locality.forget(|id| id == 2);
+        assert_eq!(locality.list_applied().as_deref(), Some("places: the list has no cache server in b"));
+        assert_eq!(locality.list_applied(), None, "logged once");
+        locality.attempt_sent(500, 2);
+        assert!(
+            locality.in_flight.is_empty(),
+            "ended attempts and unlisted servers must leave nothing behind"
+        );
     }
 
     #[tokio::test(start_paused = true)]
-    async fn answers_that_always_come_late_do_not_look_like_none() {
+    async fn late_responses_are_not_counted_as_missing() {
         let text = br#"{"classes":[{"name":"read"}],"zones":["a","b"],"zone":0}"#;
-        let site = brassrouter::settings::parse(text).unwrap();
+        let settings = brassrouter::settings::parse(text).unwrap();
         let places = Places { on: true, ..Places::default() };
-        let silent_part = |late: bool| {
-            let (site, places) = (site.clone(), places.clone());
+        let unanswered_share = |late: bool| {
+            let (settings, places) = (settings.clone(), places.clone());
             async move {
-                let mut near = LocalityController::new(&places, &site, 1).unwrap().unwrap();
-                near.listed(&ServerEntry { id: 1, zone: 1, ..ServerEntry::default() });
+                let mut locality = LocalityController::new(&places, &settings, 1).unwrap().unwrap();
+                locality.record_server(&ServerEntry { id: 1, zone: 1, ..ServerEntry::default() });
                 for step in 0..40 {
-                    // Each attempt is answered after 300 ms, where it is answered: in the step after the one in which it fell silent.
-                    (0..4).for_each(|i| near.sent(step * 4 + i, 1));
+                    // Responses, if any, arrive after 300 ms: in the step after the one in which the attempt
+                    // counted as unanswered.
+                    (0..4).for_each(|i| locality.attempt_sent(step * 4 + i, 1));
                     if late && step >= 3 {
-                        (0..4).for_each(|i| near.ended((step - 3) * 4 + i, Status::Served));
+                        (0..4).for_each(|i| locality.attempt_ended((step - 3) * 4 + i, Status::Served));
                     }
                     if step % 2 == 1 {
-                        near.step();
+                        locality.step();
                     }
                     tokio::time::advance(Duration::from_millis(100)).await;
                 }
-                let (all, silent) = near.seen().zones()[1];
-                silent / all
+                let (all, unanswered) = locality.evidence().zones()[1];
+                unanswered / all
             }
         };
-        assert!(silent_part(true).await < 0.25, "{}", silent_part(true).await);
-        assert!(silent_part(false).await > 0.9, "{}", silent_part(false).await);
+        assert!(unanswered_share(true).await < 0.25, "{}", unanswered_share(true).await);
+        assert!(unanswered_share(false).await > 0.9, "{}", unanswered_share(false).await);
     }
 }
