--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,4 +1,5 @@
-//! The node: the one owner of the decision module. Events go in, actions become I/O; nothing is decided here.
+//! Owner of the decision module: feeds it events from the other parts of the node and carries out its
+//! actions. No routing decision is made here.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, HashSet, VecDeque};
@@ -19,703 +20,728 @@
 use tokio::sync::{Notify, mpsc, oneshot, watch};
 use tokio::time::{Instant, sleep_until};
 
-use crate::agreement::{Agreement, Wanted as Agreed};
+use crate::agreement::{Agreement, AgreementChanges};
 use crate::command::{AttemptId, Command, Reply};
 use crate::counters::Counters;
-use crate::discovery::{Member, Numbers, ServerList, Subscription};
+use crate::discovery::{ListedServer, ServerIds, ServerList, Subscription};
 use crate::event_log::{EventKind, EventLog};
-use crate::input::{ClientEvent, Heard, Input};
+use crate::input::{ClientEvent, DiscoveryEvent, Input};
 use crate::locality::LocalityController;
 use crate::origin::Origins;
 use crate::peers::Peers;
 use crate::servers::{AttemptOutcome, InterruptedCommand, RESPONSE_STALL_TIMEOUT, SendError, Servers};
 use crate::start_times::StartTimes;
-use crate::storm_monitor::{LOOK, StormMonitor};
+use crate::storm_monitor::{CHECK_INTERVAL, StormMonitor};
 use crate::{origin, servers};
 
-/// A probe without answer after this time has failed.
-const PROBE_WAIT: Duration = Duration::from_millis(250);
-/// A probe that this machine could not make is made again after this time: a shortage of descriptors or ports is soon over.
-const PROBE_PAUSE: Duration = Duration::from_millis(100);
-/// Between two looks at the gauges that staff read: what they tell may be half a second old.
-const GAUGES: Duration = Duration::from_millis(200);
-/// Between two lines of the log that tell what was done meanwhile.
-const REPORT: Duration = Duration::from_secs(5);
+/// A probe without a reply within this time has failed.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
+/// Delay before a probe is repeated that failed on this machine: shortages of descriptors or ports are short.
+const PROBE_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Interval at which exported gauges are refreshed; they may be up to half a second old.
+const GAUGE_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval of the activity summary in the log.
+const SUMMARY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The largest figures of a load report that can be meant: of cores in use, and of the rest (a minute in
-/// milliseconds).
-const MOST_LOAD: (f32, f32) = (8.0, 60_000.0);
+/// Largest plausible load in cores; reports beyond it are rejected.
+const MAX_BUSY_CORES: f32 = 8.0;
+/// Largest plausible value of any other load field: a minute in milliseconds.
+const MAX_LOAD_VALUE: f32 = 60_000.0;
 
-/// Of the calls at the origin so great a part may be fetches, as the decision module has it.
-const FETCHES: f64 = 0.7;
-/// A state that is handed over is younger than this when the next process has it: so much of a difference of wall times may
-/// be time that passed. More is a step.
-const LONGEST_HANDOVER: Micros = 250_000;
+/// Maximum share of fetches among origin calls; must match the decision module.
+const MAX_FETCH_SHARE: f64 = 0.7;
+/// Maximum age of a handed-over state when the successor reads it. A larger difference between the wall-clock
+/// times is a clock step.
+const MAX_HANDOVER_AGE_US: Micros = 250_000;
 
-/// A monotonic clock that begins at the wall time of the start. A wall clock may be wrong or stepped: what others date by
-/// theirs is never compared with it.
+/// A monotonic clock that starts at the wall-clock time of the process start. Wall clocks can be wrong or
+/// stepped, so timestamps taken by other machines are never compared with it.
 #[derive(Clone, Copy)]
 pub struct Clock {
     start: Instant,
-    unix: Micros,
+    wall_start: Micros,
 }
 
 impl Clock {
     pub fn start(host: &impl Host) -> Self {
-        Clock { start: Instant::now(), unix: host.unix_time().as_micros() as Micros }
+        Clock { start: Instant::now(), wall_start: host.unix_time().as_micros() as Micros }
     }
 
-    /// The same clock, going on from what another process of this node told by its own: the wall clock may have been
-    /// stepped between the two starts.
-    pub fn continued_from(self, told: Micros) -> Self {
-        let passed = self.unix.checked_sub(told).filter(|passed| *passed <= LONGEST_HANDOVER);
-        Clock { unix: told + passed.unwrap_or_default(), ..self }
+    /// Continues the predecessor's clock from its last reading, since the wall clock may have been stepped
+    /// between the two process starts.
+    pub fn continued_from(self, last_reading: Micros) -> Self {
+        let elapsed =
+            self.wall_start.checked_sub(last_reading).filter(|elapsed| *elapsed <= MAX_HANDOVER_AGE_US);
+        Clock { wall_start: last_reading + elapsed.unwrap_or_default(), ..self }
     }
 
     pub fn now(&self) -> Micros {
-        self.unix + self.start.elapsed().as_micros() as Micros
+        self.wall_start + self.start.elapsed().as_micros() as Micros
     }
 }
 
-/// A request without its final answer.
-struct Open {
+/// A request that has not had its final reply.
+struct PendingRequest {
     command: Rc<Command>,
-    answer: oneshot::Sender<Reply>,
-    ends: Instant,
-    /// Attempts so far, each with its number, and how many of them this machine could not make.
+    reply: oneshot::Sender<Reply>,
+    deadline: Instant,
+    /// Attempts so far (the next attempt gets this number), and how many of them failed on this machine.
     attempts: u16,
     local_failures: u16,
-    /// Of these, the ones without outcome.
-    out: Vec<AttemptId>,
-    /// How the last one ended, of those that have.
+    /// The attempts that have no outcome yet.
+    in_flight: Vec<AttemptId>,
+    /// Outcome of the attempt that ended last.
     last_status: Option<Status>,
-    /// Where its last attempt was lost with its connection, if it was.
+    /// The server whose connection was reset under the last attempt, if it was.
     reset_by: Option<ServerId>,
-    /// What the detector knows it by; 0 without one.
+    /// Fingerprint in the storm detector; 0 without a detector.
     fingerprint: u64,
-    /// Whether an attempt may be sent again that may have run.
+    /// Whether an attempt that may have been executed may be sent again.
     may_run_twice: bool,
-    /// Attempts that were written a second time, as the same one to the module.
-    sent_again: u16,
+    /// How often an attempt was written again; for the decision module it stays the same attempt.
+    resends: u16,
 }
 
-impl Open {
-    /// How many attempts of it have counted: one that this machine could not make is not among them.
-    fn made(&self) -> u16 {
-        self.attempts.saturating_sub(self.local_failures).saturating_add(self.sent_again)
+impl PendingRequest {
+    /// Number of attempts that count towards the limit: failures on this machine do not.
+    fn counted_attempts(&self) -> u16 {
+        self.attempts.saturating_sub(self.local_failures).saturating_add(self.resends)
     }
 }
 
-/// An attempt or a probe without outcome; it may outlive its request.
-struct Flight {
-    /// The request and the attempt's number; `None` for a probe.
+/// An attempt or probe without an outcome. It may outlive its request.
+struct InFlightAttempt {
+    /// The request and the number of the attempt; `None` for a probe.
     attempt: Option<(RequestId, u16)>,
     server: ServerId,
     sent: Instant,
-    /// Of one at the origin.
-    call: Option<origin::Call>,
+    /// The HTTP call, if the server is an origin.
+    origin_call: Option<origin::Call>,
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum ScheduledTask {
     Timer(u32),
-    GiveUp(AttemptId),
-    /// An answer that was given up, and behind which others wait, has had its time to come.
-    Overdue(ServerId, AttemptId),
-    Report,
-    Look,
-    Gauges,
-    Near,
-    /// A probe that this machine could not make.
-    Probe(ServerId),
+    AttemptTimeout(AttemptId),
+    /// The grace period is over for the reply to an abandoned attempt that other attempts wait behind.
+    ReleaseBlocked(ServerId, AttemptId),
+    LogSummary,
+    CheckForStorm,
+    UpdateGauges,
+    LocalityStep,
+    /// Repeats a probe that failed on this machine.
+    RetryProbe(ServerId),
 }
 
-/// What another process of this node has handed on.
+/// State handed over by the predecessor process of this node.
 pub struct ResumedState {
     pub policy: Option<Policy>,
     pub inherited: InheritedState,
 }
 
-/// The parts that the node drives.
+/// The components that the node drives.
 pub struct Components<H: Host> {
     pub servers: Servers<H>,
     pub origins: Origins<H>,
     pub peers: Option<Peers<H>>,
     pub subscription: watch::Sender<Subscription>,
     pub ops_endpoint: Arc<OpsEndpoint>,
-    /// Whether anyone can read the gauges.
+    /// Whether there is an operations address on which gauges can be read.
     pub has_ops_address: bool,
     pub storm_monitor: Option<StormMonitor>,
-    /// What keeps traffic near, where it is switched on.
+    /// Prefers nearby zones; `None` if the operator has not enabled it.
     pub locality: Option<LocalityController>,
-    /// What makes nodes agree on zones, where it is switched on.
+    /// Agreement among nodes on the zones in service; `None` if the operator has not enabled it.
     pub agreement: Option<Agreement<H>>,
-    /// Told where the lifecycle has taken a step that connections are to follow.
+    /// Notified when the lifecycle has taken a step that client connections must follow.
     pub lifecycle_changed: Rc<Notify>,
-    /// What another process of this node has handed on; the module goes on from it.
+    /// State of the predecessor process, from which the decision module continues.
     pub predecessor: Option<ResumedState>,
-    /// Whether one may ask for what is known.
+    /// Whether a successor process may ask for this node's state.
     pub supports_handover: bool,
     pub recorder: Option<Recorder>,
 }
 
-/// The node.
+/// Owns the decision module and the state of all unfinished requests and attempts.
 pub struct Node<H: Host> {
     host: H,
     policy: Policy,
-    site: DeploymentSettings,
+    settings: DeploymentSettings,
     clock: Clock,
-    parts: Components<H>,
-    numbers: Numbers,
+    components: Components<H>,
+    server_ids: ServerIds,
     start_times: StartTimes,
     origin_ids: BTreeSet<ServerId>,
-    open: HashMap<RequestId, Open>,
-    flights: HashMap<AttemptId, Flight>,
+    pending: HashMap<RequestId, PendingRequest>,
+    in_flight: HashMap<AttemptId, InFlightAttempt>,
     last_attempt: AttemptId,
-    due: BinaryHeap<Reverse<(Instant, Due)>>,
-    /// Events that actions gave rise to: they come after the actions before them.
+    schedule: BinaryHeap<Reverse<(Instant, ScheduledTask)>>,
+    /// Events caused by actions; handled after the actions that precede them.
     events: VecDeque<Event>,
     actions: Vec<Action>,
     counters: Counters,
-    /// As they were told in the log last.
-    doubted_answers: DoubtedAnswers,
-    log: EventLog<H>,
-    /// The caps have so many equal parts; one is this process'.
-    sharers: u32,
-    /// Until when calls at the origin may run of a process that shared the caps and has ended.
-    sharer_calls_until: Micros,
-    /// When discovery last answered.
-    listed: Option<Instant>,
-    /// The list as discovery has it, where another process may ask for it.
-    revision: u64,
-    members: BTreeMap<String, Member>,
-    /// When the accord has something to do by itself.
-    accord_at: Option<Instant>,
-    /// Connections to servers that carry nothing are not kept.
-    closes_idle: bool,
+    /// The counts that were logged last.
+    logged_doubts: DoubtedAnswers,
+    event_log: EventLog<H>,
+    /// Number of equal shares that the limits are divided into; one of them belongs to this process.
+    process_count: u32,
+    /// Time at which origin calls of an ended process that shared the limits are over at the latest.
+    ended_process_calls_until: Micros,
+    /// Time of the last list from discovery.
+    last_list_at: Option<Instant>,
+    /// The list as discovery sent it, kept for a successor process.
+    list_revision: u64,
+    list_members: BTreeMap<String, ListedServer>,
+    /// Time at which the agreement has work to do.
+    agreement_due: Option<Instant>,
+    /// Whether connections to servers are closed as soon as they are idle.
+    closes_idle_connections: bool,
 }
 
 impl<H: Host> Node<H> {
-    pub fn new(host: H, site: DeploymentSettings, seed: u64, clock: Clock, mut parts: Components<H>) -> Self {
-        let warm = parts.predecessor.as_mut().and_then(|i| i.policy.take());
-        let warm = warm.filter(|p| *p.settings() == site.policy).map(|p| p.into_successor(seed));
+    pub fn new(
+        host: H,
+        settings: DeploymentSettings,
+        seed: u64,
+        clock: Clock,
+        mut components: Components<H>,
+    ) -> Self {
+        let resumed = components.predecessor.as_mut().and_then(|i| i.policy.take());
+        let resumed = resumed.filter(|p| *p.settings() == settings.policy).map(|p| p.into_successor(seed));
         Node {
-            log: EventLog::new(host.clone()),
+            event_log: EventLog::new(host.clone()),
             host,
-            policy: warm.unwrap_or_else(|| Policy::new(site.policy.clone(), seed)),
-            site,
+            policy: resumed.unwrap_or_else(|| Policy::new(settings.policy.clone(), seed)),
+            settings,
             clock,
-            parts,
-            numbers: Numbers::default(),
+            components,
+            server_ids: ServerIds::default(),
             start_times: StartTimes::default(),
             origin_ids: BTreeSet::new(),
-            open: HashMap::new(),
-            flights: HashMap::new(),
+            pending: HashMap::new(),
+            in_flight: HashMap::new(),
             last_attempt: 0,
-            due: BinaryHeap::new(),
+            schedule: BinaryHeap::new(),
             events: VecDeque::new(),
             actions: Vec::new(),
             counters: Counters::default(),
-            doubted_answers: DoubtedAnswers::default(),
-            sharers: 1,
-            sharer_calls_until: 0,
-            listed: None,
-            revision: 0,
-            members: BTreeMap::new(),
-            accord_at: None,
-            closes_idle: false,
+            logged_doubts: DoubtedAnswers::default(),
+            process_count: 1,
+            ended_process_calls_until: 0,
+            last_list_at: None,
+            list_revision: 0,
+            list_members: BTreeMap::new(),
+            agreement_due: None,
+            closes_idle_connections: false,
         }
     }
 
-    /// Runs until every sender of inputs is gone.
+    /// Runs until all senders of inputs are dropped or the node is shut down.
     pub async fn run(mut self, known: Option<ServerList>, mut inputs: mpsc::Receiver<Input>) {
-        // What an earlier life left behind counts before anything is decided.
-        if let Some(left) = self.parts.recorder.as_mut().and_then(Recorder::legacy) {
-            self.events.push_back(Event::Inherited(left));
+        // State left by an earlier incarnation must be known before the first decision.
+        if let Some(inherited) = self.components.recorder.as_mut().and_then(Recorder::legacy) {
+            self.events.push_back(Event::Inherited(inherited));
         }
-        if let Some(inherited) = self.parts.predecessor.take() {
+        if let Some(inherited) = self.components.predecessor.take() {
             self.events.push_back(Event::ProcessCount(2));
             self.events.push_back(Event::Inherited(inherited.inherited));
         }
         let known = known.unwrap_or(ServerList { revision: 0, complete: true, members: Vec::new() });
         self.inherit_start_times(&known);
-        self.list(known, ListKind::Cached);
-        self.settle();
-        self.wake(REPORT, Due::Report);
-        if self.parts.storm_monitor.is_some() {
-            self.wake(LOOK, Due::Look);
+        self.apply_list(known, ListKind::Cached);
+        self.process_events();
+        self.schedule_after(SUMMARY_INTERVAL, ScheduledTask::LogSummary);
+        if self.components.storm_monitor.is_some() {
+            self.schedule_after(CHECK_INTERVAL, ScheduledTask::CheckForStorm);
         }
-        if self.parts.has_ops_address {
-            self.gauges();
+        if self.components.has_ops_address {
+            self.update_gauges();
         }
-        if let Some(near) = &self.parts.locality {
-            let (pool, wait) = (near.pool(), near.wait());
-            self.events.push_back(Event::ZoneRouting(Some(pool)));
-            self.wake(wait, Due::Near);
-            self.settle();
+        if let Some(locality) = &self.components.locality {
+            let (routing, wait) = (locality.routing(), locality.wait());
+            self.events.push_back(Event::ZoneRouting(Some(routing)));
+            self.schedule_after(wait, ScheduledTask::LocalityStep);
+            self.process_events();
         }
-        self.agree(|_, _| Agreed::default());
-        self.settle();
+        self.with_agreement(|_, _| AgreementChanges::default());
+        self.process_events();
         loop {
-            let next = self.due.peek().map(|Reverse((time, _))| *time);
-            // A time of its own, for each message moves it.
-            let next = self.accord_at.into_iter().chain(next).min();
+            let next = self.schedule.peek().map(|Reverse((time, _))| *time);
+            // Kept outside of the schedule because every message changes it.
+            let next = self.agreement_due.into_iter().chain(next).min();
             let idle = Instant::now() + Duration::from_secs(3600);
             tokio::select! {
                 biased;
                 input = inputs.recv() => match input {
-                    Some(Input::Shutdown) => return self.recorder_ends(),
-                    Some(input) => self.input(input),
+                    Some(Input::Shutdown) => return self.finish_recording(),
+                    Some(input) => self.handle_input(input),
                     None => return,
                 },
                 () = sleep_until(next.unwrap_or(idle)) => {}
             }
-            self.fire();
-            if self.accord_at.is_some_and(|at| at <= Instant::now()) {
-                self.agree(|accord, near| accord.tick(near));
+            self.run_due_tasks();
+            if self.agreement_due.is_some_and(|at| at <= Instant::now()) {
+                self.with_agreement(|agreement, locality| agreement.tick(locality));
             }
-            self.settle();
+            self.process_events();
         }
     }
 
-    fn fire(&mut self) {
+    fn run_due_tasks(&mut self) {
         let now = Instant::now();
-        while self.due.peek().is_some_and(|Reverse((time, _))| *time <= now) {
-            match self.due.pop() {
-                Some(Reverse((_, Due::Timer(token)))) => self.events.push_back(Event::Timer(token)),
-                Some(Reverse((_, Due::GiveUp(id)))) => self.time_out(id),
-                Some(Reverse((_, Due::Overdue(server, id)))) => {
-                    let ended = self.parts.servers.release_blocked(server, id);
-                    ended.into_iter().for_each(|(other, how)| self.server_ended(other, how));
+        while self.schedule.peek().is_some_and(|Reverse((time, _))| *time <= now) {
+            match self.schedule.pop() {
+                Some(Reverse((_, ScheduledTask::Timer(token)))) => self.events.push_back(Event::Timer(token)),
+                Some(Reverse((_, ScheduledTask::AttemptTimeout(id)))) => self.time_out_attempt(id),
+                Some(Reverse((_, ScheduledTask::ReleaseBlocked(server, id)))) => {
+                    let ended = self.components.servers.release_blocked(server, id);
+                    ended.into_iter().for_each(|(other, outcome)| self.handle_server_outcome(other, outcome));
                 }
-                Some(Reverse((_, Due::Report))) => {
-                    self.counters.connects = self.parts.servers.take_connect_counts();
-                    let age = self.listed.map(|at| at.elapsed());
-                    if let Some(line) = self.counters.line(self.open.len(), age) {
+                Some(Reverse((_, ScheduledTask::LogSummary))) => {
+                    self.counters.connects = self.components.servers.take_connect_counts();
+                    let age = self.last_list_at.map(|at| at.elapsed());
+                    if let Some(line) = self.counters.take_summary(self.pending.len(), age) {
                         self.host.log(format_args!("{line}"));
                     }
-                    self.report_doubted_answers();
-                    self.wake(REPORT, Due::Report);
+                    self.log_doubted_responses();
+                    self.schedule_after(SUMMARY_INTERVAL, ScheduledTask::LogSummary);
                 }
-                Some(Reverse((_, Due::Look))) => self.look(),
-                Some(Reverse((_, Due::Gauges))) => self.gauges(),
-                Some(Reverse((_, Due::Near))) => self.keep_near(),
-                Some(Reverse((_, Due::Probe(server)))) => self.probe(server),
+                Some(Reverse((_, ScheduledTask::CheckForStorm))) => self.check_for_storm(),
+                Some(Reverse((_, ScheduledTask::UpdateGauges))) => self.update_gauges(),
+                Some(Reverse((_, ScheduledTask::LocalityStep))) => self.step_locality(),
+                Some(Reverse((_, ScheduledTask::RetryProbe(server)))) => self.send_probe(server),
                 None => {}
             }
-            self.settle();
+            self.process_events();
         }
     }
 
-    /// Tells in the log how many answers came twice, or may have, where there are more than at the last line.
-    fn report_doubted_answers(&mut self) {
-        let answers = self.parts.ops_endpoint.metrics.doubted_answers();
-        if answers != self.doubted_answers {
-            self.doubted_answers = answers;
-            self.host.log(format_args!("answers of cache servers since the start: {answers}"));
+    /// Logs the numbers of duplicate and doubted responses if they have grown since the last report.
+    fn log_doubted_responses(&mut self) {
+        let counts = self.components.ops_endpoint.metrics.doubted_answers();
+        if counts != self.logged_doubts {
+            self.logged_doubts = counts;
+            self.host.log(format_args!("responses of cache servers since the start: {counts}"));
         }
     }
 
-    /// Tells staff what the module holds and avoids.
-    fn gauges(&mut self) {
-        self.wake(GAUGES, Due::Gauges);
-        let (known, excluded) = self.policy.known_and_avoided_servers();
-        let (origin_out, origin_most) = self.policy.origin_calls();
-        let list_age = self.listed.unwrap_or(self.clock.start).elapsed();
-        self.parts.ops_endpoint.metrics.set_gauges(Gauges {
-            servers_known: known,
-            servers_excluded: excluded,
-            origin_calls_out: origin_out,
-            origin_calls_limit: origin_most,
+    /// Updates the gauges of the operations endpoint.
+    fn update_gauges(&mut self) {
+        self.schedule_after(GAUGE_INTERVAL, ScheduledTask::UpdateGauges);
+        let (servers_known, servers_excluded) = self.policy.known_and_avoided_servers();
+        let (origin_calls_out, origin_calls_limit) = self.policy.origin_calls();
+        let list_age = self.last_list_at.unwrap_or(self.clock.start).elapsed();
+        self.components.ops_endpoint.metrics.set_gauges(Gauges {
+            servers_known,
+            servers_excluded,
+            origin_calls_out,
+            origin_calls_limit,
             list_age,
         });
-        self.post();
+        self.publish_zone_status();
     }
 
-    /// Tells staff how zones are, where places are on.
-    fn post(&self) {
-        let (Some(board), Some(near)) = (self.parts.ops_endpoint.zone_status.get(), &self.parts.locality)
+    /// Publishes the status of zones if the status page is enabled.
+    fn publish_zone_status(&self) {
+        let (Some(status_page), Some(locality)) =
+            (self.components.ops_endpoint.zone_status.get(), &self.components.locality)
         else {
             return;
         };
-        let (state, spilt) = near.state();
-        let (out, agreed) = self.parts.agreement.as_ref().map(Agreement::status).unzip();
-        let zone = self.site.zone.and_then(|zone| self.site.zone_names.get(usize::from(zone)));
+        let (state, spillover) = locality.state();
+        let (zones_out, agreement_status) = self.components.agreement.as_ref().map(Agreement::status).unzip();
+        let zone = self.settings.zone.and_then(|zone| self.settings.zone_names.get(usize::from(zone)));
         let status = serde_json::json!({
-            "node": self.site.policy.node_index, "zone": zone,
-            "near": {"state": state, "spilt": spilt}, "accord": agreed,
+            "node": self.settings.policy.node_index, "zone": zone,
+            "near": {"state": state, "spilt": spillover}, "accord": agreement_status,
         });
-        board.publish(status.to_string(), out.unwrap_or_default());
+        status_page.publish(status.to_string(), zones_out.unwrap_or_default());
     }
 
-    /// Moves how much of the traffic stays near.
-    fn keep_near(&mut self) {
-        let Some(near) = &mut self.parts.locality else { return };
-        let ((pool, line), wait) = (near.step(), near.wait());
-        self.events.extend(pool.map(|pool| Event::ZoneRouting(Some(pool))));
-        self.wake(wait, Due::Near);
-        self.notice(line);
+    /// Adjusts the share of traffic that stays in nearby zones.
+    fn step_locality(&mut self) {
+        let Some(locality) = &mut self.components.locality else { return };
+        let ((routing, line), wait) = (locality.step(), locality.wait());
+        self.events.extend(routing.map(|routing| Event::ZoneRouting(Some(routing))));
+        self.schedule_after(wait, ScheduledTask::LocalityStep);
+        self.log_notice(line);
     }
 
-    /// What the accord does, and what comes of it.
-    fn agree(&mut self, does: impl FnOnce(&mut Agreement<H>, &mut LocalityController) -> Agreed) {
-        let (Some(accord), Some(near)) = (&mut self.parts.agreement, &mut self.parts.locality) else {
+    /// Runs an operation of the agreement and applies its result.
+    fn with_agreement(
+        &mut self,
+        operation: impl FnOnce(&mut Agreement<H>, &mut LocalityController) -> AgreementChanges,
+    ) {
+        let (Some(agreement), Some(locality)) =
+            (&mut self.components.agreement, &mut self.components.locality)
+        else {
             return;
         };
-        let (wanted, wait) = (does(accord, near), accord.wait());
-        self.events.extend(wanted.pool.map(|pool| Event::ZoneRouting(Some(pool))));
-        wanted.lines.into_iter().for_each(|line| self.notice(Some(line)));
-        self.accord_at = Some(Instant::now() + wait);
-        if let Some(away) = wanted.away {
-            self.parts.ops_endpoint.lifecycle.apply(if away {
+        let (changes, wait) = (operation(agreement, locality), agreement.wait());
+        self.events.extend(changes.routing.map(|pool| Event::ZoneRouting(Some(pool))));
+        changes.log_lines.into_iter().for_each(|line| self.log_notice(Some(line)));
+        self.agreement_due = Some(Instant::now() + wait);
+        if let Some(clients_leave) = changes.clients_leave {
+            self.components.ops_endpoint.lifecycle.apply(if clients_leave {
                 LifecycleEvent::Leave
             } else {
                 LifecycleEvent::Return
             });
-            self.parts.lifecycle_changed.notify_one();
+            self.components.lifecycle_changed.notify_one();
         }
     }
 
-    /// Reads the signs of a storm.
-    fn look(&mut self) {
-        self.wake(LOOK, Due::Look);
-        let Some(weather) = &mut self.parts.storm_monitor else { return };
-        if let Some(change) = weather.look(self.clock.now(), self.policy.fleet_capacity_share()) {
+    /// Evaluates the indicators of a request storm.
+    fn check_for_storm(&mut self) {
+        self.schedule_after(CHECK_INTERVAL, ScheduledTask::CheckForStorm);
+        let Some(monitor) = &mut self.components.storm_monitor else { return };
+        if let Some(change) = monitor.check(self.clock.now(), self.policy.fleet_capacity_share()) {
             self.host.log(format_args!("{change}"));
             self.events.push_back(Event::Storm(change.to.is_storm()));
         }
     }
 
-    /// Hands all events to the module and carries out what it wants.
-    fn settle(&mut self) {
+    /// Passes all queued events to the decision module and executes the resulting actions.
+    fn process_events(&mut self) {
         while let Some(event) = self.events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
             let now = self.clock.now();
-            self.record(now, &event);
+            self.record_event(now, &event);
             self.policy.handle(now, event, &mut actions);
-            let notice = self.parts.recorder.as_mut().and_then(|r| r.after(now, &actions));
-            self.notice(notice);
-            actions.drain(..).for_each(|action| self.act(action));
+            let notice = self.components.recorder.as_mut().and_then(|r| r.after(now, &actions));
+            self.log_notice(notice);
+            actions.drain(..).for_each(|action| self.execute(action));
             self.actions = actions;
         }
     }
 
-    fn record(&mut self, now: Micros, event: &Event) {
-        let Some(recorder) = self.parts.recorder.as_mut().filter(|r| r.is_on()) else { return };
+    fn record_event(&mut self, now: Micros, event: &Event) {
+        let Some(recorder) = self.components.recorder.as_mut().filter(|r| r.is_on()) else { return };
         let reference = match event {
-            Event::Request(r) => self.open.get(&r.id).map(|open| entry::reference(&open.command.id)),
+            Event::Request(r) => self.pending.get(&r.id).map(|pending| entry::reference(&pending.command.id)),
             _ => None,
         };
         let notice = recorder.before(now, &self.policy, event, reference);
-        self.notice(notice);
+        self.log_notice(notice);
     }
 
-    fn recorder_ends(&mut self) {
+    fn finish_recording(&mut self) {
         let now = self.clock.now();
-        let notice = self.parts.recorder.as_mut().and_then(|r| r.end(now));
-        self.notice(notice);
+        let notice = self.components.recorder.as_mut().and_then(|r| r.end(now));
+        self.log_notice(notice);
     }
 
-    fn notice(&self, notice: Option<String>) {
+    fn log_notice(&self, notice: Option<String>) {
         if let Some(line) = notice {
             self.host.log(format_args!("{line}"));
         }
     }
 
-    fn input(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
             Input::SetRecording(on) => {
                 let now = self.clock.now();
-                let notice = self.parts.recorder.as_mut().and_then(|r| r.switch(on, now));
-                self.notice(notice);
+                let notice = self.components.recorder.as_mut().and_then(|r| r.switch(on, now));
+                self.log_notice(notice);
             }
-            Input::Joins => self.agree(|accord, near| {
-                accord.begin();
-                accord.tick(near)
+            Input::JoinAgreement => self.with_agreement(|agreement, locality| {
+                agreement.join();
+                agreement.tick(locality)
             }),
-            Input::ZoneOrder(wish) => self.agree(|accord, near| accord.order(wish, near)),
-            // One that it knows already, or a newer one, it has heard from discovery itself.
-            Input::ListFromPredecessor(list) if list.revision > self.revision => {
-                self.list(list, ListKind::Cached)
+            Input::ZoneOrder(order) => {
+                self.with_agreement(|agreement, locality| agreement.give_order(order, locality))
+            }
+            // A list of the same or an older revision adds nothing to what discovery itself has sent.
+            Input::ListFromPredecessor(list) if list.revision > self.list_revision => {
+                self.apply_list(list, ListKind::Cached)
             }
             Input::ListFromPredecessor(_) => {}
-            Input::ProcessCount(sharers) => {
-                self.sharers = sharers;
-                self.events.push_back(Event::ProcessCount(sharers));
+            Input::ProcessCount(count) => {
+                self.process_count = count;
+                self.events.push_back(Event::ProcessCount(count));
             }
-            Input::ProcessEnded { origin_calls_end_within: calls_over_in } => {
-                self.sharer_calls_until =
-                    self.clock.now().saturating_add(calls_over_in.as_micros() as Micros);
+            Input::ProcessEnded { origin_calls_end_within: remaining } => {
+                self.ended_process_calls_until =
+                    self.clock.now().saturating_add(remaining.as_micros() as Micros);
             }
-            Input::Inherited(left) => self.events.push_back(Event::Inherited(left)),
-            Input::ServerDescriptorLimit(most) => {
-                self.parts.servers.set_max_connections(cache_server_descriptors(most))
+            Input::Inherited(state) => self.events.push_back(Event::Inherited(state)),
+            Input::ServerDescriptorLimit(limit) => {
+                self.components.servers.set_max_connections(cache_server_descriptors(limit))
             }
             Input::CloseIdleConnections => {
-                self.closes_idle = true;
+                self.closes_idle_connections = true;
                 self.close_idle();
             }
-            Input::TakeSnapshot { full: whole, reply } => {
-                if self.closes_idle {
+            Input::TakeSnapshot { full, reply } => {
+                if self.closes_idle_connections {
                     self.close_idle();
                 }
-                let _ = reply.send(self.known(whole));
+                let _ = reply.send(self.state_for_successor(full));
             }
             Input::ReleasePeerAddresses => {
-                if let Some(peers) = &mut self.parts.peers {
+                if let Some(peers) = &mut self.components.peers {
                     peers.close();
                 }
-                // The other process waits for the address. What was agreed on last holds for the few seconds that are left.
-                self.parts.agreement = None;
-                self.accord_at = None;
+                // The successor waits for the address. The plan last agreed on stays in effect for the few
+                // seconds that this process has left.
+                self.components.agreement = None;
+                self.agreement_due = None;
             }
             Input::Shutdown => {}
-            Input::Client(ClientEvent::Request { mut request, connection, command, reply: answer }) => {
-                let ends = Instant::now() + Duration::from_micros(request.time_left);
+            Input::Client(ClientEvent::Request { mut request, connection, command, reply }) => {
+                let deadline = Instant::now() + Duration::from_micros(request.time_left);
                 let now = self.clock.now();
-                let weather = self.parts.storm_monitor.as_mut();
-                let fingerprint = weather.map_or(0, |w| w.arrived(now, connection, &mut request));
-                let class = self.site.policy.classes.get(request.class);
-                let open = Open {
+                let monitor = self.components.storm_monitor.as_mut();
+                let fingerprint = monitor.map_or(0, |w| w.request_arrived(now, connection, &mut request));
+                let class = self.settings.policy.classes.get(request.class);
+                let pending = PendingRequest {
                     may_run_twice: class.is_some_and(|class| class.effect == Effect::Idempotent),
                     command: command.into(),
-                    answer,
-                    ends,
+                    reply,
+                    deadline,
                     attempts: 0,
                     local_failures: 0,
-                    out: Vec::new(),
+                    in_flight: Vec::new(),
                     last_status: None,
                     reset_by: None,
                     fingerprint,
-                    sent_again: 0,
+                    resends: 0,
                 };
-                self.open.insert(request.id, open);
-                self.counters.asked += 1;
+                self.pending.insert(request.id, pending);
+                self.counters.requests += 1;
                 self.events.push_back(Event::Request(request));
             }
             Input::Client(ClientEvent::Disconnected(id)) => {
-                if let Some(open) = self.open.remove(&id) {
+                if let Some(pending) = self.pending.remove(&id) {
                     self.events.push_back(Event::ClientGone(id));
-                    self.withdraw(open.out);
+                    self.withdraw_attempts(pending.in_flight);
                 }
             }
-            Input::Server { server, connection: number, event } => {
-                for (attempt, ended) in self.parts.servers.handle_event(server, number, event) {
-                    self.server_ended(attempt, ended);
+            Input::Server { server, connection, event } => {
+                for (attempt, result) in self.components.servers.handle_event(server, connection, event) {
+                    self.handle_server_outcome(attempt, result);
                 }
             }
-            Input::Origin { attempt, ended } => {
-                let load = load(&self.site, &ended.load);
-                self.end(attempt, ended.status, CacheResult::None, load, ended.value);
+            Input::Origin { attempt, result } => {
+                let load = parse_load_report(&self.settings, &result.load);
+                self.finish_attempt(attempt, result.status, CacheResult::None, load, result.value);
             }
-            Input::Discovery(Heard::List(list)) => {
-                self.parts.ops_endpoint.lifecycle.apply(LifecycleEvent::Ready);
+            Input::Discovery(DiscoveryEvent::List(list)) => {
+                self.components.ops_endpoint.lifecycle.apply(LifecycleEvent::Ready);
                 self.counters.lists += 1;
-                self.parts.ops_endpoint.metrics.list_applied(list.revision);
-                self.listed = Some(Instant::now());
+                self.components.ops_endpoint.metrics.list_applied(list.revision);
+                self.last_list_at = Some(Instant::now());
                 let kind = if list.complete { ListKind::Full } else { ListKind::Delta };
-                self.list(list, kind);
+                self.apply_list(list, kind);
             }
-            Input::Discovery(Heard::Failed) => {
+            Input::Discovery(DiscoveryEvent::Failed) => {
                 self.counters.list_failures += 1;
-                self.parts.ops_endpoint.metrics.list_call_failed();
-                // Only one that asks is told so; what is pushed goes on by itself.
-                if self.site.policy.subscribes_to_discovery {
-                    self.parts.subscription.send_modify(|w| w.watch = false);
+                self.components.ops_endpoint.metrics.list_call_failed();
+                // Reported only to a module that subscribes by itself; pushed updates resume without it.
+                if self.settings.policy.subscribes_to_discovery {
+                    self.components.subscription.send_modify(|w| w.watch = false);
                     self.events.push_back(Event::ServerList { kind: ListKind::Failed, servers: Vec::new() });
                 }
             }
-            Input::Member { from, message } => self.agree(|accord, near| accord.told(from, message, near)),
+            Input::AgreementMessage { from, message } => {
+                self.with_agreement(|agreement, locality| agreement.handle_message(from, message, locality))
+            }
             Input::Peer { from, mut bytes } => {
-                self.counters.heard += 1;
-                if let Some(weather) = &mut self.parts.storm_monitor {
-                    bytes = weather.told(self.clock.now(), from, bytes);
+                self.counters.messages_received += 1;
+                if let Some(monitor) = &mut self.components.storm_monitor {
+                    bytes = monitor.take_peer_state(self.clock.now(), from, bytes);
                 }
                 self.events.push_back(Event::PeerMessage { from, bytes });
             }
         }
     }
 
-    /// Closes the connections to a server that carry nothing.
+    /// Closes the idle connections to a server.
     fn close_idle_of(&mut self, server: ServerId) {
         if self.origin_ids.contains(&server) {
-            self.parts.origins.close_idle(server);
+            self.components.origins.close_idle(server);
         } else {
-            self.parts.servers.close_idle(server);
+            self.components.servers.close_idle(server);
         }
     }
 
-    /// Closes the connections to servers that carry nothing.
+    /// Closes the idle connections to all servers.
     fn close_idle(&mut self) {
-        self.parts.servers.close_all_idle();
-        self.parts.origins.close_all_idle();
+        self.components.servers.close_all_idle();
+        self.components.origins.close_all_idle();
     }
 
-    /// What another process of this node would go on from.
-    fn known(&self, whole: bool) -> PredecessorState {
-        let (servers, origins) = (self.parts.servers.open_connections(), self.parts.origins.open());
-        let mut left = RemainingResources {
+    /// Returns the state from which a successor process would continue.
+    fn state_for_successor(&self, full: bool) -> PredecessorState {
+        let (servers, origins) =
+            (self.components.servers.open_connections(), self.components.origins.open_connections());
+        let mut remaining = RemainingResources {
             inherited: self.policy.inheritable_state(),
             descriptors: (servers + origins) as u32,
         };
-        self.add_calls_of_ended_sharers(&mut left.inherited, whole);
-        if !whole {
+        self.add_calls_of_ended_processes(&mut remaining.inherited, full);
+        if !full {
             return PredecessorState {
-                list_revision: self.revision,
-                remaining: left,
+                list_revision: self.list_revision,
+                remaining,
                 ..PredecessorState::default()
             };
         }
-        let members: Vec<&Member> = self.members.values().collect();
+        let members: Vec<&ListedServer> = self.list_members.values().collect();
         PredecessorState {
-            list_revision: self.revision,
+            list_revision: self.list_revision,
             list: serde_json::to_vec(&members).unwrap_or_default(),
             module_state: postcard::to_allocvec(&self.policy).unwrap_or_default(),
-            remaining: left,
+            remaining,
         }
     }
 
-    /// Adds the calls that processes which shared the caps may have left at the origin. Nobody knows them: they had all parts of
-    /// the caps but this process' and the next one's. The next one acts on half of the caps beside this one, and then on all: it
-    /// is told so many as leave it one part of the half, and as many again at the end of this one. Of what it is told at its
-    /// start it counts half.
-    fn add_calls_of_ended_sharers(&self, legacy: &mut InheritedState, whole: bool) {
-        let until = self.sharer_calls_until;
-        if until <= self.clock.now() || self.sharers <= 2 {
+    /// Adds the origin calls that ended processes may have left in flight. Their number is unknown; it is
+    /// taken as the share of the limits that belongs neither to this process nor to its successor. The
+    /// successor works with half of the limits while this process runs and with all of them afterwards: it is
+    /// given as many calls as leave it one share of that half, and as many again when this process ends. It
+    /// counts half of the calls that are reported at its start, hence the factor of two there.
+    fn add_calls_of_ended_processes(&self, inherited: &mut InheritedState, full: bool) {
+        let until = self.ended_process_calls_until;
+        if until <= self.clock.now() || self.process_count <= 2 {
             return;
         }
-        let part = |of: u32| (legacy.outstanding_limit / f64::from(of)) as usize;
-        let calls = part(2).saturating_sub(part(self.sharers));
-        // As many fetches among them as there may be among all calls, or the next process could make none.
-        let fetches = (calls as f64 * FETCHES) as usize;
+        let share_of = |of: u32| (inherited.outstanding_limit / f64::from(of)) as usize;
+        let calls = share_of(2).saturating_sub(share_of(self.process_count));
+        // Includes as many fetches as the limit for fetches allows; more would leave the successor none.
+        let fetches = (calls as f64 * MAX_FETCH_SHARE) as usize;
         for (fetch, calls) in [(true, fetches), (false, calls - fetches)] {
-            let told = if whole { 2 * calls } else { calls };
-            legacy.origin_calls.extend(std::iter::repeat_n((fetch, until), told));
+            let count = if full { 2 * calls } else { calls };
+            inherited.origin_calls.extend(std::iter::repeat_n((fetch, until), count));
         }
     }
 
-    /// Starts that the process before this one knew keep their times, as the module's state has them.
+    /// Keeps the start times that the predecessor recorded for servers, as the module's state has them.
     fn inherit_start_times(&mut self, known: &ServerList) {
         let now = self.clock.now();
         let inherited: HashMap<ServerId, Micros> =
-            self.policy.listed_servers().into_iter().map(|line| (line.id, line.started_at)).collect();
-        for member in &known.members {
-            if let Some(started) = inherited.get(&self.numbers.of(&member.id)) {
-                self.start_times.inherit(&member.id, member.up_since_ms, *started, now);
+            self.policy.listed_servers().into_iter().map(|entry| (entry.id, entry.started_at)).collect();
+        for server in &known.members {
+            if let Some(started_at) = inherited.get(&self.server_ids.id_of(&server.id)) {
+                self.start_times.inherit(&server.id, server.up_since_ms, *started_at, now);
             }
         }
     }
 
-    fn list(&mut self, mut list: ServerList, kind: ListKind) {
-        self.start_times.heard(&list, kind, self.clock.now());
-        let lines = self.numbers.lines(&self.host, &mut list, &self.site, &self.start_times);
-        if self.parts.supports_handover {
-            self.remember(list, kind);
+    fn apply_list(&mut self, mut list: ServerList, kind: ListKind) {
+        self.start_times.apply_list(&list, kind, self.clock.now());
+        let entries =
+            self.server_ids.resolve_entries(&self.host, &mut list, &self.settings, &self.start_times);
+        if self.components.supports_handover {
+            self.store_list(list, kind);
         }
-        let named: HashSet<ServerId> = lines.iter().map(|(line, _)| line.id).collect();
-        let gone = lines.iter().map(|(line, _)| line).filter(|line| line.condition == Condition::Gone);
-        let gone: HashSet<ServerId> = gone.map(|line| line.id).collect();
+        let listed: HashSet<ServerId> = entries.iter().map(|(entry, _)| entry.id).collect();
+        let gone = entries.iter().map(|(entry, _)| entry).filter(|entry| entry.condition == Condition::Gone);
+        let gone: HashSet<ServerId> = gone.map(|entry| entry.id).collect();
         let mut unsent = Vec::new();
-        for (line, address) in &lines {
-            let ready = line.condition == Condition::Ready;
-            let origin = Some(line.machine_type) == self.site.policy.origin_machine_type;
-            if line.condition == Condition::Gone && self.origin_ids.remove(&line.id) {
-                self.parts.origins.gone(line.id);
-            } else if origin && line.condition != Condition::Gone {
-                self.origin_ids.insert(line.id);
-                self.parts.origins.listed(line.id, *address, ready);
+        for (entry, address) in &entries {
+            let ready = entry.condition == Condition::Ready;
+            let is_origin = Some(entry.machine_type) == self.settings.policy.origin_machine_type;
+            if entry.condition == Condition::Gone && self.origin_ids.remove(&entry.id) {
+                self.components.origins.remove(entry.id);
+            } else if is_origin && entry.condition != Condition::Gone {
+                self.origin_ids.insert(entry.id);
+                self.components.origins.update_origin(entry.id, *address, ready);
             } else {
-                unsent.extend(self.parts.servers.update_server(line.id, *address, ready));
-                if let Some(near) = &mut self.parts.locality {
-                    near.listed(line);
+                unsent.extend(self.components.servers.update_server(entry.id, *address, ready));
+                if let Some(locality) = &mut self.components.locality {
+                    locality.record_server(entry);
                 }
             }
         }
         if kind != ListKind::Delta {
-            unsent.extend(self.parts.servers.remove_unlisted(&|id| named.contains(&id)));
-            for id in self.origin_ids.extract_if(.., |id| !named.contains(id)) {
-                self.parts.origins.gone(id);
+            unsent.extend(self.components.servers.remove_unlisted(&|id| listed.contains(&id)));
+            for id in self.origin_ids.extract_if(.., |id| !listed.contains(id)) {
+                self.components.origins.remove(id);
             }
         }
-        // Ids are ever new: what the list has no longer is not kept.
-        let left = |id| gone.contains(&id) || kind != ListKind::Delta && !named.contains(&id);
-        self.numbers.forget(left);
-        if let Some(near) = &mut self.parts.locality {
-            near.forget(left);
-            let line = near.taken_in();
-            self.notice(line);
+        // Server ids are never reused, so entries of servers that have left the list must be dropped.
+        let has_left = |id| gone.contains(&id) || kind != ListKind::Delta && !listed.contains(&id);
+        self.server_ids.forget(has_left);
+        if let Some(locality) = &mut self.components.locality {
+            locality.forget(has_left);
+            let entry = locality.list_applied();
+            self.log_notice(entry);
         }
-        let servers = lines.into_iter().map(|(line, _)| line).collect();
+        let servers = entries.into_iter().map(|(entry, _)| entry).collect();
         self.events.push_back(Event::ServerList { kind, servers });
         for attempt in unsent {
-            self.end(attempt, Status::NotSent, CacheResult::None, LoadReport::default(), None);
+            self.finish_attempt(attempt, Status::NotSent, CacheResult::None, LoadReport::default(), None);
         }
     }
 
-    /// Keeps the list in the form in which it came.
-    fn remember(&mut self, list: ServerList, kind: ListKind) {
+    /// Stores the list in the form in which discovery sends it.
+    fn store_list(&mut self, list: ServerList, kind: ListKind) {
         if kind != ListKind::Delta {
-            self.members.clear();
+            self.list_members.clear();
         }
-        self.revision = list.revision;
-        for member in list.members {
-            if member.is_listed() {
-                self.members.insert(member.id.clone(), member);
+        self.list_revision = list.revision;
+        for server in list.members {
+            if server.is_in_service() {
+                self.list_members.insert(server.id.clone(), server);
             } else {
-                self.members.remove(&member.id);
+                self.list_members.remove(&server.id);
             }
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
-            Action::Send { request, server, timeout: give_up_after } => {
-                self.send(request, server, give_up_after)
-            }
+            Action::Send { request, server, timeout } => self.send_attempt(request, server, timeout),
             Action::Refuse { request, retry_after } => {
-                let wait = retry_after.min(self.site.max_retry_after).div_ceil(1000);
-                self.tell_refusal(request, wait);
-                let out = self.answer(request, Reply::Busy(wait));
-                self.withdraw(out);
+                let wait = retry_after.min(self.settings.max_retry_after).div_ceil(1000);
+                self.report_refusal(request, wait);
+                let attempts = self.send_reply(request, Reply::Busy(wait));
+                self.withdraw_attempts(attempts);
             }
             Action::Fail(request) => {
-                let out = self.answer(request, Reply::Failed);
-                self.withdraw(out);
+                let attempts = self.send_reply(request, Reply::Failed);
+                self.withdraw_attempts(attempts);
             }
             Action::Cancel { request, attempt } => {
                 let wanted = Some((request, attempt));
-                if let Some(id) = self.flights.iter().find(|(_, f)| f.attempt == wanted).map(|(id, _)| *id) {
-                    self.give_up(id, Status::Cancelled);
+                if let Some(id) = self.in_flight.iter().find(|(_, f)| f.attempt == wanted).map(|(id, _)| *id)
+                {
+                    self.abandon_attempt(id, Status::Cancelled);
                 }
             }
-            Action::Timer { after, token } => self.wake(Duration::from_micros(after), Due::Timer(token)),
-            Action::Subscribe(on) => self.parts.subscription.send_modify(|w| {
-                w.watch = on;
-                w.requested_calls += u32::from(on);
+            Action::Timer { after, token } => {
+                self.schedule_after(Duration::from_micros(after), ScheduledTask::Timer(token))
+            }
+            Action::Subscribe(on) => self.components.subscription.send_modify(|subscription| {
+                subscription.watch = on;
+                subscription.requested_calls += u32::from(on);
             }),
-            Action::FetchList => self.parts.subscription.send_modify(|w| w.requested_calls += 1),
-            Action::Probe(server) => self.probe(server),
+            Action::FetchList => {
+                self.components.subscription.send_modify(|subscription| subscription.requested_calls += 1)
+            }
+            Action::Probe(server) => self.send_probe(server),
             Action::CloseIdle(server) => self.close_idle_of(server),
             Action::SendToPeers { to, mut bytes } => {
-                if let Some(weather) = &self.parts.storm_monitor {
-                    bytes = weather.tell(bytes);
+                if let Some(monitor) = &self.components.storm_monitor {
+                    bytes = monitor.append_state(bytes);
                 }
-                if let Some(peers) = &self.parts.peers {
-                    self.counters.told += 1;
-                    peers.tell(to, &bytes);
+                if let Some(peers) = &self.components.peers {
+                    self.counters.messages_sent += 1;
+                    peers.send(to, &bytes);
                 }
             }
             Action::Log(text) => self.host.log(format_args!("{text}")),
-            Action::Fault(text) => self.host.log(format_args!("the decision module failed: {text}")),
+            Action::Fault(text) => self.host.log(format_args!("fault in the decision module: {text}")),
         }
     }
 
-    /// Counts and logs that the module refuses a request.
-    fn tell_refusal(&self, request: RequestId, retry_after_ms: Micros) {
+    /// Counts and logs that the decision module refuses a request.
+    fn report_refusal(&self, request: RequestId, retry_after_ms: Micros) {
         let reason = RefuseReason::Module;
-        self.parts.ops_endpoint.metrics.refusals.increment(reason);
-        let attempts = self.open.get(&request).map_or(0, Open::made);
-        self.log.write(
+        self.components.ops_endpoint.metrics.refusals.increment(reason);
+        let attempts = self.pending.get(&request).map_or(0, PendingRequest::counted_attempts);
+        self.event_log.write(
             EventKind::RequestRefused,
             format_args!(
                 "reason={} request={request} attempts={attempts} retry_after_ms={retry_after_ms}",
@@ -724,161 +750,194 @@
         );
     }
 
-    /// Counts and logs that a request gets an attempt beyond its first.
-    fn tell_retry(&self, request: RequestId, number: u16, server: ServerId, reason: RetryReason) {
-        self.parts.ops_endpoint.metrics.retries.increment(reason);
-        self.log.write(
+    /// Counts and logs an attempt beyond the first of a request.
+    fn report_retry(&self, request: RequestId, number: u16, server: ServerId, reason: RetryReason) {
+        self.components.ops_endpoint.metrics.retries.increment(reason);
+        self.event_log.write(
             EventKind::FurtherAttempt,
             format_args!("reason={} request={request} attempt={number} server={server}", reason.name()),
         );
     }
 
-    /// Gives a request its final answer and returns its attempts that are out still.
-    fn answer(&mut self, request: RequestId, answer: Reply) -> Vec<AttemptId> {
-        let Some(open) = self.open.remove(&request) else { return Vec::new() };
-        if let Some(weather) = self.parts.storm_monitor.as_mut().filter(|_| !answer.carries_value()) {
-            weather.unserved(self.clock.now(), open.fingerprint);
+    /// Sends the final reply to a request and returns its attempts that are still in flight.
+    fn send_reply(&mut self, request: RequestId, reply: Reply) -> Vec<AttemptId> {
+        let Some(pending) = self.pending.remove(&request) else { return Vec::new() };
+        if let Some(monitor) = self.components.storm_monitor.as_mut().filter(|_| !reply.carries_value()) {
+            monitor.request_unserved(self.clock.now(), pending.fingerprint);
         }
-        match answer {
+        match reply {
             Reply::Value(_) | Reply::Stream(_) => self.counters.served += 1,
             Reply::Busy(_) => {
                 self.counters.refused += 1;
-                self.counters.untried += u32::from(open.made() == 0);
+                self.counters.untried += u32::from(pending.counted_attempts() == 0);
             }
             Reply::Failed => self.counters.failed += 1,
         }
-        // A client that has just gone needs none.
-        let _ = open.answer.send(answer);
-        open.out
+        // The client may have disconnected meanwhile.
+        let _ = pending.reply.send(reply);
+        pending.in_flight
     }
 
-    /// Takes back the attempts of a request that is over, as far as they have not been written whole: one that waits for its
-    /// connection would begin for nobody.
-    fn withdraw(&mut self, attempts: Vec<AttemptId>) {
+    /// Withdraws those attempts of a finished request that have not been fully written: one that waits for a
+    /// connection would otherwise be sent for nobody.
+    fn withdraw_attempts(&mut self, attempts: Vec<AttemptId>) {
         for id in attempts {
-            let Some(flight) = self.flights.get_mut(&id) else { continue };
-            let server = flight.server;
-            let withdrawn = match flight.call.take() {
-                Some(call) if call.written() => {
-                    flight.call = Some(call);
+            let Some(attempt) = self.in_flight.get_mut(&id) else { continue };
+            let server = attempt.server;
+            let withdrawn = match attempt.origin_call.take() {
+                Some(call) if call.is_written() => {
+                    attempt.origin_call = Some(call);
                     false
                 }
-                Some(call) => !call.give_up(),
+                Some(call) => !call.cancel(),
                 None => {
-                    let withdrawn = self.parts.servers.withdraw(server, id);
-                    withdrawn.ended.into_iter().for_each(|(other, how)| self.server_ended(other, how));
+                    let withdrawn = self.components.servers.withdraw(server, id);
+                    withdrawn
+                        .ended
+                        .into_iter()
+                        .for_each(|(other, outcome)| self.handle_server_outcome(other, outcome));
                     withdrawn.unwritten
                 }
             };
             if withdrawn {
-                self.end(id, Status::NotSent, CacheResult::None, LoadReport::default(), None);
+                self.finish_attempt(id, Status::NotSent, CacheResult::None, LoadReport::default(), None);
             }
         }
     }
 
-    fn wake(&mut self, after: Duration, due: Due) {
-        self.due.push(Reverse((Instant::now() + after, due)));
+    fn schedule_after(&mut self, delay: Duration, task: ScheduledTask) {
+        self.schedule.push(Reverse((Instant::now() + delay, task)));
     }
 
-    fn send(&mut self, request: RequestId, server: ServerId, give_up_after: Micros) {
+    fn send_attempt(&mut self, request: RequestId, server: ServerId, timeout: Micros) {
         self.last_attempt += 1;
         let (id, sent) = (self.last_attempt, Instant::now());
-        let Some(open) = self.open.get_mut(&request) else {
-            return self.host.log(format_args!("an attempt of request {request}, which is over"));
+        let Some(pending) = self.pending.get_mut(&request) else {
+            return self.host.log(format_args!(
+                "the decision module sent an attempt of request {request}, which is already finished"
+            ));
         };
-        let (number, made) = (open.attempts, open.made());
-        open.attempts = open.attempts.saturating_add(1);
-        let retry =
-            if open.out.is_empty() { open.last_status.map(retry_reason) } else { Some(RetryReason::Hedge) };
-        open.out.push(id);
-        let (command, was_reset) = (open.command.clone(), open.reset_by == Some(server));
-        let may_run_twice = open.may_run_twice;
-        let attempt_ends = match give_up_after {
-            0 => open.ends,
-            after => open.ends.min(sent + Duration::from_micros(after)),
+        let (number, counted_attempts) = (pending.attempts, pending.counted_attempts());
+        pending.attempts = pending.attempts.saturating_add(1);
+        let retry = if pending.in_flight.is_empty() {
+            pending.last_status.map(retry_reason)
+        } else {
+            Some(RetryReason::Hedge)
+        };
+        pending.in_flight.push(id);
+        let (command, was_reset) = (pending.command.clone(), pending.reset_by == Some(server));
+        let may_run_twice = pending.may_run_twice;
+        let deadline = match timeout {
+            0 => pending.deadline,
+            after => pending.deadline.min(sent + Duration::from_micros(after)),
         };
         if let Some(reason) = retry {
-            self.tell_retry(request, number, server, reason);
+            self.report_retry(request, number, server, reason);
         }
-        self.flights.insert(id, Flight { attempt: Some((request, number)), server, sent, call: None });
-        if u32::from(made) >= self.site.policy.max_attempts || attempt_ends <= sent {
-            return self.end(id, Status::NotSent, CacheResult::None, LoadReport::default(), None);
+        self.in_flight.insert(
+            id,
+            InFlightAttempt { attempt: Some((request, number)), server, sent, origin_call: None },
+        );
+        if u32::from(counted_attempts) >= self.settings.policy.max_attempts || deadline <= sent {
+            return self.finish_attempt(id, Status::NotSent, CacheResult::None, LoadReport::default(), None);
         }
         if was_reset {
-            // What reset one may have forgotten the others that were idle beside it: this attempt gets a new one.
+            // Whatever reset that connection may also have dropped the idle connections beside it, so this
+            // attempt opens a new one.
             self.close_idle_of(server);
         }
-        let extras = command.attempt_extras(attempt_ends);
-        let out = if self.origin_ids.contains(&server) {
-            let call = self.parts.origins.call(server, id, &command, extras, may_run_twice);
-            let out = call.as_ref().map(|_| ()).ok_or(SendError::NoConnection);
-            self.flights.entry(id).and_modify(|f| f.call = call);
-            out
+        let extras = command.attempt_extras(deadline);
+        let result = if self.origin_ids.contains(&server) {
+            let call = self.components.origins.send(server, id, &command, extras, may_run_twice);
+            let result = call.as_ref().map(|_| ()).ok_or(SendError::NoConnection);
+            self.in_flight.entry(id).and_modify(|f| f.origin_call = call);
+            result
         } else {
-            if let Some(near) = &mut self.parts.locality {
-                near.sent(id, server);
+            if let Some(locality) = &mut self.components.locality {
+                locality.attempt_sent(id, server);
             }
             let payload = servers::Payload::Request { command, extras, may_run_twice };
-            self.parts.servers.send(server, servers::AttemptCommand::new(id, payload))
+            self.components.servers.send(server, servers::AttemptCommand::new(id, payload))
         };
-        match out {
-            Ok(()) => self.due.push(Reverse((attempt_ends, Due::GiveUp(id)))),
-            Err(error) => self.end(id, unsent(error), CacheResult::None, LoadReport::default(), None),
+        match result {
+            Ok(()) => self.schedule.push(Reverse((deadline, ScheduledTask::AttemptTimeout(id)))),
+            Err(error) => self.finish_attempt(
+                id,
+                send_error_status(error),
+                CacheResult::None,
+                LoadReport::default(),
+                None,
+            ),
         }
     }
 
-    fn probe(&mut self, server: ServerId) {
+    fn send_probe(&mut self, server: ServerId) {
         self.last_attempt += 1;
         let (id, sent) = (self.last_attempt, Instant::now());
-        let origin = self.origin_ids.contains(&server);
-        let call = if origin { self.parts.origins.probe(server, id) } else { None };
+        let is_origin = self.origin_ids.contains(&server);
+        let call = if is_origin { self.components.origins.probe(server, id) } else { None };
         let command = servers::AttemptCommand::new(id, servers::Payload::Probe);
-        let out = match (origin, &call) {
+        let result = match (is_origin, &call) {
             (true, Some(_)) => Ok(()),
             (true, None) => Err(SendError::NoConnection),
-            (false, _) => self.parts.servers.send(server, command),
+            (false, _) => self.components.servers.send(server, command),
         };
-        self.flights.insert(id, Flight { attempt: None, server, sent, call });
-        match out {
-            Ok(()) => self.wake(PROBE_WAIT, Due::GiveUp(id)),
-            Err(error) => self.end(id, unsent(error), CacheResult::None, LoadReport::default(), None),
+        self.in_flight.insert(id, InFlightAttempt { attempt: None, server, sent, origin_call: call });
+        match result {
+            Ok(()) => self.schedule_after(PROBE_TIMEOUT, ScheduledTask::AttemptTimeout(id)),
+            Err(error) => self.finish_attempt(
+                id,
+                send_error_status(error),
+                CacheResult::None,
+                LoadReport::default(),
+                None,
+            ),
         }
     }
 
-    /// Gives up an attempt of which the time is over. Its server may have dropped it without a word, and others may wait
-    /// behind it.
-    fn time_out(&mut self, id: AttemptId) {
-        let Some(server) = self.flights.get(&id).map(|flight| flight.server) else { return };
-        self.give_up(id, Status::TimedOut);
-        if self.parts.servers.blocks_others(server, id) {
-            self.wake(RESPONSE_STALL_TIMEOUT, Due::Overdue(server, id));
+    /// Abandons an attempt that has timed out. The server may have dropped it silently, and other attempts
+    /// may wait behind it.
+    fn time_out_attempt(&mut self, id: AttemptId) {
+        let Some(server) = self.in_flight.get(&id).map(|attempt| attempt.server) else { return };
+        self.abandon_attempt(id, Status::TimedOut);
+        if self.components.servers.blocks_others(server, id) {
+            self.schedule_after(RESPONSE_STALL_TIMEOUT, ScheduledTask::ReleaseBlocked(server, id));
         }
     }
 
-    /// Stops waiting for an attempt. One that was never written whole can't have run.
-    fn give_up(&mut self, id: AttemptId, status: Status) {
-        let Some(flight) = self.flights.get_mut(&id) else { return };
-        let (server, call) = (flight.server, flight.call.take());
+    /// Stops waiting for an attempt. One that was not fully written cannot have been executed.
+    fn abandon_attempt(&mut self, id: AttemptId, status: Status) {
+        let Some(attempt) = self.in_flight.get_mut(&id) else { return };
+        let (server, call) = (attempt.server, attempt.origin_call.take());
         let written = match call {
-            Some(call) => call.give_up(),
+            Some(call) => call.cancel(),
             None => {
-                let given_up = self.parts.servers.give_up(server, id);
-                given_up.ended.into_iter().for_each(|(other, how)| self.server_ended(other, how));
-                !given_up.unwritten
+                let abandoned = self.components.servers.give_up(server, id);
+                abandoned
+                    .ended
+                    .into_iter()
+                    .for_each(|(other, outcome)| self.handle_server_outcome(other, outcome));
+                !abandoned.unwritten
             }
         };
         let status = if written { status } else { Status::NotSent };
-        self.end(id, status, CacheResult::None, LoadReport::default(), None);
+        self.finish_attempt(id, status, CacheResult::None, LoadReport::default(), None);
     }
 
-    /// Reads a cache server's answer as the protocol's table of outcomes says.
-    fn server_ended(&mut self, attempt: AttemptId, ended: AttemptOutcome) {
-        let frame = match ended {
+    /// Maps a cache server's response to an outcome, as the protocol specification defines it.
+    fn handle_server_outcome(&mut self, attempt: AttemptId, outcome: AttemptOutcome) {
+        let frame = match outcome {
             AttemptOutcome::Reset => {
-                return self.end(attempt, Status::Reset, CacheResult::None, LoadReport::default(), None);
+                return self.finish_attempt(
+                    attempt,
+                    Status::Reset,
+                    CacheResult::None,
+                    LoadReport::default(),
+                    None,
+                );
             }
             AttemptOutcome::NotConnected => {
-                return self.end(
+                return self.finish_attempt(
                     attempt,
                     Status::ConnectFailed,
                     CacheResult::None,
@@ -887,7 +946,7 @@
                 );
             }
             AttemptOutcome::LocalFailure => {
-                return self.end(
+                return self.finish_attempt(
                     attempt,
                     Status::LocalFailure,
                     CacheResult::None,
@@ -895,16 +954,28 @@
                     None,
                 );
             }
-            // It has run, whatever it was that came back.
+            // The command was executed, although the response is unusable.
             AttemptOutcome::InvalidResponse => {
-                return self.end(attempt, Status::Error, CacheResult::None, LoadReport::default(), None);
+                return self.finish_attempt(
+                    attempt,
+                    Status::Error,
+                    CacheResult::None,
+                    LoadReport::default(),
+                    None,
+                );
             }
-            // For the module it is served: what follows is between the server and the client.
+            // Counts as served for the decision module: the transfer concerns only the server and the client.
             AttemptOutcome::StreamStarted(value) => {
                 let value = Some(Reply::Stream(value));
-                return self.end(attempt, Status::Served, CacheResult::None, LoadReport::default(), value);
+                return self.finish_attempt(
+                    attempt,
+                    Status::Served,
+                    CacheResult::None,
+                    LoadReport::default(),
+                    value,
+                );
             }
-            AttemptOutcome::Interrupted(displaced) => return self.send_again(attempt, displaced),
+            AttemptOutcome::Interrupted(interrupted) => return self.resend(attempt, interrupted),
             AttemptOutcome::Answered(frame) => frame,
         };
         match frame {
@@ -914,129 +985,138 @@
                     Some(BytesFrame::BulkString(value)) => Some(value),
                     _ => None,
                 };
-                let note = match text(parts.next()).as_deref() {
+                let cache_result = match frame_text(parts.next()).as_deref() {
                     Some("hit") => CacheResult::Hit,
                     Some("miss") => CacheResult::Miss,
                     Some("pending") => CacheResult::MissBeingFetched,
                     _ => CacheResult::None,
                 };
-                let load = text(parts.next()).map(|l| load(&self.site, &l)).unwrap_or_default();
+                let load = frame_text(parts.next())
+                    .map(|l| parse_load_report(&self.settings, &l))
+                    .unwrap_or_default();
                 let status = if value.is_some() { Status::Served } else { Status::Miss };
-                self.end(attempt, status, note, load, value.map(Reply::Value));
+                self.finish_attempt(attempt, status, cache_result, load, value.map(Reply::Value));
             }
-            // Only to a probe: servers.rs lets nothing else through.
+            // Only probes get this: `servers.rs` rejects it for requests.
             BytesFrame::BulkString(report) => {
-                let load = load(&self.site, &String::from_utf8_lossy(&report));
-                self.end(attempt, Status::Served, CacheResult::None, load, None);
+                let load = parse_load_report(&self.settings, &String::from_utf8_lossy(&report));
+                self.finish_attempt(attempt, Status::Served, CacheResult::None, load, None);
             }
             BytesFrame::Error(line) => {
-                let load = line.rsplit(' ').next().map(|l| load(&self.site, l)).unwrap_or_default();
-                let busy = line.split(' ').next() == Some("BUSY");
-                if !busy && !line.starts_with("ERR failed") {
-                    self.host.log(format_args!("a cache server answers {:?}", line));
+                let load =
+                    line.rsplit(' ').next().map(|l| parse_load_report(&self.settings, l)).unwrap_or_default();
+                let is_busy = line.split(' ').next() == Some("BUSY");
+                if !is_busy && !line.starts_with("ERR failed") {
+                    self.host
+                        .log(format_args!("a cache server replied with an unexpected error: {:?}", line));
                 }
-                self.end(
+                self.finish_attempt(
                     attempt,
-                    if busy { Status::Full } else { Status::Error },
+                    if is_busy { Status::Full } else { Status::Error },
                     CacheResult::None,
                     load,
                     None,
                 );
             }
-            _ => self.end(attempt, Status::Error, CacheResult::None, LoadReport::default(), None),
+            _ => self.finish_attempt(attempt, Status::Error, CacheResult::None, LoadReport::default(), None),
         }
     }
 
-    /// Sends an attempt once more whose connection has ended, unless it may have run and may not run twice. For the module it
-    /// is still the same attempt.
-    fn send_again(&mut self, id: AttemptId, displaced: InterruptedCommand) {
-        let Some(flight) = self.flights.get(&id) else { return };
-        let (server, request) = (flight.server, flight.attempt.map(|(request, _)| request));
-        let was_written = displaced.was_written;
-        let most = self.site.policy.max_attempts;
-        let is_allowed = match request.map(|request| self.open.get_mut(&request)) {
+    /// Repeats an attempt whose connection has ended, unless it may have been executed and must not run
+    /// twice. For the decision module it remains the same attempt.
+    fn resend(&mut self, id: AttemptId, interrupted: InterruptedCommand) {
+        let Some(attempt) = self.in_flight.get(&id) else { return };
+        let (server, request) = (attempt.server, attempt.attempt.map(|(request, _)| request));
+        let was_written = interrupted.was_written;
+        let max_attempts = self.settings.policy.max_attempts;
+        let is_allowed = match request.map(|request| self.pending.get_mut(&request)) {
             // A probe.
             None => true,
             Some(None) => false,
-            Some(Some(open)) if was_written => {
-                let is_allowed = open.may_run_twice && u32::from(open.made()) < most;
-                open.sent_again += u16::from(is_allowed);
+            Some(Some(pending)) if was_written => {
+                let is_allowed =
+                    pending.may_run_twice && u32::from(pending.counted_attempts()) < max_attempts;
+                pending.resends += u16::from(is_allowed);
                 is_allowed
             }
             Some(Some(_)) => true,
         };
         let sent = match is_allowed {
-            true => self.parts.servers.resend(server, displaced).map_err(unsent),
+            true => self.components.servers.resend(server, interrupted).map_err(send_error_status),
             false => Err(Status::NotSent),
         };
         if let Err(status) = sent {
             let status = if was_written { Status::Reset } else { status };
-            self.end(id, status, CacheResult::None, LoadReport::default(), None);
+            self.finish_attempt(id, status, CacheResult::None, LoadReport::default(), None);
         }
     }
 
-    /// The end of an attempt or probe, whatever brought it; the first value served is the request's answer.
-    fn end(
+    /// Completes an attempt or probe. The first value served is the reply to the request.
+    fn finish_attempt(
         &mut self,
         id: AttemptId,
         status: Status,
-        note: CacheResult,
+        cache_result: CacheResult,
         load: LoadReport,
         value: Option<Reply>,
     ) {
-        let Some(flight) = self.flights.remove(&id) else { return };
-        if let Some(near) = &mut self.parts.locality {
-            near.ended(id, status);
+        let Some(in_flight) = self.in_flight.remove(&id) else { return };
+        if let Some(locality) = &mut self.components.locality {
+            locality.attempt_ended(id, status);
         }
-        let (server, took) = (flight.server, flight.sent.elapsed().as_micros() as Micros);
-        let Some((request, attempt)) = flight.attempt else {
-            // A probe that never left this machine tells nothing of the server: it is made later.
+        let (server, duration) = (in_flight.server, in_flight.sent.elapsed().as_micros() as Micros);
+        let Some((request, attempt)) = in_flight.attempt else {
+            // A probe that never left this machine says nothing about the server; it is repeated later.
             if status == Status::LocalFailure {
-                return self.wake(PROBE_PAUSE, Due::Probe(server));
+                return self.schedule_after(PROBE_RETRY_DELAY, ScheduledTask::RetryProbe(server));
             }
             return self.events.push_back(Event::Probed {
                 server,
                 succeeded: status == Status::Served,
-                duration: took,
+                duration,
                 load,
             });
         };
-        let was_made = !matches!(status, Status::NotSent | Status::LocalFailure);
-        self.counters.ended(flight.call.is_some() || self.origin_ids.contains(&server), status, took);
-        if let Some(weather) = self.parts.storm_monitor.as_mut().filter(|_| was_made) {
-            weather.worked(took, self.open.contains_key(&request));
+        let was_sent = !matches!(status, Status::NotSent | Status::LocalFailure);
+        self.counters.call_ended(
+            in_flight.origin_call.is_some() || self.origin_ids.contains(&server),
+            status,
+            duration,
+        );
+        if let Some(monitor) = self.components.storm_monitor.as_mut().filter(|_| was_sent) {
+            monitor.attempt_ended(duration, self.pending.contains_key(&request));
         }
-        if let Some(open) = self.open.get_mut(&request) {
-            open.out.retain(|out| *out != id);
-            open.last_status = Some(status);
-            open.reset_by = (status == Status::Reset).then_some(server);
+        if let Some(pending) = self.pending.get_mut(&request) {
+            pending.in_flight.retain(|out| *out != id);
+            pending.last_status = Some(status);
+            pending.reset_by = (status == Status::Reset).then_some(server);
             let failures = u16::from(status == Status::LocalFailure);
-            open.local_failures = open.local_failures.saturating_add(failures);
+            pending.local_failures = pending.local_failures.saturating_add(failures);
         }
         let others = match status {
-            Status::Served => self.answer(request, value.unwrap_or(Reply::Failed)),
+            Status::Served => self.send_reply(request, value.unwrap_or(Reply::Failed)),
             _ => Vec::new(),
         };
-        let over = !self.open.contains_key(&request);
+        let request_finished = !self.pending.contains_key(&request);
         self.events.push_back(Event::Outcome(Outcome {
             request,
             attempt,
             server,
             status,
-            request_finished: over,
-            cache_result: note,
-            duration: took,
+            request_finished,
+            cache_result,
+            duration,
             load,
         }));
-        // Behind the outcome that ended the request.
-        self.withdraw(others);
+        // After the outcome that finished the request.
+        self.withdraw_attempts(others);
     }
 }
 
-/// What a further attempt follows on, where the one before ended so.
+/// The reason of a further attempt, given how the previous one ended.
 fn retry_reason(status: Status) -> RetryReason {
     match status {
-        // A request that was served gets no other attempt.
+        // A served request gets no further attempt.
         Status::Served | Status::Miss => RetryReason::Miss,
         Status::Error => RetryReason::Error,
         Status::Full => RetryReason::Full,
@@ -1049,27 +1129,29 @@
     }
 }
 
-/// Of the descriptors for servers, those for cache servers: the rest is for the origin.
-pub fn cache_server_descriptors(servers: usize) -> usize {
-    servers * 3 / 4
+/// Share of the server descriptors that is for cache servers; the others are for origins.
+pub fn cache_server_descriptors(server_descriptors: usize) -> usize {
+    server_descriptors * 3 / 4
 }
 
-/// How an attempt ended that was not taken.
-fn unsent(error: SendError) -> Status {
+/// Status of an attempt that could not be sent.
+fn send_error_status(error: SendError) -> Status {
     match error {
         SendError::NoConnection => Status::ConnectFailed,
         SendError::LocalFailure => Status::LocalFailure,
     }
 }
 
-/// A load report: names and values, in the order that the settings give.
-fn load(site: &DeploymentSettings, report: &str) -> LoadReport {
+/// Parses a load report: names and values, in the order of the configured fields.
+fn parse_load_report(settings: &DeploymentSettings, report: &str) -> LoadReport {
     let mut load = LoadReport::default();
-    for (name, field) in site.load_field_names.iter().zip(&site.policy.load_fields).take(load.values.len()) {
-        let most = if *field == LoadField::Busy { MOST_LOAD.0 } else { MOST_LOAD.1 };
+    for (name, field) in
+        settings.load_field_names.iter().zip(&settings.policy.load_fields).take(load.values.len())
+    {
+        let max = if *field == LoadField::Busy { MAX_BUSY_CORES } else { MAX_LOAD_VALUE };
         let value = report.split(',').filter_map(|p| p.trim().split_once('=')).find(|(n, _)| n == name);
-        // Reports come spoilt, too: a figure that no load can have must not reach the module's averages.
-        let value = value.and_then(|(_, v)| v.parse::<f32>().ok()).filter(|v| (0.0..=most).contains(v));
+        // Reports can be corrupt: a value that no load can have must not reach the module's averages.
+        let value = value.and_then(|(_, v)| v.parse::<f32>().ok()).filter(|v| (0.0..=max).contains(v));
         let Some(value) = value else { return LoadReport::default() };
         load.values[usize::from(load.count)] = value;
         load.count += 1;
@@ -1077,7 +1159,7 @@
     load
 }
 
-fn text(frame: Option<BytesFrame>) -> Option<String> {
+fn frame_text(frame: Option<BytesFrame>) -> Option<String> {
     match frame {
         Some(BytesFrame::BulkString(b) | BytesFrame::SimpleString(b)) => {
             Some(String::from_utf8_lossy(&b).into_owned())
--- a/crates/node/src/ops.rs
+++ b/crates/node/src/ops.rs
@@ -1,5 +1,5 @@
-//! The second address: calls of staff, from the socket to the desk and back. Its own runtime may drive it, for it shares
-//! nothing with the node but the desk and a channel.
+//! Server of the operations endpoint: reads the operator's HTTP calls and answers them. It may run on its own
+//! runtime, since it shares only the endpoint's state and a channel with the node.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -19,69 +19,71 @@
 use crate::accept_failures::{self, AcceptFailureTracker, Reaction};
 use crate::stream::{close_gracefully, read_some};
 
-/// One in so many descriptors is for a connection here: a handful of callers and those that never finish.
+/// One connection per this many descriptors: enough for a handful of callers and some that never finish.
 const DESCRIPTORS_PER_CONNECTION: usize = 24;
-/// Connections at once, at least and at most.
-const LEAST_CONNECTIONS: usize = 4;
-const MOST_CONNECTIONS: usize = 32;
+/// Least number of connections.
+const MIN_CONNECTIONS: usize = 4;
+/// Largest number of connections.
+const MAX_CONNECTIONS: usize = 32;
 /// Descriptors of the listener and of the runtime.
 const OWN_DESCRIPTORS: usize = 8;
-/// Descriptors that it holds while nobody but a few callers is there.
+/// Descriptors in use with only a few callers.
 pub const IDLE_DESCRIPTORS: usize = OWN_DESCRIPTORS + 4;
-/// A head must come whole within this time, and an answer be taken.
-const HEAD: Duration = Duration::from_secs(2);
-const TAKEN: Duration = Duration::from_secs(1);
+/// Time within which the head of a request must be complete.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time within which the client must have read the response.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How many connections it may have, of a process that may hold so many descriptors.
-fn connections(descriptors: usize) -> usize {
-    (descriptors / DESCRIPTORS_PER_CONNECTION).clamp(LEAST_CONNECTIONS, MOST_CONNECTIONS)
+/// Maximum number of connections in a process with this many descriptors.
+fn max_connections(descriptors: usize) -> usize {
+    (descriptors / DESCRIPTORS_PER_CONNECTION).clamp(MIN_CONNECTIONS, MAX_CONNECTIONS)
 }
 
-/// Descriptors to set aside for it.
-pub fn reserved_descriptors(all: usize) -> usize {
-    connections(all) + OWN_DESCRIPTORS
+/// Number of descriptors to reserve for the endpoint.
+pub fn reserved_descriptors(process_limit: usize) -> usize {
+    max_connections(process_limit) + OWN_DESCRIPTORS
 }
 
-/// The connections without a whole call, oldest first, and the number of all.
+/// Connections without a complete request, oldest first, and the number of all connections.
 #[derive(Default)]
-struct Open {
+struct OpenConnections {
     unfinished: RefCell<BTreeMap<u64, AbortHandle>>,
-    all: Cell<usize>,
+    count: Cell<usize>,
     closed: Notify,
 }
 
-/// One of them; dropping it gives its place back.
-struct Place(Rc<Open>, u64);
+/// Counts as one open connection until it is dropped.
+struct ConnectionGuard(Rc<OpenConnections>, u64);
 
-impl Place {
-    /// Its call is whole: it is answered, whoever else comes.
-    fn finished(&self) {
+impl ConnectionGuard {
+    /// The request is complete and is answered whatever else arrives.
+    fn request_complete(&self) {
         self.0.unfinished.borrow_mut().remove(&self.1);
     }
 }
 
-impl Drop for Place {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        self.finished();
-        self.0.all.set(self.0.all.get() - 1);
+        self.request_complete();
+        self.0.count.set(self.0.count.get() - 1);
         self.0.closed.notify_one();
     }
 }
 
-/// Answers staff until it is dropped. Must run inside a [`LocalSet`](tokio::task::LocalSet).
+/// Serves the operations endpoint until dropped. Must run inside a [`LocalSet`](tokio::task::LocalSet).
 pub async fn serve<H: Host>(
     host: H,
     listener: H::Listener,
-    desk: Arc<OpsEndpoint>,
+    endpoint: Arc<OpsEndpoint>,
     control: mpsc::Sender<Control>,
     descriptors: usize,
 ) {
-    let most = connections(descriptors);
-    let open = Rc::new(Open::default());
+    let max = max_connections(descriptors);
+    let open = Rc::new(OpenConnections::default());
     let mut failures = AcceptFailureTracker::default();
     for number in 0.. {
-        while open.all.get() >= most {
-            // The oldest that has asked nothing gives way; all others end within a known time.
+        while open.count.get() >= max {
+            // Evict the oldest connection without a complete request; all others end within a known time.
             if let Some((_, oldest)) = open.unfinished.borrow_mut().pop_first() {
                 oldest.abort();
             }
@@ -90,7 +92,7 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                // What descriptors are short of is not in its few connections.
+                // Closing the few connections here would not cure a shortage of descriptors.
                 match failures.record_failure(&host, "ops", &error) {
                     Reaction::RetryImmediately => yield_now().await,
                     Reaction::Pause | Reaction::EvictAndPause => sleep(accept_failures::RETRY_DELAY).await,
@@ -99,49 +101,55 @@
             }
         };
         failures.record_success();
-        open.all.set(open.all.get() + 1);
-        let place = Place(open.clone(), number);
-        let task = spawn_local(answer::<H>(stream, place, desk.clone(), control.clone(), host.clone()));
+        open.count.set(open.count.get() + 1);
+        let guard = ConnectionGuard(open.clone(), number);
+        let task = spawn_local(handle_connection::<H>(
+            stream,
+            guard,
+            endpoint.clone(),
+            control.clone(),
+            host.clone(),
+        ));
         open.unfinished.borrow_mut().insert(number, task.abort_handle());
     }
 }
 
-async fn answer<H: Host>(
+async fn handle_connection<H: Host>(
     stream: H::Stream,
-    place: Place,
-    desk: Arc<OpsEndpoint>,
+    guard: ConnectionGuard,
+    endpoint: Arc<OpsEndpoint>,
     control: mpsc::Sender<Control>,
     host: H,
 ) {
     let (reading, mut writing) = stream.into_halves();
     let mut head = BytesMut::new();
-    let called = async {
+    let request = async {
         loop {
             if !read_some(&reading, &mut head).await {
                 return None;
             }
             head.truncate(MAX_HEAD_BYTES);
-            if let CallResult::Answer { bytes, effect: follows } = desk.handle_call(&head) {
-                return Some((bytes, follows));
+            if let CallResult::Answer { bytes, effect } = endpoint.handle_call(&head) {
+                return Some((bytes, effect));
             }
         }
     };
-    let (bytes, follows) = match timeout(HEAD, called).await {
+    let (bytes, effect) = match timeout(HEAD_TIMEOUT, request).await {
         Ok(Some(answer)) => answer,
         Ok(None) => return,
-        Err(_) => (desk.timeout_response(), None),
+        Err(_) => (endpoint.timeout_response(), None),
     };
-    place.finished();
-    match follows {
+    guard.request_complete();
+    match effect {
         Some(CallEffect::PhaseChanged(step, phase)) => {
-            host.log(format_args!("staff: {step:?}, the node is {phase:?} now"));
-            // Its connections follow; what is asked of the node changed with the step itself.
+            host.log(format_args!("ops: {step:?}; the node is now {phase:?}"));
+            // Client connections follow; the lifecycle itself has already changed.
             let _ = control.send(Control::LifecycleChanged).await;
         }
-        Some(CallEffect::Order(wish)) => drop(control.send(Control::ZoneOrder(wish)).await),
+        Some(CallEffect::Order(order)) => drop(control.send(Control::ZoneOrder(order)).await),
         None => {}
     }
-    if let Ok(Ok(())) = timeout(TAKEN, writing.write_all(&bytes)).await {
+    if let Ok(Ok(())) = timeout(WRITE_TIMEOUT, writing.write_all(&bytes)).await {
         close_gracefully(&reading, &mut writing).await;
     }
 }
--- a/crates/node/src/origin.rs
+++ b/crates/node/src/origin.rs
@@ -1,4 +1,4 @@
-//! Calls to the origin over HTTP/1.1, one at a time on a connection.
+//! HTTP/1.1 client for the origin, with one call at a time on a connection.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -30,14 +30,14 @@
 use crate::input::Input;
 use crate::local_failures::LocalFailures;
 
-/// A connection idle for this part of the time after which it is closed is not used again.
-const FRESH: f64 = 0.7;
-/// After its head an answer's body goes on within this time.
-const BEGUN: Duration = Duration::from_millis(250);
-/// Doubts that are kept until their keys are asked for again.
-const MOST_DOUBTS: usize = 16;
-/// What of a key stands in a path as something else: all that a path segment can't hold as it is.
-const ENCODED: &AsciiSet = &NON_ALPHANUMERIC
+/// A connection that has been idle for this share of the idle time-out is not used again.
+const REUSABLE_IDLE_SHARE: f64 = 0.7;
+/// Time within which the body must continue after the head of a response.
+const BODY_STALL_TIMEOUT: Duration = Duration::from_millis(250);
+/// Number of doubted values that are kept until their keys are requested again.
+const MAX_DOUBTS: usize = 16;
+/// Characters of a key that are percent-encoded: all that a path segment cannot contain literally.
+const PATH_ENCODE_SET: &AsciiSet = &NON_ALPHANUMERIC
     .remove(b'-')
     .remove(b'.')
     .remove(b'_')
@@ -56,41 +56,41 @@
     .remove(b';')
     .remove(b'=');
 
-/// How a call ended.
-pub struct Ended {
+/// Result of a call.
+pub struct CallResult {
     pub status: Status,
     pub value: Option<Reply>,
-    /// The load report, as it came.
+    /// The load report as received.
     pub load: String,
 }
 
-impl Ended {
-    fn with(status: Status) -> Self {
-        Ended { status, value: None, load: String::new() }
+impl CallResult {
+    fn from_status(status: Status) -> Self {
+        CallResult { status, value: None, load: String::new() }
     }
 }
 
 /// What a call is about.
-struct Subject {
+struct CallSubject {
     key: Bytes,
-    /// Whether it may be called again after it may have run.
+    /// Whether the call may be repeated although it may have been executed.
     may_run_twice: bool,
 }
 
-/// A request that is to be written.
-struct Outgoing {
+/// A request to be sent.
+struct OutgoingRequest {
     request: Request<Full<Bytes>>,
     /// `None` for a probe.
-    subject: Option<Subject>,
-    /// Of an attempt, which tells the time left when it is written; a probe has none.
+    subject: Option<CallSubject>,
+    /// Extras of an attempt, which state the time left when they are written; `None` for a probe.
     extras: Option<AttemptExtras>,
 }
 
-impl Outgoing {
-    /// The request to be written now; `None` where the attempt has no time left.
+impl OutgoingRequest {
+    /// Builds the request to be sent now; `None` if the attempt has no time left.
     fn into_request(mut self) -> Option<Request<Full<Bytes>>> {
         if let Some(extras) = self.extras {
-            // Extras are printable: `Clients::parse` lets nothing else through.
+            // Extras are printable: `Clients::parse` rejects all others.
             let list = HeaderValue::from_maybe_shared(extras.encode_now()?).ok()?;
             self.request.headers_mut().insert("X-Extras", list);
         }
@@ -98,92 +98,96 @@
     }
 }
 
-/// A call that is out.
+/// A call in flight.
 pub struct Call {
     written: Rc<Cell<bool>>,
     task: AbortHandle,
 }
 
 impl Call {
-    /// Whether its writing has begun: it may run.
-    pub fn written(&self) -> bool {
+    /// Whether sending has begun, so that the origin may execute the call.
+    pub fn is_written(&self) -> bool {
         self.written.get()
     }
 
-    /// Stops waiting, which closes its connection; whether it may have run.
-    pub fn give_up(self) -> bool {
+    /// Cancels the call and closes its connection. Returns whether the origin may have executed it.
+    pub fn cancel(self) -> bool {
         self.task.abort();
         self.written.get()
     }
 }
 
-struct Pool {
+struct ConnectionPool {
     address: Option<SocketAddr>,
     ready: Cell<bool>,
-    idle: RefCell<Vec<Idle>>,
-    findings: RefCell<VerificationState>,
-    /// Doubts about values of which the keys have not been asked for on a new connection since, the latest last.
+    idle: RefCell<Vec<IdleConnection>>,
+    verification: RefCell<VerificationState>,
+    /// Doubted values whose keys have not been requested on a new connection since, the latest last.
     doubts: RefCell<VecDeque<(Bytes, Doubt)>>,
 }
 
-/// A connection with its part of the descriptors, and the responses that came on it.
-struct Lease {
+/// A connection with its descriptor permit and the responses received on it.
+struct PooledConnection {
     connection: Connection,
     _permit: OwnedSemaphorePermit,
     recent: RecentResponses,
 }
 
-/// A connection that carries nothing, and since when.
-struct Idle(Lease, Instant);
+/// An idle connection, and since when it is idle.
+struct IdleConnection(PooledConnection, Instant);
 
-impl Pool {
+impl ConnectionPool {
     fn new(address: Option<SocketAddr>, ready: bool) -> Self {
-        Pool {
+        ConnectionPool {
             address,
             ready: Cell::new(ready),
             idle: RefCell::default(),
-            findings: RefCell::default(),
+            verification: RefCell::default(),
             doubts: RefCell::default(),
         }
     }
 
-    /// Takes a connection that carries nothing and has done so for less than a time; a quiet one is one on which
-    /// no response may still be repeated.
-    fn take_idle(&self, fresh: Duration, quiet: bool) -> Option<Lease> {
+    /// Takes a connection that has been idle for less than `max_idle`. With `quiet`, only one on which no
+    /// duplicate response can still arrive.
+    fn take_idle(&self, max_idle: Duration, quiet: bool) -> Option<PooledConnection> {
         let mut idle = self.idle.borrow_mut();
-        idle.retain(|Idle(lease, since)| lease.connection.sender.is_ready() && since.elapsed() < fresh);
-        let place = idle.iter().rposition(|Idle(lease, _)| !quiet || lease.recent.duplicates_expired())?;
-        Some(idle.remove(place).0)
+        idle.retain(|IdleConnection(pooled, since)| {
+            pooled.connection.sender.is_ready() && since.elapsed() < max_idle
+        });
+        let position = idle
+            .iter()
+            .rposition(|IdleConnection(pooled, _)| !quiet || pooled.recent.duplicates_expired())?;
+        Some(idle.remove(position).0)
     }
 
-    fn keep(&self, lease: Lease) {
+    fn put_back(&self, pooled: PooledConnection) {
         if self.ready.get() {
-            self.idle.borrow_mut().push(Idle(lease, Instant::now()));
+            self.idle.borrow_mut().push(IdleConnection(pooled, Instant::now()));
         }
     }
 
-    /// Whether a value may be the repeat of another that came on its connection; keeps it where it is not. Nothing is asked
-    /// again here, for each call counts against the caps: its failure is for the decision module.
-    fn doubts_value(
+    /// Whether a value may be a duplicate of another on its connection; if not, it is recorded. The call is
+    /// not repeated here, since each call counts against the limits: the decision module handles the failure.
+    fn is_doubtful(
         &self,
-        subject: &Subject,
+        subject: &CallSubject,
         value: &[u8],
         recent: &mut RecentResponses,
-        written: Instant,
+        written_at: Instant,
     ) -> bool {
         let value = Fingerprint::of_value(value);
-        let mut findings = self.findings.borrow_mut();
-        findings.record_response();
+        let mut verification = self.verification.borrow_mut();
+        verification.record_response();
         if recent.is_empty() {
-            self.settle(subject, value, &mut findings);
+            self.resolve_doubt(subject, value, &mut verification);
         }
-        // An origin that turns calls away does so often, and its values are dear.
-        let is_known = |doubt: &Doubt| doubt.is_sync_doubt() && !findings.is_distrusted();
-        let doubt = recent.doubt(&subject.key, written, value).filter(|doubt| !is_known(doubt));
-        match doubt.filter(|doubt| findings.needs_check(*doubt)) {
+        // Equal rejections are common at an overloaded origin, and fetching a value again is expensive.
+        let is_known = |doubt: &Doubt| doubt.is_sync_doubt() && !verification.is_distrusted();
+        let doubt = recent.doubt(&subject.key, written_at, value).filter(|doubt| !is_known(doubt));
+        match doubt.filter(|doubt| verification.needs_check(*doubt)) {
             Some(doubt) => {
                 let mut doubts = self.doubts.borrow_mut();
-                if doubts.len() == MOST_DOUBTS {
+                if doubts.len() == MAX_DOUBTS {
                     doubts.pop_front();
                 }
                 doubts.push_back((subject.key.clone(), doubt));
@@ -196,12 +200,12 @@
         }
     }
 
-    /// Learns from the first value on a connection, which can't be a repeat.
-    fn settle(&self, subject: &Subject, value: Fingerprint, findings: &mut VerificationState) {
+    /// Resolves a doubt with the first value on a connection, which cannot be a duplicate.
+    fn resolve_doubt(&self, subject: &CallSubject, value: Fingerprint, verification: &mut VerificationState) {
         let mut doubts = self.doubts.borrow_mut();
-        let Some(place) = doubts.iter().position(|(key, _)| *key == subject.key) else { return };
-        if let Some((_, doubt)) = doubts.remove(place) {
-            findings.resolve_doubt(doubt, value);
+        let Some(position) = doubts.iter().position(|(key, _)| *key == subject.key) else { return };
+        if let Some((_, doubt)) = doubts.remove(position) {
+            verification.resolve_doubt(doubt, value);
         }
     }
 }
@@ -211,17 +215,17 @@
 struct Connector<H> {
     host: H,
     timeout: Duration,
-    /// Connections that may be open to all together.
-    descriptors: Arc<Semaphore>,
-    /// A shortage of this machine's concerns the connections to all of them.
+    /// Limits the open connections to all origins.
+    permits: Arc<Semaphore>,
+    /// A shortage on this machine affects the connections to all origins.
     local_failures: Rc<RefCell<LocalFailures>>,
 }
 
 impl<H: Host> Connector<H> {
-    /// Opens one; the status of its attempt where it can't be made. Too few descriptors, or too early after a shortage of
-    /// this machine's, are no failure of the origin's.
-    async fn connect(&self, to: SocketAddr) -> Result<Lease, Status> {
-        let permit = self.descriptors.clone().try_acquire_owned().map_err(|_| Status::LocalFailure)?;
+    /// Opens a connection, or returns the status of the attempt. A lack of descriptors, or a retry too soon
+    /// after a shortage on this machine, does not count as a failure of the origin.
+    async fn connect(&self, to: SocketAddr) -> Result<PooledConnection, Status> {
+        let permit = self.permits.clone().try_acquire_owned().map_err(|_| Status::LocalFailure)?;
         if !self.local_failures.borrow().may_connect() {
             return Err(Status::LocalFailure);
         }
@@ -230,11 +234,11 @@
         match connected {
             Ok(connection) => {
                 failures.record_success();
-                Ok(Lease { connection, _permit: permit, recent: RecentResponses::default() })
+                Ok(PooledConnection { connection, _permit: permit, recent: RecentResponses::default() })
             }
             Err(error) if ConnectFailure::from_error(&error) == ConnectFailure::Local => {
                 if failures.record_failure() {
-                    self.host.log(format_args!("this machine can't connect to the origin: {error}"));
+                    self.host.log(format_args!("this machine cannot connect to the origin: {error}"));
                 }
                 Err(Status::LocalFailure)
             }
@@ -243,14 +247,14 @@
     }
 }
 
-/// The origins of the list.
+/// The origins in the server list.
 pub struct Origins<H> {
     connector: Connector<H>,
-    pools: BTreeMap<ServerId, Rc<Pool>>,
-    idle_close: Duration,
-    /// Connections that may be open to all together.
-    most: usize,
-    figures: Arc<Metrics>,
+    pools: BTreeMap<ServerId, Rc<ConnectionPool>>,
+    reusable_for: Duration,
+    /// Maximum number of open connections to all origins.
+    max_connections: usize,
+    metrics: Arc<Metrics>,
     events: mpsc::Sender<Input>,
 }
 
@@ -260,22 +264,22 @@
         idle_close: Duration,
         connect_timeout: Duration,
         descriptors: usize,
-        figures: Arc<Metrics>,
+        metrics: Arc<Metrics>,
         events: mpsc::Sender<Input>,
     ) -> Self {
-        let most = descriptors.max(1);
+        let max_connections = descriptors.max(1);
         let connector = Connector {
             host,
             timeout: connect_timeout,
-            descriptors: Arc::new(Semaphore::new(most)),
+            permits: Arc::new(Semaphore::new(max_connections)),
             local_failures: Rc::default(),
         };
-        let idle_close = idle_close.mul_f64(FRESH);
-        Origins { connector, pools: BTreeMap::new(), idle_close, most, figures, events }
+        let reusable_for = idle_close.mul_f64(REUSABLE_IDLE_SHARE);
+        Origins { connector, pools: BTreeMap::new(), reusable_for, max_connections, metrics, events }
     }
 
-    /// Takes a line of the list of one that is not gone.
-    pub fn listed(&mut self, server: ServerId, address: Option<SocketAddr>, ready: bool) {
+    /// Adds or updates an origin in service.
+    pub fn update_origin(&mut self, server: ServerId, address: Option<SocketAddr>, ready: bool) {
         let known = self.pools.get(&server).filter(|p| address.is_none() || p.address == address);
         if let Some(pool) = known {
             pool.ready.set(ready);
@@ -283,35 +287,35 @@
                 pool.idle.borrow_mut().clear();
             }
         } else {
-            let pool = Pool::new(address, ready);
+            let pool = ConnectionPool::new(address, ready);
             if let Some(old) = self.pools.insert(server, Rc::new(pool)) {
                 old.ready.set(false);
             }
         }
     }
 
-    /// How many connections there are.
-    pub fn open(&self) -> usize {
-        self.most.saturating_sub(self.connector.descriptors.available_permits())
+    /// Number of open connections.
+    pub fn open_connections(&self) -> usize {
+        self.max_connections.saturating_sub(self.connector.permits.available_permits())
     }
 
-    /// How many are kept.
+    /// Number of origins kept.
     #[cfg(test)]
     pub fn len(&self) -> usize {
         self.pools.len()
     }
 
-    /// Forgets an origin that the list names no longer.
-    pub fn gone(&mut self, server: ServerId) {
+    /// Removes an origin that has left the list.
+    pub fn remove(&mut self, server: ServerId) {
         if let Some(pool) = self.pools.remove(&server) {
-            // A call that is under way holds its pool: it must find that nothing new is wanted.
+            // A call in progress holds the pool and must see that no connection is to be kept.
             pool.ready.set(false);
         }
     }
 
-    /// Calls the origin for a command; its end comes as an event. Counted among the attempts, as the list has origins
-    /// among its cache servers.
-    pub fn call(
+    /// Sends a command to the origin; the result arrives as an input of the node. Counted among the attempts,
+    /// since the list contains origins beside cache servers.
+    pub fn send(
         &self,
         server: ServerId,
         attempt: AttemptId,
@@ -324,41 +328,47 @@
         let method = if command.write { Method::PUT } else { Method::GET };
         let request = Request::builder()
             .method(method)
-            .uri(format!("/{}", percent_encode(&command.key, ENCODED)))
+            .uri(format!("/{}", percent_encode(&command.key, PATH_ENCODE_SET)))
             .header("Host", address.to_string())
             .header("X-Request-Id", command.id.as_ref())
             .body(Full::new(command.value.clone().unwrap_or_default()))
             .ok()?;
-        let subject = Subject { key: command.key.clone(), may_run_twice };
-        let outgoing = Outgoing { request, subject: Some(subject), extras: Some(extras) };
+        let subject = CallSubject { key: command.key.clone(), may_run_twice };
+        let outgoing = OutgoingRequest { request, subject: Some(subject), extras: Some(extras) };
         Some(self.spawn(pool, address, attempt, outgoing))
     }
 
-    /// Asks an origin for its load.
+    /// Requests the load of an origin.
     pub fn probe(&self, server: ServerId, attempt: AttemptId) -> Option<Call> {
         let pool = self.pools.get(&server).filter(|p| p.ready.get())?.clone();
         let address = pool.address?;
         let request =
             Request::get("/-/load").header("Host", address.to_string()).body(Full::default()).ok()?;
-        Some(self.spawn(pool, address, attempt, Outgoing { request, subject: None, extras: None }))
+        Some(self.spawn(pool, address, attempt, OutgoingRequest { request, subject: None, extras: None }))
     }
 
-    fn spawn(&self, pool: Rc<Pool>, address: SocketAddr, attempt: AttemptId, outgoing: Outgoing) -> Call {
+    fn spawn(
+        &self,
+        pool: Rc<ConnectionPool>,
+        address: SocketAddr,
+        attempt: AttemptId,
+        outgoing: OutgoingRequest,
+    ) -> Call {
         let written = Rc::new(Cell::new(false));
-        let figures = outgoing.extras.is_some().then(|| self.figures.clone());
-        let (connector, begun, events) = (self.connector.clone(), written.clone(), self.events.clone());
-        let begins = move || {
-            begun.set(true);
-            figures.iter().for_each(|f| f.attempt_sent());
+        let metrics = outgoing.extras.is_some().then(|| self.metrics.clone());
+        let (connector, is_written, events) = (self.connector.clone(), written.clone(), self.events.clone());
+        let on_write = move || {
+            is_written.set(true);
+            metrics.iter().for_each(|f| f.attempt_sent());
         };
-        let fresh = self.idle_close;
+        let max_idle = self.reusable_for;
         let task = tokio::task::spawn_local(async move {
-            let answered = exchange(&connector, &pool, address, outgoing, fresh, begins).await;
-            let (ended, large) = match answered {
-                Ok((ended, large)) => (ended, large),
-                Err(status) => (Ended::with(status), None),
+            let exchanged = exchange(&connector, &pool, address, outgoing, max_idle, on_write).await;
+            let (result, large) = match exchanged {
+                Ok((result, large)) => (result, large),
+                Err(status) => (CallResult::from_status(status), None),
             };
-            let _ = events.send(Input::Origin { attempt, ended }).await;
+            let _ = events.send(Input::Origin { attempt, result }).await;
             if let Some(large) = large {
                 large.pass_on().await;
             }
@@ -366,14 +376,14 @@
         Call { written, task: task.abort_handle() }
     }
 
-    /// Closes the connections to an origin that carry nothing.
+    /// Closes the idle connections to an origin.
     pub fn close_idle(&self, server: ServerId) {
         if let Some(pool) = self.pools.get(&server) {
             pool.idle.borrow_mut().clear();
         }
     }
 
-    /// Closes the connections to all origins that carry nothing.
+    /// Closes the idle connections to all origins.
     pub fn close_all_idle(&self) {
         self.pools.values().for_each(|pool| pool.idle.borrow_mut().clear());
     }
@@ -381,37 +391,37 @@
 
 async fn exchange<H: Host>(
     connector: &Connector<H>,
-    pool: &Pool,
+    pool: &ConnectionPool,
     address: SocketAddr,
-    mut outgoing: Outgoing,
-    fresh: Duration,
-    begins: impl FnOnce(),
-) -> Result<(Ended, Option<Large>), Status> {
-    // Once round the runtime: a close that has come in is noticed before a connection is chosen, or a write that
-    // must not run twice would be lost on it.
+    mut outgoing: OutgoingRequest,
+    max_idle: Duration,
+    on_write: impl FnOnce(),
+) -> Result<(CallResult, Option<LargeValueTransfer>), Status> {
+    // Yield once, so that a close by the origin is noticed before a connection is chosen: a write that must
+    // not run twice would be lost on it.
     tokio::task::yield_now().await;
     let subject = outgoing.subject.take();
     let runs_once = subject.as_ref().is_some_and(|subject| !subject.may_run_twice);
-    let mut lease = match pool.take_idle(fresh, runs_once) {
-        Some(lease) => lease,
+    let mut pooled = match pool.take_idle(max_idle, runs_once) {
+        Some(pooled) => pooled,
         None => match connector.connect(address).await {
-            // Where this machine can make no more, one that there is has to do.
-            Err(Status::LocalFailure) => pool.take_idle(fresh, false).ok_or(Status::LocalFailure)?,
+            // This machine cannot open another connection, so any idle one has to do.
+            Err(Status::LocalFailure) => pool.take_idle(max_idle, false).ok_or(Status::LocalFailure)?,
             connected => connected?,
         },
     };
-    // What comes for it then is its own.
-    let is_certain = runs_once && lease.recent.duplicates_expired();
-    // It may have begun to drain while the connection was made: nothing new goes there then.
+    // The next response is then certain to belong to this call.
+    let is_certain = runs_once && pooled.recent.duplicates_expired();
+    // The origin may have begun to drain while the connection was opened; nothing new is sent to it then.
     if !pool.ready.get() {
         return Err(Status::NotSent);
     }
     let request = outgoing.into_request().ok_or(Status::NotSent)?;
-    begins();
-    let written = Instant::now();
-    let response = match lease.connection.sender.try_send_request(request).await {
+    on_write();
+    let written_at = Instant::now();
+    let response = match pooled.connection.sender.try_send_request(request).await {
         Ok(response) => response,
-        // Given back: the connection had ended before any of it was written.
+        // Returned unsent: the connection had ended before anything was written.
         Err(e) if e.message().is_some() => return Err(Status::ConnectFailed),
         Err(_) => return Err(Status::Reset),
     };
@@ -429,51 +439,55 @@
     if status == Status::Served
         && let Some(length) = length.filter(|n| (MAX_BUFFERED_VALUE_BYTES + 1..=MAX_VALUE_BYTES).contains(n))
     {
-        let (into, stream) = LargeValue::new(length);
-        let large = Large { body: response.into_body(), into, _lease: lease };
-        return Ok((Ended { status, value: Some(Reply::Stream(stream)), load }, Some(large)));
+        let (chunks, stream) = LargeValue::new(length);
+        let large = LargeValueTransfer { body: response.into_body(), chunks, _lease: pooled };
+        return Ok((CallResult { status, value: Some(Reply::Stream(stream)), load }, Some(large)));
     }
-    // A body that stands still, or is too long for one whose length was not told, is no answer; its connection goes
-    // with it.
-    let value = http::body(response.into_body(), MAX_BUFFERED_VALUE_BYTES, Some(BEGUN))
+    // A body that stalls, or that is too long without a stated length, is no response; its connection is
+    // dropped.
+    let value = http::read_body(response.into_body(), MAX_BUFFERED_VALUE_BYTES, Some(BODY_STALL_TIMEOUT))
         .await
         .map_err(|_| Status::Reset)?;
     if let Some(subject) = &subject {
         if status == Status::Served && is_certain {
-            lease.recent.push(&subject.key, Fingerprint::of_value(&value));
-        } else if status == Status::Served && pool.doubts_value(subject, &value, &mut lease.recent, written) {
+            pooled.recent.push(&subject.key, Fingerprint::of_value(&value));
+        } else if status == Status::Served
+            && pool.is_doubtful(subject, &value, &mut pooled.recent, written_at)
+        {
             return Err(Status::Reset);
         }
-        let may_repeat = status != Status::Served && lease.recent.push_without_value(&code.to_le_bytes());
-        if may_repeat && !is_certain {
-            // The true response may still come, and would be taken for the next call's: the connection is not kept.
+        let may_be_duplicate =
+            status != Status::Served && pooled.recent.push_without_value(&code.to_le_bytes());
+        if may_be_duplicate && !is_certain {
+            // The actual response may still arrive and would be taken for that of the next call, so the
+            // connection is not kept.
             return match subject.may_run_twice {
-                true => Ok((Ended { status, value: Some(Reply::Value(value)), load }, None)),
-                // Nor can it be believed that it never ran.
+                true => Ok((CallResult { status, value: Some(Reply::Value(value)), load }, None)),
+                // Nor is the statement reliable that the call was not executed.
                 false => Err(Status::Error),
             };
         }
     }
-    pool.keep(lease);
-    Ok((Ended { status, value: Some(Reply::Value(value)), load }, None))
+    pool.put_back(pooled);
+    Ok((CallResult { status, value: Some(Reply::Value(value)), load }, None))
 }
 
-/// A large value that has begun to come.
-struct Large {
+/// A large value whose transfer has begun.
+struct LargeValueTransfer {
     body: Incoming,
-    into: mpsc::Sender<Bytes>,
-    _lease: Lease,
+    chunks: mpsc::Sender<Bytes>,
+    _lease: PooledConnection,
 }
 
-impl Large {
-    /// Passes it on as fast as its client takes it. The connection ends with it: what is passed on as it comes can't be compared
-    /// with another value, so that a repeat of it must meet no other call.
+impl LargeValueTransfer {
+    /// Passes the value on as fast as the client reads it, and closes the connection afterwards: a streamed
+    /// value cannot be compared with another one, so no later call may meet a duplicate of it.
     async fn pass_on(mut self) {
         while let Ok(Some(Ok(frame))) = timeout(STREAM_STALL_TIMEOUT, self.body.frame()).await {
             let Ok(mut data) = frame.into_data() else { continue };
             while !data.is_empty() {
                 let piece = data.split_to(data.len().min(MAX_CHUNK_BYTES));
-                if self.into.send(piece).await.is_err() {
+                if self.chunks.send(piece).await.is_err() {
                     return;
                 }
             }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -16,32 +16,33 @@
 
 use crate::input::Input;
 
-/// The longest message that may be sent.
-const MAX_MESSAGE: usize = 256;
+/// Maximum size of a message.
+const MAX_MESSAGE_BYTES: usize = 256;
 
-/// Between two tries to open an address that another process of this node has not let go of.
-const AGAIN: Duration = Duration::from_millis(20);
+/// Interval between attempts to open an address that the predecessor process has not released.
+const OPEN_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The way to the other nodes.
+/// Sends and receives the datagrams of the other nodes.
 pub struct Peers<H: Host> {
     host: H,
-    /// None while another process of this node has the address.
+    /// `None` while another process of this node owns the address.
     socket: Rc<RefCell<Option<Rc<H::Datagrams>>>>,
-    inbox: AbortHandle,
-    /// By their numbers.
+    receive_task: AbortHandle,
+    /// By node index.
     addresses: Arc<[SocketAddr]>,
-    all: Option<SocketAddr>,
+    broadcast: Option<SocketAddr>,
 }
 
 impl<H: Host> Peers<H> {
-    /// Opens the socket and begins to listen; where `shared`, another process may have it open still, and it is tried for
-    /// until it is free. Messages of strangers and overlong ones are dropped.
+    /// Opens the socket and starts to receive. If `shared`, a predecessor process may still have the address
+    /// open, and opening is retried until it is free. Messages from unknown senders and oversized ones are
+    /// dropped.
     pub async fn open(
         host: H,
         listen: SocketAddr,
         shared: bool,
         addresses: Arc<[SocketAddr]>,
-        all: Option<SocketAddr>,
+        broadcast: Option<SocketAddr>,
         events: mpsc::Sender<Input>,
     ) -> std::io::Result<Self> {
         let first = match datagrams_with_retry(&host, listen, shared).await {
@@ -50,53 +51,53 @@
             Err(e) => return Err(e),
         };
         let socket = Rc::new(RefCell::new(first.clone()));
-        let (known, place, opener) = (addresses.clone(), socket.clone(), host.clone());
+        let (senders, shared_socket, opener) = (addresses.clone(), socket.clone(), host.clone());
         let task = tokio::task::spawn_local(async move {
-            let inbox = match first {
+            let receiver = match first {
                 Some(socket) => socket,
                 None => loop {
-                    sleep(AGAIN).await;
+                    sleep(OPEN_RETRY_INTERVAL).await;
                     if let Ok(socket) = opener.datagrams(listen).await {
                         opener.log(format_args!("messages of peers come here from now on"));
                         break Rc::new(socket);
                     }
                 },
             };
-            *place.borrow_mut() = Some(inbox.clone());
-            let mut buffer = [0; MAX_MESSAGE + 1];
+            *shared_socket.borrow_mut() = Some(receiver.clone());
+            let mut buffer = [0; MAX_MESSAGE_BYTES + 1];
             loop {
-                let (length, sender) = receive_with_backoff(&*inbox, &mut buffer).await;
-                let Some(from) = known.iter().position(|a| *a == sender) else { continue };
-                if length <= MAX_MESSAGE {
+                let (length, sender) = receive_with_backoff(&*receiver, &mut buffer).await;
+                let Some(from) = senders.iter().position(|a| *a == sender) else { continue };
+                if length <= MAX_MESSAGE_BYTES {
                     let bytes = buffer[..length].to_vec();
-                    // One that finds the queue full is dropped, as it might have been on its way.
+                    // Dropped if the queue is full, as any datagram may be.
                     let _ = events.try_send(Input::Peer { from: from as u32, bytes });
                 }
                 tokio::task::yield_now().await;
             }
         });
-        Ok(Peers { host, socket, inbox: task.abort_handle(), addresses, all })
+        Ok(Peers { host, socket, receive_task: task.abort_handle(), addresses, broadcast })
     }
 
-    /// Lets go of the address: another process of this node speaks for it.
+    /// Releases the address for the successor process.
     pub fn close(&mut self) {
-        self.inbox.abort();
+        self.receive_task.abort();
         self.socket.borrow_mut().take();
     }
 
-    /// Sends a message to one node, or to all; one that can't go at once is lost.
-    pub fn tell(&self, to: Option<u32>, bytes: &[u8]) {
+    /// Sends a message to one node, or to all. A message that cannot be sent at once is lost.
+    pub fn send(&self, to: Option<u32>, bytes: &[u8]) {
         let address = match to {
-            Some(number) => self.addresses.get(number as usize).copied(),
-            None => self.all,
+            Some(index) => self.addresses.get(index as usize).copied(),
+            None => self.broadcast,
         };
         match address {
-            Some(address) if bytes.len() <= MAX_MESSAGE => {
+            Some(address) if bytes.len() <= MAX_MESSAGE_BYTES => {
                 if let Some(socket) = self.socket.borrow().as_ref() {
                     let _ = socket.try_send_to(bytes, address);
                 }
             }
-            _ => self.host.log(format_args!("a message of {} bytes to {to:?} can't be sent", bytes.len())),
+            _ => self.host.log(format_args!("cannot send a message of {} bytes to peer {to:?}", bytes.len())),
         }
     }
 }
--- a/crates/node/tests/unit/event_log.rs
+++ b/crates/node/tests/unit/event_log.rs
@@ -2,7 +2,7 @@
 use crate::failing_host::FailingHost;
 
 #[tokio::test(start_paused = true)]
-async fn each_kind_has_its_own_limit_and_what_was_left_out_is_told() {
+async fn each_kind_is_limited_and_omitted_lines_are_counted() {
     let host = FailingHost::new();
     let log = EventLog::new(host.clone());
     for number in 0..25 {
--- a/crates/node/tests/unit/eviction_priority.rs
+++ b/crates/node/tests/unit/eviction_priority.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn who_shows_nothing_goes_first_then_who_rests_and_slow_writers_only_for_want_of_room() {
+fn stalled_connections_are_evicted_first_then_idle_ones_and_slow_writers_only_without_room() {
     use Activity::*;
     let ms = Duration::from_millis;
     for (activity, idle, no_room, expected) in [
--- a/crates/node/tests/unit/keys.rs
+++ b/crates/node/tests/unit/keys.rs
@@ -1,11 +1,11 @@
 use super::*;
 
 #[test]
-fn a_secret_changes_all_numbers_and_is_read_strictly() {
+fn secret_changes_all_hashes_and_is_parsed_strictly() {
     let one = KeyHasher::from_hex_secret(" 000102030405060708090a0b0c0d0e0f\n").unwrap();
     let other = KeyHasher::from_hex_secret("100102030405060708090a0b0c0d0e0f").unwrap();
-    let numbers = [KeyHasher::Plain, one, other].map(|k| k.hash(b"station/17"));
-    assert!(numbers[0] != numbers[1] && numbers[1] != numbers[2] && numbers[0] != numbers[2]);
+    let hashes = [KeyHasher::Plain, one, other].map(|k| k.hash(b"station/17"));
+    assert!(hashes[0] != hashes[1] && hashes[1] != hashes[2] && hashes[0] != hashes[2]);
     assert_eq!(format!("{one:?}"), "Secret");
     for bad in [
         "",
--- a/crates/node/tests/unit/node.rs
+++ b/crates/node/tests/unit/node.rs
@@ -1,4 +1,4 @@
-//! What the node keeps of servers, and what it makes of their reports.
+//! Tests of server bookkeeping, load reports and the handover of state between processes.
 
 use std::net::SocketAddr;
 
@@ -8,21 +8,21 @@
 
 const HOST: SystemHost = SystemHost { program: "test" };
 
-const SITE: &str = r#"{"classes":[{"name":"read"}],"machineTypes":["m","origin"],"zones":["a"],
+const SETTINGS: &str = r#"{"classes":[{"name":"read"}],"machineTypes":["m","origin"],"zones":["a"],
     "specifics":{"mode":"aside","originKind":1},"report":{"fields":["lat_ms","busy"]}}"#;
 
 #[test]
-fn figures_that_no_load_can_have_are_dropped_with_their_report() {
-    let site = brassrouter::settings::parse(SITE.as_bytes()).unwrap();
-    assert_eq!(load(&site, "lat_ms=5,busy=0.5").values[..2], [5.0, 0.5]);
+fn implausible_load_values_discard_the_report() {
+    let settings = brassrouter::settings::parse(SETTINGS.as_bytes()).unwrap();
+    assert_eq!(parse_load_report(&settings, "lat_ms=5,busy=0.5").values[..2], [5.0, 0.5]);
     for bad in ["lat_ms=5,busy=NaN", "lat_ms=inf,busy=0.5", "lat_ms=5,busy=-1", "busy=1e30,lat_ms=1", "x", ""]
     {
-        assert_eq!(load(&site, bad), LoadReport::default(), "{bad}");
+        assert_eq!(parse_load_report(&settings, bad), LoadReport::default(), "{bad}");
     }
 }
 
-/// A node beside no other, with what another process of it has handed on; its inputs go nowhere.
-fn test_node(clock: Clock, inherited: Option<ResumedState>) -> (Node<SystemHost>, mpsc::Receiver<Input>) {
+/// A node without peers, with state from a predecessor process; nobody reads its inputs.
+fn test_node(clock: Clock, predecessor: Option<ResumedState>) -> (Node<SystemHost>, mpsc::Receiver<Input>) {
     let (events, inputs) = mpsc::channel(8);
     let limits = servers::Limits {
         node_count: 1,
@@ -31,108 +31,122 @@
         connect_timeout: Duration::from_secs(30),
         max_connections: 8,
     };
-    let desk = OpsEndpoint::new(["read"]);
-    let parts = Components {
-        servers: Servers::new(HOST, limits, desk.metrics.clone(), events.clone()),
+    let ops_endpoint = OpsEndpoint::new(["read"]);
+    let components = Components {
+        servers: Servers::new(HOST, limits, ops_endpoint.metrics.clone(), events.clone()),
         origins: Origins::new(
             HOST,
             Duration::from_secs(60),
             Duration::from_secs(30),
             8,
-            desk.metrics.clone(),
+            ops_endpoint.metrics.clone(),
             events,
         ),
         peers: None,
         subscription: watch::channel(Subscription::default()).0,
-        ops_endpoint: desk,
+        ops_endpoint,
         has_ops_address: false,
         storm_monitor: None,
         locality: None,
         agreement: None,
         lifecycle_changed: Rc::default(),
-        predecessor: inherited,
+        predecessor,
         supports_handover: true,
         recorder: None,
     };
-    let site = brassrouter::settings::parse(SITE.as_bytes()).unwrap();
-    (Node::new(HOST, site, 1, clock, parts), inputs)
+    let settings = brassrouter::settings::parse(SETTINGS.as_bytes()).unwrap();
+    (Node::new(HOST, settings, 1, clock, components), inputs)
 }
 
-/// Of the caps the dead have all but two parts, one of this process and one of the next, which acts on half of the caps: it
-/// counts half of what it is told at the start, and all of what it is told at the end of this process.
+/// All but two shares of the limits belong to ended processes; of the two, one is this process's and one its
+/// successor's. The successor works with half of the limits: it counts half of the calls reported at its
+/// start, and all of those reported when this process ends.
 #[test]
-fn a_process_that_takes_over_is_told_of_the_part_that_belongs_to_the_dead() {
+fn successor_is_told_of_origin_calls_of_ended_processes() {
     on_runtime(async {
         let (mut node, _inputs) = test_node(Clock::start(&HOST), None);
         let limit = node.policy.inheritable_state().outstanding_limit;
-        let mut told = |sharers| {
-            node.input(Input::ProcessCount(sharers));
-            [true, false].map(|whole| node.known(whole).remaining.inherited.origin_calls.len())
+        let mut reported_calls = |process_count| {
+            node.handle_input(Input::ProcessCount(process_count));
+            [true, false].map(|full| node.state_for_successor(full).remaining.inherited.origin_calls.len())
         };
-        assert_eq!(told(2), [0, 0]);
-        let part = |of: f64| (limit / of) as usize;
-        let (quarter, more) = (part(2.0) - part(4.0), part(2.0) - part(8.0));
+        assert_eq!(reported_calls(2), [0, 0]);
+        let share = |of: f64| (limit / of) as usize;
+        let (quarter, three_eighths) = (share(2.0) - share(4.0), share(2.0) - share(8.0));
         assert!(quarter > 1);
-        assert_eq!(told(4), [0, 0], "nobody has died");
-        node.input(Input::ProcessEnded { origin_calls_end_within: Duration::from_secs(60) });
-        let mut told = |sharers| {
-            node.input(Input::ProcessCount(sharers));
-            [true, false].map(|whole| node.known(whole).remaining.inherited.origin_calls.len())
+        assert_eq!(reported_calls(4), [0, 0], "no process has ended");
+        node.handle_input(Input::ProcessEnded { origin_calls_end_within: Duration::from_secs(60) });
+        let mut reported_calls = |process_count| {
+            node.handle_input(Input::ProcessCount(process_count));
+            [true, false].map(|full| node.state_for_successor(full).remaining.inherited.origin_calls.len())
         };
-        assert_eq!(told(4), [2 * quarter, quarter]);
-        assert_eq!(told(8), [2 * more, more]);
-        assert_eq!(told(2), [0, 0], "their calls are over");
+        assert_eq!(reported_calls(4), [2 * quarter, quarter]);
+        assert_eq!(reported_calls(8), [2 * three_eighths, three_eighths]);
+        assert_eq!(reported_calls(2), [0, 0], "the calls of ended processes are over");
     });
 }
 
-/// Runs a test where connections may be opened.
+/// Runs a test on a runtime with I/O.
 fn on_runtime(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, test);
 }
 
-/// Ids are ever new: what the list no longer names must leave nothing behind, and come back as it was.
+/// Server ids are never reused: departed servers must leave nothing behind, and must be restored if they
+/// return.
 #[test]
-fn servers_that_have_left_leave_nothing_behind() {
+fn departed_servers_leave_nothing_behind() {
     on_runtime(async {
         let (mut node, _inputs) = test_node(Clock::start(&HOST), None);
         let address = SocketAddr::from(([127, 0, 0, 1], 9));
-        let mut told = |id: u32, kind, phase, list| {
+        let mut counts_after = |id: u32, kind, phase, list| {
             let member =
                 format!(r#"{{"id":"s-{id}","host_port":"{address}","flavor":"{kind}","phase":"{phase}"}}"#);
             let text =
                 format!(r#"{{"revision":1,"complete":{},"members":[{member}]}}"#, list == ListKind::Full);
-            node.list(serde_json::from_str(&text).unwrap(), list);
-            node.settle();
-            (node.numbers.len(), node.origin_ids.len(), node.parts.servers.len(), node.parts.origins.len())
+            node.apply_list(serde_json::from_str(&text).unwrap(), list);
+            node.process_events();
+            (
+                node.server_ids.len(),
+                node.origin_ids.len(),
+                node.components.servers.len(),
+                node.components.origins.len(),
+            )
         };
         for id in 0..100 {
-            // By a change, and by a whole list that names it no longer.
-            for (kind, here) in [("m", (1, 0, 1, 0)), ("origin", (1, 1, 0, 1))] {
-                assert_eq!(told(id, kind, "ready", ListKind::Delta), here);
-                told(id, kind, "draining", ListKind::Delta);
-                assert_eq!(told(id, kind, "gone", ListKind::Delta), (0, 0, 0, 0));
-                assert_eq!(told(id, kind, "ready", ListKind::Full), here);
-                assert_eq!(told(1000 + id, kind, "ready", ListKind::Full), here);
-                assert_eq!(told(1000 + id, kind, "gone", ListKind::Full), (0, 0, 0, 0));
+            // Removed by a change, and by a complete list without it.
+            for (kind, expected) in [("m", (1, 0, 1, 0)), ("origin", (1, 1, 0, 1))] {
+                assert_eq!(counts_after(id, kind, "ready", ListKind::Delta), expected);
+                counts_after(id, kind, "draining", ListKind::Delta);
+                assert_eq!(counts_after(id, kind, "gone", ListKind::Delta), (0, 0, 0, 0));
+                assert_eq!(counts_after(id, kind, "ready", ListKind::Full), expected);
+                assert_eq!(counts_after(1000 + id, kind, "ready", ListKind::Full), expected);
+                assert_eq!(counts_after(1000 + id, kind, "gone", ListKind::Full), (0, 0, 0, 0));
             }
         }
     });
 }
 
 #[test]
-fn a_clock_goes_on_from_the_process_before_it_whatever_the_wall_clock_says() {
-    const TOLD: Micros = 1_700_000_000_000_000;
+fn clock_continues_from_the_predecessor_despite_wall_clock_steps() {
+    const LAST_READING: Micros = 1_700_000_000_000_000;
     const HOUR: Micros = 3_600_000_000;
-    let cases = [(TOLD, 0), (TOLD + 100_000, 100_000), (TOLD + 2_000_000, 0), (TOLD - 2_000_000, 0)];
-    for (wall, passed) in cases.into_iter().chain([(TOLD + HOUR, 0), (TOLD - HOUR, 0), (0, 0)]) {
-        let clock = Clock { start: Instant::now(), unix: wall }.continued_from(TOLD);
-        assert_eq!(clock.unix - TOLD, passed, "a wall clock at {wall}");
+    let cases = [
+        (LAST_READING, 0),
+        (LAST_READING + 100_000, 100_000),
+        (LAST_READING + 2_000_000, 0),
+        (LAST_READING - 2_000_000, 0),
+    ];
+    for (wall, elapsed) in
+        cases.into_iter().chain([(LAST_READING + HOUR, 0), (LAST_READING - HOUR, 0), (0, 0)])
+    {
+        let clock = Clock { start: Instant::now(), wall_start: wall }.continued_from(LAST_READING);
+        assert_eq!(clock.wall_start - LAST_READING, elapsed, "a wall clock at {wall}");
     }
 }
 
 #[test]
-fn starts_keep_their_times_in_the_next_process_of_a_node() {
+fn start_times_survive_a_handover() {
     on_runtime(async {
         let address = SocketAddr::from(([127, 0, 0, 1], 9));
         let list = |first_up_since: u64, revision: u64| -> ServerList {
@@ -146,27 +160,31 @@
             serde_json::from_str(&text).unwrap()
         };
         let starts = |node: &Node<SystemHost>| {
-            let mut lines = node.policy.listed_servers();
-            lines.sort_by_key(|line| line.started_at);
-            lines.iter().map(|line| line.started_at).collect::<Vec<_>>()
+            let mut entries = node.policy.listed_servers();
+            entries.sort_by_key(|entry| entry.started_at);
+            entries.iter().map(|entry| entry.started_at).collect::<Vec<_>>()
         };
-        let (mut first, _inputs) = test_node(Clock { start: Instant::now(), unix: 50_000_000 }, None);
-        first.list(list(7_000_000, 1), ListKind::Full);
-        first.settle();
+        let (mut first, _inputs) = test_node(Clock { start: Instant::now(), wall_start: 50_000_000 }, None);
+        first.apply_list(list(7_000_000, 1), ListKind::Full);
+        first.process_events();
         // Discovery's clock has been stepped back.
-        first.list(list(3_000_000, 2), ListKind::Full);
-        first.settle();
-        let known = first.known(true);
-        let policy: Policy = postcard::from_bytes(&known.module_state).unwrap();
-        let clock = Clock { start: Instant::now(), unix: 1 }.continued_from(policy.now());
+        first.apply_list(list(3_000_000, 2), ListKind::Full);
+        first.process_events();
+        let state = first.state_for_successor(true);
+        let policy: Policy = postcard::from_bytes(&state.module_state).unwrap();
+        let clock = Clock { start: Instant::now(), wall_start: 1 }.continued_from(policy.now());
         assert!(clock.now() >= policy.now());
-        let inherited = ResumedState { policy: Some(policy), inherited: known.remaining.inherited.clone() };
-        let (mut next, _inputs) = test_node(clock, Some(inherited));
-        let told = crate::handover::decode_list(&known).unwrap();
-        next.inherit_start_times(&told);
-        next.list(told, ListKind::Cached);
-        next.settle();
-        assert_eq!(starts(&next), starts(&first));
-        assert!(starts(&next)[0] == 0 && starts(&next)[1] >= 50_000_000, "{:?}", starts(&next));
+        let inherited = ResumedState { policy: Some(policy), inherited: state.remaining.inherited.clone() };
+        let (mut successor, _inputs) = test_node(clock, Some(inherited));
+        let handed_over = crate::handover::decode_list(&state).unwrap();
+        successor.inherit_start_times(&handed_over);
+        successor.apply_list(handed_over, ListKind::Cached);
+        successor.process_events();
+        assert_eq!(starts(&successor), starts(&first));
+        assert!(
+            starts(&successor)[0] == 0 && starts(&successor)[1] >= 50_000_000,
+            "{:?}",
+            starts(&successor)
+        );
     });
 }
--- a/crates/node/tests/unit/origin.rs
+++ b/crates/node/tests/unit/origin.rs
@@ -1,4 +1,4 @@
-//! Calls to the origin, told apart from the node that makes them.
+//! Tests of the origin client without a node.
 
 use mothpier_host::SystemHost;
 use mothpier_ops::OpsEndpoint;
@@ -7,21 +7,22 @@
 use crate::command::{RequestIdGuard, RequestIds};
 use crate::failing_host::{FailingHost, LOCAL_ERRORS, REMOTE_ERRORS};
 
-/// Only what has hung waits for so long; nothing is measured by it.
-const HUNG: Duration = Duration::from_secs(10);
+/// Time limit that only a hanging test reaches.
+const HANG_LIMIT: Duration = Duration::from_secs(10);
 
-/// There is no time that it could tell: the origin gets nothing of it, and the node is told so.
+/// With no time left there is none to state: nothing is sent to the origin, and the node is informed.
 #[test]
-fn a_call_without_time_left_is_not_written() {
+fn call_without_time_left_is_not_sent() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let (events, mut inputs) = mpsc::channel(8);
-        let figures = OpsEndpoint::new(["read"]).metrics.clone();
-        let (idle, within) = (Duration::from_secs(60), Duration::from_secs(30));
-        let mut origins = Origins::new(SystemHost { program: "test" }, idle, within, 8, figures, events);
-        origins.listed(7, Some(address), true);
+        let metrics = OpsEndpoint::new(["read"]).metrics.clone();
+        let (idle_timeout, connect_timeout) = (Duration::from_secs(60), Duration::from_secs(30));
+        let mut origins =
+            Origins::new(SystemHost { program: "test" }, idle_timeout, connect_timeout, 8, metrics, events);
+        origins.update_origin(7, Some(address), true);
         let command = Command {
             name: "CACHE.SET".into(),
             key: "k".into(),
@@ -32,13 +33,13 @@
             _id_guard: RequestIdGuard::acquire(&RequestIds::default(), &"i".into()).unwrap(),
         };
         let extras = command.attempt_extras(Instant::now());
-        let call = origins.call(7, 1, &command, extras, false).unwrap();
-        let ended = match timeout(HUNG, inputs.recv()).await {
-            Ok(Some(Input::Origin { attempt: 1, ended })) => ended,
-            _ => panic!("something else"),
+        let call = origins.send(7, 1, &command, extras, false).unwrap();
+        let result = match timeout(HANG_LIMIT, inputs.recv()).await {
+            Ok(Some(Input::Origin { attempt: 1, result })) => result,
+            _ => panic!("unexpected input"),
         };
-        assert_eq!(ended.status, Status::NotSent);
-        assert!(!call.give_up(), "said to have run");
+        assert_eq!(result.status, Status::NotSent);
+        assert!(!call.cancel(), "reported as possibly executed");
     });
     let mut written = Vec::new();
     let (mut stream, _) = listener.accept().unwrap();
@@ -46,35 +47,35 @@
     assert_eq!(written, b"");
 }
 
-/// Calls to an origin on a host where connections fail, and how the first of them ended.
+/// Makes a first call on a host whose connections fail, and returns its status.
 async fn first_call(host: &FailingHost) -> (Origins<FailingHost>, mpsc::Receiver<Input>, Status) {
     let (events, mut inputs) = mpsc::channel(8);
-    let figures = OpsEndpoint::new(["read"]).metrics.clone();
-    let (idle, within) = (Duration::from_secs(60), Duration::from_secs(30));
-    let mut origins = Origins::new(host.clone(), idle, within, 8, figures, events);
-    origins.listed(7, Some("127.0.0.1:1".parse().unwrap()), true);
+    let metrics = OpsEndpoint::new(["read"]).metrics.clone();
+    let (idle_timeout, connect_timeout) = (Duration::from_secs(60), Duration::from_secs(30));
+    let mut origins = Origins::new(host.clone(), idle_timeout, connect_timeout, 8, metrics, events);
+    origins.update_origin(7, Some("127.0.0.1:1".parse().unwrap()), true);
     assert!(origins.probe(7, 1).is_some());
-    let status = ended(&mut inputs).await;
+    let status = next_status(&mut inputs).await;
     (origins, inputs, status)
 }
 
-async fn ended(inputs: &mut mpsc::Receiver<Input>) -> Status {
-    match timeout(HUNG, inputs.recv()).await {
-        Ok(Some(Input::Origin { ended, .. })) => ended.status,
-        _ => panic!("something else"),
+async fn next_status(inputs: &mut mpsc::Receiver<Input>) -> Status {
+    match timeout(HANG_LIMIT, inputs.recv()).await {
+        Ok(Some(Input::Origin { result, .. })) => result.status,
+        _ => panic!("unexpected input"),
     }
 }
 
-/// Runs a test on one thread with a clock that stands still unless it is moved.
+/// Runs a test on one thread with a paused clock.
 fn with_paused_clock(test: impl Future<Output = ()>) {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, test);
 }
 
-/// What this machine lacks is no trouble of the origin's, and is not asked of the machine again at once.
+/// A shortage on this machine is no failure of the origin, and the machine is not asked again at once.
 #[test]
-fn a_call_that_this_machine_cannot_make_is_told_as_a_local_failure() {
+fn local_connect_failure_is_reported_as_such() {
     with_paused_clock(async {
         for error in LOCAL_ERRORS {
             let host = FailingHost::failing_with(error);
@@ -82,12 +83,12 @@
             assert_eq!(status, Status::LocalFailure, "error {error}");
             for attempt in 2..50 {
                 origins.probe(7, attempt).unwrap();
-                assert_eq!(ended(&mut inputs).await, Status::LocalFailure);
+                assert_eq!(next_status(&mut inputs).await, Status::LocalFailure);
             }
-            assert_eq!(host.connects.get(), 1, "tried again at once");
+            assert_eq!(host.connects.get(), 1, "retried at once");
             tokio::time::advance(Duration::from_millis(10)).await;
             origins.probe(7, 50).unwrap();
-            ended(&mut inputs).await;
+            next_status(&mut inputs).await;
             assert_eq!(host.connects.get(), 2);
             assert_eq!(host.log.borrow().len(), 1);
         }
@@ -95,7 +96,7 @@
 }
 
 #[test]
-fn a_call_that_fails_at_the_origin_or_on_the_way_to_it_is_not_connected() {
+fn remote_connect_failure_is_reported_as_not_connected() {
     with_paused_clock(async {
         for error in REMOTE_ERRORS {
             let (_, _, status) = first_call(&FailingHost::failing_with(error)).await;
