--- a/crates/node/src/agreement.rs
+++ b/crates/node/src/agreement.rs
@@ -386,10 +386,10 @@
         }
         let local_plan = self.local_planner.plan(self.now());
         for (zone, was_abandoned) in self.abandoned_zones.iter_mut().enumerate() {
-            let now = local_plan.zones.get(zone).is_some_and(|z| z.state == ZoneState::GivenUp);
-            if std::mem::replace(was_abandoned, now) != now {
+            let is_abandoned = local_plan.zones.get(zone).is_some_and(|z| z.state == ZoneState::GivenUp);
+            if std::mem::replace(was_abandoned, is_abandoned) != is_abandoned {
                 let name = &self.zones[zone];
-                changes.log_lines.push(match now {
+                changes.log_lines.push(match is_abandoned {
                     true => format!("accord: this node cannot reach {name} and stops using it on its own"),
                     false => format!("accord: this node can reach {name} again"),
                 });
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -247,7 +247,7 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             CallFailure::TimedOut(_) => f.write_str("no response"),
-            CallFailure::Failed(why) => f.write_str(why),
+            CallFailure::Failed(reason) => f.write_str(reason),
             CallFailure::Local(error) => write!(f, "this machine cannot connect: {error}"),
         }
     }
@@ -365,9 +365,9 @@
                 DiscoveryEvent::List(list)
             }
             // Reopened without a pause: changes that the watch misses count as delivered soon.
-            Err(CallFailure::TimedOut(result)) if watch_state == WatchState::Established => {
+            Err(CallFailure::TimedOut(response)) if watch_state == WatchState::Established => {
                 host.log(format_args!("discovery: the watch timed out; reopening it"));
-                (late_response, watch_state) = (Some(result), WatchState::Opening);
+                (late_response, watch_state) = (Some(response), WatchState::Opening);
                 continue;
             }
             Err(e) => {
@@ -377,8 +377,8 @@
                     host.log(format_args!("discovery: {e}; retrying"));
                 }
                 is_failing = true;
-                if let CallFailure::TimedOut(result) = e {
-                    late_response = Some(result);
+                if let CallFailure::TimedOut(response) = e {
+                    late_response = Some(response);
                 }
                 DiscoveryEvent::Failed
             }
@@ -407,7 +407,7 @@
     address: SocketAddr,
     after: Option<u64>,
 ) -> Result<ServerList, CallFailure> {
-    let failed = |why: String| CallFailure::Failed(why);
+    let failed = |reason: String| CallFailure::Failed(reason);
     let path = match after {
         Some(revision) => format!("/api/targets?after={revision}&wait_ms={}", wait.as_millis()),
         None => "/api/targets".into(),
--- a/crates/node/src/keys.rs
+++ b/crates/node/src/keys.rs
@@ -48,7 +48,7 @@
 
     /// The hash of a key; never 0, which stands for no key.
     pub fn hash(&self, key: &[u8]) -> u64 {
-        let number = match self {
+        let hash = match self {
             KeyHasher::Plain => xxh3_64(key),
             KeyHasher::Secret(secret) => {
                 let mut hasher = SipHasher13::new_with_key(secret);
@@ -56,7 +56,7 @@
                 hasher.finish()
             }
         };
-        number.max(1)
+        hash.max(1)
     }
 }
 
--- a/crates/node/src/origin.rs
+++ b/crates/node/src/origin.rs
@@ -90,7 +90,7 @@
     /// Builds the request to be sent now; `None` if the attempt has no time left.
     fn into_request(mut self) -> Option<Request<Full<Bytes>>> {
         if let Some(extras) = self.extras {
-            // Extras are printable: `Clients::parse` rejects all others.
+            // Extras are printable: the parser of client commands rejects all others.
             let list = HeaderValue::from_maybe_shared(extras.encode_now()?).ok()?;
             self.request.headers_mut().insert("X-Extras", list);
         }
@@ -261,7 +261,7 @@
 impl<H: Host> Origins<H> {
     pub fn new(
         host: H,
-        idle_close: Duration,
+        idle_timeout: Duration,
         connect_timeout: Duration,
         descriptors: usize,
         metrics: Arc<Metrics>,
@@ -274,7 +274,7 @@
             permits: Arc::new(Semaphore::new(max_connections)),
             local_failures: Rc::default(),
         };
-        let reusable_for = idle_close.mul_f64(REUSABLE_IDLE_SHARE);
+        let reusable_for = idle_timeout.mul_f64(REUSABLE_IDLE_SHARE);
         Origins { connector, pools: BTreeMap::new(), reusable_for, max_connections, metrics, events }
     }
 
@@ -359,7 +359,7 @@
         let (connector, is_written, events) = (self.connector.clone(), written.clone(), self.events.clone());
         let on_write = move || {
             is_written.set(true);
-            metrics.iter().for_each(|f| f.attempt_sent());
+            metrics.iter().for_each(|metrics| metrics.attempt_sent());
         };
         let max_idle = self.reusable_for;
         let task = tokio::task::spawn_local(async move {
@@ -440,7 +440,7 @@
         && let Some(length) = length.filter(|n| (MAX_BUFFERED_VALUE_BYTES + 1..=MAX_VALUE_BYTES).contains(n))
     {
         let (chunks, stream) = LargeValue::new(length);
-        let large = LargeValueTransfer { body: response.into_body(), chunks, _lease: pooled };
+        let large = LargeValueTransfer { body: response.into_body(), chunks, _connection: pooled };
         return Ok((CallResult { status, value: Some(Reply::Stream(stream)), load }, Some(large)));
     }
     // A body that stalls, or that is too long without a stated length, is no response; its connection is
@@ -476,7 +476,7 @@
 struct LargeValueTransfer {
     body: Incoming,
     chunks: mpsc::Sender<Bytes>,
-    _lease: PooledConnection,
+    _connection: PooledConnection,
 }
 
 impl LargeValueTransfer {
@@ -486,8 +486,8 @@
         while let Ok(Some(Ok(frame))) = timeout(STREAM_STALL_TIMEOUT, self.body.frame()).await {
             let Ok(mut data) = frame.into_data() else { continue };
             while !data.is_empty() {
-                let piece = data.split_to(data.len().min(MAX_CHUNK_BYTES));
-                if self.chunks.send(piece).await.is_err() {
+                let chunk = data.split_to(data.len().min(MAX_CHUNK_BYTES));
+                if self.chunks.send(chunk).await.is_err() {
                     return;
                 }
             }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -1,4 +1,4 @@
-//! Datagrams between the nodes of the tier.
+//! Datagrams exchanged with the other nodes of the tier.
 
 use std::cell::RefCell;
 use std::io::ErrorKind;
@@ -22,7 +22,7 @@
 /// Interval between attempts to open an address that the predecessor process has not released.
 const OPEN_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Sends and receives the datagrams of the other nodes.
+/// Sends datagrams to the other nodes and receives theirs.
 pub struct Peers<H: Host> {
     host: H,
     /// `None` while another process of this node owns the address.
--- a/crates/node/src/storm_monitor.rs
+++ b/crates/node/src/storm_monitor.rs
@@ -59,7 +59,7 @@
         self.detector.request_unserved(duration(now), fingerprint);
     }
 
-    /// An attempt has ended.
+    /// An attempt has ended; `is_wanted` if its request still awaited a reply.
     pub fn attempt_ended(&mut self, attempt_duration: Micros, is_wanted: bool) {
         self.detector.attempt_ended(duration(attempt_duration), is_wanted);
     }
