--- a/crates/node/src/clients/shown.rs
+++ b/crates/node/src/clients/connection_state.rs
@@ -1,5 +1,4 @@
-//! What the connections of clients show of themselves: for the choice of the one that gives way, and for those who watch a node
-//! retire.
+//! The published state of client connections: for the choice of the one to evict, and for the log of a retirement.
 
 use std::rc::Rc;
 
@@ -8,24 +7,24 @@
 
 use crate::eviction_priority::Activity;
 
-/// What a connection does.
+/// What a connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ConnectionState {
-    /// It has asked nothing yet.
+    /// It has sent no request yet.
     Unasked,
-    /// It has been answered, and asks nothing.
+    /// It is idle after a reply.
     Resting,
-    /// Part of a command has come.
+    /// A partial command has arrived.
     CommandBegun,
-    /// It waits for answers.
+    /// It waits for replies.
     Waiting,
-    /// Answers are being written to it.
+    /// Replies are being written to it.
     Writing,
-    /// A large value is being passed on to it.
+    /// A large value is being relayed to it.
     LargeValue,
-    /// It is owed answers, and nothing more is read as a command.
+    /// It has pending replies, and nothing more is read as a command.
     Finishing,
-    /// Its end has been sent.
+    /// The end of the stream has been sent.
     Closing,
 }
 
@@ -57,36 +56,36 @@
     }
 }
 
-/// One open connection, as others see it.
-pub(super) struct Entry {
-    /// When it last sent something or was answered; `None` while an answer is owed to it.
-    pub(super) idle: Option<Instant>,
+/// One open connection, as other tasks see it.
+pub(super) struct ConnectionEntry {
+    /// When it last sent something or was answered; `None` while a reply is pending.
+    pub(super) idle_since: Option<Instant>,
     pub(super) activity: Activity,
     pub(super) evict: Rc<Notify>,
     /// When it was accepted.
-    pub(super) accepted: Instant,
+    pub(super) accepted_at: Instant,
     pub(super) state: ConnectionState,
-    /// Answers that are owed to it.
-    pub(super) open: usize,
-    /// When something last came from the client.
-    pub(super) received: Instant,
+    /// Number of pending replies.
+    pub(super) pending_replies: usize,
+    /// When input was last received.
+    pub(super) last_received_at: Instant,
     /// When something was last written to it.
-    pub(super) answered: Option<Instant>,
+    pub(super) last_replied_at: Option<Instant>,
 }
 
-impl Entry {
-    /// Of a connection that has only just been accepted.
-    pub(super) fn new(evict: Rc<Notify>) -> Entry {
+impl ConnectionEntry {
+    /// For a connection that was just accepted.
+    pub(super) fn new(evict: Rc<Notify>) -> ConnectionEntry {
         let now = Instant::now();
-        Entry {
-            idle: Some(now),
+        ConnectionEntry {
+            idle_since: Some(now),
             activity: Activity::Starting,
             evict,
-            accepted: now,
+            accepted_at: now,
             state: ConnectionState::Unasked,
-            open: 0,
-            received: now,
-            answered: None,
+            pending_replies: 0,
+            last_received_at: now,
+            last_replied_at: None,
         }
     }
 }
--- a/crates/node/src/clients/eviction.rs
+++ b/crates/node/src/clients/eviction.rs
@@ -1,43 +1,46 @@
-//! Connections that give way where there are many. The order in which they go is [`crate::crowd`]'s.
+//! Eviction of client connections when many are open, in the order of [`crate::eviction_priority`].
 
 use mothpier_host::Host;
 
 use super::Clients;
-use super::shown::Entry;
+use super::connection_state::ConnectionEntry;
 use crate::eviction_priority::{EvictionPriority, eviction_priority};
 
 impl<H: Host> Clients<H> {
-    /// Whether half of the connections that there may be are open.
-    pub fn crowded(&self) -> bool {
-        self.count() * 2 >= self.most.get()
+    /// Whether at least half of the permitted connections are open.
+    pub fn is_crowded(&self) -> bool {
+        self.open_count() * 2 >= self.max_connections.get()
     }
 
-    /// Lets all connections go that will hardly end their command: another process of this node needs the descriptors.
+    /// Closes all connections whose command has stalled: another process of this node needs the descriptors.
     pub fn evict_stalled(&self) {
-        for entry in self.open.borrow_mut().values_mut() {
-            let turn = entry.idle.and_then(|idle| eviction_priority(entry.activity, idle.elapsed(), false));
-            if turn == Some(EvictionPriority::Stalled) {
-                entry.give_way();
+        for entry in self.open_connections.borrow_mut().values_mut() {
+            let priority =
+                entry.idle_since.and_then(|idle| eviction_priority(entry.activity, idle.elapsed(), false));
+            if priority == Some(EvictionPriority::Stalled) {
+                entry.close();
             }
         }
     }
 
-    /// Lets the connection give way whose turn it is, if there is one.
-    pub(super) fn evict(&self, no_room: bool) {
-        let mut open = self.open.borrow_mut();
-        let place = |e: &Entry| Some((eviction_priority(e.activity, e.idle?.elapsed(), no_room)?, e.idle));
-        let turns = open.values_mut().filter_map(|e| place(e).map(|at| (at, e)));
-        if let Some((_, entry)) = turns.min_by_key(|(at, _)| *at) {
-            entry.give_way();
+    /// Closes the connection with the highest eviction priority, if any may be evicted.
+    pub(super) fn evict(&self, at_limit: bool) {
+        let mut open = self.open_connections.borrow_mut();
+        let priority = |e: &ConnectionEntry| {
+            Some((eviction_priority(e.activity, e.idle_since?.elapsed(), at_limit)?, e.idle_since))
+        };
+        let candidates = open.values_mut().filter_map(|e| priority(e).map(|at| (at, e)));
+        if let Some((_, entry)) = candidates.min_by_key(|(at, _)| *at) {
+            entry.close();
         }
     }
 }
 
-impl Entry {
-    /// Has the connection close, if it still is idle.
-    fn give_way(&mut self) {
-        // Not chosen again while it closes: the next one that comes needs another's place.
-        self.idle = None;
+impl ConnectionEntry {
+    /// Closes the connection if it is still idle.
+    fn close(&mut self) {
+        // Not chosen again while it closes: the next new connection needs the place of another one.
+        self.idle_since = None;
         self.evict.notify_one();
     }
 }
--- a/crates/node/src/clients/inbox.rs
+++ b/crates/node/src/clients/inbox.rs
@@ -1,4 +1,4 @@
-//! What comes from a client, and when it came: a client's wait begins when its command reaches this machine, which may be
+//! Input from a client, and when it arrived: a client's wait begins when its command reaches this machine, which may be
 //! long before the node reads it.
 
 use std::time::Duration;
@@ -11,22 +11,22 @@
 
 use crate::stream::read_some;
 
-/// The machine is asked when bytes arrived only where they may have waited for longer than this.
+/// The kernel is asked for the arrival time only if bytes may have waited for longer than this.
 const NOTICEABLE_WAIT: Duration = Duration::from_millis(5);
 
-/// Since when bytes of a client may lie in the machine, unread.
+/// Since when bytes from a client may lie unread in the kernel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Unread {
-    /// Each is read as it arrives.
+    /// Bytes are read as they arrive.
     Nothing,
-    /// At most since then.
+    /// Since this time at most.
     Since(Instant),
-    /// Possibly from before the node looked for the first time.
+    /// Possibly since before the node first checked.
     Unknown,
 }
 
 impl Unread {
-    /// The longest time that they may have waited; `None` where nothing bounds it.
+    /// The longest possible wait; `None` if it is unbounded.
     fn longest_wait(self) -> Option<Duration> {
         match self {
             Unread::Nothing => Some(Duration::ZERO),
@@ -36,49 +36,49 @@
     }
 }
 
-/// What comes from a client.
+/// The input from a client.
 pub(super) struct Inbox<'a, R> {
     pub(super) reading: &'a R,
     pub(super) buffer: BytesMut,
-    /// When the last of it was read.
-    pub(super) last_byte: Instant,
+    /// When bytes were last read.
+    pub(super) last_read_at: Instant,
     /// When the command at the front of the buffer arrived, on the clock of requests.
-    received: Micros,
+    received_at: Micros,
     unread: Unread,
 }
 
 impl<'a, R: Reading> Inbox<'a, R> {
-    /// Of a connection from which nothing has been read yet.
+    /// For a connection from which nothing has been read yet.
     pub(super) fn new(reading: &'a R, now: Micros, unread: Unread) -> Self {
-        Inbox { reading, buffer: BytesMut::new(), last_byte: Instant::now(), received: now, unread }
+        Inbox { reading, buffer: BytesMut::new(), last_read_at: Instant::now(), received_at: now, unread }
     }
 
     /// When the command at the front of the buffer arrived, on the clock of requests.
-    pub(super) fn received(&self) -> Micros {
-        self.received
+    pub(super) fn received_at(&self) -> Micros {
+        self.received_at
     }
 
-    /// Reads what has come; whether the client is still there. Safe to drop and call again.
+    /// Reads available bytes; returns whether the client is still connected. Cancellation safe.
     pub(super) async fn read(&mut self, now: impl Fn() -> Micros) -> bool {
         let holds_command = self.holds_command();
         let more = read_some(self.reading, &mut self.buffer).await;
         if holds_command {
-            // What came behind it must not make it younger.
-            self.last_byte = Instant::now();
+            // Bytes behind the command must not move its arrival time.
+            self.last_read_at = Instant::now();
         } else {
-            self.has_received(now());
+            self.record_received(now());
         }
         more
     }
 
-    /// Something has been read at this time, and no whole command before it is left in the buffer.
-    pub(super) fn has_received(&mut self, now: Micros) {
-        self.last_byte = Instant::now();
-        self.received = now.saturating_sub(self.waited().as_micros() as Micros);
+    /// Records that bytes were read at this time and no earlier complete command is left in the buffer.
+    pub(super) fn record_received(&mut self, now: Micros) {
+        self.last_read_at = Instant::now();
+        self.received_at = now.saturating_sub(self.waited().as_micros() as Micros);
     }
 
-    /// Nothing is read from now on, whatever comes.
-    pub(super) fn stops_reading(&mut self) {
+    /// Records that nothing is read from now on, whatever arrives.
+    pub(super) fn pause_reading(&mut self) {
         if self.unread == Unread::Nothing {
             self.unread = Unread::Since(Instant::now());
         }
@@ -89,7 +89,7 @@
             && matches!(resp::frame_extent(&self.buffer, MAX_VALUE_BYTES), Ok(FrameExtent::Complete(_)))
     }
 
-    /// How long the bytes that were read just now had been waiting in the machine.
+    /// How long the bytes that were just read had been waiting in the kernel.
     fn waited(&mut self) -> Duration {
         let longest = std::mem::replace(&mut self.unread, Unread::Nothing).longest_wait();
         if longest.is_some_and(|longest| longest < NOTICEABLE_WAIT) {
--- a/crates/node/src/clients/mod.rs
+++ b/crates/node/src/clients/mod.rs
@@ -1,4 +1,4 @@
-//! The listener and RESP2 from clients. Answers go out in the order of the commands on a connection.
+//! Connections of clients: the listener and RESP2. Replies are written in the order of the commands on a connection.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -19,128 +19,130 @@
 use crate::keys::KeyHasher;
 use crate::memory_shortage::RetryingStream;
 
-mod answers;
+mod accepting;
+mod connection_state;
 mod eviction;
-mod grammar;
 mod inbox;
-mod listening;
-mod owed;
+mod input_state;
+mod parsing;
+mod pending_replies;
 mod reading;
 mod retirement;
-mod retiring;
+mod retirement_control;
+mod retirement_log;
 mod serving;
 mod session;
-mod shown;
-mod state;
 mod timing;
-mod watching;
+mod writing;
 
-pub use grammar::Grammar;
-pub use retirement::Plan;
-pub use retiring::{Listening, Retiring};
-use shown::Entry;
+use connection_state::ConnectionEntry;
+pub use parsing::ParserConfig;
+pub use retirement::RetirementPlan;
+pub use retirement_control::{AcceptMode, RetirementControl};
 
-/// The half of a client's connection that is written to.
+/// The write half of a client's connection.
 type ClientWriting<H> = RetryingStream<<<H as Host>::Stream as Stream>::Writing>;
 
-/// Connections that are being told to come back at once, as a part of all that there may be; while there are so many no
-/// other is accepted.
-const TURNED_AWAY: usize = 8;
+/// The connection limit divided by this is the number of connections that may be turned away at the same time; while
+/// there are that many, no other is accepted.
+const TURNED_AWAY_DIVISOR: usize = 8;
 
-/// What clients may take of the node.
-pub struct Bounds {
-    /// Connections open.
-    pub most: usize,
-    /// Bytes of open requests.
-    pub memory: usize,
-    /// How connections are let in.
+/// Limits of what clients may use.
+pub struct ClientLimits {
+    /// Limit of open connections.
+    pub max_connections: usize,
+    /// Limit of memory for open requests.
+    pub memory_bytes: usize,
+    /// Admission control of new connections.
     pub admission: ConnectionAdmission,
 }
 
-/// What all client connections share.
+/// State shared by all client connections.
 pub struct Clients<H> {
     host: H,
-    site: DeploymentSettings,
+    settings: DeploymentSettings,
     now: Box<dyn Fn() -> Micros>,
-    desk: Arc<OpsEndpoint>,
+    ops_endpoint: Arc<OpsEndpoint>,
     next_request: Cell<RequestId>,
-    ids: RequestIds,
-    /// Permits of a KB.
+    open_ids: RequestIds,
+    /// One permit for each KiB.
     memory: Arc<Semaphore>,
     memory_kb: usize,
-    most: Cell<usize>,
-    keys: KeyHasher,
+    max_connections: Cell<usize>,
+    key_hasher: KeyHasher,
     admission: RefCell<ConnectionAdmission>,
-    /// Open connections that have not sent a whole command yet.
+    /// Open connections that have not sent a complete command yet.
     newcomers: Rc<Cell<usize>>,
-    turning_away: Arc<Semaphore>,
-    began: Instant,
-    retiring: Rc<Retiring>,
+    turn_away_permits: Arc<Semaphore>,
+    started_at: Instant,
+    retirement: Rc<RetirementControl>,
     /// Connections since the start.
-    connections: Rc<Cell<u64>>,
+    total_connections: Rc<Cell<u64>>,
     events: mpsc::Sender<Input>,
     log: EventLog<H>,
-    open: RefCell<BTreeMap<u64, Entry>>,
-    closed: Notify,
+    open_connections: RefCell<BTreeMap<u64, ConnectionEntry>>,
+    connection_closed: Notify,
 }
 
 impl<H: Host> Clients<H> {
     pub fn new(
         host: H,
-        grammar: Grammar,
+        parser_config: ParserConfig,
         now: Box<dyn Fn() -> Micros>,
-        desk: Arc<OpsEndpoint>,
-        bounds: Bounds,
-        retiring: Rc<Retiring>,
+        ops_endpoint: Arc<OpsEndpoint>,
+        limits: ClientLimits,
+        retirement: Rc<RetirementControl>,
         events: mpsc::Sender<Input>,
     ) -> Rc<Self> {
         Rc::new(Clients {
             log: EventLog::new(host.clone()),
             host,
-            site: grammar.site,
-            keys: grammar.keys,
+            settings: parser_config.settings,
+            key_hasher: parser_config.key_hasher,
             now,
-            desk,
+            ops_endpoint,
             next_request: Cell::new(1),
-            ids: RequestIds::default(),
-            memory: Arc::new(Semaphore::new(bounds.memory / 1024)),
-            memory_kb: bounds.memory / 1024,
-            most: Cell::new(bounds.most),
-            admission: RefCell::new(bounds.admission),
+            open_ids: RequestIds::default(),
+            memory: Arc::new(Semaphore::new(limits.memory_bytes / 1024)),
+            memory_kb: limits.memory_bytes / 1024,
+            max_connections: Cell::new(limits.max_connections),
+            admission: RefCell::new(limits.admission),
             newcomers: Rc::default(),
-            turning_away: Arc::new(Semaphore::new((bounds.most / TURNED_AWAY).max(1))),
-            began: Instant::now(),
-            retiring,
-            connections: Rc::default(),
+            turn_away_permits: Arc::new(Semaphore::new(
+                (limits.max_connections / TURNED_AWAY_DIVISOR).max(1),
+            )),
+            started_at: Instant::now(),
+            retirement,
+            total_connections: Rc::default(),
             events,
-            open: RefCell::default(),
-            closed: Notify::new(),
+            open_connections: RefCell::default(),
+            connection_closed: Notify::new(),
         })
     }
 
-    /// How many connections there have been since the start, as it goes on counting.
-    pub fn connections(&self) -> Rc<Cell<u64>> {
-        self.connections.clone()
+    /// A shared counter of the connections since the start.
+    pub fn total_connections(&self) -> Rc<Cell<u64>> {
+        self.total_connections.clone()
     }
 
-    /// How many connections are open.
-    pub fn count(&self) -> usize {
-        self.open.borrow().len()
+    /// Number of open connections.
+    pub fn open_count(&self) -> usize {
+        self.open_connections.borrow().len()
     }
 
-    /// So many connections may be open from now on. Those beyond stay, and none is accepted until they are fewer.
-    pub fn set_most(&self, most: usize) {
-        self.most.set(most);
+    /// Sets the limit of open connections. Those beyond it stay open, and none is accepted until there are fewer.
+    pub fn set_max_connections(&self, limit: usize) {
+        self.max_connections.set(limit);
     }
 
-    /// Holds half of the memory for requests, or what is left of that half, for another process of this node.
+    /// Reserves half of the memory for requests, or as much of that half as is free, for another process of this node.
     pub fn reserve_half(&self) -> Option<OwnedSemaphorePermit> {
         let half = (self.memory_kb / 2).min(self.memory.available_permits());
         self.memory.clone().try_acquire_many_owned(half as u32).ok()
     }
 
     /// Waits until a connection has closed.
-    pub async fn one_closed(&self) {
-        self.closed.notified().await;
+    pub async fn wait_for_close(&self) {
+        self.connection_closed.notified().await;
     }
 }
--- a/crates/node/src/clients/reading.rs
+++ b/crates/node/src/clients/reading.rs
@@ -1,4 +1,4 @@
-//! What comes from a client: whole commands, the beginning of a large value, and requests for the node.
+//! Handles input from a client: complete commands, large values that are still arriving, and requests for the node.
 
 use brassrouter::{Micros, Request};
 use bytes::{Bytes, BytesMut};
@@ -9,56 +9,58 @@
 use tokio::sync::{OwnedSemaphorePermit, oneshot};
 use tokio::time::Instant;
 
-use super::grammar::words;
-use super::owed::{Slot, Wait};
+use super::parsing::command_arguments;
+use super::pending_replies::{PendingReply, ReplyState};
 use super::session::Session;
 use crate::command::Command;
 use crate::event_log::EventKind;
 use crate::input::{ClientEvent, Input};
-use crate::stream::READ;
+use crate::stream::READ_SIZE_BYTES;
 
-/// Requests of one connection that may be open; those beyond are refused.
+/// Limit of open requests on one connection; further ones are refused.
 const MAX_PIPELINE: usize = 128;
-/// Memory that an open request counts for until its answer is written, beside its own value: half of the largest
-/// answer that is held whole, for few are large; the pieces of one that passes are no more.
-const REQUEST_KB: usize = MAX_BUFFERED_VALUE_BYTES / 2 / 1024;
-/// When a request that finds no room here may come back, milliseconds.
-const RETRY_MS: u64 = 100;
+/// Memory that an open request accounts for until its reply is written, beside its own value: half of the largest reply
+/// that is held completely, because few are large. The buffered chunks of a relayed value are no larger.
+const REQUEST_MEMORY_KB: usize = MAX_BUFFERED_VALUE_BYTES / 2 / 1024;
+/// Retry hint for a request that is refused here.
+const RETRY_AFTER_MS: u64 = 100;
 
 impl<H: Host> Session<H> {
-    /// Looks at a command of which a value is still coming. Room for a large one is reserved before it is read; where there
-    /// is none it will be dropped and refused.
-    pub(super) fn large(&mut self, buffer: &mut BytesMut, received: Micros) {
+    /// Inspects a command whose value is still arriving. Memory for a large value is reserved before it is read; if there is
+    /// none, the value will be discarded and the request refused.
+    pub(super) fn handle_incomplete_command(&mut self, buffer: &mut BytesMut, received_at: Micros) {
         let Ok(FrameExtent::InValue { header, end, last }) = resp::frame_extent(buffer, MAX_VALUE_BYTES)
         else {
-            return self.state.expect_head();
+            return self.input.expect_head();
         };
         match last {
-            true => self.state.expect_value(),
-            false => self.state.expect_head(),
+            true => self.input.expect_value(),
+            false => self.input.expect_head(),
         }
-        if end - header <= MAX_BUFFERED_VALUE_BYTES || self.state.has_reservation() {
+        if end - header <= MAX_BUFFERED_VALUE_BYTES || self.input.has_reservation() {
             return;
         }
         if !last {
             return self.protocol_error(Malformed("only a value may be so large"));
         }
         if let Ok(reservation) = self.clients.memory.clone().try_acquire_many_owned((end / 1024) as u32) {
-            self.state.reserve(reservation);
+            self.input.reserve(reservation);
             return buffer.reserve(end - buffer.len());
         }
         let mut head = BytesMut::from(&buffer[..header]);
         head.extend_from_slice(b"$0\r\n\r\n");
-        self.state.refuse_value(end - buffer.len());
+        self.input.refuse_value(end - buffer.len());
         *buffer = BytesMut::new();
-        self.refuse_large(head, received);
+        self.refuse_large_value(head, received_at);
     }
 
-    /// Refuses a command, given as it would be without its value: what is wrong with it is said, and a request has its class.
-    fn refuse_large(&mut self, mut head: BytesMut, received: Micros) {
+    /// Refuses a command, given without its value. An invalid command is answered with its error, and a request is counted in
+    /// its class.
+    fn refuse_large_value(&mut self, mut head: BytesMut, received_at: Micros) {
         let Ok(Some(frame)) = resp::take_frame(&mut head, MAX_BUFFERED_VALUE_BYTES) else { return };
-        let class =
-            words(frame).map(|words| self.clients.parse(&words, received).map(|(request, _)| request.class));
+        let class = command_arguments(frame).map(|arguments| {
+            self.clients.parse_request(&arguments, received_at).map(|(request, _)| request.class)
+        });
         match class {
             Some(Ok(class)) => self.refuse(class, RefuseReason::Memory),
             Some(Err(e)) => self.reject(e),
@@ -66,43 +68,43 @@
         }
     }
 
-    /// Carries out a command that has arrived whole.
-    pub(super) async fn command(
+    /// Executes a complete command.
+    pub(super) async fn execute(
         &mut self,
         frame: BytesFrame,
-        received: Micros,
+        received_at: Micros,
         reserved: Option<OwnedSemaphorePermit>,
     ) {
-        let Some(words) = words(frame) else {
+        let Some(arguments) = command_arguments(frame) else {
             return self.protocol_error(Malformed("a command is an array of bulk strings"));
         };
-        match words[0].as_ref() {
-            b"CACHE.GET" | b"CACHE.SET" => match self.clients.parse(&words, received) {
+        match arguments[0].as_ref() {
+            b"CACHE.GET" | b"CACHE.SET" => match self.clients.parse_request(&arguments, received_at) {
                 Ok((request, command)) => {
                     self.newcomer = None;
-                    self.ask(request, Box::new(command), reserved).await;
+                    self.submit(request, Box::new(command), reserved).await;
                 }
                 Err(e) => self.reject(e),
             },
             name if name.eq_ignore_ascii_case(b"PING") => {
                 self.newcomer = None;
-                self.answer(pong(&self.clients.desk.lifecycle));
+                self.push_reply(pong(&self.clients.ops_endpoint.lifecycle));
             }
             name if name.eq_ignore_ascii_case(b"QUIT") => {
                 self.finish(CloseReason::Quit);
-                self.answer(Bytes::from_static(b"+OK\r\n"));
+                self.push_reply(Bytes::from_static(b"+OK\r\n"));
             }
-            _ => self.answer(resp::encode_error("ERR unknown command")),
+            _ => self.push_reply(resp::encode_error("ERR unknown command")),
         }
     }
 
-    /// Memory of so many KB for one more request, where the connection and the node may have one.
+    /// Acquires memory for one more request, if the limits of the connection and the node allow it.
     fn acquire_memory(&self, kilobytes: usize) -> Result<OwnedSemaphorePermit, RefuseReason> {
         let clients = &self.clients;
-        if self.asked >= MAX_PIPELINE {
+        if self.forwarded_requests >= MAX_PIPELINE {
             return Err(RefuseReason::Pipeline);
         }
-        if clients.ids.borrow().len() > clients.site.max_open_requests {
+        if clients.open_ids.borrow().len() > clients.settings.max_open_requests {
             return Err(RefuseReason::OpenRequests);
         }
         let memory = clients.memory.clone().try_acquire_many_owned(kilobytes as u32);
@@ -112,49 +114,58 @@
     /// Refuses a request.
     fn refuse(&mut self, class: usize, reason: RefuseReason) {
         let clients = &self.clients;
-        clients.desk.metrics.refusals.increment(reason);
+        clients.ops_endpoint.metrics.refusals.increment(reason);
         clients.log.write(
             EventKind::RequestRefused,
             format_args!(
-                "reason={} connection={} attempts=0 retry_after_ms={RETRY_MS}",
+                "reason={} connection={} attempts=0 retry_after_ms={RETRY_AFTER_MS}",
                 reason.name(),
                 self.number
             ),
         );
-        let wait = Wait::Ready(resp::encode_error(&format!("BUSY {RETRY_MS}")));
-        let ticket = Some((self.take_request(class), RequestEnd::Refused));
-        self.pending.push_back(Slot { wait, memory: None, ticket });
+        let state = ReplyState::Ready(resp::encode_error(&format!("BUSY {RETRY_AFTER_MS}")));
+        let ticket = Some((self.count_request(class), RequestEnd::Refused));
+        self.pending.push_back(PendingReply { state, memory_permit: None, ticket });
     }
 
-    /// Passes a request on to the node.
-    async fn ask(&mut self, request: Request, command: Box<Command>, reserved: Option<OwnedSemaphorePermit>) {
-        if self.clients.retiring.plans().refuses(!self.pending.is_empty(), Instant::now()) {
+    /// Forwards a request to the node.
+    async fn submit(
+        &mut self,
+        request: Request,
+        command: Box<Command>,
+        reserved: Option<OwnedSemaphorePermit>,
+    ) {
+        if self.clients.retirement.plans().refuses(!self.pending.is_empty(), Instant::now()) {
             return self.refuse(request.class, RefuseReason::Retiring);
         }
-        // Memory is bounded by what open requests may hold, and one connection by its own part of them; what is
-        // beyond never runs, and is told so instead of being left unread.
+        // Memory is bounded by what open requests may hold, and each connection by its own share of them. Requests beyond that
+        // are refused instead of being left unread.
         let value = command.value.as_ref().filter(|_| reserved.is_none()).map_or(0, Bytes::len);
-        let mut memory = match self.acquire_memory(REQUEST_KB + value.div_ceil(1024)) {
+        let mut memory = match self.acquire_memory(REQUEST_MEMORY_KB + value.div_ceil(1024)) {
             Ok(memory) => memory,
             Err(reason) => return self.refuse(request.class, reason),
         };
         if let Some(reserved) = reserved {
             memory.merge(reserved);
         }
-        let ticket = self.take_request(request.class);
-        let (answer, receiver) = oneshot::channel();
+        let ticket = self.count_request(request.class);
+        let (reply, receiver) = oneshot::channel();
         let id = request.id;
-        let asked = ClientEvent::Request { request, connection: self.number, command, reply: answer };
-        if self.clients.events.send(Input::Client(asked)).await.is_err() {
-            return self.answer(resp::encode_error("ERR stopping"));
+        let event = ClientEvent::Request { request, connection: self.number, command, reply };
+        if self.clients.events.send(Input::Client(event)).await.is_err() {
+            return self.push_reply(resp::encode_error("ERR stopping"));
         }
-        self.asked += 1;
+        self.forwarded_requests += 1;
         let ticket = Some((ticket, RequestEnd::Failed));
-        self.pending.push_back(Slot { wait: Wait::Node(id, receiver), memory: Some(memory), ticket });
+        self.pending.push_back(PendingReply {
+            state: ReplyState::Pending(id, receiver),
+            memory_permit: Some(memory),
+            ticket,
+        });
     }
 }
 
-/// The answer to a PING.
+/// The reply to a PING.
 fn pong(lifecycle: &Lifecycle) -> Bytes {
     match lifecycle.phase() {
         _ if lifecycle.accepts_clients() => Bytes::from_static(b"+PONG\r\n"),
@@ -164,11 +175,10 @@
     }
 }
 
-/// Whether nothing has come in that is not read yet: a connection is closed only then, or a request would be lost
-/// with it.
-pub(super) async fn quiet(reading: &impl Reading, buffer: &mut BytesMut) -> bool {
-    // Once round the runtime, which looks at the sockets then.
+/// Whether no input is waiting to be read: a connection is closed only then, or a request would be lost with it.
+pub(super) async fn has_no_unread_data(reading: &impl Reading, buffer: &mut BytesMut) -> bool {
+    // Yield to the runtime once, so that it polls the sockets.
     tokio::task::yield_now().await;
-    buffer.reserve(READ);
+    buffer.reserve(READ_SIZE_BYTES);
     !matches!(reading.try_read_buf(buffer), Ok(read) if read > 0)
 }
--- a/crates/node/src/clients/retirement.rs
+++ b/crates/node/src/clients/retirement.rs
@@ -1,320 +1,334 @@
-//! When the connections of clients must be gone: for a drain, at the end of the process, and for a process that takes over. A
-//! plan is counted from the moment in which it was told, and nothing that a client does moves it. No I/O.
+//! Plans by which the connections of clients are closed: for a drain, for the end of the process, and for a handover to
+//! another process. All times count from the moment when the retirement was announced, and nothing that a client does
+//! moves them. No I/O.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// SIGKILL comes no sooner after SIGTERM than the longest deadline and 0.7 s more; a longer deadline counts as this.
-const LONGEST_COUNTED: Duration = Duration::from_secs(3);
-/// All is gone so long after that longest deadline: 0.1 s before the earliest SIGKILL.
-const BEYOND_DEADLINE: Duration = Duration::from_millis(600);
-/// So long before the end of the process a request that comes behind an open one is refused.
+/// The earliest SIGKILL follows SIGTERM by the longest deadline plus 0.7 s; a longer deadline counts as this one.
+const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
+/// All connections are closed this long after the longest deadline: 0.1 s before the earliest SIGKILL.
+const GRACE_AFTER_DEADLINE: Duration = Duration::from_millis(600);
+/// This long before the end of the process, a request behind an open one is refused.
 const REFUSE_BEFORE_END: Duration = Duration::from_millis(250);
-/// So long before the end of the process all that is open fails, that the answers go out.
+/// This long before the end of the process, all open requests fail, so that their replies can be written.
 const FAIL_BEFORE_END: Duration = Duration::from_millis(100);
-/// A drain lets a large value that is being passed on go on for so long after the last deadline: it may be many times as
-/// large as what a slow client takes in a second.
-const LARGE_VALUE: Duration = Duration::from_secs(10);
+/// A drain lets a large value be relayed for this long after the last deadline: it may be many times as large as what a
+/// slow client reads in a second.
+const LARGE_VALUE_GRACE: Duration = Duration::from_secs(10);
 
-/// Spans from the moment in which a drain was told. Four seconds after it a client's connection may not be idle, nor have a
-/// request from the last two; a process that is held up takes 0.15 s off either.
+/// Delays after a drain was announced. Four seconds after it a client's connection may neither be idle nor have a request
+/// from the last two seconds; both limits include 0.15 s by which the process may be delayed.
 mod drain {
     use super::Duration;
 
-    /// New connections come for 0.2 s more: what has just come is not told to go.
-    pub const CLOSE_ANSWERED: Duration = Duration::from_millis(300);
-    /// Clients that ask now and then have met the end of their connection behind an answer by now.
-    pub const CLOSE_RESTING: Duration = Duration::from_millis(1200);
-    /// What comes later would be from the last two seconds.
+    /// New connections arrive for 0.2 s more; those that have just arrived are not closed.
+    pub const CLOSE_AFTER_REPLY: Duration = Duration::from_millis(300);
+    /// By now, connections of clients that send requests now and then were closed behind a reply.
+    pub const CLOSE_IDLE: Duration = Duration::from_millis(1200);
+    /// Later commands would fall into the last two seconds.
     pub const LAST_COMMAND: Duration = Duration::from_millis(1800);
-    /// One that comes later than [`LAST_COMMAND`], to ask whether the node serves, has this time for its command.
+    /// Time for the command of a connection that arrives later than [`LAST_COMMAND`], to ask whether the node serves.
     pub const LATE_ARRIVAL: Duration = Duration::from_millis(500);
-    /// Where something came after [`LAST_COMMAND`] all that is open fails, with time left to write the answers.
+    /// If anything arrived after [`LAST_COMMAND`], all open requests fail now, with time left to write the replies.
     pub const FAIL_RECENT: Duration = Duration::from_millis(3600);
-    /// Where something came after [`LAST_COMMAND`] the connection is cut.
-    pub const CUT_RECENT: Duration = Duration::from_millis(3750);
+    /// If anything arrived after [`LAST_COMMAND`], the connection is closed now.
+    pub const DISCONNECT_RECENT: Duration = Duration::from_millis(3750);
 }
 
-/// Spans from SIGTERM. New connections come for 0.4 s.
+/// Delays after SIGTERM. New connections arrive for 0.4 s.
 mod stop {
     use super::Duration;
 
-    pub const CLOSE_ANSWERED: Duration = Duration::from_millis(300);
-    pub const CLOSE_RESTING: Duration = super::BEYOND_DEADLINE;
+    pub const CLOSE_AFTER_REPLY: Duration = Duration::from_millis(300);
+    pub const CLOSE_IDLE: Duration = super::GRACE_AFTER_DEADLINE;
 }
 
-/// Spans from SIGTERM where another process accepts what is new already.
+/// Delays after SIGTERM if another process already accepts new connections.
 mod hand_over {
     use super::Duration;
 
-    pub const CLOSE_ANSWERED: Duration = Duration::ZERO;
-    pub const CLOSE_RESTING: Duration = Duration::from_millis(650);
+    pub const CLOSE_AFTER_REPLY: Duration = Duration::ZERO;
+    pub const CLOSE_IDLE: Duration = Duration::from_millis(650);
 }
 
-/// Why connections are to go.
+/// Why connections are retired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
-    /// Staff have told the node to drain.
+pub enum RetirementCause {
+    /// An operator has drained the node.
     Drain,
     /// The process ends.
     Stop,
-    /// The process ends, and another one has taken its place.
+    /// The process ends, and a successor has taken over.
     HandOver,
 }
 
-/// Which of the requests that are open fail before the connection is cut.
+/// Which open requests fail before the connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Failing {
-    /// All.
+enum FailScope {
+    /// All of them.
     All,
-    /// Those of connections on which something has come after the last command that is served.
-    OfRecentlyUsed,
+    /// Those on connections that received something after the last command that is served.
+    RecentlyUsed,
 }
 
-/// When connections go, by what is open on them.
+/// When connections are closed, depending on what is open on them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Plan {
-    cause: Cause,
-    told: Instant,
-    /// From now on a connection closes behind its last answer.
-    close_answered: Instant,
-    /// From now on one that rests closes.
-    close_resting: Instant,
-    /// A request that comes behind an open one from now on is refused.
+pub struct RetirementPlan {
+    cause: RetirementCause,
+    announced_at: Instant,
+    /// From now on a connection is closed after its last reply.
+    close_after_reply: Instant,
+    /// From now on an idle connection is closed.
+    close_idle: Instant,
+    /// From now on a request behind an open one is refused.
     refuse_behind_open: Instant,
-    /// A command that has not come whole by now is not served any more.
+    /// A command that is not complete by now is no longer served.
     last_command: Instant,
-    /// The same for a connection that came late: so long after that.
+    /// The same for a connection that arrived late: this long after it was accepted.
     late_arrival: Duration,
-    /// What is open fails, and nothing more is read.
+    /// Open requests fail, and nothing more is read.
     fail: Instant,
-    failing: Failing,
-    /// Where what is open has failed and the client does not take that, the connection is cut.
-    cut_failed: Instant,
-    /// Whatever a connection does, it is cut.
-    cut: Instant,
+    fail_scope: FailScope,
+    /// If a client does not read the replies of failed requests, its connection is closed now.
+    disconnect_failed: Instant,
+    /// Every connection is closed now.
+    disconnect_all: Instant,
 }
 
-/// What a connection does, as far as it matters here.
+/// The state of a connection that its retirement depends on.
 #[derive(Clone, Copy, Debug)]
-pub struct Standing {
+pub struct ConnectionSnapshot {
     /// When it was accepted.
-    pub accepted: Instant,
-    /// It has sent a whole command in the agreed form.
-    pub has_asked: bool,
-    /// Part of a command has arrived.
-    pub command_begun: bool,
-    /// An answer is owed to it.
-    pub open: bool,
-    /// One of these answers has yet to be found.
-    pub waits: bool,
+    pub accepted_at: Instant,
+    /// It has sent a complete, valid command.
+    pub has_sent_command: bool,
+    /// A partial command has arrived.
+    pub has_partial_command: bool,
+    /// It has pending replies.
+    pub has_pending_replies: bool,
+    /// The node has not provided one of these replies yet.
+    pub awaits_node: bool,
     /// Its commands are read.
     pub reads_commands: bool,
-    /// When it was last answered.
-    pub answered: Option<Instant>,
-    /// When something last came from the client.
-    pub received: Instant,
+    /// When a reply was last written.
+    pub last_replied_at: Option<Instant>,
+    /// When input was last received.
+    pub last_received_at: Instant,
 }
 
-/// What is to be done with a connection, from the least to the most.
+/// What to do with a connection, from the mildest to the strictest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Act {
-    /// It stays as it is.
+pub enum RetirementAction {
+    /// Keep it open.
     Keep,
-    /// It closes, unless a command has come meanwhile.
-    CloseUnlessAsked,
-    /// It closes; what has arrived is looked for once, and what comes then its client sends once more elsewhere.
+    /// Close it unless a command has arrived meanwhile.
+    CloseIfIdle,
+    /// Check once more for received input, then close it. The client will resend later commands elsewhere.
     Close,
-    /// The command that has not come whole is answered with an error, once it was looked for what has arrived.
-    EndCommand,
-    /// All that is open fails, and nothing more is read.
+    /// Check once more for received input, then answer the incomplete command with an error.
+    FailPartialCommand,
+    /// Fail all open requests and read nothing more.
     FailOpen,
-    /// It ends at once.
-    Cut,
+    /// Close it at once.
+    Disconnect,
 }
 
-impl Plan {
-    /// For a drain that was told at this time, in a node whose requests live so long at most.
-    pub fn drain(told: Instant, longest_deadline: Duration) -> Plan {
-        let last_command = told + drain::LAST_COMMAND;
-        Plan {
-            cause: Cause::Drain,
-            told,
-            close_answered: told + drain::CLOSE_ANSWERED,
-            close_resting: told + drain::CLOSE_RESTING,
+impl RetirementPlan {
+    /// For a drain announced at this time, at a node whose requests have at most this deadline.
+    pub fn drain(announced_at: Instant, longest_deadline: Duration) -> RetirementPlan {
+        let last_command = announced_at + drain::LAST_COMMAND;
+        RetirementPlan {
+            cause: RetirementCause::Drain,
+            announced_at,
+            close_after_reply: announced_at + drain::CLOSE_AFTER_REPLY,
+            close_idle: announced_at + drain::CLOSE_IDLE,
             refuse_behind_open: last_command,
             last_command,
             late_arrival: drain::LATE_ARRIVAL,
-            fail: told + drain::FAIL_RECENT,
-            failing: Failing::OfRecentlyUsed,
-            cut_failed: told + drain::CUT_RECENT,
-            cut: last_command + longest_deadline + LARGE_VALUE,
+            fail: announced_at + drain::FAIL_RECENT,
+            fail_scope: FailScope::RecentlyUsed,
+            disconnect_failed: announced_at + drain::DISCONNECT_RECENT,
+            disconnect_all: last_command + longest_deadline + LARGE_VALUE_GRACE,
         }
     }
 
-    /// For the end of the process, of which it was told at this time.
-    pub fn stop(told: Instant, longest_deadline: Duration) -> Plan {
-        Plan::end(Cause::Stop, told, longest_deadline, (stop::CLOSE_ANSWERED, stop::CLOSE_RESTING))
+    /// For the end of the process, announced at this time.
+    pub fn stop(announced_at: Instant, longest_deadline: Duration) -> RetirementPlan {
+        RetirementPlan::for_process_end(
+            RetirementCause::Stop,
+            announced_at,
+            longest_deadline,
+            (stop::CLOSE_AFTER_REPLY, stop::CLOSE_IDLE),
+        )
     }
 
-    /// For the end of a process whose place another one has taken.
-    pub fn hand_over(told: Instant, longest_deadline: Duration) -> Plan {
-        let spans = (hand_over::CLOSE_ANSWERED, hand_over::CLOSE_RESTING);
-        Plan::end(Cause::HandOver, told, longest_deadline, spans)
+    /// For the end of a process whose successor has taken over.
+    pub fn hand_over(announced_at: Instant, longest_deadline: Duration) -> RetirementPlan {
+        let delays = (hand_over::CLOSE_AFTER_REPLY, hand_over::CLOSE_IDLE);
+        RetirementPlan::for_process_end(RetirementCause::HandOver, announced_at, longest_deadline, delays)
     }
 
-    fn end(
-        cause: Cause,
-        told: Instant,
+    fn for_process_end(
+        cause: RetirementCause,
+        announced_at: Instant,
         longest_deadline: Duration,
-        (close_answered, close_resting): (Duration, Duration),
-    ) -> Plan {
-        let end = told + longest_deadline.min(LONGEST_COUNTED) + BEYOND_DEADLINE;
+        (close_after_reply, close_idle): (Duration, Duration),
+    ) -> RetirementPlan {
+        let end = announced_at + longest_deadline.min(MAX_COUNTED_DEADLINE) + GRACE_AFTER_DEADLINE;
         let last_command = end - FAIL_BEFORE_END;
-        Plan {
+        RetirementPlan {
             cause,
-            told,
-            close_answered: told + close_answered,
-            close_resting: told + close_resting,
+            announced_at,
+            close_after_reply: announced_at + close_after_reply,
+            close_idle: announced_at + close_idle,
             refuse_behind_open: end - REFUSE_BEFORE_END,
             last_command,
             late_arrival: Duration::ZERO,
             fail: last_command,
-            failing: Failing::All,
-            cut_failed: end,
-            cut: end,
+            fail_scope: FailScope::All,
+            disconnect_failed: end,
+            disconnect_all: end,
         }
     }
 
-    /// Why connections go.
-    pub fn cause(&self) -> Cause {
+    /// Why connections are closed.
+    pub fn cause(&self) -> RetirementCause {
         self.cause
     }
 
-    /// When this was told.
-    pub fn told(&self) -> Instant {
-        self.told
+    /// When the retirement was announced.
+    pub fn announced_at(&self) -> Instant {
+        self.announced_at
     }
 
-    /// From when on connections that rest close.
-    pub fn close_resting(&self) -> Instant {
-        self.close_resting
+    /// From when on idle connections are closed.
+    pub fn close_idle_at(&self) -> Instant {
+        self.close_idle
     }
 
-    /// By when every connection has gone.
-    pub fn cut(&self) -> Instant {
-        self.cut
+    /// By when every connection is closed.
+    pub fn disconnect_all_at(&self) -> Instant {
+        self.disconnect_all
     }
 
-    /// Whether a request that comes now is refused, on a connection on which another is open or none.
+    /// Whether a request that arrives now is refused, on a connection with or without another one open.
     pub fn refuses(&self, open: bool, now: Instant) -> bool {
         now >= self.last_command || open && now >= self.refuse_behind_open
     }
 
-    /// What is to be done with a connection now.
-    pub fn act(&self, standing: &Standing, now: Instant) -> Act {
-        let last_command = self.last_command_of(standing);
-        if now >= self.cut {
-            Act::Cut
-        } else if self.fails(standing) && now >= self.fail {
-            Act::FailOpen
-        } else if standing.command_begun && standing.reads_commands && now >= last_command {
-            Act::EndCommand
-        } else if standing.open || standing.command_begun || now < self.close_of(standing) {
-            Act::Keep
+    /// What to do with a connection now.
+    pub fn action(&self, snapshot: &ConnectionSnapshot, now: Instant) -> RetirementAction {
+        let last_command = self.connection_last_command_time(snapshot);
+        if now >= self.disconnect_all {
+            RetirementAction::Disconnect
+        } else if self.will_fail(snapshot) && now >= self.fail {
+            RetirementAction::FailOpen
+        } else if snapshot.has_partial_command && snapshot.reads_commands && now >= last_command {
+            RetirementAction::FailPartialCommand
+        } else if snapshot.has_pending_replies
+            || snapshot.has_partial_command
+            || now < self.connection_close_time(snapshot)
+        {
+            RetirementAction::Keep
         } else if now >= last_command {
-            Act::Close
+            RetirementAction::Close
         } else {
-            Act::CloseUnlessAsked
+            RetirementAction::CloseIfIdle
         }
     }
 
-    /// When something else is to be done with a connection, if it goes on as it is.
-    pub fn next(&self, standing: &Standing, now: Instant) -> Instant {
-        let at_rest = (!standing.open && !standing.command_begun).then(|| self.close_of(standing));
-        let begun =
-            (standing.command_begun && standing.reads_commands).then(|| self.last_command_of(standing));
-        let fails = self.fails(standing).then_some(self.fail);
-        let next = [at_rest, begun, fails].into_iter().flatten().filter(|at| *at > now).min();
-        next.unwrap_or(self.cut).min(self.cut)
+    /// When the action for a connection changes next if its state stays the same.
+    pub fn next_change(&self, snapshot: &ConnectionSnapshot, now: Instant) -> Instant {
+        let idle_close = (!snapshot.has_pending_replies && !snapshot.has_partial_command)
+            .then(|| self.connection_close_time(snapshot));
+        let partial_command = (snapshot.has_partial_command && snapshot.reads_commands)
+            .then(|| self.connection_last_command_time(snapshot));
+        let failure = self.will_fail(snapshot).then_some(self.fail);
+        let next = [idle_close, partial_command, failure].into_iter().flatten().filter(|at| *at > now).min();
+        next.unwrap_or(self.disconnect_all).min(self.disconnect_all)
     }
 
-    /// Until when an answer may be written to a client that takes it slowly, from which something was received then, or may
-    /// come at any time; `large` where it is a value that is passed on as it comes, for which its client may take its time.
+    /// Until when a reply may be written to a slow client. `received` is when input last arrived, or `None` if it may arrive
+    /// at any time; `large` is for a relayed value, for which the client may take its time.
     pub fn write_until(&self, received: Option<Instant>, large: bool) -> Instant {
-        let recently = received.is_none_or(|received| received >= self.last_command);
-        let short = !large && (self.failing == Failing::All || recently);
-        if short { self.cut_failed } else { self.cut }
+        let is_recent = received.is_none_or(|received| received >= self.last_command);
+        let is_short = !large && (self.fail_scope == FailScope::All || is_recent);
+        if is_short { self.disconnect_failed } else { self.disconnect_all }
     }
 
-    /// Whether what is open on a connection fails before it is cut, and has not done so.
-    fn fails(&self, standing: &Standing) -> bool {
-        let concerned = self.failing == Failing::All || standing.received >= self.last_command;
-        concerned && standing.open && (standing.waits || standing.reads_commands)
+    /// Whether the open requests of a connection fail before it is closed, and have not failed yet.
+    fn will_fail(&self, snapshot: &ConnectionSnapshot) -> bool {
+        let is_in_scope = self.fail_scope == FailScope::All || snapshot.last_received_at >= self.last_command;
+        is_in_scope && snapshot.has_pending_replies && (snapshot.awaits_node || snapshot.reads_commands)
     }
 
-    /// When a command of a connection must have come whole.
-    fn last_command_of(&self, standing: &Standing) -> Instant {
-        self.last_command.max(standing.accepted + self.late_arrival)
+    /// When a command on a connection must be complete.
+    fn connection_last_command_time(&self, snapshot: &ConnectionSnapshot) -> Instant {
+        self.last_command.max(snapshot.accepted_at + self.late_arrival)
     }
 
-    /// When a connection on which nothing is open closes.
-    fn close_of(&self, standing: &Standing) -> Instant {
-        if standing.answered.is_some_and(|answered| answered >= self.close_answered) {
-            self.close_answered
-        } else if standing.has_asked {
-            self.close_resting
+    /// When a connection with nothing open is closed.
+    fn connection_close_time(&self, snapshot: &ConnectionSnapshot) -> Instant {
+        if snapshot.last_replied_at.is_some_and(|replied_at| replied_at >= self.close_after_reply) {
+            self.close_after_reply
+        } else if snapshot.has_sent_command {
+            self.close_idle
         } else {
-            // It may only just have come.
-            self.last_command_of(standing)
+            // It may have just arrived.
+            self.connection_last_command_time(snapshot)
         }
     }
 }
 
-/// The plans that are in force.
+/// The active plans.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Plans {
-    /// While staff want no clients.
-    pub drain: Option<Plan>,
-    /// Once the process is to end: nothing takes it back.
-    pub end: Option<Plan>,
+pub struct RetirementPlans {
+    /// While the node is drained.
+    pub drain: Option<RetirementPlan>,
+    /// Once the process is to end; never taken back.
+    pub end: Option<RetirementPlan>,
 }
 
-impl Plans {
-    /// Whether there are any.
-    pub fn are_in_force(&self) -> bool {
+impl RetirementPlans {
+    /// Whether any plan is active.
+    pub fn any_active(&self) -> bool {
         self.drain.is_some() || self.end.is_some()
     }
 
-    fn each(&self) -> impl Iterator<Item = Plan> {
+    fn active(&self) -> impl Iterator<Item = RetirementPlan> {
         [self.drain, self.end].into_iter().flatten()
     }
 
-    /// What is to be done with a connection now, and the cause.
-    pub fn act(&self, standing: &Standing, now: Instant) -> (Act, Option<Cause>) {
-        let acts = self.each().map(|plan| (plan.act(standing, now), Some(plan.cause)));
-        acts.max_by_key(|(act, _)| *act).unwrap_or((Act::Keep, None))
+    /// What to do with a connection now, and the cause.
+    pub fn action(
+        &self,
+        snapshot: &ConnectionSnapshot,
+        now: Instant,
+    ) -> (RetirementAction, Option<RetirementCause>) {
+        let actions = self.active().map(|plan| (plan.action(snapshot, now), Some(plan.cause)));
+        actions.max_by_key(|(action, _)| *action).unwrap_or((RetirementAction::Keep, None))
     }
 
-    /// When something else is to be done with a connection, if it goes on as it is.
-    pub fn next(&self, standing: &Standing, now: Instant) -> Option<Instant> {
-        self.each().map(|plan| plan.next(standing, now)).min()
+    /// When the action for a connection changes next if its state stays the same.
+    pub fn next_change(&self, snapshot: &ConnectionSnapshot, now: Instant) -> Option<Instant> {
+        self.active().map(|plan| plan.next_change(snapshot, now)).min()
     }
 
-    /// Whether a request that comes now is refused.
+    /// Whether a request that arrives now is refused.
     pub fn refuses(&self, open: bool, now: Instant) -> bool {
-        self.each().any(|plan| plan.refuses(open, now))
+        self.active().any(|plan| plan.refuses(open, now))
     }
 
-    /// Until when an answer may be written.
+    /// Until when a reply may be written.
     pub fn write_until(&self, received: Option<Instant>, large: bool) -> Option<Instant> {
-        self.each().map(|plan| plan.write_until(received, large)).min()
+        self.active().map(|plan| plan.write_until(received, large)).min()
     }
 
-    /// When the last connection is cut.
-    pub fn cut(&self) -> Option<Instant> {
-        self.each().map(|plan| plan.cut).min()
+    /// When the last connection is closed.
+    pub fn disconnect_all_at(&self) -> Option<Instant> {
+        self.active().map(|plan| plan.disconnect_all).min()
     }
 }
 
--- a/crates/node/src/clients/serving.rs
+++ b/crates/node/src/clients/serving.rs
@@ -1,4 +1,4 @@
-//! A connection from its first byte to its end: what it waits for, and when it is closed.
+//! Serves a connection from its first byte to its end: what it waits for, and when it is closed.
 
 use std::rc::Rc;
 
@@ -10,50 +10,52 @@
 use tokio::time::{Instant, sleep_until, timeout_at};
 
 use super::ClientWriting;
+use super::connection_state::ConnectionState;
 use super::inbox::{Inbox, Unread};
-use super::owed::{Ready, ready_answers};
-use super::reading::quiet;
-use super::retirement::{Act, Cause, Standing};
+use super::pending_replies::{Writable, next_writable};
+use super::reading::has_no_unread_data;
+use super::retirement::{ConnectionSnapshot, RetirementAction, RetirementCause};
 use super::session::Session;
-use super::shown::ConnectionState;
-use super::timing::{Limits, Progress, Situation};
+use super::timing::{LimitConditions, Limits, Progress};
 use crate::event_log::EventKind;
 use crate::memory_shortage::RetryingStream;
 use crate::stream::{CLOSE_TIMEOUT, close_gracefully};
 
-/// Answers of one connection that may wait, refusals and errors too; a client that goes on beyond is cut off.
-const MAX_WAITING: usize = 1024;
+/// Limit of the pending replies of one connection, including refusals and errors; a client that exceeds it is
+/// disconnected.
+const MAX_PENDING_REPLIES: usize = 1024;
 
 /// How a session ends.
 #[derive(Clone, Copy, PartialEq)]
 enum Closing {
-    /// The other side has gone, or its place is wanted at once.
-    AtOnce(CloseReason),
-    /// In order: what may be on its way must meet the end of the stream, not a reset.
-    InOrder(CloseReason),
+    /// The other side has gone, or the place of the connection is needed at once.
+    Immediate(CloseReason),
+    /// Gracefully: bytes on their way must meet the end of the stream, not a reset.
+    Graceful(CloseReason),
 }
 
 impl Closing {
     fn reason(self) -> CloseReason {
         match self {
-            Closing::AtOnce(reason) | Closing::InOrder(reason) => reason,
+            Closing::Immediate(reason) | Closing::Graceful(reason) => reason,
         }
     }
 }
 
 impl<H: Host> Session<H> {
-    /// Serves a connection until its end. What it has sent may lie unread for so long.
+    /// Serves a connection until its end. `unread` bounds how long its first bytes may have been waiting.
     pub(super) async fn run(&mut self, stream: H::Stream, unread: Unread, evict: Rc<Notify>) {
         let (reading, writing) = stream.into_halves();
         let mut writing = RetryingStream::new(writing);
         let mut progress = Progress::new(Instant::now());
         let mut inbox = Inbox::new(&reading, (self.clients.now)(), unread);
         let closing = self.serve(&mut inbox, &mut writing, &mut progress, evict).await;
-        self.tell_closing(closing.reason(), &progress);
-        if let Closing::InOrder(_) = closing {
-            self.show_state(ConnectionState::Closing);
+        self.report_close(closing.reason(), &progress);
+        if let Closing::Graceful(_) = closing {
+            self.publish_state(ConnectionState::Closing);
             let latest = Instant::now() + CLOSE_TIMEOUT;
-            let latest = self.clients.retiring.plans().cut().map_or(latest, |cut| cut.min(latest));
+            let latest =
+                self.clients.retirement.plans().disconnect_all_at().map_or(latest, |end| end.min(latest));
             let _ = timeout_at(latest, close_gracefully(&reading, &mut writing)).await;
         }
     }
@@ -67,150 +69,156 @@
     ) -> Closing {
         let clients = self.clients.clone();
         let reading = inbox.reading;
-        // Whether it was looked once more for what has arrived, since nothing that arrives can put the end off any more. Where
-        // this process was held up, that may be a whole command.
-        let mut looked = false;
+        // Whether input was checked for once more after its arrival could no longer put the end off. If this process was
+        // delayed, a complete command may be waiting.
+        let mut checked_for_late_data = false;
         loop {
-            self.take_commands(inbox, progress).await;
+            self.execute_received_commands(inbox, progress).await;
             let idle = self.pending.is_empty();
             let now = Instant::now();
-            self.show(progress, inbox);
-            // Behind what was written meanwhile, which the client may still read.
-            if self.state.client_has_closed() {
-                return Closing::AtOnce(CloseReason::Client);
+            self.publish(progress, inbox);
+            // Checked after writing what is ready, because the client may still read it.
+            if self.input.client_has_closed() {
+                return Closing::Immediate(CloseReason::Client);
             }
-            if idle && !self.state.reads_commands() {
-                return Closing::InOrder(self.finished_by.unwrap_or(CloseReason::Protocol));
+            if idle && !self.input.reads_commands() {
+                return Closing::Graceful(self.finish_reason.unwrap_or(CloseReason::Protocol));
             }
-            let plans = clients.retiring.plans();
-            // Most of the time there is no plan, and nothing to find out for it.
-            let standing = plans.are_in_force().then(|| self.standing(progress, inbox));
-            match standing.map_or((Act::Keep, None), |standing| plans.act(&standing, now)) {
-                (Act::Keep, _) => {}
-                (Act::CloseUnlessAsked, cause) => {
-                    if quiet(reading, &mut inbox.buffer).await {
-                        return Closing::InOrder(close_reason(cause));
+            let plans = clients.retirement.plans();
+            // Usually there is no plan, and no need for a snapshot.
+            let snapshot = plans.any_active().then(|| self.snapshot(progress, inbox));
+            match snapshot.map_or((RetirementAction::Keep, None), |snapshot| plans.action(&snapshot, now)) {
+                (RetirementAction::Keep, _) => {}
+                (RetirementAction::CloseIfIdle, cause) => {
+                    if has_no_unread_data(reading, &mut inbox.buffer).await {
+                        return Closing::Graceful(close_reason(cause));
                     }
-                    inbox.has_received((clients.now)());
-                    progress.active_now();
+                    inbox.record_received((clients.now)());
+                    progress.record_activity();
                     continue;
                 }
-                (Act::Close | Act::EndCommand, _) if !std::mem::replace(&mut looked, true) => {
-                    if !quiet(reading, &mut inbox.buffer).await {
-                        inbox.has_received((clients.now)());
-                        progress.active_now();
+                (RetirementAction::Close | RetirementAction::FailPartialCommand, _)
+                    if !std::mem::replace(&mut checked_for_late_data, true) =>
+                {
+                    if !has_no_unread_data(reading, &mut inbox.buffer).await {
+                        inbox.record_received((clients.now)());
+                        progress.record_activity();
                     }
                     continue;
                 }
-                (Act::Close, cause) => return Closing::InOrder(close_reason(cause)),
-                (Act::EndCommand, _) => {
+                (RetirementAction::Close, cause) => return Closing::Graceful(close_reason(cause)),
+                (RetirementAction::FailPartialCommand, _) => {
                     self.protocol_error(Malformed("the rest of the command has not come"));
                     continue;
                 }
-                (Act::FailOpen, cause) => {
+                (RetirementAction::FailOpen, cause) => {
                     self.finish(close_reason(cause));
-                    self.fail_open().await;
+                    self.fail_open_requests().await;
                     continue;
                 }
-                (Act::Cut, _) => return Closing::AtOnce(CloseReason::RetirementOver),
+                (RetirementAction::Disconnect, _) => return Closing::Immediate(CloseReason::RetirementOver),
             }
-            let limits = Limits::of(progress, self.situation(), now);
-            let limit = limits.next();
-            let retires = standing.and_then(|standing| plans.next(&standing, now));
-            let next = limit.into_iter().chain(retires).min();
+            let limits = Limits::of(progress, self.limit_conditions(), now);
+            let limit = limits.earliest();
+            let plan_change = snapshot.and_then(|snapshot| plans.next_change(&snapshot, now));
+            let next = limit.into_iter().chain(plan_change).min();
             tokio::select! {
                 biased;
-                ready = ready_answers(&mut self.pending), if !idle => {
-                    let taken = match ready {
-                        Ready::LargeValue => self.pass_on(inbox, writing).await,
-                        Ready::Answers(ready) => self.write(ready, inbox, writing).await,
+                ready = next_writable(&mut self.pending), if !idle => {
+                    let written = match ready {
+                        Writable::LargeValue => self.stream_large_value(inbox, writing).await,
+                        Writable::Replies(ready) => self.write_replies(ready, inbox, writing).await,
                     };
-                    progress.answered_now();
-                    if let Err(reason) = taken {
-                        return Closing::AtOnce(reason);
+                    progress.record_reply();
+                    if let Err(reason) = written {
+                        return Closing::Immediate(reason);
                     }
                 }
-                more = inbox.read(|| (clients.now)()), if self.state.takes_bytes() => {
-                    // A client that closes has gone away: what it asked for is not wanted any more.
-                    if !more {
-                        return Closing::AtOnce(CloseReason::Client);
+                is_connected = inbox.read(|| (clients.now)()), if self.input.takes_bytes() => {
+                    // A client that closes its side has gone: its requests are abandoned.
+                    if !is_connected {
+                        return Closing::Immediate(CloseReason::Client);
                     }
-                    if self.state.reads_commands() {
-                        progress.piece_arrived();
+                    if self.input.reads_commands() {
+                        progress.record_read();
                     }
                 }
                 () = evict.notified(), if idle => {
-                    if quiet(reading, &mut inbox.buffer).await {
-                        return Closing::AtOnce(CloseReason::Evicted);
+                    if has_no_unread_data(reading, &mut inbox.buffer).await {
+                        return Closing::Immediate(CloseReason::Evicted);
                     }
-                    inbox.has_received((clients.now)());
-                    progress.active_now();
+                    inbox.record_received((clients.now)());
+                    progress.record_activity();
                 }
                 () = sleep_until(next.unwrap_or(now)), if next.is_some() => {
                     if limit.is_none_or(|limit| limit > Instant::now()) {
-                        // The retirement has come further.
+                        // The retirement plan has reached its next step.
                         continue;
                     }
-                    if !quiet(reading, &mut inbox.buffer).await {
-                        inbox.has_received((clients.now)());
-                        progress.active_now();
-                    } else if let Some(reason) = self.limit_reached(&limits, progress) {
-                        return Closing::InOrder(reason);
+                    if !has_no_unread_data(reading, &mut inbox.buffer).await {
+                        inbox.record_received((clients.now)());
+                        progress.record_activity();
+                    } else if let Some(reason) = self.close_reason_at_limit(&limits, progress) {
+                        return Closing::Graceful(reason);
                     }
                 }
-                () = clients.retiring.changed.notified() => {}
+                () = clients.retirement.changed.notified() => {}
             }
         }
     }
 
-    /// Carries out the commands that have arrived whole.
-    async fn take_commands<R: Reading>(&mut self, inbox: &mut Inbox<'_, R>, progress: &mut Progress) {
-        // Wherever it was read: none of it is a command.
-        self.state.discard_refused(&mut inbox.buffer);
-        while self.state.reads_commands() && !inbox.buffer.is_empty() {
+    /// Executes the complete commands that have arrived.
+    async fn execute_received_commands<R: Reading>(
+        &mut self,
+        inbox: &mut Inbox<'_, R>,
+        progress: &mut Progress,
+    ) {
+        // Discarded wherever it was read, because none of it is a command.
+        self.input.discard_refused(&mut inbox.buffer);
+        while self.input.reads_commands() && !inbox.buffer.is_empty() {
             match resp::take_frame(&mut inbox.buffer, MAX_VALUE_BYTES) {
                 Ok(Some(frame)) => {
                     progress.command_complete();
-                    let reserved = self.state.command_complete();
-                    self.command(frame, inbox.received(), reserved).await;
+                    let reserved = self.input.command_complete();
+                    self.execute(frame, inbox.received_at(), reserved).await;
                 }
                 Ok(None) => {
-                    let received = inbox.received();
-                    self.large(&mut inbox.buffer, received);
+                    let received_at = inbox.received_at();
+                    self.handle_incomplete_command(&mut inbox.buffer, received_at);
                     break;
                 }
                 Err(e) => self.protocol_error(e),
             }
-            if self.pending.len() > MAX_WAITING {
+            if self.pending.len() > MAX_PENDING_REPLIES {
                 self.protocol_error(Malformed("too many commands at once"));
             }
         }
-        self.state.discard_bytes(inbox.buffer.len());
-        let between_commands = inbox.buffer.is_empty() && !self.state.misses_value();
-        if between_commands || !self.state.reads_commands() {
-            // An idle connection must not keep the room that its largest command took.
+        self.input.discard_bytes(inbox.buffer.len());
+        let between_commands = inbox.buffer.is_empty() && !self.input.awaits_value();
+        if between_commands || !self.input.reads_commands() {
+            // An idle connection must not keep the buffer that its largest command needed.
             inbox.buffer = BytesMut::new();
-            progress.no_command_begun();
+            progress.clear_partial_command();
         } else {
-            progress.command_begun();
+            progress.record_partial_command();
         }
     }
 
-    /// Shows what the connection does, for the choice of the one that gives way and for those who watch.
-    fn show<R>(&self, progress: &Progress, inbox: &Inbox<'_, R>) {
-        if let Some(entry) = self.clients.open.borrow_mut().get_mut(&self.number) {
-            entry.idle = self.pending.is_empty().then_some(progress.last_active());
+    /// Publishes the state of the connection, for eviction and for the log.
+    fn publish<R>(&self, progress: &Progress, inbox: &Inbox<'_, R>) {
+        if let Some(entry) = self.clients.open_connections.borrow_mut().get_mut(&self.number) {
+            entry.idle_since = self.pending.is_empty().then_some(progress.last_active_at());
             entry.activity = progress.activity(self.newcomer.is_some());
             entry.state = self.connection_state(progress);
-            entry.open = self.pending.len();
-            entry.received = inbox.last_byte;
-            entry.answered = progress.last_answered();
+            entry.pending_replies = self.pending.len();
+            entry.last_received_at = inbox.last_read_at;
+            entry.last_replied_at = progress.last_replied_at();
         }
     }
 
     fn connection_state(&self, progress: &Progress) -> ConnectionState {
-        match (self.pending.is_empty(), progress.has_begun(), self.newcomer.is_some()) {
-            _ if !self.state.reads_commands() => ConnectionState::Finishing,
+        match (self.pending.is_empty(), progress.has_partial_command(), self.newcomer.is_some()) {
+            _ if !self.input.reads_commands() => ConnectionState::Finishing,
             (false, _, _) => ConnectionState::Waiting,
             (true, true, _) => ConnectionState::CommandBegun,
             (true, false, true) => ConnectionState::Unasked,
@@ -218,48 +226,48 @@
         }
     }
 
-    /// What its retirement depends on.
-    fn standing<R>(&self, progress: &Progress, inbox: &Inbox<'_, R>) -> Standing {
-        Standing {
-            accepted: progress.connected(),
-            has_asked: self.newcomer.is_none(),
-            command_begun: progress.has_begun(),
-            open: !self.pending.is_empty(),
-            waits: self.pending.iter().any(|slot| slot.waits()),
-            reads_commands: self.state.reads_commands(),
-            answered: progress.last_answered(),
-            received: inbox.last_byte,
+    /// The state that its retirement depends on.
+    fn snapshot<R>(&self, progress: &Progress, inbox: &Inbox<'_, R>) -> ConnectionSnapshot {
+        ConnectionSnapshot {
+            accepted_at: progress.connected_at(),
+            has_sent_command: self.newcomer.is_none(),
+            has_partial_command: progress.has_partial_command(),
+            has_pending_replies: !self.pending.is_empty(),
+            awaits_node: self.pending.iter().any(|reply| reply.is_pending()),
+            reads_commands: self.input.reads_commands(),
+            last_replied_at: progress.last_replied_at(),
+            last_received_at: inbox.last_read_at,
         }
     }
 
-    /// What its limits depend on.
-    fn situation(&self) -> Situation {
-        Situation {
+    /// The state that its time limits depend on.
+    fn limit_conditions(&self) -> LimitConditions {
+        LimitConditions {
             newcomer: self.newcomer.is_some(),
             idle: self.pending.is_empty(),
-            crowded: self.clients.crowded(),
-            misses_value: self.state.misses_value(),
+            crowded: self.clients.is_crowded(),
+            awaits_value: self.input.awaits_value(),
         }
     }
 
-    /// The next of its limits was reached, and nothing has arrived: why it closes, if it does.
-    fn limit_reached(&mut self, limits: &Limits, progress: &Progress) -> Option<CloseReason> {
+    /// Called when the earliest limit was reached and no input has arrived; returns why the connection closes, if it does.
+    fn close_reason_at_limit(&mut self, limits: &Limits, progress: &Progress) -> Option<CloseReason> {
         if limits.rest_of_command_is_late() {
             self.protocol_error(Malformed("the rest of the command has not come"));
             return None;
         }
         if limits.first_command_is_late() {
             Some(CloseReason::FirstCommandLate)
-        } else if progress.idle_too_long() {
+        } else if progress.is_idle_too_long() {
             Some(CloseReason::Idle)
         } else {
-            self.clients.crowded().then_some(CloseReason::Crowded)
+            self.clients.is_crowded().then_some(CloseReason::Crowded)
         }
     }
 
-    /// Counts the end of the connection, and logs it where it is the node that ends it.
-    fn tell_closing(&self, reason: CloseReason, progress: &Progress) {
-        self.clients.desk.metrics.closed.increment(reason);
+    /// Counts the end of the connection, and logs it if the node closes it.
+    fn report_close(&self, reason: CloseReason, progress: &Progress) {
+        self.clients.ops_endpoint.metrics.closed.increment(reason);
         if reason == CloseReason::Client {
             return;
         }
@@ -270,20 +278,20 @@
                 "reason={} connection={} age_ms={} requests={} answers={} open={}",
                 reason.name(),
                 self.number,
-                ms(progress.connected()),
+                ms(progress.connected_at()),
                 self.requests,
-                self.answers,
+                self.replies,
                 self.pending.len()
             ),
         );
     }
 }
 
-/// Why a connection ends that a plan closes.
-fn close_reason(cause: Option<Cause>) -> CloseReason {
+/// Why a connection ends that is closed by a retirement plan.
+fn close_reason(cause: Option<RetirementCause>) -> CloseReason {
     match cause {
-        Some(Cause::Drain) => CloseReason::Drained,
-        Some(Cause::HandOver) => CloseReason::HandedOver,
-        Some(Cause::Stop) | None => CloseReason::Stopping,
+        Some(RetirementCause::Drain) => CloseReason::Drained,
+        Some(RetirementCause::HandOver) => CloseReason::HandedOver,
+        Some(RetirementCause::Stop) | None => CloseReason::Stopping,
     }
 }
--- a/crates/node/src/clients/session.rs
+++ b/crates/node/src/clients/session.rs
@@ -1,4 +1,4 @@
-//! The connection of one client: what it is owed, how far its commands have come, and why it ends.
+//! The state of one client's connection: its pending replies, its input, and why it ends.
 
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -7,11 +7,11 @@
 use mothpier_ops::CloseReason;
 
 use super::Clients;
-use super::owed::Slot;
-use super::shown::ConnectionState;
-use super::state::State;
+use super::connection_state::ConnectionState;
+use super::input_state::InputState;
+use super::pending_replies::PendingReply;
 
-/// Counts a connection among those that have not sent a whole command yet, for as long as this lives.
+/// Counts a connection that has not sent a complete command yet; uncounted when dropped.
 pub(super) struct Newcomer(Rc<Cell<usize>>);
 
 impl Newcomer {
@@ -30,48 +30,49 @@
 /// One connection of a client.
 pub(super) struct Session<H> {
     pub(super) clients: Rc<Clients<H>>,
-    /// Names the connection inside this process.
+    /// Identifies the connection within this process.
     pub(super) number: u64,
     /// In the order of the commands.
-    pub(super) pending: VecDeque<Slot>,
-    /// How many of them are requests that went on.
-    pub(super) asked: usize,
-    /// Until it has sent a command in the agreed form.
+    pub(super) pending: VecDeque<PendingReply>,
+    /// How many of them belong to requests that were forwarded.
+    pub(super) forwarded_requests: usize,
+    /// Until it has sent a valid command.
     pub(super) newcomer: Option<Newcomer>,
-    pub(super) state: State,
-    /// Why its commands are read no more, once they are not.
-    pub(super) finished_by: Option<CloseReason>,
-    /// Requests of a known class, and those of them whose answers were written whole, since it began. Refused ones are among both.
+    pub(super) input: InputState,
+    /// Why its commands are no longer read.
+    pub(super) finish_reason: Option<CloseReason>,
+    /// Requests of a known class since the connection began, and those whose replies were written completely; both include
+    /// refused requests.
     pub(super) requests: u64,
-    pub(super) answers: u64,
+    pub(super) replies: u64,
 }
 
 impl<H> Session<H> {
-    /// Of a connection that has only just been accepted.
+    /// For a connection that was just accepted.
     pub(super) fn new(clients: Rc<Clients<H>>, number: u64) -> Self {
         let newcomer = Some(Newcomer::count(&clients.newcomers));
         Session {
             clients,
             number,
             pending: VecDeque::new(),
-            asked: 0,
+            forwarded_requests: 0,
             newcomer,
-            state: State::new(),
-            finished_by: None,
+            input: InputState::new(),
+            finish_reason: None,
             requests: 0,
-            answers: 0,
+            replies: 0,
         }
     }
 
-    /// Commands are read no more, for this reason where there was none before.
+    /// Stops reading commands for this reason, unless there was an earlier one.
     pub(super) fn finish(&mut self, reason: CloseReason) {
-        self.finished_by.get_or_insert(reason);
-        self.state.finish();
+        self.finish_reason.get_or_insert(reason);
+        self.input.finish();
     }
 
-    /// Shows others what the connection does.
-    pub(super) fn show_state(&self, state: ConnectionState) {
-        if let Some(entry) = self.clients.open.borrow_mut().get_mut(&self.number) {
+    /// Publishes the state of the connection.
+    pub(super) fn publish_state(&self, state: ConnectionState) {
+        if let Some(entry) = self.clients.open_connections.borrow_mut().get_mut(&self.number) {
             entry.state = state;
         }
     }
--- a/crates/node/src/clients/timing.rs
+++ b/crates/node/src/clients/timing.rs
@@ -1,5 +1,4 @@
-//! The times of one client's connection: since when it is idle or has left a command unfinished, and how long it may go on.
-//! No I/O.
+//! Time limits of one client's connection: for how long it may stay idle or leave a command incomplete. No I/O.
 
 use std::time::Duration;
 
@@ -7,173 +6,180 @@
 
 use crate::eviction_priority::Activity;
 
-/// A first command, and the rest of one that has begun, must come within this time: true clients may take 2 s, bad
-/// ones are owed an error or a close within 3 s. A value need only go on.
-const COMMAND: Duration = Duration::from_millis(2600);
-/// The longest time that a value may take in all.
-const VALUE: Duration = Duration::from_secs(30);
-/// A connection that asks nothing for so long is closed: some clients keep theirs for good.
-const IDLE: Duration = Duration::from_secs(10);
-/// The same once half of the connections that there may be are open, for clients can hold only so many and those that are
-/// kept keep others out.
-const IDLE_CROWDED: Duration = Duration::from_millis(2100);
-/// How often an idle connection looks whether many have become open meanwhile.
-const IDLE_LOOK: Duration = Duration::from_millis(250);
-/// What the limits of a connection are counted from.
+/// Time-out of a first command and of the rest of a partial one. Valid clients may take 2 s; invalid ones must get an
+/// error or a close within 3 s. For a value, this limits the time between two reads.
+const COMMAND_TIMEOUT: Duration = Duration::from_millis(2600);
+/// Longest time for a complete value.
+const VALUE_TIMEOUT: Duration = Duration::from_secs(30);
+/// A connection idle for this long is closed, because some clients never close theirs.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// The same while at least half of the permitted connections are open: clients can hold only so many, and idle ones keep
+/// others out.
+const CROWDED_IDLE_TIMEOUT: Duration = Duration::from_millis(2100);
+/// How often an idle connection checks whether many connections are open.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+
+/// The progress of a connection, from which its limits are counted.
 pub(super) struct Progress {
     /// When it was accepted.
-    connected: Instant,
-    /// When the command that has not arrived whole began to.
-    begun: Option<Instant>,
-    /// In how many pieces that has arrived so far.
-    pieces: usize,
-    /// When the client was last heard or answered.
-    active: Instant,
-    /// When it was last answered.
-    answered: Option<Instant>,
+    connected_at: Instant,
+    /// When the first bytes of the incomplete command arrived.
+    command_started_at: Option<Instant>,
+    /// Number of reads since then.
+    command_reads: usize,
+    /// When the client was last read from or replied to.
+    last_active_at: Instant,
+    /// When a reply was last written.
+    last_replied_at: Option<Instant>,
 }
 
 impl Progress {
-    /// Of a connection that has only just been accepted.
-    pub(super) fn new(connected: Instant) -> Progress {
-        Progress { connected, begun: None, pieces: 0, active: connected, answered: None }
+    /// For a connection that was just accepted.
+    pub(super) fn new(connected_at: Instant) -> Progress {
+        Progress {
+            connected_at,
+            command_started_at: None,
+            command_reads: 0,
+            last_active_at: connected_at,
+            last_replied_at: None,
+        }
     }
 
-    /// Something has arrived.
-    pub(super) fn piece_arrived(&mut self) {
-        self.active_now();
-        self.pieces += 1;
+    /// Records that bytes were read.
+    pub(super) fn record_read(&mut self) {
+        self.record_activity();
+        self.command_reads += 1;
     }
 
-    /// The client was heard or answered.
-    pub(super) fn active_now(&mut self) {
-        self.active = Instant::now();
+    /// Records that the client was read from or replied to.
+    pub(super) fn record_activity(&mut self) {
+        self.last_active_at = Instant::now();
     }
 
-    /// The client was answered.
-    pub(super) fn answered_now(&mut self) {
-        self.active_now();
-        self.answered = Some(self.active);
+    /// Records that a reply was written.
+    pub(super) fn record_reply(&mut self) {
+        self.record_activity();
+        self.last_replied_at = Some(self.last_active_at);
     }
 
     /// When it was accepted.
-    pub(super) fn connected(&self) -> Instant {
-        self.connected
+    pub(super) fn connected_at(&self) -> Instant {
+        self.connected_at
     }
 
-    /// When it was last answered.
-    pub(super) fn last_answered(&self) -> Option<Instant> {
-        self.answered
+    /// When a reply was last written.
+    pub(super) fn last_replied_at(&self) -> Option<Instant> {
+        self.last_replied_at
     }
 
-    /// When the client was last heard or answered.
-    pub(super) fn last_active(&self) -> Instant {
-        self.active
+    /// When the client was last read from or replied to.
+    pub(super) fn last_active_at(&self) -> Instant {
+        self.last_active_at
     }
 
-    /// A command has arrived whole.
+    /// Records that a command is complete.
     pub(super) fn command_complete(&mut self) {
-        (self.begun, self.pieces) = (None, 0);
+        (self.command_started_at, self.command_reads) = (None, 0);
     }
 
-    /// Part of a command has arrived, and nothing of it is missing for good.
-    pub(super) fn command_begun(&mut self) {
-        self.begun.get_or_insert_with(Instant::now);
+    /// Records that a partial command has arrived, and its rest may follow.
+    pub(super) fn record_partial_command(&mut self) {
+        self.command_started_at.get_or_insert_with(Instant::now);
     }
 
-    /// Nothing of a command has arrived, or no more are read.
-    pub(super) fn no_command_begun(&mut self) {
-        self.begun = None;
+    /// Records that no partial command has arrived, or no more commands are read.
+    pub(super) fn clear_partial_command(&mut self) {
+        self.command_started_at = None;
     }
 
-    /// Whether part of a command has arrived.
-    pub(super) fn has_begun(&self) -> bool {
-        self.begun.is_some()
+    /// Whether a partial command has arrived.
+    pub(super) fn has_partial_command(&self) -> bool {
+        self.command_started_at.is_some()
     }
 
-    /// What the connection does, for the choice of the one that gives way.
+    /// The activity that the eviction priority depends on.
     pub(super) fn activity(&self, newcomer: bool) -> Activity {
-        match self.begun {
+        match self.command_started_at {
             None if !newcomer => Activity::Idle,
-            Some(_) if self.pieces > 1 => Activity::Writing,
+            Some(_) if self.command_reads > 1 => Activity::Writing,
             _ => Activity::Starting,
         }
     }
 
-    /// Whether the client has been silent for the longest time that a connection may.
-    pub(super) fn idle_too_long(&self) -> bool {
-        self.active.elapsed() >= IDLE
+    /// Whether the client has been idle for the longest permitted time.
+    pub(super) fn is_idle_too_long(&self) -> bool {
+        self.last_active_at.elapsed() >= IDLE_TIMEOUT
     }
 }
 
 /// What the limits of a connection depend on beside its [`Progress`].
 #[derive(Clone, Copy)]
-pub(super) struct Situation {
-    /// It has not sent a whole command yet.
+pub(super) struct LimitConditions {
+    /// It has not sent a complete command yet.
     pub(super) newcomer: bool,
-    /// No answer is owed to it.
+    /// It has no pending replies.
     pub(super) idle: bool,
     /// Many connections are open.
     pub(super) crowded: bool,
-    /// Of the newest command only the value, or the rest of it, is missing.
-    pub(super) misses_value: bool,
+    /// Only the value of the newest command, or the rest of it, is missing.
+    pub(super) awaits_value: bool,
 }
 
-/// Until when a connection may go on as it is; `None` where nothing limits it.
+/// The time limits of a connection; `None` where there is no limit.
 pub(super) struct Limits {
-    /// For the first command of a newcomer.
+    /// For the first command of a new connection.
     first_command: Option<Instant>,
-    /// For the rest of a command that has begun.
+    /// For the rest of a partial command.
     rest_of_command: Option<Instant>,
-    /// For resting, or until it is looked at again.
-    rest: Option<Instant>,
+    /// For being idle, or until the next check.
+    idle: Option<Instant>,
 }
 
 impl Limits {
     /// The limits of a connection at this time.
-    pub(super) fn of(progress: &Progress, situation: Situation, now: Instant) -> Limits {
-        let asks_nothing = situation.idle && !progress.has_begun();
-        let awaits_first = situation.newcomer && asks_nothing;
+    pub(super) fn of(progress: &Progress, conditions: LimitConditions, now: Instant) -> Limits {
+        let is_idle = conditions.idle && !progress.has_partial_command();
+        let awaits_first = conditions.newcomer && is_idle;
         Limits {
-            first_command: awaits_first.then_some(progress.connected + COMMAND),
-            rest_of_command: progress.begun.map(|begun| {
-                if situation.misses_value {
-                    // It need only go on.
-                    (progress.active + COMMAND).min(begun + VALUE)
+            first_command: awaits_first.then_some(progress.connected_at + COMMAND_TIMEOUT),
+            rest_of_command: progress.command_started_at.map(|started_at| {
+                if conditions.awaits_value {
+                    // Limits each gap between two reads, and the value as a whole.
+                    (progress.last_active_at + COMMAND_TIMEOUT).min(started_at + VALUE_TIMEOUT)
                 } else {
-                    begun + COMMAND
+                    started_at + COMMAND_TIMEOUT
                 }
             }),
-            rest: asks_nothing.then(|| rest_until(progress.active, situation, now)),
+            idle: is_idle.then(|| idle_limit(progress.last_active_at, conditions, now)),
         }
     }
 
-    /// The next of them.
-    pub(super) fn next(&self) -> Option<Instant> {
-        [self.first_command, self.rest_of_command, self.rest].into_iter().flatten().min()
+    /// The earliest limit.
+    pub(super) fn earliest(&self) -> Option<Instant> {
+        [self.first_command, self.rest_of_command, self.idle].into_iter().flatten().min()
     }
 
-    /// Whether the first command has not come in time.
+    /// Whether the first command is overdue.
     pub(super) fn first_command_is_late(&self) -> bool {
-        passed(self.first_command)
+        has_passed(self.first_command)
     }
 
-    /// Whether the rest of a command has not come in time.
+    /// Whether the rest of a command is overdue.
     pub(super) fn rest_of_command_is_late(&self) -> bool {
-        passed(self.rest_of_command)
+        has_passed(self.rest_of_command)
     }
 }
 
-fn passed(limit: Option<Instant>) -> bool {
+fn has_passed(limit: Option<Instant>) -> bool {
     limit.is_some_and(|limit| limit <= Instant::now())
 }
 
-fn rest_until(active: Instant, situation: Situation, now: Instant) -> Instant {
-    if active + IDLE_CROWDED > now || situation.crowded {
-        active + IDLE_CROWDED
+fn idle_limit(last_active_at: Instant, conditions: LimitConditions, now: Instant) -> Instant {
+    if last_active_at + CROWDED_IDLE_TIMEOUT > now || conditions.crowded {
+        last_active_at + CROWDED_IDLE_TIMEOUT
     } else {
-        // Looked at again meanwhile: others may have come.
-        (now + IDLE_LOOK).min(active + IDLE)
+        // Check again before the limit, because many connections may have opened meanwhile.
+        (now + IDLE_CHECK_INTERVAL).min(last_active_at + IDLE_TIMEOUT)
     }
 }
 
--- /dev/null
+++ b/crates/node/src/clients/writing.rs
@@ -0,0 +1,236 @@
+//! Writing replies to a client, and reading from it meanwhile.
+
+use std::time::Duration;
+
+use bytes::{Bytes, BytesMut};
+use mothpier_host::{Host, Reading};
+use mothpier_ops::{CloseReason, RequestEnd, RequestTicket};
+use mothpier_resp::{self as resp, Malformed};
+use tokio::io::AsyncWriteExt;
+use tokio::time::{Instant, sleep, sleep_until, timeout};
+
+use super::ClientWriting;
+use super::connection_state::ConnectionState;
+use super::inbox::Inbox;
+use super::parsing::Rejected;
+use super::pending_replies::{PendingReply, ReplyState};
+use super::session::Session;
+use crate::command::STREAM_STALL_TIMEOUT;
+use crate::input::{ClientEvent, Input};
+
+/// A client that reads nothing of its reply for this long is disconnected.
+const SLOW_CLIENT_TIMEOUT: Duration = Duration::from_secs(10);
+/// Bytes read from a client while a reply is written to it: enough to notice that it has gone, and a bound on the
+/// memory used for a client that does not read its replies.
+const READ_AHEAD_BYTES: usize = 16 * 1024;
+
+/// While no more is read, a closed connection is checked for at this interval: attempts of the client's requests may
+/// still start for 0.1 s after it has gone.
+const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(40);
+
+/// What is being written.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum WriteKind {
+    /// Complete replies.
+    Replies,
+    /// A value relayed as it arrives.
+    LargeValue,
+}
+
+/// Whether the client has read what was written to it, or why its connection has to end.
+pub(super) type WriteResult = Result<(), CloseReason>;
+
+impl<H: Host> Session<H> {
+    /// Relays the large value at the front as it arrives. If it is cut off, the connection must end, because nothing else
+    /// tells the client so.
+    pub(super) async fn stream_large_value<R: Reading>(
+        &mut self,
+        inbox: &mut Inbox<'_, R>,
+        writing: &mut ClientWriting<H>,
+    ) -> WriteResult {
+        let Some(PendingReply { state: ReplyState::Stream(mut value), memory_permit, ticket }) =
+            self.pending.pop_front()
+        else {
+            return Err(CloseReason::ValueCut);
+        };
+        self.forwarded_requests -= usize::from(memory_permit.is_some());
+        let mut remaining = value.length;
+        let mut chunk = resp::value_header(remaining);
+        let mut result = Ok(());
+        loop {
+            result = result.and(self.write_bytes(&chunk, WriteKind::LargeValue, inbox, writing).await);
+            if remaining == 0 || result.is_err() {
+                break;
+            }
+            // Longer than the stall time-out of its server, which ends the value there.
+            let next = timeout(STREAM_STALL_TIMEOUT * 2, value.chunks.recv());
+            match self.read_while_waiting(inbox, WriteKind::LargeValue, next).await {
+                Some(Ok(Some(next))) if next.len() <= remaining => chunk = next,
+                _ => break,
+            }
+            remaining -= chunk.len();
+        }
+        let finished = match result {
+            Ok(()) if remaining == 0 => {
+                self.write_bytes(b"\r\n", WriteKind::LargeValue, inbox, writing).await
+            }
+            Ok(()) => Err(CloseReason::ValueCut),
+            Err(reason) => Err(reason),
+        };
+        if let Some((ticket, _)) = ticket
+            && (finished.is_ok() || result.is_ok())
+        {
+            // A request whose client stopped reading was abandoned.
+            self.replies += u64::from(finished.is_ok());
+            ticket.end(if finished.is_ok() { RequestEnd::Served } else { RequestEnd::Failed });
+        }
+        finished
+    }
+
+    /// Writes replies that are ready.
+    pub(super) async fn write_replies<R: Reading>(
+        &mut self,
+        ready: usize,
+        inbox: &mut Inbox<'_, R>,
+        writing: &mut ClientWriting<H>,
+    ) -> WriteResult {
+        let bytes = self.take_ready_bytes(ready);
+        let result = self.write_bytes(&bytes, WriteKind::Replies, inbox, writing).await;
+        for reply in self.pending.drain(..ready) {
+            // A request whose reply could not be written was abandoned and has no end.
+            if let Some((ticket, end)) = reply.ticket.filter(|_| result.is_ok()) {
+                self.replies += 1;
+                ticket.end(end);
+            }
+        }
+        result
+    }
+
+    /// Writes bytes to the client.
+    async fn write_bytes<R: Reading>(
+        &mut self,
+        bytes: &[u8],
+        kind: WriteKind,
+        inbox: &mut Inbox<'_, R>,
+        writing: &mut ClientWriting<H>,
+    ) -> WriteResult {
+        let all = timeout(SLOW_CLIENT_TIMEOUT, writing.write_all(bytes));
+        match self.read_while_waiting(inbox, kind, all).await {
+            Some(Ok(Ok(()))) => Ok(()),
+            Some(Ok(Err(_))) => Err(CloseReason::Client),
+            Some(Err(_)) => Err(CloseReason::AnswerNotTaken),
+            None => Err(CloseReason::RetirementOver),
+        }
+    }
+
+    /// Waits for a part of a reply to arrive or to be written; `None` once the connection must end. Bytes from the client
+    /// are read meanwhile so that a disconnect is noticed at once: the client may leave with a reply half read and other
+    /// requests open.
+    async fn read_while_waiting<R: Reading, W: Future>(
+        &mut self,
+        inbox: &mut Inbox<'_, R>,
+        kind: WriteKind,
+        wait: W,
+    ) -> Option<W::Output> {
+        let mut wait = std::pin::pin!(wait);
+        let clients = self.clients.clone();
+        let mut published = false;
+        loop {
+            let buffer_full = inbox.buffer.len() >= READ_AHEAD_BYTES;
+            let reads_ahead = self.input.takes_bytes() && !buffer_full;
+            if !reads_ahead {
+                inbox.pause_reading();
+            }
+            // More bytes may arrive at any time from a client that sends more than is read ahead.
+            let received = (!buffer_full).then_some(inbox.last_read_at);
+            let until = clients.retirement.plans().write_until(received, kind == WriteKind::LargeValue);
+            tokio::select! {
+                biased;
+                done = &mut wait => return Some(done),
+                more = inbox.read(|| (clients.now)()), if reads_ahead => {
+                    if !more {
+                        self.input.hang_up();
+                        self.abandon_requests().await;
+                    }
+                    if !self.input.reads_commands() {
+                        self.input.discard_bytes(inbox.buffer.len());
+                        inbox.buffer.clear();
+                    }
+                }
+                () = sleep(DISCONNECT_POLL_INTERVAL), if buffer_full && self.input.awaits_commands() => {
+                    if inbox.reading.remote_end_closed() {
+                        self.input.hang_up();
+                        self.abandon_requests().await;
+                    }
+                }
+                () = sleep_until(until.unwrap_or_else(Instant::now)), if until.is_some() => return None,
+                () = clients.retirement.changed.notified() => {}
+            }
+            if !std::mem::replace(&mut published, true) {
+                self.publish_state(match kind {
+                    WriteKind::Replies => ConnectionState::Writing,
+                    WriteKind::LargeValue => ConnectionState::LargeValue,
+                });
+            }
+        }
+    }
+
+    /// Fails all open requests: there is no time left to answer them otherwise.
+    pub(super) async fn fail_open_requests(&mut self) {
+        self.abandon_requests().await;
+        for reply in self.pending.iter_mut().filter(|reply| reply.is_pending()) {
+            reply.state = ReplyState::Ready(resp::encode_error("ERR failed"));
+        }
+    }
+
+    /// Notifies the node that nobody waits for the open requests any more.
+    pub(super) async fn abandon_requests(&self) {
+        for reply in &self.pending {
+            if let ReplyState::Pending(id, _) = reply.state {
+                let _ = self.clients.events.send(Input::Client(ClientEvent::Disconnected(id))).await;
+            }
+        }
+    }
+
+    /// Marks the replies as written and returns their bytes.
+    fn take_ready_bytes(&mut self, ready: usize) -> Bytes {
+        let mut all = BytesMut::new();
+        for reply in self.pending.iter().take(ready) {
+            self.forwarded_requests -= usize::from(reply.memory_permit.is_some());
+            match &reply.state {
+                ReplyState::Ready(bytes) if ready == 1 => return bytes.clone(),
+                ReplyState::Ready(bytes) => all.extend_from_slice(bytes),
+                ReplyState::Pending(..) | ReplyState::Stream(_) => {}
+            }
+        }
+        all.freeze()
+    }
+
+    /// Counts a request of a class, whatever its outcome.
+    pub(super) fn count_request(&mut self, class: usize) -> RequestTicket {
+        self.requests += 1;
+        self.clients.ops_endpoint.metrics.request_started(class)
+    }
+
+    /// Replies to a command with an error.
+    pub(super) fn reject(&mut self, rejected: Rejected) {
+        let ticket = rejected.class.map(|class| (self.count_request(class), RequestEnd::Failed));
+        let state = ReplyState::Ready(resp::encode_error(&format!("ERR {}", rejected.message)));
+        self.pending.push_back(PendingReply { state, memory_permit: None, ticket });
+    }
+
+    /// Reports a protocol error behind the pending replies, and stops reading commands.
+    pub(super) fn protocol_error(&mut self, error: Malformed) {
+        self.finish(CloseReason::Protocol);
+        self.push_reply(resp::encode_error(&format!("ERR protocol: {error}")));
+    }
+
+    /// Queues a reply to a command that is not a request.
+    pub(super) fn push_reply(&mut self, bytes: Bytes) {
+        self.pending.push_back(PendingReply {
+            state: ReplyState::Ready(bytes),
+            memory_permit: None,
+            ticket: None,
+        });
+    }
+}
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -1,6 +1,6 @@
-//! Two processes that are one node for a while. The links between them are made outside; here is what goes over them and
-//! what either process makes of it: caps and budgets shared, descriptors and memory divided, and one list, one memory of
-//! what was learned, handed on.
+//! Handover between two processes of one node. The links between them are opened elsewhere; this module defines what they
+//! exchange and how either process reacts: they share limits and budgets, divide descriptors and memory, and the
+//! successor inherits the server list and the state of the decision module.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -16,69 +16,78 @@
 use crate::discovery::ServerList;
 use crate::input::Input;
 
-/// Between two words of what the old process would leave behind.
-const WORD: Duration = Duration::from_millis(100);
-/// A new process says who it is within this time, and the node's own parts answer.
-const HELLO: Duration = Duration::from_secs(1);
-/// The last word gets this long to leave before the process ends.
-const FLUSH: Duration = Duration::from_millis(20);
-/// Each hand-over divides what a process has of the caps between two.
-const TWO: u32 = 2;
-/// What a process may still open of a kind when the other holds nearly all.
-const LEAST: usize = 8;
+/// Interval of the messages with the state that the predecessor would leave behind.
+const STATE_INTERVAL: Duration = Duration::from_millis(100);
+/// A new process identifies itself within this time, and the node replies to a request for its state within it.
+const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time for the final message to be sent before the process ends.
+const FLUSH_DELAY: Duration = Duration::from_millis(20);
+/// Each handover divides a process's share of the limits between two.
+const PROCESSES_PER_HANDOVER: u32 = 2;
+/// Connections of a kind that a process may open even if the other one holds nearly all.
+const MIN_CONNECTIONS: usize = 8;
 
-/// A connection to another process of this node. Either end closing it ends the other's inbox.
+/// A connection to another process of this node. When either side closes it, the other side's inbox ends.
 pub struct Link {
-    /// What the other says; its end is the other's.
+    /// Messages from the other process; ends when that process does.
     pub inbox: mpsc::Receiver<Message>,
-    /// What is said to the other.
+    /// Messages to the other process.
     pub outbox: mpsc::Sender<Message>,
 }
 
 /// The other processes of this node.
 pub struct Handover {
-    /// The one whose place this one takes, and what it knew.
+    /// The process that this one replaces, and its state.
     pub predecessor: Option<(PredecessorState, Link)>,
-    /// Those that would take this one's place.
+    /// Processes that are to replace this one.
     pub successors: mpsc::Receiver<Link>,
 }
 
-/// The descriptors of one process.
+/// The file descriptors of one process.
 #[derive(Clone, Copy)]
-pub(crate) struct Budget {
+pub(crate) struct DescriptorBudget {
     /// All that it may hold.
-    pub(crate) limit: usize,
-    /// Those for clients.
+    pub(crate) total: usize,
+    /// Those for connections of clients.
     pub(crate) clients: usize,
-    /// Those for servers.
+    /// Those for connections to servers.
     pub(crate) servers: usize,
     /// Those that it always needs.
-    pub(crate) own: usize,
+    pub(crate) reserved: usize,
 }
 
-/// What both sides of a handover work on.
-pub(crate) struct Side<H: Host> {
+/// One process in a handover, in either role.
+pub(crate) struct HandoverParticipant<H: Host> {
     pub(crate) host: H,
     pub(crate) name: String,
     pub(crate) clients: Rc<Clients<H>>,
-    pub(crate) node: mpsc::Sender<Input>,
-    pub(crate) budget: Budget,
-    /// What is said to the new process, while there is one.
+    pub(crate) inputs: mpsc::Sender<Input>,
+    pub(crate) budget: DescriptorBudget,
+    /// Messages to the successor, while there is one.
     pub(crate) successor: Rc<RefCell<Option<mpsc::Sender<Message>>>>,
-    /// Told when the new process has ended.
+    /// Notified when the successor has ended.
     pub(crate) successor_ended: Rc<Notify>,
     /// No call at the origin lives longer.
     pub(crate) longest_deadline: Duration,
 }
 
-impl<H: Host> Clone for Side<H> {
+impl<H: Host> Clone for HandoverParticipant<H> {
     fn clone(&self) -> Self {
-        let Side { host, name, clients, node, budget, successor, successor_ended, longest_deadline } = self;
-        Side {
+        let HandoverParticipant {
+            host,
+            name,
+            clients,
+            inputs,
+            budget,
+            successor,
+            successor_ended,
+            longest_deadline,
+        } = self;
+        HandoverParticipant {
             host: host.clone(),
             name: name.clone(),
             clients: clients.clone(),
-            node: node.clone(),
+            inputs: inputs.clone(),
             budget: *budget,
             successor: successor.clone(),
             successor_ended: successor_ended.clone(),
@@ -87,200 +96,201 @@
     }
 }
 
-/// What the old process holds for as long as the new one lives: half of the memory for requests.
-type Reserve = Option<OwnedSemaphorePermit>;
+/// Half of the memory for requests, held by the predecessor while its successor runs.
+type MemoryReserve = Option<OwnedSemaphorePermit>;
 
-impl<H: Host> Side<H> {
-    async fn tell(&self, input: Input) {
-        let _ = self.node.send(input).await;
+impl<H: Host> HandoverParticipant<H> {
+    async fn send_input(&self, input: Input) {
+        let _ = self.inputs.send(input).await;
     }
 
-    /// From now on two processes share what this node may have, of the caps one part of so many each; so many descriptors are
-    /// this one's.
-    async fn share(&self, parts: u32, descriptors: (usize, usize)) -> Reserve {
-        self.tell(Input::ProcessCount(parts)).await;
-        self.divide(descriptors).await;
+    /// Divides the node between two processes: this one gets one of `parts` equal shares of the limits, and this many
+    /// descriptors.
+    async fn share_node(&self, parts: u32, descriptors: (usize, usize)) -> MemoryReserve {
+        self.send_input(Input::ProcessCount(parts)).await;
+        self.set_descriptor_limits(descriptors).await;
         self.clients.reserve_half()
     }
 
-    /// So many connections of clients and to servers may be open.
-    async fn divide(&self, (clients, servers): (usize, usize)) {
-        self.clients.set_most(clients);
-        self.tell(Input::ServerDescriptorLimit(servers)).await;
+    /// Sets how many connections of clients and to servers may be open.
+    async fn set_descriptor_limits(&self, (clients, servers): (usize, usize)) {
+        self.clients.set_max_connections(clients);
+        self.send_input(Input::ServerDescriptorLimit(servers)).await;
     }
 
-    /// This process is the whole node.
-    async fn alone(&self, reserve: Reserve) {
-        self.tell(Input::ProcessCount(1)).await;
-        self.hold_alone(reserve).await;
+    /// Makes this process the whole node.
+    async fn take_over_alone(&self, reserve: MemoryReserve) {
+        self.send_input(Input::ProcessCount(1)).await;
+        self.restore_own_limits(reserve).await;
     }
 
-    /// This process holds all memory and descriptors again.
-    async fn hold_alone(&self, reserve: Reserve) {
+    /// Restores all memory and descriptors of this process.
+    async fn restore_own_limits(&self, reserve: MemoryReserve) {
         drop(reserve);
-        self.divide((self.budget.clients, self.budget.servers)).await;
+        self.set_descriptor_limits((self.budget.clients, self.budget.servers)).await;
     }
 
-    /// What the node would leave behind, and with `whole` all that it knows.
-    async fn ask(&self, whole: bool) -> Option<PredecessorState> {
-        let (reply, told) = oneshot::channel();
-        self.tell(Input::TakeSnapshot { full: whole, reply }).await;
-        let mut state = timeout(HELLO, told).await.ok()?.ok()?;
-        state.remaining.descriptors += (self.clients.count() + self.budget.own) as u32;
+    /// Requests the state that the node would leave behind, and with `whole` all of its state.
+    async fn request_state(&self, whole: bool) -> Option<PredecessorState> {
+        let (reply, snapshot) = oneshot::channel();
+        self.send_input(Input::TakeSnapshot { full: whole, reply }).await;
+        let mut state = timeout(HELLO_TIMEOUT, snapshot).await.ok()?.ok()?;
+        state.remaining.descriptors += (self.clients.open_count() + self.budget.reserved) as u32;
         Some(state)
     }
 
-    /// Whether another process has taken over what this one knew, and lives.
-    pub(crate) fn succeeded(&self) -> bool {
+    /// Whether a successor that has taken over the state is running.
+    pub(crate) fn has_successor(&self) -> bool {
         self.successor.borrow().is_some()
     }
 
-    /// Waits until no process lives that has taken over what this one knew. Safe to drop and call again.
-    pub(crate) async fn no_longer_succeeded(&self) {
-        while self.succeeded() {
+    /// Waits until no successor is running. Cancellation safe.
+    pub(crate) async fn wait_for_successor_end(&self) {
+        while self.has_successor() {
             self.successor_ended.notified().await;
         }
     }
 
-    /// Before this process ends: tells the new one what is left behind now, where there is one.
-    pub(crate) async fn last_word(&self) {
+    /// Sends the state left behind to the successor, if there is one, before this process ends.
+    pub(crate) async fn send_final_state(&self) {
         let Some(successor) = self.successor.borrow_mut().take() else { return };
-        let Some(state) = self.ask(false).await else { return };
+        let Some(state) = self.request_state(false).await else { return };
         if successor.send(Message::Remaining(state.remaining)).await.is_ok() {
-            sleep(FLUSH).await;
+            sleep(FLUSH_DELAY).await;
         }
     }
 
-    /// Beside the old process until that ends.
-    pub(crate) async fn beside_predecessor(self, first: RemainingResources, mut link: Link) {
-        let room = |held: u32| {
-            let taken = held as usize + self.budget.own;
-            let free = self.budget.limit.saturating_sub(taken);
-            let Budget { clients, servers, .. } = self.budget;
-            let part = |of: usize| (free * of / (clients + servers).max(1)).clamp(LEAST.min(of), of);
-            (part(clients), part(servers))
+    /// Runs beside the predecessor until that ends.
+    pub(crate) async fn run_beside_predecessor(self, first: RemainingResources, mut link: Link) {
+        let own_limits = |held_by_predecessor: u32| {
+            let taken = held_by_predecessor as usize + self.budget.reserved;
+            let free = self.budget.total.saturating_sub(taken);
+            let DescriptorBudget { clients, servers, .. } = self.budget;
+            let share =
+                |of: usize| (free * of / (clients + servers).max(1)).clamp(MIN_CONNECTIONS.min(of), of);
+            (share(clients), share(servers))
         };
-        let reserve = self.share(TWO, room(first.descriptors)).await;
+        let reserve = self.share_node(PROCESSES_PER_HANDOVER, own_limits(first.descriptors)).await;
         let mut last = first;
-        let mut news = false;
+        let mut is_updated = false;
         while let Some(message) = link.inbox.recv().await {
             match message {
-                Message::Remaining(left) => {
-                    self.divide(room(left.descriptors)).await;
-                    (last, news) = (left, true);
+                Message::Remaining(remaining) => {
+                    self.set_descriptor_limits(own_limits(remaining.descriptors)).await;
+                    (last, is_updated) = (remaining, true);
                 }
-                // What the old process is told of the list counts as told to the node.
+                // A server list that the predecessor received counts as received by the node.
                 Message::State(state) => match decode_list(&state) {
-                    Ok(list) => self.tell(Input::ListFromPredecessor(list)).await,
+                    Ok(list) => self.send_input(Input::ListFromPredecessor(list)).await,
                     Err(e) => self.host.log(format_args!("handover: {e}")),
                 },
                 Message::Hello { .. } | Message::Declined(_) => {}
             }
         }
-        // What it had out when it was last heard of may still run. Of what this one was told at the start it has counted half, as
-        // one of two.
-        if news {
-            self.alone(reserve).await;
-            self.tell(Input::Inherited(last.inherited)).await;
+        // Origin calls last reported by the predecessor may still be running. Those reported at the start were counted by
+        // half, because this process was one of two.
+        if is_updated {
+            self.take_over_alone(reserve).await;
+            self.send_input(Input::Inherited(last.inherited)).await;
         } else {
-            self.tell(Input::Inherited(last.inherited)).await;
-            self.alone(reserve).await;
+            self.send_input(Input::Inherited(last.inherited)).await;
+            self.take_over_alone(reserve).await;
         }
         self.host.log(format_args!("the process before this one has ended"));
     }
 
-    /// Serves those that would take this process' place, one at a time, for as long as it lives.
-    pub(crate) async fn beside_successors(self, mut successors: mpsc::Receiver<Link>) {
-        // A process that has died may have calls at the origin, which this one does not know of: until they are over the dead
-        // one's part of the caps is nobody's, and this one goes on with its own, or shares that with the next.
-        let mut calls_over: Option<Instant> = None;
+    /// Serves processes that are to replace this one, one at a time, for as long as this one lives.
+    pub(crate) async fn serve_successors(self, mut successors: mpsc::Receiver<Link>) {
+        // A process that has crashed may have left calls at the origin that this one does not know of. Until they are over,
+        // nobody uses its share of the limits: this process keeps its own share, or divides that with the next successor.
+        let mut calls_end_at: Option<Instant> = None;
         let mut parts = 1;
         loop {
-            let found = tokio::select! {
+            let next = tokio::select! {
                 biased;
-                found = successors.recv() => found,
-                () = passed(calls_over) => {
-                    (calls_over, parts) = (None, 1);
-                    self.tell(Input::ProcessCount(parts)).await;
+                next = successors.recv() => next,
+                () = wait_until(calls_end_at) => {
+                    (calls_end_at, parts) = (None, 1);
+                    self.send_input(Input::ProcessCount(parts)).await;
                     continue;
                 }
             };
-            let Some(mut link) = found else { return };
-            let hello = timeout(HELLO, link.inbox.recv()).await;
-            let layout = match hello {
-                Ok(Some(Message::Hello { node_name: name, state_layout: layout })) if name == self.name => {
-                    layout
+            let Some(mut link) = next else { return };
+            let hello = timeout(HELLO_TIMEOUT, link.inbox.recv()).await;
+            let state_layout = match hello {
+                Ok(Some(Message::Hello { node_name, state_layout })) if node_name == self.name => {
+                    state_layout
                 }
-                Ok(Some(Message::Hello { node_name: name, .. })) => {
-                    let why = format!("this is node {:?}, not {name:?}", self.name);
-                    let _ = link.outbox.send(Message::Declined(why)).await;
+                Ok(Some(Message::Hello { node_name, .. })) => {
+                    let reason = format!("this is node {:?}, not {node_name:?}", self.name);
+                    let _ = link.outbox.send(Message::Declined(reason)).await;
                     continue;
                 }
                 _ => continue,
             };
-            // Where clients crowd in here, those that only hold a place keep others out at the new process.
-            let crowded = self.clients.crowded();
-            // What it holds it keeps, and gets little more.
-            let held = self.clients.count().max(LEAST);
-            parts = parts.saturating_mul(TWO);
-            let reserve = self.share(parts, (held, self.budget.servers / 2)).await;
-            let Some(mut state) = self.ask(true).await else { return };
-            if layout != STATE_VERSION {
+            // If connections are crowded here, those that are only held open keep others out at the successor.
+            let is_crowded = self.clients.is_crowded();
+            // It keeps the connections that it holds and gets few more.
+            let client_limit = self.clients.open_count().max(MIN_CONNECTIONS);
+            parts = parts.saturating_mul(PROCESSES_PER_HANDOVER);
+            let reserve = self.share_node(parts, (client_limit, self.budget.servers / 2)).await;
+            let Some(mut state) = self.request_state(true).await else { return };
+            if state_layout != STATE_VERSION {
                 state.module_state.clear();
             }
             self.host
                 .log(format_args!("a new process takes over: {} bytes of state", state.module_state.len()));
             let mut revision = state.list_revision;
-            let mut told = link.outbox.send(Message::State(state)).await.is_ok();
+            let mut is_connected = link.outbox.send(Message::State(state)).await.is_ok();
             *self.successor.borrow_mut() = Some(link.outbox.clone());
-            while told {
+            while is_connected {
                 tokio::select! {
                     biased;
-                    // It has nothing more to say: this is its end.
-                    _ = link.inbox.recv() => told = false,
-                    () = passed(calls_over) => {
-                        (calls_over, parts) = (None, TWO);
-                        self.tell(Input::ProcessCount(parts)).await;
+                    // The successor sends nothing more: this is its end.
+                    _ = link.inbox.recv() => is_connected = false,
+                    () = wait_until(calls_end_at) => {
+                        (calls_end_at, parts) = (None, PROCESSES_PER_HANDOVER);
+                        self.send_input(Input::ProcessCount(parts)).await;
                     }
-                    () = sleep(WORD) => {
-                        if crowded {
+                    () = sleep(STATE_INTERVAL) => {
+                        if is_crowded {
                             self.clients.evict_stalled();
                         }
-                        let Some(state) = self.ask(false).await else { return };
+                        let Some(state) = self.request_state(false).await else { return };
                         if state.list_revision != revision {
-                            let Some(mut news) = self.ask(true).await else { return };
-                            news.module_state.clear();
-                            revision = news.list_revision;
-                            let _ = link.outbox.send(Message::State(news)).await;
+                            let Some(mut update) = self.request_state(true).await else { return };
+                            update.module_state.clear();
+                            revision = update.list_revision;
+                            let _ = link.outbox.send(Message::State(update)).await;
                         }
-                        told = link.outbox.send(Message::Remaining(state.remaining)).await.is_ok();
+                        is_connected = link.outbox.send(Message::Remaining(state.remaining)).await.is_ok();
                     }
                 }
             }
             self.successor.borrow_mut().take();
             self.successor_ended.notify_waiters();
-            self.hold_alone(reserve).await;
-            calls_over = Some(Instant::now() + self.longest_deadline);
-            // Nor does one that takes over meanwhile: it is told of them.
-            self.tell(Input::ProcessEnded { origin_calls_end_within: self.longest_deadline }).await;
-            self.host.log(format_args!("the new process has ended; this one goes on"));
+            self.restore_own_limits(reserve).await;
+            calls_end_at = Some(Instant::now() + self.longest_deadline);
+            // Nor does the next successor use that share: it is notified of these calls.
+            self.send_input(Input::ProcessEnded { origin_calls_end_within: self.longest_deadline }).await;
+            self.host.log(format_args!("the successor has ended; this process continues"));
         }
     }
 }
 
-/// Waits until a time, or for ever where there is none.
-async fn passed(time: Option<Instant>) {
+/// Waits until a time, or forever if there is none.
+async fn wait_until(time: Option<Instant>) {
     match time {
         Some(time) => sleep_until(time).await,
         None => std::future::pending().await,
     }
 }
 
-/// The list of a handed-over state.
+/// Decodes the server list of a handed-over state.
 ///
 /// # Errors
-/// It can't be read.
+/// The list can't be parsed.
 pub(crate) fn decode_list(state: &PredecessorState) -> Result<ServerList, String> {
-    let members = serde_json::from_slice(&state.list).map_err(|e| format!("unreadable list: {e}"))?;
+    let members = serde_json::from_slice(&state.list).map_err(|e| format!("invalid server list: {e}"))?;
     Ok(ServerList { revision: state.list_revision, complete: true, members })
 }
--- a/crates/node/src/memory_shortage.rs
+++ b/crates/node/src/memory_shortage.rs
@@ -1,4 +1,4 @@
-//! Reads and writes that outlast a shortage of memory on this machine.
+//! Reads and writes that are retried while this machine is short of memory.
 
 use std::io::{self, ErrorKind, IoSlice};
 use std::pin::Pin;
@@ -8,19 +8,20 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::{Instant, Sleep, sleep};
 
-/// A transfer that found no buffer is made again after this time.
-pub(crate) const PAUSE: Duration = Duration::from_millis(5);
-/// A shortage that lasts longer ends the connection: a request on it would be late anyway.
-pub(crate) const LONGEST: Duration = Duration::from_secs(1);
-/// The number of `ENOBUFS`, the one error of a shortage that [`ErrorKind`] has no name for.
+/// Delay before a transfer that found no buffer is retried.
+pub(crate) const RETRY_DELAY: Duration = Duration::from_millis(5);
+/// A shortage that lasts longer ends the connection: its requests would be late anyway.
+pub(crate) const MAX_SHORTAGE: Duration = Duration::from_secs(1);
+/// The number of `ENOBUFS`, the only error of a memory shortage that [`ErrorKind`] has no name for.
 const ENOBUFS: i32 = 105;
 
-/// Whether a transfer failed because this machine has no memory for it: nothing of it was taken, and the connection stands.
+/// Whether a transfer failed because this machine has no memory for it: nothing was transferred, and the connection
+/// is intact.
 pub(crate) fn is_shortage(error: &io::Error) -> bool {
     error.kind() == ErrorKind::OutOfMemory || error.raw_os_error() == Some(ENOBUFS)
 }
 
-/// Transfers in one direction that are made again while this machine is short of memory for them.
+/// Retries of the transfers in one direction.
 #[derive(Default)]
 struct Retries {
     pause: Option<Pin<Box<Sleep>>>,
@@ -29,7 +30,7 @@
 }
 
 impl Retries {
-    /// Makes a transfer, and makes it again after a pause where it fails for want of memory.
+    /// Polls a transfer, and retries it after a delay if it fails for lack of memory.
     fn poll<T>(
         &mut self,
         cx: &mut Context<'_>,
@@ -40,21 +41,21 @@
                 ready!(pause.as_mut().poll(cx));
                 self.pause = None;
             }
-            let done = ready!(transfer(cx));
-            let Err(error) = &done else {
+            let result = ready!(transfer(cx));
+            let Err(error) = &result else {
                 self.failing_since = None;
-                return Poll::Ready(done);
+                return Poll::Ready(result);
             };
             let since = *self.failing_since.get_or_insert_with(Instant::now);
-            if !is_shortage(error) || since.elapsed() >= LONGEST {
-                return Poll::Ready(done);
+            if !is_shortage(error) || since.elapsed() >= MAX_SHORTAGE {
+                return Poll::Ready(result);
             }
-            self.pause = Some(Box::pin(sleep(PAUSE)));
+            self.pause = Some(Box::pin(sleep(RETRY_DELAY)));
         }
     }
 }
 
-/// A stream, or a half of one, whose transfers outlast a shortage of memory.
+/// A stream, or a half of one, whose transfers are retried during a shortage of memory.
 pub struct RetryingStream<S> {
     inner: S,
     reads: Retries,
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -1,4 +1,5 @@
-//! Connections to the cache servers, and which of them carries an attempt. RESP2, answers in order.
+//! Connections to the cache servers, and the choice of the connection that carries an attempt. The protocol is
+//! RESP2: responses arrive in the order of the commands.
 
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
@@ -14,10 +15,10 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-use self::connection::{Connection, Connector, First};
-use self::line::Writing;
-use self::payload::Kind;
+use self::connection::{Connection, Connector, FirstCommand};
+use self::payload::CommandKind;
 pub use self::payload::{AttemptCommand, Payload};
+use self::pipeline::WriteState;
 use self::pool::Pool;
 use crate::command::{AttemptId, LargeValue};
 use crate::counters::ConnectCounts;
@@ -28,92 +29,93 @@
 mod connection;
 mod driver;
 mod fence;
-mod judging;
-mod line;
 mod payload;
+mod pipeline;
 mod pool;
-
-/// Connections of the whole tier to one server that are aimed at: servers hold few, each takes some of its
-/// capacity, and the nodes share them. A node uses its whole part before it puts a command behind another: answers
-/// come in order, and a quick one behind a slow or lost one is late.
-const TIER_CONNECTIONS: usize = 32;
-/// A connection idle for this part of the time after which servers close it is not used again.
-const FRESH: f64 = 0.7;
-/// After a refused connection none beside those that work is opened for this long.
-const REFUSED_PAUSE: Duration = Duration::from_secs(2);
-
-/// An answer that has begun goes on within this time, however small its pieces are, and one that is overdue comes within it.
-/// What waits behind one that does not waits in vain.
+mod verification;
+
+/// Target number of connections to one server from all nodes together. A server accepts few connections and each
+/// uses some of its capacity, so the nodes share this number. A node opens its whole share before it queues a
+/// command behind another: responses arrive in order, so a fast one is delayed behind a slow or lost one.
+const TARGET_CONNECTIONS_PER_SERVER: usize = 32;
+/// Share of the server's idle time-out after which an idle connection is no longer reused.
+const IDLE_REUSE_SHARE: f64 = 0.7;
+/// After a refused connection, no connection is opened beside working ones for this long.
+const REFUSED_COOLDOWN: Duration = Duration::from_secs(2);
+
+/// The next bytes of a response that has started must arrive within this time, however small the chunks are, and
+/// an overdue response must start within it. Otherwise the commands queued behind it are moved elsewhere.
 pub const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// How an attempt at a cache server ended.
 pub enum AttemptOutcome {
-    /// A frame of the agreed form came back for it.
+    /// A well-formed response frame was received.
     Answered(BytesFrame),
-    /// A large value has begun to come.
+    /// A large value has started to arrive.
     StreamStarted(LargeValue),
-    /// What came back can't be an answer to it. It has run; the connection is closed.
+    /// The received frame cannot be the response to this command. The command has run; the connection is closed.
     InvalidResponse,
-    /// The connection ended after its last byte was written.
+    /// The connection ended after the last byte of the command was written.
     Reset,
-    /// Its last byte was never written: it cannot have run.
+    /// The last byte of the command was never written: it cannot have run.
     NotConnected,
-    /// The same, for a reason that lies on this machine and tells nothing of the server.
+    /// As `NotConnected`, for a reason on this machine, which says nothing about the server.
     LocalFailure,
-    /// Its connection has ended, which tells nothing of the server. Nothing was handed on.
+    /// The connection has ended, which says nothing about the server. No response was delivered.
     Interrupted(InterruptedCommand),
 }
 
-/// A command whose connection has ended, though its server goes on: its answers could not be told apart, or it ended
-/// before the command was written.
+/// A command whose connection has ended although its server is still up: the responses could not be matched to
+/// commands, or the connection ended before the command was written.
 pub struct InterruptedCommand {
     command: AttemptCommand,
-    /// Whether it was written whole: it may have run.
+    /// Whether the command was written completely and may have run.
     pub was_written: bool,
-    /// Why its own answer was not taken, which the next one settles; `None` where it had none.
+    /// Why the command's own response was not accepted, to be resolved by the next one; `None` if none was received.
     doubt: Option<Doubt>,
 }
 
-/// Why an attempt was not taken by [`Servers::send`]. It cannot have run.
+/// Why [`Servers::send`] did not accept an attempt. The attempt cannot have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendError {
-    /// The server takes nothing new, or its connections have no room.
+    /// The server accepts no new requests, or its connections have no room.
     NoConnection,
-    /// This machine could not make connections a moment ago, and it is too early to try again.
+    /// This machine recently failed to open connections, and it is too early to retry.
     LocalFailure,
 }
 
 /// How a connection ended.
 #[derive(Debug)]
 pub enum ConnectionEnd {
-    /// The server, or the way to it, turned it down.
+    /// The server or the network refused the connection.
     Refused,
-    /// It did not come up in time.
+    /// The connection was not established in time.
     TimedOut,
-    /// This machine could not make it.
+    /// This machine could not open the connection.
     LocalFailure(std::io::Error),
-    /// It had been made, and was closed by either side or lost.
+    /// An established connection was closed by either side or lost.
     Broken,
-    /// It had been made, and an answer came that may belong to no command that waits. Where it was taken for the answer of
-    /// one, why that is doubted.
-    OutOfStep(Option<Doubt>),
+    /// A response arrived on an established connection that may belong to none of the waiting commands. Carries the
+    /// doubt if the response was assigned to a command.
+    OutOfSync(Option<Doubt>),
 }
 
-/// What a connection tells the node.
+/// What a connection reports to the node.
 pub enum ConnectionEvent {
     Up,
-    Answer(AttemptId, BytesFrame),
-    Began(AttemptId, LargeValue),
-    /// What came for this attempt can't be its answer; the end of the connection follows.
-    Spoilt(AttemptId),
-    /// The large value that is passing stands still, at its server or at its client.
-    HeldUp,
-    /// The connection is no more; the attempts written whole, those not, and those that may be sent again.
+    Response(AttemptId, BytesFrame),
+    StreamStarted(AttemptId, LargeValue),
+    /// The frame received for this attempt cannot be its response; the connection ends next.
+    InvalidResponse(AttemptId),
+    /// The large value being relayed has stalled, at its server or at its client.
+    Stalled,
+    /// The connection has ended. Lists the attempts that were written completely, those that were not, and those that
+    /// may be sent again.
     Down {
         end: ConnectionEnd,
         written: Vec<AttemptId>,
         unwritten: Vec<AttemptId>,
-        displaced: Vec<InterruptedCommand>,
+        interrupted: Vec<InterruptedCommand>,
     },
 }
 
@@ -124,16 +126,16 @@
     pub attempts_per_connection: usize,
     pub idle_close: Duration,
     pub connect_timeout: Duration,
-    /// Connections to all servers together.
+    /// Limit of the connections to all servers together.
     pub max_connections: usize,
 }
 
-/// What came of taking back an attempt.
+/// Result of withdrawing an attempt.
 #[derive(Default)]
-pub struct Withdrawn {
-    /// It was not written whole, and won't be: it never ran.
+pub struct Withdrawal {
+    /// The attempt was not written completely and never will be: it did not run.
     pub unwritten: bool,
-    /// Others that this ends.
+    /// Other attempts that ended as a consequence.
     pub ended: Vec<(AttemptId, AttemptOutcome)>,
 }
 
@@ -142,31 +144,32 @@
     connector: Connector<H>,
     pools: BTreeMap<ServerId, Pool>,
     limits: Limits,
-    numbers: u64,
-    /// How many servers take new requests: asked with every attempt.
-    ready: usize,
-    connects: ConnectCounts,
-    /// A shortage of this machine's concerns the connections to all servers.
+    last_connection_number: u64,
+    /// Number of servers that accept new requests, cached because every attempt needs it.
+    ready_servers: usize,
+    connect_counts: ConnectCounts,
+    /// Shared by all servers: a shortage on this machine affects the connections to every one of them.
     local_failures: LocalFailures,
 }
 
 impl<H: Host> Servers<H> {
-    pub fn new(host: H, limits: Limits, figures: Arc<Metrics>, events: mpsc::Sender<Input>) -> Self {
+    pub fn new(host: H, limits: Limits, metrics: Arc<Metrics>, events: mpsc::Sender<Input>) -> Self {
         let connect_timeout = limits.connect_timeout;
-        let connector = Connector { host, connect_timeout, events, figures, all: Rc::default() };
+        let connector =
+            Connector { host, connect_timeout, events, metrics, total_connections: Rc::default() };
         Servers {
             connector,
             pools: BTreeMap::new(),
             limits,
-            numbers: 0,
-            ready: 0,
-            connects: ConnectCounts::default(),
+            last_connection_number: 0,
+            ready_servers: 0,
+            connect_counts: ConnectCounts::default(),
             local_failures: LocalFailures::default(),
         }
     }
 
-    /// Takes a line of the list. Returns the attempts that were not begun to be written to a server that now
-    /// wants none: after the grace not one byte of a new attempt may go there, so none is left to be sent.
+    /// Applies one entry of the server list. Returns the attempts that were not yet being written to a server that no
+    /// longer accepts any: after the grace period not a single byte of a new attempt may be sent there.
     pub fn update_server(
         &mut self,
         server: ServerId,
@@ -177,54 +180,54 @@
             return Vec::new();
         }
         let pool = self.pools.entry(server).or_insert_with(|| Pool::new(address, ready));
-        let moved = address.is_some() && address != pool.address;
+        let address_changed = address.is_some() && address != pool.address;
         pool.ready = ready;
         pool.address = address.or(pool.address);
         let mut unsent = Vec::new();
-        if !ready || moved {
+        if !ready || address_changed {
             unsent.extend(pool.waiting.drain(..).map(|c| c.attempt));
             for c in &mut pool.connections {
                 c.retired = true;
-                unsent.extend(c.shared.line.borrow_mut().unsent.drain(..).map(|c| c.attempt));
+                unsent.extend(c.shared.pipeline.borrow_mut().queued.drain(..).map(|c| c.attempt));
             }
             pool.connections.retain(|c| c.load() > 0);
         }
-        self.tidy(server);
-        self.ready = self.pools.values().filter(|p| p.ready).count();
+        self.remove_unused(server);
+        self.ready_servers = self.pools.values().filter(|p| p.ready).count();
         unsent
     }
 
-    /// How many connections to all of them there may be.
-    pub fn set_max_connections(&mut self, most: usize) {
-        self.limits.max_connections = most;
+    /// Sets the limit of the connections to all servers together.
+    pub fn set_max_connections(&mut self, limit: usize) {
+        self.limits.max_connections = limit;
     }
 
-    /// How many connections there are.
+    /// Number of connections.
     pub fn open_connections(&self) -> usize {
-        self.connector.all.get()
+        self.connector.total_connections.get()
     }
 
-    /// The connects since the last call.
+    /// Returns the connect counts since the last call.
     pub fn take_connect_counts(&mut self) -> ConnectCounts {
-        std::mem::take(&mut self.connects)
+        std::mem::take(&mut self.connect_counts)
     }
 
-    /// How many are kept.
+    /// Number of servers with a pool.
     #[cfg(test)]
     pub fn len(&self) -> usize {
         self.pools.len()
     }
 
-    /// Servers that the whole list no longer names.
-    pub fn remove_unlisted(&mut self, named: &dyn Fn(ServerId) -> bool) -> Vec<AttemptId> {
-        let gone: Vec<ServerId> =
-            self.pools.iter().filter(|(id, p)| p.ready && !named(**id)).map(|(id, _)| *id).collect();
-        gone.into_iter().flat_map(|id| self.update_server(id, None, false)).collect()
+    /// Drains the servers that a complete list no longer contains.
+    pub fn remove_unlisted(&mut self, is_listed: &dyn Fn(ServerId) -> bool) -> Vec<AttemptId> {
+        let removed: Vec<ServerId> =
+            self.pools.iter().filter(|(id, p)| p.ready && !is_listed(**id)).map(|(id, _)| *id).collect();
+        removed.into_iter().flat_map(|id| self.update_server(id, None, false)).collect()
     }
 
-    /// Closes what leads to an address that was left once it is done, and forgets a server that wants nothing more
-    /// and owes nothing: ids are ever new, so what is kept for one must go with it.
-    fn tidy(&mut self, server: ServerId) {
+    /// Closes finished connections to a former address, and removes the pool of a server that accepts nothing new and
+    /// has nothing outstanding. Server ids are never reused, so stale pools would accumulate.
+    fn remove_unused(&mut self, server: ServerId) {
         let Some(pool) = self.pools.get_mut(&server) else { return };
         pool.connections.retain(|c| !c.retired || c.load() > 0);
         if !pool.ready && pool.connections.is_empty() {
@@ -232,122 +235,134 @@
         }
     }
 
-    /// Sends an attempt on an idle connection, or a new one within this node's part, or behind others on the
-    /// one with the fewest.
+    /// Sends an attempt on an idle connection, else on a new one within this node's share, else behind other commands
+    /// on the least loaded connection.
     ///
     /// # Errors
-    /// Where there is none: it was not written.
+    /// No connection could take it: it was not written.
     pub fn send(&mut self, server: ServerId, command: AttemptCommand) -> Result<(), SendError> {
         let pool = self.pools.get_mut(&server).filter(|p| p.ready).ok_or(SendError::NoConnection)?;
-        let fresh = self.limits.idle_close.mul_f64(FRESH);
-        pool.connections.retain(|c| c.load() > 0 || !c.up() || c.used.elapsed() < fresh);
+        let reuse_limit = self.limits.idle_close.mul_f64(IDLE_REUSE_SHARE);
+        pool.connections.retain(|c| c.load() > 0 || !c.is_connected() || c.last_used.elapsed() < reuse_limit);
         if !command.payload.may_run_twice() {
-            let wants_new =
-                command.payload.kind() == Kind::Write && pool.findings.borrow().wants_write_alone();
-            if let Some(idle) = pool.free_after_no_refusal().filter(|_| !wants_new) {
+            let wants_new = command.payload.kind() == CommandKind::Write
+                && pool.verification.borrow().needs_fresh_connection_for_write();
+            if let Some(idle) = pool.available_without_refusal().filter(|_| !wants_new) {
                 idle.push(command);
                 return Ok(());
             }
-            let wants_new = wants_new || pool.has_free();
-            if wants_new && pool.findings.borrow_mut().grants_connection() && self.has_room_for_first(server)
+            let wants_new = wants_new || pool.has_available();
+            if wants_new
+                && pool.verification.borrow_mut().take_connection_token()
+                && self.has_room_for_fresh_connection(server)
             {
-                return self.begin_with(server, First { command, settles: None });
+                return self.send_on_fresh_connection(server, FirstCommand { command, resolves: None });
             }
         }
         let pool = self.pools.get_mut(&server).ok_or(SendError::NoConnection)?;
-        // One may be up of which the node has not heard yet: it belongs to who waits for it.
-        pool.assign_free_connections();
-        if self.local_failures.may_connect() && Instant::now() >= pool.alone_until {
-            pool.replace_out_of_step();
+        // A connection may be up although the node has not been notified yet: it belongs to the attempt that waits for it.
+        pool.assign_waiting();
+        if self.local_failures.may_connect() && Instant::now() >= pool.no_parallel_connect_until {
+            pool.replace_out_of_sync();
         }
-        if let Some(idle) = pool.free() {
+        if let Some(idle) = pool.available_connection() {
             idle.push(command);
             return Ok(());
         }
-        let part = self.part();
+        let share = self.connection_share();
         let pool = self.pools.get_mut(&server).ok_or(SendError::NoConnection)?;
-        // A connection that is held up by what was given up does not count: it may never move again.
-        let moving = pool.connections.iter().filter(|c| c.shared.line.borrow().moves() && !c.retired).count();
-        let may_open = (moving == 0 || Instant::now() >= pool.alone_until) && pool.open() < 2 * part;
-        let wants_new = moving < part && may_open && self.open_connections() < self.limits.max_connections;
+        // A connection blocked by a command that was given up does not count: it may never progress again.
+        let progressing = pool
+            .connections
+            .iter()
+            .filter(|c| c.shared.pipeline.borrow().is_progressing() && !c.retired)
+            .count();
+        let may_open = (progressing == 0 || Instant::now() >= pool.no_parallel_connect_until)
+            && pool.active_connections() < 2 * share;
+        let wants_new =
+            progressing < share && may_open && self.open_connections() < self.limits.max_connections;
         let too_early = wants_new && !self.local_failures.may_connect();
-        if wants_new && !too_early && self.begin_connection(server, None) {
+        if wants_new && !too_early && self.open_connection(server, None) {
             let pool = self.pools.get_mut(&server).ok_or(SendError::NoConnection)?;
             pool.waiting.push_back(command);
             return Ok(());
         }
         let pool = self.pools.get_mut(&server).ok_or(SendError::NoConnection)?;
-        match pool.append(command, self.limits.attempts_per_connection) {
+        match pool.enqueue(command, self.limits.attempts_per_connection) {
             true => Ok(()),
             false if too_early => Err(SendError::LocalFailure),
             false => Err(SendError::NoConnection),
         }
     }
 
-    /// Connections to one server that this node aims at.
-    fn part(&self) -> usize {
-        let part = (TIER_CONNECTIONS / self.limits.node_count.max(1)).max(1);
-        part.min((self.limits.max_connections / self.ready.max(1)).max(1))
+    /// This node's target number of connections to one server.
+    fn connection_share(&self) -> usize {
+        let share = (TARGET_CONNECTIONS_PER_SERVER / self.limits.node_count.max(1)).max(1);
+        share.min((self.limits.max_connections / self.ready_servers.max(1)).max(1))
     }
 
-    /// Begins a connection, with its first command where that is settled; whether the server's address is known.
-    fn begin_connection(&mut self, server: ServerId, first: Option<First>) -> bool {
+    /// Opens a connection, with its first command if given. Returns whether the server's address is known.
+    fn open_connection(&mut self, server: ServerId, first: Option<FirstCommand>) -> bool {
         let Some(pool) = self.pools.get_mut(&server) else { return false };
         let Some(address) = pool.address else { return false };
-        self.numbers += 1;
-        self.connects.started = self.connects.started.saturating_add(1);
-        let findings = pool.findings.clone();
-        let connection = self.connector.begin(server, self.numbers, address, findings, first);
+        self.last_connection_number += 1;
+        self.connect_counts.started = self.connect_counts.started.saturating_add(1);
+        let verification = pool.verification.clone();
+        let connection =
+            self.connector.open(server, self.last_connection_number, address, verification, first);
         pool.connections.push(connection);
         true
     }
 
-    /// Whether there is room for one more connection to a server, which takes the place of an idle one beyond this node's part.
-    fn has_room_for_first(&mut self, server: ServerId) -> bool {
-        let part = self.part();
+    /// Whether one more connection to a server may be opened. Beyond this node's share, it replaces an idle one.
+    fn has_room_for_fresh_connection(&mut self, server: ServerId) -> bool {
+        let share = self.connection_share();
         let may_connect = self.local_failures.may_connect();
         let Some(pool) = self.pools.get_mut(&server) else { return false };
-        if !may_connect || Instant::now() < pool.alone_until {
+        if !may_connect || Instant::now() < pool.no_parallel_connect_until {
             return false;
         }
-        if pool.open() >= part || self.connector.all.get() >= self.limits.max_connections {
+        if pool.active_connections() >= share
+            || self.connector.total_connections.get() >= self.limits.max_connections
+        {
             pool.close_one_idle();
         }
-        pool.open() < 2 * part && self.connector.all.get() < self.limits.max_connections
+        pool.active_connections() < 2 * share
+            && self.connector.total_connections.get() < self.limits.max_connections
     }
 
-    /// Sends a command as the first on a new connection: what comes there can't be a repeat.
-    fn begin_with(&mut self, server: ServerId, first: First) -> Result<(), SendError> {
-        match self.begin_connection(server, Some(first)) {
+    /// Sends a command as the first on a new connection, where its response cannot be a duplicate.
+    fn send_on_fresh_connection(&mut self, server: ServerId, first: FirstCommand) -> Result<(), SendError> {
+        match self.open_connection(server, Some(first)) {
             true => Ok(()),
             false => Err(SendError::NoConnection),
         }
     }
 
-    /// Sends a command once more whose connection has ended. One whose own answer was doubted goes out as the first on a new
-    /// connection.
+    /// Resends a command whose connection has ended. If its own response was doubted, it is sent as the first command on
+    /// a new connection.
     ///
     /// # Errors
-    /// Where there is no connection for it: it was not written again.
-    pub fn resend(&mut self, server: ServerId, displaced: InterruptedCommand) -> Result<(), SendError> {
-        let InterruptedCommand { command, doubt, .. } = displaced;
+    /// There is no connection for it: it was not written again.
+    pub fn resend(&mut self, server: ServerId, interrupted: InterruptedCommand) -> Result<(), SendError> {
+        let InterruptedCommand { command, doubt, .. } = interrupted;
         let Some(doubt) = doubt else { return self.send(server, command) };
         let is_ready = self.pools.get(&server).is_some_and(|pool| pool.ready);
-        if !is_ready || !self.has_room_for_first(server) {
+        if !is_ready || !self.has_room_for_fresh_connection(server) {
             return Err(SendError::NoConnection);
         }
-        self.begin_with(server, First { command, settles: Some(doubt) })
+        self.send_on_fresh_connection(server, FirstCommand { command, resolves: Some(doubt) })
     }
 
-    /// Counts how a connection ended, and returns what that means for an attempt that was not written on it.
-    fn connection_ended(
+    /// Counts how a connection ended, and returns the outcome for attempts that were not written on it.
+    fn record_connection_end(
         &mut self,
         server: ServerId,
         end: ConnectionEnd,
     ) -> fn(AttemptId) -> (AttemptId, AttemptOutcome) {
         match end {
-            ConnectionEnd::LocalFailure(error) if self.is_local(server, &error) => {
-                self.connects.local_failures = self.connects.local_failures.saturating_add(1);
+            ConnectionEnd::LocalFailure(error) if self.is_local_failure(server, &error) => {
+                self.connect_counts.local_failures = self.connect_counts.local_failures.saturating_add(1);
                 if self.local_failures.record_failure() {
                     self.connector
                         .host
@@ -356,26 +371,26 @@
                 return |attempt| (attempt, AttemptOutcome::LocalFailure);
             }
             ConnectionEnd::Refused | ConnectionEnd::LocalFailure(_) => {
-                self.connects.refused = self.connects.refused.saturating_add(1);
-                self.connector.figures.connect_refused();
+                self.connect_counts.refused = self.connect_counts.refused.saturating_add(1);
+                self.connector.metrics.connect_refused();
                 if let Some(pool) = self.pools.get_mut(&server) {
-                    pool.alone_until = Instant::now() + REFUSED_PAUSE;
+                    pool.no_parallel_connect_until = Instant::now() + REFUSED_COOLDOWN;
                 }
             }
-            ConnectionEnd::TimedOut | ConnectionEnd::Broken | ConnectionEnd::OutOfStep(_) => {}
+            ConnectionEnd::TimedOut | ConnectionEnd::Broken | ConnectionEnd::OutOfSync(_) => {}
         }
         |attempt| (attempt, AttemptOutcome::NotConnected)
     }
 
-    /// Whether a failure says nothing of the server: where no route leads to it while others are connected, it is the
-    /// server that can't be reached.
-    fn is_local(&self, server: ServerId, error: &std::io::Error) -> bool {
+    /// Whether a failure says nothing about the server. If there is no route to this server while others are connected,
+    /// the server itself is unreachable.
+    fn is_local_failure(&self, server: ServerId, error: &std::io::Error) -> bool {
         let no_route = matches!(error.kind(), ErrorKind::NetworkUnreachable | ErrorKind::NetworkDown);
         let mut others = self.pools.iter().filter(|(id, _)| **id != server).map(|(_, pool)| pool);
-        !(no_route && others.any(|pool| pool.connections.iter().any(Connection::up)))
+        !(no_route && others.any(|pool| pool.connections.iter().any(Connection::is_connected)))
     }
 
-    /// Takes what a connection tells and returns the attempts that this ends.
+    /// Handles an event of a connection and returns the attempts that it ends.
     pub fn handle_event(
         &mut self,
         server: ServerId,
@@ -385,33 +400,35 @@
         let mut ended = Vec::new();
         let mut unplaced: fn(AttemptId) -> (AttemptId, AttemptOutcome) =
             |attempt| (attempt, AttemptOutcome::NotConnected);
-        // Told before the pool is looked for: that of a server which the list no longer names may be gone by now, with
-        // the answers of several of its connections still on their way here, and each of them is owed.
+        // Handled before the pool is looked up: the pool of an unlisted server may be gone already, while events with its
+        // responses are still queued, and each of them must be delivered.
         match event {
             ConnectionEvent::Up => self.local_failures.record_success(),
-            ConnectionEvent::Answer(attempt, frame) => {
+            ConnectionEvent::Response(attempt, frame) => {
                 let pool = self.pools.get_mut(&server);
                 if let Some(c) = pool.and_then(|p| p.connections.iter_mut().find(|c| c.number == number)) {
-                    c.used = Instant::now();
+                    c.last_used = Instant::now();
                 }
                 ended.push((attempt, AttemptOutcome::Answered(frame)));
             }
-            ConnectionEvent::Began(attempt, value) => {
+            ConnectionEvent::StreamStarted(attempt, value) => {
                 ended.push((attempt, AttemptOutcome::StreamStarted(value)))
             }
-            ConnectionEvent::Spoilt(attempt) => ended.push((attempt, AttemptOutcome::InvalidResponse)),
-            ConnectionEvent::HeldUp => {
+            ConnectionEvent::InvalidResponse(attempt) => {
+                ended.push((attempt, AttemptOutcome::InvalidResponse))
+            }
+            ConnectionEvent::Stalled => {
                 if let Some(pool) = self.pools.get_mut(&server) {
-                    let released = pool.release_behind_large_value(number).into_iter();
+                    let released = pool.release_blocked_by_large_value(number).into_iter();
                     ended.extend(released.map(|id| (id, AttemptOutcome::Reset)));
                 }
             }
-            ConnectionEvent::Down { end, written, unwritten, displaced } => {
-                unplaced = self.connection_ended(server, end);
+            ConnectionEvent::Down { end, written, unwritten, interrupted } => {
+                unplaced = self.record_connection_end(server, end);
                 ended.extend(written.into_iter().map(|id| (id, AttemptOutcome::Reset)));
                 ended.extend(unwritten.into_iter().map(unplaced));
                 ended.extend(
-                    displaced.into_iter().map(|d| (d.command.attempt, AttemptOutcome::Interrupted(d))),
+                    interrupted.into_iter().map(|d| (d.command.attempt, AttemptOutcome::Interrupted(d))),
                 );
                 if let Some(pool) = self.pools.get_mut(&server) {
                     pool.connections.retain(|c| c.number != number);
@@ -419,93 +436,95 @@
             }
         }
         let Some(pool) = self.pools.get_mut(&server) else { return ended };
-        ended.extend(pool.pump(self.limits.attempts_per_connection).into_iter().map(unplaced));
-        self.tidy(server);
+        ended.extend(pool.dispatch_waiting(self.limits.attempts_per_connection).into_iter().map(unplaced));
+        self.remove_unused(server);
         ended
     }
 
-    /// Takes back an attempt, unless it has been written whole: it never runs then. Others on its connection go on or find
-    /// another; a connection on which nothing is waited for any more is closed.
-    pub fn withdraw(&mut self, server: ServerId, attempt: AttemptId) -> Withdrawn {
-        let Some(pool) = self.pools.get_mut(&server) else { return Withdrawn::default() };
-        let mut withdrawn = Withdrawn::default();
+    /// Withdraws an attempt unless it has been written completely; it then never runs. Other commands on its connection
+    /// continue there or on another one; a connection on which no command is waited for any more is closed.
+    pub fn withdraw(&mut self, server: ServerId, attempt: AttemptId) -> Withdrawal {
+        let Some(pool) = self.pools.get_mut(&server) else { return Withdrawal::default() };
+        let mut withdrawn = Withdrawal::default();
         let waiting = pool.waiting.len();
         pool.waiting.retain(|c| c.attempt != attempt);
         withdrawn.unwritten = pool.waiting.len() < waiting;
         pool.connections.retain(|c| {
-            let mut line = c.shared.line.borrow_mut();
-            let unsent = line.unsent.len();
-            line.unsent.retain(|c| c.attempt != attempt);
-            let was_queued = line.unsent.len() < unsent;
+            let mut pipeline = c.shared.pipeline.borrow_mut();
+            let unsent = pipeline.queued.len();
+            pipeline.queued.retain(|c| c.attempt != attempt);
+            let was_queued = pipeline.queued.len() < unsent;
             withdrawn.unwritten |= was_queued;
-            if line.writing != Writing::Begun(attempt) {
-                return !was_queued || line.sent.is_empty() || !line.in_vain();
+            if pipeline.write_state != WriteState::Partial(attempt) {
+                return !was_queued || pipeline.in_flight.is_empty() || !pipeline.has_no_waiters();
             }
             withdrawn.unwritten = true;
-            (line.writing, line.ending) = (Writing::Abandoned, true);
-            c.shared.halt.notify_one();
-            while let Some(command) = line.unsent.pop_back() {
+            (pipeline.write_state, pipeline.closing) = (WriteState::Abandoned, true);
+            c.shared.abort_write.notify_one();
+            while let Some(command) = pipeline.queued.pop_back() {
                 pool.waiting.push_front(command);
             }
-            !line.in_vain()
+            !pipeline.has_no_waiters()
         });
-        let unplaced = pool.pump(self.limits.attempts_per_connection).into_iter();
+        let unplaced = pool.dispatch_waiting(self.limits.attempts_per_connection).into_iter();
         withdrawn.ended.extend(unplaced.map(|id| (id, AttemptOutcome::NotConnected)));
-        self.tidy(server);
+        self.remove_unused(server);
         withdrawn
     }
 
-    /// Stops waiting for an attempt. Others on its connection go on: it is closed only when nothing else is left on it.
-    pub fn give_up(&mut self, server: ServerId, attempt: AttemptId) -> Withdrawn {
+    /// Stops waiting for an attempt. Its connection is closed only when no other command is left on it.
+    pub fn give_up(&mut self, server: ServerId, attempt: AttemptId) -> Withdrawal {
         let withdrawn = self.withdraw(server, attempt);
         if let Some(pool) = self.pools.get_mut(&server).filter(|_| !withdrawn.unwritten) {
             pool.connections.retain(|c| {
-                let mut line = c.shared.line.borrow_mut();
-                let here = line.sent.iter_mut().find(|s| s.attempt() == attempt);
-                let was_sent = here.map(|s| s.given_up = true).is_some();
-                !(was_sent && line.in_vain())
+                let mut pipeline = c.shared.pipeline.borrow_mut();
+                let found = pipeline.in_flight.iter_mut().find(|s| s.attempt() == attempt);
+                let was_sent = found.map(|s| s.given_up = true).is_some();
+                !(was_sent && pipeline.has_no_waiters())
             });
-            self.tidy(server);
+            self.remove_unused(server);
         }
         withdrawn
     }
 
-    /// Whether a connection has no answer for an attempt that was given up, and others wait behind it.
+    /// Whether the next response on a connection is that of a given-up attempt, and other commands wait behind it.
     pub fn blocks_others(&self, server: ServerId, attempt: AttemptId) -> bool {
         let connections = self.pools.get(&server).map_or(&[][..], |pool| &pool.connections);
-        connections.iter().any(|c| c.shared.line.borrow().is_held_up_by(attempt))
+        connections.iter().any(|c| c.shared.pipeline.borrow().is_blocked_by(attempt))
     }
 
-    /// Lets what waits behind an attempt that was given up be answered on other connections, where its own has brought no
-    /// answer since. Returns the attempts that this ends.
+    /// Moves the commands that are blocked behind a given-up attempt to other connections, if its own connection has
+    /// delivered no response since. Returns the attempts that this ends.
     pub fn release_blocked(
         &mut self,
         server: ServerId,
         attempt: AttemptId,
     ) -> Vec<(AttemptId, AttemptOutcome)> {
         let Some(pool) = self.pools.get_mut(&server) else { return Vec::new() };
-        let held_up = |c: &&Connection| c.shared.line.borrow().is_held_up_by(attempt);
-        let Some(number) = pool.connections.iter().find(held_up).map(|c| c.number) else { return Vec::new() };
-        let released = pool.release_behind_first(number);
-        pool.connections.retain(|c| c.number != number || !c.shared.line.borrow().in_vain());
+        let is_blocked = |c: &&Connection| c.shared.pipeline.borrow().is_blocked_by(attempt);
+        let Some(number) = pool.connections.iter().find(is_blocked).map(|c| c.number) else {
+            return Vec::new();
+        };
+        let released = pool.release_blocked(number);
+        pool.connections.retain(|c| c.number != number || !c.shared.pipeline.borrow().has_no_waiters());
         let mut ended: Vec<_> = released.into_iter().map(|id| (id, AttemptOutcome::Reset)).collect();
         ended.extend(
-            pool.pump(self.limits.attempts_per_connection)
+            pool.dispatch_waiting(self.limits.attempts_per_connection)
                 .into_iter()
                 .map(|id| (id, AttemptOutcome::NotConnected)),
         );
-        self.tidy(server);
+        self.remove_unused(server);
         ended
     }
 
-    /// Closes the connections to a server that carry nothing.
+    /// Closes the idle connections to a server.
     pub fn close_idle(&mut self, server: ServerId) {
         if let Some(pool) = self.pools.get_mut(&server) {
             pool.close_idle();
         }
     }
 
-    /// Closes the connections to all servers that carry nothing.
+    /// Closes the idle connections to all servers.
     pub fn close_all_idle(&mut self) {
         self.pools.values_mut().for_each(Pool::close_idle);
     }
--- a/crates/node/src/servers/connection.rs
+++ b/crates/node/src/servers/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a cache server, as the node knows it, and the task that carries its commands.
+//! The node's handle of one connection to a cache server, and the task that runs the connection.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -13,145 +13,153 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-use super::driver::drive;
-use super::line::{Line, Sent, Writing};
+use super::driver::run_connection;
 use super::payload::AttemptCommand;
+use super::pipeline::{InFlightCommand, Pipeline, WriteState};
 use super::{ConnectionEnd, ConnectionEvent, InterruptedCommand};
 use crate::duplicate_responses::{Doubt, VerificationState};
 use crate::input::Input;
 
-/// What a connection shares with its task.
+/// State shared between a connection and its task.
 pub(super) struct Shared {
-    pub line: RefCell<Line>,
-    pub wake: Notify,
-    /// What is being written is abandoned.
-    pub halt: Notify,
-    pub figures: Arc<Metrics>,
-    /// What is known of the answers of its server.
-    pub findings: Rc<RefCell<VerificationState>>,
+    pub pipeline: RefCell<Pipeline>,
+    pub work_available: Notify,
+    /// Aborts the write in progress.
+    pub abort_write: Notify,
+    pub metrics: Arc<Metrics>,
+    /// What is known about the responses of the server.
+    pub verification: Rc<RefCell<VerificationState>>,
 }
 
-/// A connection; its task ends with it.
+/// A connection; its task ends when this is dropped.
 pub(super) struct Connection {
     pub number: u64,
     pub shared: Rc<Shared>,
     task: AbortHandle,
-    pub used: Instant,
-    /// It leads to an address that its server has left: it ends what it carries and gets nothing new.
+    pub last_used: Instant,
+    /// It leads to a former address of the server: outstanding commands finish, and it gets no new ones.
     pub retired: bool,
-    /// How many connections there are to all servers.
-    all: Rc<Cell<usize>>,
+    /// Number of connections to all servers.
+    total_connections: Rc<Cell<usize>>,
 }
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        self.all.set(self.all.get() - 1);
+        self.total_connections.set(self.total_connections.get() - 1);
         self.task.abort();
     }
 }
 
 impl Connection {
     pub fn load(&self) -> usize {
-        self.shared.line.borrow().load()
+        self.shared.pipeline.borrow().load()
     }
 
-    pub fn up(&self) -> bool {
-        self.shared.line.borrow().up
+    pub fn is_connected(&self) -> bool {
+        self.shared.pipeline.borrow().connected
     }
 
-    /// Whether a command could be answered on it at once.
-    pub fn free(&self) -> bool {
-        self.up() && self.load() == 0 && !self.retired && !self.shared.line.borrow().ending
+    /// Whether a command sent now would be answered without waiting for others.
+    pub fn is_available(&self) -> bool {
+        self.is_connected() && self.load() == 0 && !self.retired && !self.shared.pipeline.borrow().closing
     }
 
     pub fn push(&mut self, command: AttemptCommand) {
-        self.used = Instant::now();
-        self.shared.line.borrow_mut().unsent.push_back(command);
-        self.shared.wake.notify_one();
+        self.last_used = Instant::now();
+        self.shared.pipeline.borrow_mut().queued.push_back(command);
+        self.shared.work_available.notify_one();
     }
 }
 
-/// The first command of a connection that is made for it.
-pub(super) struct First {
+/// The command for which a connection is opened.
+pub(super) struct FirstCommand {
     pub command: AttemptCommand,
-    /// What its answer settles, which can't be a repeat.
-    pub settles: Option<Doubt>,
+    /// The doubt that its response resolves; as the first on a connection, that response cannot be a duplicate.
+    pub resolves: Option<Doubt>,
 }
 
-/// What all connections of a node to cache servers are made with.
+/// What all connections to cache servers are opened with.
 pub(super) struct Connector<H> {
     pub host: H,
     pub connect_timeout: Duration,
     pub events: mpsc::Sender<Input>,
-    pub figures: Arc<Metrics>,
-    /// How many connections there are to all servers.
-    pub all: Rc<Cell<usize>>,
+    pub metrics: Arc<Metrics>,
+    /// Number of connections to all servers.
+    pub total_connections: Rc<Cell<usize>>,
 }
 
 impl<H: Host> Connector<H> {
-    /// Begins a connection. `first` goes out on it before anything else.
-    pub fn begin(
+    /// Opens a connection. `first` is sent on it before anything else.
+    pub fn open(
         &self,
         server: ServerId,
         number: u64,
         address: SocketAddr,
-        findings: Rc<RefCell<VerificationState>>,
-        first: Option<First>,
+        verification: Rc<RefCell<VerificationState>>,
+        first: Option<FirstCommand>,
     ) -> Connection {
-        self.all.set(self.all.get() + 1);
-        self.figures.connect_started();
-        let mut line = Line::default();
+        self.total_connections.set(self.total_connections.get() + 1);
+        self.metrics.connect_started();
+        let mut pipeline = Pipeline::default();
         if let Some(first) = first {
-            line.settles = first.settles.map(|doubt| (first.command.attempt, doubt));
-            line.unsent.push_back(first.command);
+            pipeline.resolves = first.resolves.map(|doubt| (first.command.attempt, doubt));
+            pipeline.queued.push_back(first.command);
         }
         let shared = Rc::new(Shared {
-            line: RefCell::new(line),
-            wake: Notify::new(),
-            halt: Notify::new(),
-            figures: self.figures.clone(),
-            findings,
+            pipeline: RefCell::new(pipeline),
+            work_available: Notify::new(),
+            abort_write: Notify::new(),
+            metrics: self.metrics.clone(),
+            verification,
         });
-        let (host, task_shared, events, within) =
+        let (host, task_shared, events, connect_timeout) =
             (self.host.clone(), shared.clone(), self.events.clone(), self.connect_timeout);
         let task = tokio::task::spawn_local(async move {
-            let end = drive(&host, server, number, address, within, &task_shared, &events).await;
-            let line = std::mem::take(&mut *task_shared.line.borrow_mut());
-            let event = ended(end, line);
+            let end =
+                run_connection(&host, server, number, address, connect_timeout, &task_shared, &events).await;
+            let pipeline = std::mem::take(&mut *task_shared.pipeline.borrow_mut());
+            let event = down_event(end, pipeline);
             let _ = events.send(Input::Server { server, connection: number, event }).await;
         });
-        let (task, used) = (task.abort_handle(), Instant::now());
-        Connection { number, shared, task, used, retired: false, all: self.all.clone() }
+        let (task, last_used) = (task.abort_handle(), Instant::now());
+        Connection {
+            number,
+            shared,
+            task,
+            last_used,
+            retired: false,
+            total_connections: self.total_connections.clone(),
+        }
     }
 }
 
-/// Tells what has become of the commands of a connection that has ended.
-fn ended(end: ConnectionEnd, line: Line) -> ConnectionEvent {
-    let begun = match line.writing {
-        Writing::Begun(attempt) => Some(attempt),
-        Writing::Nothing | Writing::Abandoned => None,
+/// Reports the fate of the commands of a connection that has ended.
+fn down_event(end: ConnectionEnd, pipeline: Pipeline) -> ConnectionEvent {
+    let partial = match pipeline.write_state {
+        WriteState::Partial(attempt) => Some(attempt),
+        WriteState::Idle | WriteState::Abandoned => None,
     };
-    let (mut written, mut unwritten) = (Vec::new(), Vec::from_iter(begun));
-    let mut displaced = Vec::new();
-    if let ConnectionEnd::OutOfStep(doubt) = end {
-        for (place, sent) in line.sent.into_iter().enumerate().filter(|(_, sent)| !sent.given_up) {
-            // It was the answer to the first of them that was doubted.
-            let doubt = doubt.filter(|_| place == 0);
-            displaced.push(InterruptedCommand { command: sent.command, was_written: true, doubt });
+    let (mut written, mut unwritten) = (Vec::new(), Vec::from_iter(partial));
+    let mut interrupted = Vec::new();
+    if let ConnectionEnd::OutOfSync(doubt) = end {
+        for (index, sent) in pipeline.in_flight.into_iter().enumerate().filter(|(_, sent)| !sent.given_up) {
+            // The doubted response was assigned to the first of them.
+            let doubt = doubt.filter(|_| index == 0);
+            interrupted.push(InterruptedCommand { command: sent.command, was_written: true, doubt });
         }
     } else {
-        written.extend(line.sent.iter().map(Sent::attempt));
+        written.extend(pipeline.in_flight.iter().map(InFlightCommand::attempt));
     }
-    if line.has_answered {
-        // It was the connection that failed, not the server: others may still serve these, or a new one.
-        let unsent = line.unsent.into_iter();
-        displaced.extend(unsent.map(|command| InterruptedCommand {
+    if pipeline.has_responded {
+        // The connection failed, not the server: other connections or a new one may still serve these.
+        let unsent = pipeline.queued.into_iter();
+        interrupted.extend(unsent.map(|command| InterruptedCommand {
             command,
             was_written: false,
             doubt: None,
         }));
     } else {
-        unwritten.extend(line.unsent.iter().map(|command| command.attempt));
+        unwritten.extend(pipeline.queued.iter().map(|command| command.attempt));
     }
-    ConnectionEvent::Down { end, written, unwritten, displaced }
+    ConnectionEvent::Down { end, written, unwritten, interrupted }
 }
