--- a/crates/node/src/servers/driver.rs
+++ b/crates/node/src/servers/driver.rs
@@ -1,4 +1,4 @@
-//! One connection to a cache server: commands are written in order, and answers are read in the same order.
+//! Runs one connection to a cache server: commands are written in order, and responses are read in the same order.
 
 use std::future::poll_fn;
 use std::io::ErrorKind;
@@ -18,108 +18,118 @@
 use tokio::time::{Instant, timeout};
 
 use super::connection::Shared;
-use super::fence::{take_answers, write_wanted};
-use super::judging::{MOST_FENCES_AHEAD, believe, believe_large, expects_doubt};
-use super::line::{Sent, Writing};
-use super::payload::{AttemptCommand, Kind};
+use super::fence::{take_fence_replies, write_requested_fences};
+use super::payload::{AttemptCommand, CommandKind};
+use super::pipeline::{InFlightCommand, WriteState};
+use super::verification::{MAX_FENCES_IN_ADVANCE, verify, verify_large, will_be_doubted};
 use super::{ConnectionEnd, ConnectionEvent, RESPONSE_STALL_TIMEOUT};
 use crate::command::{LargeValue, MAX_CHUNK_BYTES, STREAM_STALL_TIMEOUT};
-use crate::duplicate_responses::{Doubt, Fingerprint, LARGE_PREFIX, LargeFingerprint};
+use crate::duplicate_responses::{Doubt, Fingerprint, LARGE_VALUE_PREFIX_BYTES, LargeFingerprint};
 use crate::input::Input;
 use crate::memory_shortage::RetryingStream;
-use crate::stream::{READ, more, more_within};
+use crate::stream::{READ_SIZE_BYTES, read_more, read_more_within};
 
-/// A command of which the first byte has been written.
-struct Begun {
+/// A command whose first byte has been written.
+struct StartedWrite {
     command: AttemptCommand,
     bytes: Bytes,
-    /// How many of the bytes have been written.
+    /// Number of bytes written.
     written: usize,
 }
 
-/// Whether a frame can be the answer to a command: an array of the value or null, how it went and the load report,
-/// whose form matters to nobody but the module; or an error line. A probe is answered with the report alone.
-fn fits(frame: &BytesFrame, probe: bool) -> bool {
+/// Whether a frame can be the response to a command: an array of the value or null, the cache result and the load
+/// report, whose format only the decision module checks; or an error line. A probe is answered with the load report
+/// alone.
+fn is_valid_response(frame: &BytesFrame, probe: bool) -> bool {
     match frame {
         BytesFrame::Error(_) => true,
         BytesFrame::BulkString(_) => probe,
         BytesFrame::Array(parts) if !probe => {
-            let [value, how, _report] = parts.as_slice() else { return false };
+            let [value, cache_result, _report] = parts.as_slice() else { return false };
             matches!(value, BytesFrame::BulkString(_) | BytesFrame::Null)
-                && matches!(how, BytesFrame::BulkString(_) | BytesFrame::SimpleString(_) | BytesFrame::Null)
+                && matches!(
+                    cache_result,
+                    BytesFrame::BulkString(_) | BytesFrame::SimpleString(_) | BytesFrame::Null
+                )
         }
         _ => false,
     }
 }
 
-/// Makes a connection and carries its commands until it ends; how it did.
-pub(super) async fn drive<H: Host>(
+/// Opens a connection and carries its commands until it ends; returns how it ended.
+pub(super) async fn run_connection<H: Host>(
     host: &H,
     server: ServerId,
     number: u64,
     address: SocketAddr,
-    within: Duration,
+    connect_timeout: Duration,
     shared: &Shared,
     events: &mpsc::Sender<Input>,
 ) -> ConnectionEnd {
-    let stream = match timeout(within, host.connect(address)).await {
+    let stream = match timeout(connect_timeout, host.connect(address)).await {
         Ok(Ok(stream)) => stream,
-        Ok(Err(error)) => return not_made(error),
+        Ok(Err(error)) => return connect_failure(error),
         Err(_) => return ConnectionEnd::TimedOut,
     };
-    shared.line.borrow_mut().up = true;
+    shared.pipeline.borrow_mut().connected = true;
     if events.send(Input::Server { server, connection: number, event: ConnectionEvent::Up }).await.is_err() {
         return ConnectionEnd::Broken;
     }
     let (reading, writing) = stream.into_halves();
     let mut writing = RetryingStream::new(writing);
-    let reader = read_answers(host, server, number, address, &reading, shared, events);
+    let reader = read_responses(host, server, number, address, &reading, shared, events);
     let writer = async {
         loop {
-            // Once round the runtime: a close that has come in is read before anything more is written.
+            // Yield to the runtime once, so that a received close is read before anything more is written.
             tokio::task::yield_now().await;
-            if write_wanted(&mut writing, shared).await.is_err() {
+            if write_requested_fences(&mut writing, shared).await.is_err() {
                 return;
             }
-            let Begun { command, bytes, written } = match begin_next(&mut writing, shared).await {
-                Ok(Some(begun)) => begun,
+            let StartedWrite { command, bytes, written } = match start_next_write(&mut writing, shared).await
+            {
+                Ok(Some(started)) => started,
                 Ok(None) => {
-                    shared.wake.notified().await;
+                    shared.work_available.notified().await;
                     continue;
                 }
                 Err(_) => return,
             };
-            // Not awaited where nothing is left to be written.
+            // Skip the await if nothing is left to write.
             if written < bytes.len() {
                 let rest = tokio::select! {
                     biased;
-                    // The reader ends the connection once what was sent before has been answered.
-                    () = shared.halt.notified() => std::future::pending().await,
+                    // The reader ends the connection once the commands sent before have been answered.
+                    () = shared.abort_write.notified() => std::future::pending().await,
                     rest = writing.write_all(&bytes[written..]) => rest,
                 };
                 if rest.is_err() {
                     return;
                 }
             }
-            // No await since the last byte was written: it is on record before an answer can be read.
-            let mut line = shared.line.borrow_mut();
-            line.writing = Writing::Nothing;
-            if command.payload.kind() != Kind::Probe {
-                shared.figures.attempt_sent();
+            // No await since the last byte was written: the command is recorded before a response can be read.
+            let mut pipeline = shared.pipeline.borrow_mut();
+            pipeline.write_state = WriteState::Idle;
+            if command.payload.kind() != CommandKind::Probe {
+                shared.metrics.attempt_sent();
             }
-            let expects_doubt = expects_doubt(&command, &line, shared);
-            line.sent.push_back(Sent { command, written: Instant::now(), given_up: false, fences: 0 });
-            if expects_doubt {
-                line.want_fence(MOST_FENCES_AHEAD);
+            let will_be_doubted = will_be_doubted(&command, &pipeline, shared);
+            pipeline.in_flight.push_back(InFlightCommand {
+                command,
+                written_at: Instant::now(),
+                given_up: false,
+                fences_behind: 0,
+            });
+            if will_be_doubted {
+                pipeline.request_fences(MAX_FENCES_IN_ADVANCE);
             }
         }
     };
-    // The reader first: a close by the server is noticed before anything more is written to it.
+    // Poll the reader first: a close by the server is noticed before anything more is written to it.
     tokio::select! { biased; end = reader => end, () = writer => ConnectionEnd::Broken }
 }
 
-/// Reads the answers of a connection, each for the command that has waited longest, until it ends; how it did.
-async fn read_answers<H: Host>(
+/// Reads responses, each for the oldest command in flight, until the connection ends; returns how it ended.
+async fn read_responses<H: Host>(
     host: &H,
     server: ServerId,
     number: u64,
@@ -128,246 +138,253 @@
     shared: &Shared,
     events: &mpsc::Sender<Input>,
 ) -> ConnectionEnd {
-    let tell = |event| events.send(Input::Server { server, connection: number, event });
+    let notify = |event| events.send(Input::Server { server, connection: number, event });
     let mut buffer = BytesMut::new();
     loop {
-        if take_answers(&mut buffer, shared).is_err() {
-            return ConnectionEnd::OutOfStep(None);
+        if take_fence_replies(&mut buffer, shared).is_err() {
+            return ConnectionEnd::OutOfSync(None);
         }
-        let (nothing_sent, writing) = {
-            let line = shared.line.borrow();
-            (line.sent.is_empty() && line.fences.due == 0, line.writing)
+        let (nothing_in_flight, writing) = {
+            let pipeline = shared.pipeline.borrow();
+            (pipeline.in_flight.is_empty() && pipeline.fences.awaited == 0, pipeline.write_state)
         };
-        if nothing_sent && writing == Writing::Abandoned {
+        if nothing_in_flight && writing == WriteState::Abandoned {
             return ConnectionEnd::Broken;
         }
-        // What lies behind an answer that nothing waits behind belongs to no command, and would be taken for the
-        // beginning of the next answer: the connection is closed before anything more is written.
-        if !buffer.is_empty() && nothing_sent {
-            host.log(format_args!("{address}: more than was asked for"));
-            shared.figures.unasked_answer();
+        // Bytes behind the last expected response belong to no command and would be taken for the start of the next
+        // response: the connection is closed before anything more is written.
+        if !buffer.is_empty() && nothing_in_flight {
+            host.log(format_args!("{address}: closing the connection after an unexpected response"));
+            shared.metrics.unasked_answer();
             if matches!(resp::take_frame(&mut buffer, resp::MAX_BUFFERED_VALUE_BYTES), Ok(Some(_))) {
-                shared.findings.borrow_mut().repeated();
+                shared.verification.borrow_mut().record_duplicate();
             }
-            return ConnectionEnd::OutOfStep(None);
+            return ConnectionEnd::OutOfSync(None);
         }
-        // It has ended, then, for all that wait on it: a retry can tell whose answer it gets.
-        if !buffer.is_empty() && shared.line.borrow().next_answer_is_ambiguous() {
+        // End the connection for all commands on it: on retry each response can be matched to its command.
+        if !buffer.is_empty() && shared.pipeline.borrow().next_response_is_ambiguous() {
             return ConnectionEnd::Broken;
         }
-        let fences_due = shared.line.borrow().fences.due > 0;
-        if let Some(large) = resp::large_value_header(&buffer).filter(|_| !fences_due) {
-            match pass_on(large, reading, &mut buffer, shared, tell).await {
-                Passed::Whole => continue,
-                Passed::Cut => return ConnectionEnd::Broken,
-                Passed::Doubted(doubt) => return ConnectionEnd::OutOfStep(Some(doubt)),
+        let fence_awaited = shared.pipeline.borrow().fences.awaited > 0;
+        if let Some(large) = resp::large_value_header(&buffer).filter(|_| !fence_awaited) {
+            match relay_large_value(large, reading, &mut buffer, shared, notify).await {
+                RelayResult::Complete => continue,
+                RelayResult::Aborted => return ConnectionEnd::Broken,
+                RelayResult::Doubted(doubt) => return ConnectionEnd::OutOfSync(Some(doubt)),
             }
         }
-        let taken = match fences_due {
-            // None of their answers has come whole.
+        let received = match fence_awaited {
+            // No complete fence reply has arrived.
             true => Ok(None),
             false => resp::take_frame(&mut buffer, resp::MAX_BUFFERED_VALUE_BYTES),
         };
-        if let Ok(None) = taken {
+        if let Ok(None) = received {
             if buffer.is_empty() {
                 buffer = BytesMut::new();
             }
-            let begun = !buffer.is_empty();
-            let read = match begun {
-                true => more_within(reading, &mut buffer, READ, RESPONSE_STALL_TIMEOUT).await,
-                false => more(reading, &mut buffer, READ).await,
+            let started = !buffer.is_empty();
+            let read = match started {
+                true => read_more_within(reading, &mut buffer, READ_SIZE_BYTES, RESPONSE_STALL_TIMEOUT).await,
+                false => read_more(reading, &mut buffer, READ_SIZE_BYTES).await,
             };
             match read {
                 Ok(()) => continue,
-                Err(e) if e.kind() == ErrorKind::TimedOut && begun => {}
+                Err(e) if e.kind() == ErrorKind::TimedOut && started => {}
                 Err(_) => return ConnectionEnd::Broken,
             }
         }
-        let mut may_repeat = false;
-        if let Ok(Some(frame)) = &taken {
-            let value = Fingerprint::of_answer(frame);
-            if let Err(end) = believe(value, reading, &mut buffer, shared).await {
+        let mut may_be_duplicate = false;
+        if let Ok(Some(frame)) = &received {
+            let value = Fingerprint::of_response(frame);
+            if let Err(end) = verify(value, reading, &mut buffer, shared).await {
                 return end;
             }
-            // Load reports are equal as often as loads are.
-            may_repeat = value.is_none()
+            // Load reports are equal as often as loads are, so equality proves nothing.
+            may_be_duplicate = value.is_none()
                 && !matches!(frame, BytesFrame::BulkString(_))
-                && shared.line.borrow_mut().push_empty(&resp::encode(frame));
+                && shared.pipeline.borrow_mut().push_without_value(&resp::encode(frame));
         }
-        let Some(sent) = shared.line.borrow_mut().take_answered() else { return ConnectionEnd::Broken };
-        // That it was turned away can't be believed then: what may not run twice would.
-        let misleads = may_repeat && !sent.command.payload.may_run_twice();
-        let (event, good) = match taken {
-            Ok(Some(frame)) if !misleads && fits(&frame, sent.kind() == Kind::Probe) => {
-                (ConnectionEvent::Answer(sent.attempt(), frame), true)
+        let Some(sent) = shared.pipeline.borrow_mut().pop_answered() else { return ConnectionEnd::Broken };
+        // A refusal can't be trusted here: a command that must not run twice might have run.
+        let is_untrusted_refusal = may_be_duplicate && !sent.command.payload.may_run_twice();
+        let (event, is_valid) = match received {
+            Ok(Some(frame))
+                if !is_untrusted_refusal && is_valid_response(&frame, sent.kind() == CommandKind::Probe) =>
+            {
+                (ConnectionEvent::Response(sent.attempt(), frame), true)
             }
-            _ => (ConnectionEvent::Spoilt(sent.attempt()), false),
+            _ => (ConnectionEvent::InvalidResponse(sent.attempt()), false),
         };
-        let in_order = take_answers(&mut buffer, shared).is_ok();
-        // Before the node hears of it, which may have something more to write.
+        let in_order = take_fence_replies(&mut buffer, shared).is_ok();
+        // Update the state before the node is notified, because the node may write more commands at once.
         {
-            let mut line = shared.line.borrow_mut();
-            let waits = !line.sent.is_empty() || line.fences.due > 0;
-            line.ending = !good || !in_order || !(buffer.is_empty() || waits);
-            line.has_answered |= good;
+            let mut pipeline = shared.pipeline.borrow_mut();
+            let response_expected = !pipeline.in_flight.is_empty() || pipeline.fences.awaited > 0;
+            pipeline.closing = !is_valid || !in_order || !(buffer.is_empty() || response_expected);
+            pipeline.has_responded |= is_valid;
         }
-        let told = tell(event).await;
-        if told.is_err() || !good {
-            host.log(format_args!("{address}: an answer that can't be read"));
+        let notified = notify(event).await;
+        if notified.is_err() || !is_valid {
+            host.log(format_args!("{address}: closing the connection after an invalid response"));
             return ConnectionEnd::Broken;
         }
         if !in_order {
-            return ConnectionEnd::OutOfStep(None);
+            return ConnectionEnd::OutOfSync(None);
         }
     }
 }
 
-/// Reads why a connection was not made.
-fn not_made(error: std::io::Error) -> ConnectionEnd {
+/// Classifies a connect error.
+fn connect_failure(error: std::io::Error) -> ConnectionEnd {
     match ConnectFailure::from_error(&error) {
         ConnectFailure::Local => ConnectionEnd::LocalFailure(error),
         ConnectFailure::Remote => ConnectionEnd::Refused,
     }
 }
 
-/// Writes the first bytes of the first queued command that has time left; `None` where there is none.
+/// Writes the first bytes of the first queued command that has time left; `None` if there is none.
 ///
-/// The bytes are made anew whenever the socket may take some, so that they tell the time left when the first of them is
-/// written: behind much that the server has not read yet that may be late. One without time left stays queued, unwritten,
-/// until the node gives it up, which it does when that time ends.
-async fn begin_next(
+/// The command is encoded anew each time the socket may accept bytes, so that it carries the time left when its first
+/// byte is written, which may be late if the server has much left to read. A command with no time left stays queued,
+/// unwritten, until the node gives it up at its deadline.
+async fn start_next_write(
     writing: &mut (impl AsyncWrite + Unpin),
     shared: &Shared,
-) -> std::io::Result<Option<Begun>> {
+) -> std::io::Result<Option<StartedWrite>> {
     poll_fn(|context| {
         let next = {
-            let line = shared.line.borrow();
-            line.unsent.iter().enumerate().find_map(|(index, c)| Some((index, c.payload.encode_now()?)))
+            let pipeline = shared.pipeline.borrow();
+            pipeline.queued.iter().enumerate().find_map(|(index, c)| Some((index, c.payload.encode_now()?)))
         };
         let Some((index, bytes)) = next else { return Poll::Ready(Ok(None)) };
         let written = ready!(Pin::new(&mut *writing).poll_write(context, &bytes))?;
         if written == 0 {
             return Poll::Ready(Err(ErrorKind::WriteZero.into()));
         }
-        let mut line = shared.line.borrow_mut();
-        let Some(command) = line.unsent.remove(index) else {
+        let mut pipeline = shared.pipeline.borrow_mut();
+        let Some(command) = pipeline.queued.remove(index) else {
             return Poll::Ready(Ok(None));
         };
-        line.writing = Writing::Begun(command.attempt);
-        Poll::Ready(Ok(Some(Begun { command, bytes, written })))
+        pipeline.write_state = WriteState::Partial(command.attempt);
+        Poll::Ready(Ok(Some(StartedWrite { command, bytes, written })))
     })
     .await
 }
 
-/// What has become of a large value.
-enum Passed {
-    /// It has come whole; the connection can be used again.
-    Whole,
-    /// It has not, or nobody wants it any more: the connection ends.
-    Cut,
-    /// It may be another one's. Nothing of it was passed on.
+/// Result of relaying a large value.
+enum RelayResult {
+    /// It was received completely; the connection can be reused.
+    Complete,
+    /// It was cut off, or nobody wants it any more: the connection ends.
+    Aborted,
+    /// It may belong to another command. Nothing of it was relayed.
     Doubted(Doubt),
 }
 
-/// Passes a large value on as it comes, as fast as its client takes it, and takes what stands behind it off the buffer. The
-/// attempt stays among those sent until then, so that a connection that ends meanwhile ends it.
-async fn pass_on<T: Future<Output = Result<(), mpsc::error::SendError<Input>>>>(
+/// Relays a large value as it arrives, as fast as its client reads it, and consumes the rest of the response. The
+/// attempt stays in flight meanwhile, so that it ends with the connection.
+async fn relay_large_value<T: Future<Output = Result<(), mpsc::error::SendError<Input>>>>(
     large: resp::LargeValue,
     reading: &impl Reading,
     buffer: &mut BytesMut,
     shared: &Shared,
-    tell: impl Fn(ConnectionEvent) -> T,
-) -> Passed {
-    let Some(attempt) =
-        shared.line.borrow().sent.front().filter(|s| s.kind() != Kind::Probe).map(Sent::attempt)
+    notify: impl Fn(ConnectionEvent) -> T,
+) -> RelayResult {
+    let Some(attempt) = shared
+        .pipeline
+        .borrow()
+        .in_flight
+        .front()
+        .filter(|s| s.kind() != CommandKind::Probe)
+        .map(InFlightCommand::attempt)
     else {
-        return Passed::Cut;
+        return RelayResult::Aborted;
     };
     let mut fingerprint = Some(LargeFingerprint::new(large.length));
-    // As much of it is held back as tells it from others of its length.
-    if shared.line.borrow().may_be_another(large.length) {
-        let held_back = large.header_length + large.length.min(LARGE_PREFIX);
+    // Hold back as many bytes as are needed to tell it from other values of this length.
+    if shared.pipeline.borrow().may_be_mismatched(large.length) {
+        let held_back = large.header_length + large.length.min(LARGE_VALUE_PREFIX_BYTES);
         while buffer.len() < held_back {
-            if more_within(reading, buffer, MAX_CHUNK_BYTES, RESPONSE_STALL_TIMEOUT).await.is_err() {
-                return Passed::Cut;
+            if read_more_within(reading, buffer, MAX_CHUNK_BYTES, RESPONSE_STALL_TIMEOUT).await.is_err() {
+                return RelayResult::Aborted;
             }
         }
         let value = fingerprint.take().and_then(|mut f| f.update(&buffer[large.header_length..]));
-        if let Err(doubt) = believe_large(value, shared) {
-            return Passed::Doubted(doubt);
+        if let Err(doubt) = verify_large(value, shared) {
+            return RelayResult::Doubted(doubt);
         }
     }
-    let (into, value) = LargeValue::new(large.length);
-    shared.line.borrow_mut().streaming = true;
-    if tell(ConnectionEvent::Began(attempt, value)).await.is_err() {
-        return Passed::Cut;
+    let (sender, value) = LargeValue::new(large.length);
+    shared.pipeline.borrow_mut().streaming = true;
+    if notify(ConnectionEvent::StreamStarted(attempt, value)).await.is_err() {
+        return RelayResult::Aborted;
     }
     let _ = buffer.split_to(large.header_length);
-    let mut left = large.length;
-    let mut wanted = true;
-    while left > 0 {
+    let mut remaining = large.length;
+    let mut is_wanted = true;
+    while remaining > 0 {
         if buffer.is_empty() {
             *buffer = BytesMut::new();
-            let more = more_within(reading, buffer, MAX_CHUNK_BYTES, STREAM_STALL_TIMEOUT);
-            if tell_if_held_up(more, shared, &tell).await.is_err() {
-                return Passed::Cut;
+            let more = read_more_within(reading, buffer, MAX_CHUNK_BYTES, STREAM_STALL_TIMEOUT);
+            if report_stall(more, shared, &notify).await.is_err() {
+                return RelayResult::Aborted;
             }
         }
-        let piece = buffer.split_to(buffer.len().min(left).min(MAX_CHUNK_BYTES)).freeze();
-        left -= piece.len();
-        if let Some(value) = fingerprint.as_mut().and_then(|f| f.update(&piece)) {
-            // Of a length that none had before it: it can't be doubted.
-            let _ = believe_large(Some(value), shared);
+        let chunk = buffer.split_to(buffer.len().min(remaining).min(MAX_CHUNK_BYTES)).freeze();
+        remaining -= chunk.len();
+        if let Some(value) = fingerprint.as_mut().and_then(|f| f.update(&chunk)) {
+            // No earlier value has this length, so it can't be doubted.
+            let _ = verify_large(Some(value), shared);
         }
-        wanted = wanted && tell_if_held_up(into.send(piece), shared, &tell).await.is_ok();
-        // Its client has gone. The rest is read for the sake of those behind it alone.
-        if !wanted && !shared.line.borrow().others_wait() {
-            return Passed::Cut;
+        is_wanted = is_wanted && report_stall(sender.send(chunk), shared, &notify).await.is_ok();
+        // The client has gone. The rest is read only for the sake of the commands behind it.
+        if !is_wanted && !shared.pipeline.borrow().others_waiting() {
+            return RelayResult::Aborted;
         }
     }
-    drop(into);
-    // The end of the value, how it went, and the load report: none of it is owed to anyone any more, but it must come
-    // for the next answer to be found.
-    let mut behind = 0;
-    while behind < 3 {
-        let taken = match behind {
+    drop(sender);
+    // The end of the value, the cache result and the load report: nobody needs them any more, but they must be
+    // consumed to find the next response.
+    let mut parts_read = 0;
+    while parts_read < 3 {
+        let received = match parts_read {
             0 => resp::take_line_end(buffer).map(|end| end.is_some()),
             _ => resp::take_frame(buffer, resp::MAX_BUFFERED_VALUE_BYTES).map(|frame| frame.is_some()),
         };
-        match taken {
-            Ok(true) => behind += 1,
+        match received {
+            Ok(true) => parts_read += 1,
             Ok(false) => {
-                let more = more_within(reading, buffer, READ, STREAM_STALL_TIMEOUT);
-                if tell_if_held_up(more, shared, &tell).await.is_err() {
-                    return Passed::Cut;
+                let more = read_more_within(reading, buffer, READ_SIZE_BYTES, STREAM_STALL_TIMEOUT);
+                if report_stall(more, shared, &notify).await.is_err() {
+                    return RelayResult::Aborted;
                 }
             }
-            Err(_) => return Passed::Cut,
+            Err(_) => return RelayResult::Aborted,
         }
     }
-    let mut line = shared.line.borrow_mut();
-    line.take_answered();
-    (line.streaming, line.held_up, line.has_answered) = (false, false, true);
-    Passed::Whole
+    let mut pipeline = shared.pipeline.borrow_mut();
+    pipeline.pop_answered();
+    (pipeline.streaming, pipeline.stream_stalled, pipeline.has_responded) = (false, false, true);
+    RelayResult::Complete
 }
 
-/// Waits for a large value to go on. Where it stands still longer than an answer may, the node is told once, so that nothing
-/// else waits for it.
-async fn tell_if_held_up<T, Told>(
-    going_on: impl Future<Output = T>,
+/// Waits for a large value to progress. If it stalls for longer than a response may, the node is notified once, so
+/// that nothing else waits behind it.
+async fn report_stall<T, Notified>(
+    progress: impl Future<Output = T>,
     shared: &Shared,
-    tell: &impl Fn(ConnectionEvent) -> Told,
+    notify: &impl Fn(ConnectionEvent) -> Notified,
 ) -> T
 where
-    Told: Future<Output = Result<(), mpsc::error::SendError<Input>>>,
+    Notified: Future<Output = Result<(), mpsc::error::SendError<Input>>>,
 {
-    let mut going_on = std::pin::pin!(going_on);
-    if let Ok(done) = timeout(RESPONSE_STALL_TIMEOUT, going_on.as_mut()).await {
+    let mut progress = std::pin::pin!(progress);
+    if let Ok(done) = timeout(RESPONSE_STALL_TIMEOUT, progress.as_mut()).await {
         return done;
     }
-    if !shared.line.borrow().held_up {
-        // Where the node is gone, this task ends with it.
-        let _ = tell(ConnectionEvent::HeldUp).await;
+    if !shared.pipeline.borrow().stream_stalled {
+        // If the node has gone, this task ends with it.
+        let _ = notify(ConnectionEvent::Stalled).await;
     }
-    going_on.await
+    progress.await
 }
--- a/crates/node/src/servers/fence.rs
+++ b/crates/node/src/servers/fence.rs
@@ -1,9 +1,8 @@
-//! A command of which the answer is known beforehand: it shows whether the answers ahead of it are those of the commands ahead
-//! of it.
+//! Fences: commands with a known reply, which show whether the responses before that reply match their commands.
 //!
-//! Answers come in the order of the commands. Where each command ahead of a fence has been answered once, the answer to the
-//! fence comes next; where one was answered twice, an answer of another kind is left in its place. `PING` serves as one: it is
-//! a command that clients send, and its answer is never that of a read or a write.
+//! Responses arrive in the order of the commands. If each command before a fence was answered once, the reply to the
+//! fence comes next; if one was answered twice, a response of another kind arrives in its place. `PING` serves as
+//! the fence: clients send it, too, and its reply differs from any response to a read or a write.
 
 use std::collections::VecDeque;
 
@@ -13,21 +12,21 @@
 use tokio::time::Instant;
 
 use super::connection::Shared;
-use super::line::Line;
-use super::payload::Kind;
-use crate::duplicate_responses::LATEST_REPEAT;
+use super::payload::CommandKind;
+use super::pipeline::Pipeline;
+use crate::duplicate_responses::MAX_DUPLICATE_DELAY;
 
-/// Answers to fences that are remembered, for they may be repeated.
-const REMEMBERED: usize = 8;
+/// Number of fence replies remembered because they may be duplicated.
+const REMEMBERED_FENCE_REPLIES: usize = 8;
 
-/// The bytes of so many fences.
-fn encode(fences: usize) -> Bytes {
+/// Encodes this many fences.
+fn encode_fences(fences: usize) -> Bytes {
     resp::encode_command(["PING".into()]).repeat(fences).into()
 }
 
-/// Whether the bytes of a frame can be the answer to a fence. Cache servers answer `PING` with a line of their own or an error;
-/// reads and writes are answered with an array, `-ERR failed` or `-BUSY`.
-fn is_answer(frame: &[u8]) -> bool {
+/// Whether a frame can be the reply to a fence. Cache servers answer `PING` with a line of its own or an error; reads
+/// and writes are answered with an array, `-ERR failed` or `-BUSY`.
+fn is_fence_reply(frame: &[u8]) -> bool {
     match frame.first() {
         Some(b'+' | b'$') => true,
         Some(b'-') => !frame.starts_with(b"-ERR failed") && !frame.starts_with(b"-BUSY"),
@@ -35,149 +34,156 @@
     }
 }
 
-/// The fences of one connection. Those that have been written stand with the command that they follow
-/// ([`Sent::fences`](super::line::Sent)).
+/// The fences of one connection. Those already written are counted at the command that they follow
+/// ([`InFlightCommand::fences_behind`](super::pipeline::InFlightCommand)).
 #[derive(Default)]
 pub(super) struct Fences {
-    /// So many are to be written before the next command.
-    pub wanted: usize,
-    /// So many answers to fences come before that of the next command.
-    pub due: usize,
-    /// When the last ones were answered.
-    answered: VecDeque<Instant>,
-    /// What the last one was answered with.
-    answer: Option<Bytes>,
+    /// Number of fences to write before the next command.
+    pub requested: usize,
+    /// Number of fence replies expected before the response to the next command.
+    pub awaited: usize,
+    /// When the last replies arrived.
+    replied_at: VecDeque<Instant>,
+    /// The last reply.
+    last_reply: Option<Bytes>,
 }
 
 impl Fences {
-    /// Answers that may still be repeated: those that came not long ago, and those that are due.
-    pub fn repeatable(&self) -> usize {
-        self.due + self.answered.iter().filter(|at| at.elapsed() < LATEST_REPEAT).count()
+    /// Number of replies that may still be duplicated: recent ones and those awaited.
+    pub fn duplicable(&self) -> usize {
+        self.awaited + self.replied_at.iter().filter(|at| at.elapsed() < MAX_DUPLICATE_DELAY).count()
     }
 
-    /// Takes a frame in the place of a fence's answer; whether it can be that.
-    pub fn take(&mut self, frame: Bytes) -> bool {
-        if !is_answer(&frame) {
+    /// Consumes a frame in the place of a fence reply; returns whether it can be one.
+    pub fn accept_reply(&mut self, frame: Bytes) -> bool {
+        if !is_fence_reply(&frame) {
             return false;
         }
-        self.due = self.due.saturating_sub(1);
-        if self.answered.len() == REMEMBERED {
-            self.answered.pop_front();
+        self.awaited = self.awaited.saturating_sub(1);
+        if self.replied_at.len() == REMEMBERED_FENCE_REPLIES {
+            self.replied_at.pop_front();
         }
-        self.answered.push_back(Instant::now());
-        self.answer = Some(frame);
+        self.replied_at.push_back(Instant::now());
+        self.last_reply = Some(frame);
         true
     }
 
-    /// Whether what comes next, in the place of a command's answer, is the repeat of a fence's; its length.
-    pub fn repeated(&self, bytes: &[u8]) -> Option<usize> {
-        self.answer.as_ref().filter(|answer| bytes.starts_with(answer)).map(Bytes::len)
+    /// If the bytes in the place of a command's response are a duplicate of a fence reply, returns the reply's length.
+    pub fn duplicate_length(&self, bytes: &[u8]) -> Option<usize> {
+        self.last_reply.as_ref().filter(|reply| bytes.starts_with(reply)).map(Bytes::len)
     }
 }
 
-/// What the bytes behind an answer show of it.
+/// What the bytes behind a response prove about it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Order {
-    /// Nothing yet: the answer to the fence has not come.
+pub(super) enum OrderCheck {
+    /// Nothing yet: the reply to the fence has not arrived.
     Unknown,
-    /// The answer is that of the first command, and so many that follow are those of the next ones.
-    Kept {
-        /// The answers between it and the fence.
-        answers: usize,
+    /// The response belongs to the first command, and the following ones to the next commands.
+    InOrder {
+        /// Number of responses between it and the fence reply.
+        responses: usize,
     },
-    /// An answer was repeated.
-    Broken,
-    /// What has come can't be told apart.
+    /// A response was duplicated.
+    DuplicateFound,
+    /// The bytes cannot be parsed.
     Unreadable,
 }
 
-/// Whether the answer that has been taken for the first command of a line is its own, by what has come behind it.
-pub(super) fn order(line: &Line, mut behind: &[u8]) -> Order {
-    for (place, sent) in line.sent.iter().enumerate() {
-        // The first one's is not among them any more.
-        let answers = usize::from(place > 0);
+/// Checks by the bytes behind it whether the response assigned to the first command of a pipeline is its own.
+pub(super) fn check_order(pipeline: &Pipeline, mut behind: &[u8]) -> OrderCheck {
+    for (index, sent) in pipeline.in_flight.iter().enumerate() {
+        // The response to the first command has been removed from the buffer.
+        let responses = usize::from(index > 0);
         let is_theirs = |frame: &[u8]| {
-            let can_be = frame.starts_with(b"-") || !is_answer(frame) || sent.kind() == Kind::Probe;
-            can_be && line.fences.repeated(frame).is_none()
+            let can_be_response =
+                frame.starts_with(b"-") || !is_fence_reply(frame) || sent.kind() == CommandKind::Probe;
+            can_be_response && pipeline.fences.duplicate_length(frame).is_none()
         };
-        match skip(&mut behind, answers, is_theirs).and_then(|()| skip(&mut behind, sent.fences, is_answer)) {
-            Ok(()) if sent.fences > 0 => return Order::Kept { answers: place },
+        match skip_frames(&mut behind, responses, is_theirs)
+            .and_then(|()| skip_frames(&mut behind, sent.fences_behind, is_fence_reply))
+        {
+            Ok(()) if sent.fences_behind > 0 => return OrderCheck::InOrder { responses: index },
             Ok(()) => {}
             Err(order) => return order,
         }
     }
     // No fence has been written yet.
-    match skip(&mut behind, 1, |_| false) {
-        Ok(()) => Order::Broken,
+    match skip_frames(&mut behind, 1, |_| false) {
+        Ok(()) => OrderCheck::DuplicateFound,
         Err(order) => order,
     }
 }
 
-/// Takes so many whole frames off some bytes, all of one kind.
+/// Skips this many complete frames, all of one kind.
 ///
 /// # Errors
-/// What is known where that can't be done.
-fn skip(bytes: &mut &[u8], frames: usize, is_of_kind: impl Fn(&[u8]) -> bool) -> Result<(), Order> {
+/// The result of the check if that is not possible.
+fn skip_frames(
+    bytes: &mut &[u8],
+    frames: usize,
+    is_of_kind: impl Fn(&[u8]) -> bool,
+) -> Result<(), OrderCheck> {
     for _ in 0..frames {
         let frame = match resp::first_frame(bytes, resp::MAX_BUFFERED_VALUE_BYTES) {
             Ok(Some(frame)) => frame,
-            Ok(None) => return Err(Order::Unknown),
-            Err(_) => return Err(Order::Unreadable),
+            Ok(None) => return Err(OrderCheck::Unknown),
+            Err(_) => return Err(OrderCheck::Unreadable),
         };
         if !is_of_kind(frame) {
-            return Err(Order::Broken);
+            return Err(OrderCheck::DuplicateFound);
         }
         *bytes = &bytes[frame.len()..];
     }
     Ok(())
 }
 
-/// An answer has come in the place of a fence's, or that of a fence in another's place.
-pub(super) struct OutOfOrder;
+/// A response arrived in the place of a fence reply, or a fence reply in the place of a response.
+pub(super) struct UnexpectedReply;
 
-/// Takes the answers to fences that come next, as far as they are there, and repeats of such answers.
+/// Consumes the fence replies that come next, as far as they have arrived, and duplicates of them.
 ///
 /// # Errors
-/// Where something else has come in their place: the server counts as one that repeats.
-pub(super) fn take_answers(buffer: &mut BytesMut, shared: &Shared) -> Result<(), OutOfOrder> {
-    let mut line = shared.line.borrow_mut();
-    let mut findings = shared.findings.borrow_mut();
-    while line.fences.due > 0 {
+/// Something else arrived in their place: the server is now known to send duplicates.
+pub(super) fn take_fence_replies(buffer: &mut BytesMut, shared: &Shared) -> Result<(), UnexpectedReply> {
+    let mut pipeline = shared.pipeline.borrow_mut();
+    let mut verification = shared.verification.borrow_mut();
+    while pipeline.fences.awaited > 0 {
         match resp::take_bytes(buffer, resp::MAX_BUFFERED_VALUE_BYTES) {
-            Ok(Some(frame)) if line.fences.take(frame.clone()) => {}
+            Ok(Some(frame)) if pipeline.fences.accept_reply(frame.clone()) => {}
             Ok(None) if resp::large_value_header(buffer).is_none() => return Ok(()),
             _ => {
-                findings.repeated();
-                return Err(OutOfOrder);
+                verification.record_duplicate();
+                return Err(UnexpectedReply);
             }
         }
     }
-    while !line.sent.is_empty() {
-        let Some(length) = line.fences.repeated(buffer) else { break };
-        findings.repeated();
-        // It may be the answer to a fence that is out: a command ahead was dropped without a word, then.
-        if line.has_fence() {
-            return Err(OutOfOrder);
+    while !pipeline.in_flight.is_empty() {
+        let Some(length) = pipeline.fences.duplicate_length(buffer) else { break };
+        verification.record_duplicate();
+        // It may be the reply to a fence in flight, in which case a command ahead was silently dropped.
+        if pipeline.has_pending_fence() {
+            return Err(UnexpectedReply);
         }
         let _ = buffer.split_to(length);
     }
     Ok(())
 }
 
-/// Writes the fences that are wanted.
+/// Writes the requested fences.
 ///
 /// # Errors
-/// What ended the connection.
-pub(super) async fn write_wanted(
+/// The error that ended the connection.
+pub(super) async fn write_requested_fences(
     writing: &mut (impl AsyncWrite + Unpin),
     shared: &Shared,
 ) -> std::io::Result<()> {
-    let wanted = shared.line.borrow().fences.wanted;
-    if wanted == 0 {
+    let requested = shared.pipeline.borrow().fences.requested;
+    if requested == 0 {
         return Ok(());
     }
-    writing.write_all(&encode(wanted)).await?;
-    shared.line.borrow_mut().fences_written(wanted);
+    writing.write_all(&encode_fences(requested)).await?;
+    shared.pipeline.borrow_mut().record_fences_written(requested);
     Ok(())
 }
 
--- a/crates/node/src/servers/payload.rs
+++ b/crates/node/src/servers/payload.rs
@@ -1,4 +1,4 @@
-//! A command for a cache server, and the bytes that are written of it.
+//! A command for a cache server, and its encoding.
 
 use std::rc::Rc;
 
@@ -8,37 +8,37 @@
 
 use crate::command::{AttemptExtras, AttemptId, Command as ClientCommand};
 
-/// A command that is to be written.
+/// A command of an attempt or a probe.
 pub struct AttemptCommand {
     pub attempt: AttemptId,
     pub payload: Payload,
 }
 
 impl AttemptCommand {
-    /// One that was not written yet.
+    /// A command that has not been written yet.
     pub fn new(attempt: AttemptId, payload: Payload) -> Self {
         AttemptCommand { attempt, payload }
     }
 }
 
-/// What a command asks for.
+/// The content of a command.
 pub enum Payload {
-    /// What a client asked for. Its bytes are made when they are written, since they tell the time left by then.
+    /// A client's request. It is encoded when it is written because it carries the time left at that moment.
     Request { command: Rc<ClientCommand>, extras: AttemptExtras, may_run_twice: bool },
-    /// The load only, which has another answer.
+    /// A query for the load report, which has a response of its own form.
     Probe,
 }
 
 impl Payload {
-    /// Until when the command is waited for; `None` for a probe.
-    pub(super) fn ends(&self) -> Option<Instant> {
+    /// Until when the response is waited for; `None` for a probe.
+    pub(super) fn deadline(&self) -> Option<Instant> {
         match self {
             Payload::Request { extras, .. } => Some(extras.deadline()),
             Payload::Probe => None,
         }
     }
 
-    /// Whether it may still be written.
+    /// Whether there is time left to send it.
     pub(super) fn has_time(&self) -> bool {
         match self {
             Payload::Request { extras, .. } => extras.milliseconds_left().is_some(),
@@ -54,15 +54,15 @@
         }
     }
 
-    pub(super) fn kind(&self) -> Kind {
+    pub(super) fn kind(&self) -> CommandKind {
         match self {
-            Payload::Request { command, .. } if command.write => Kind::Write,
-            Payload::Request { .. } => Kind::Read,
-            Payload::Probe => Kind::Probe,
+            Payload::Request { command, .. } if command.write => CommandKind::Write,
+            Payload::Request { .. } => CommandKind::Read,
+            Payload::Probe => CommandKind::Probe,
         }
     }
 
-    /// The bytes to be written now; `None` where the attempt has no time left.
+    /// The bytes to write now; `None` if the attempt has no time left.
     pub(super) fn encode_now(&self) -> Option<Bytes> {
         match self {
             Payload::Request { command, extras, .. } => Some(command.encode_with(extras.encode_now()?)),
@@ -71,13 +71,13 @@
     }
 }
 
-/// What may be done with a command that has been written.
+/// How a written command may be treated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Kind {
-    /// Asks for the load only.
+pub(super) enum CommandKind {
+    /// Reads the load only.
     Probe,
     /// May run twice.
     Read,
-    /// May not run twice unless the decision module says so.
+    /// May run twice only if the decision module allows it.
     Write,
 }
--- a/crates/node/src/servers/pool.rs
+++ b/crates/node/src/servers/pool.rs
@@ -1,4 +1,4 @@
-//! The connections to one cache server, and the commands that wait for one.
+//! The connections to one cache server, and the commands that wait for a connection.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -12,162 +12,162 @@
 use crate::command::AttemptId;
 use crate::duplicate_responses::VerificationState;
 
-/// A server that takes new requests, or that still owes answers: others are forgotten.
+/// The pool of a server that accepts new requests or has responses outstanding; others have no pool.
 pub(super) struct Pool {
     pub address: Option<SocketAddr>,
-    /// Whether the list says that it takes new requests.
+    /// Whether the server accepts new requests according to the list.
     pub ready: bool,
     pub connections: Vec<Connection>,
-    /// Attempts for which a connection is being made.
+    /// Commands for which a connection is being opened.
     pub waiting: VecDeque<AttemptCommand>,
-    /// After a refusal no connection is opened beside others until then.
-    pub alone_until: Instant,
-    /// What is known of the server's answers.
-    pub findings: Rc<RefCell<VerificationState>>,
+    /// After a refusal, no connection is opened beside others before this time.
+    pub no_parallel_connect_until: Instant,
+    /// What is known about the responses of the server.
+    pub verification: Rc<RefCell<VerificationState>>,
 }
 
 impl Pool {
-    /// One of a server, without connections.
+    /// An empty pool.
     pub fn new(address: Option<SocketAddr>, ready: bool) -> Self {
         Pool {
             address,
             ready,
             connections: Vec::new(),
             waiting: VecDeque::new(),
-            alone_until: Instant::now(),
-            findings: Rc::default(),
+            no_parallel_connect_until: Instant::now(),
+            verification: Rc::default(),
         }
     }
 
-    /// Connections that lead to where the server is.
-    pub fn open(&self) -> usize {
+    /// Number of connections to the current address of the server.
+    pub fn active_connections(&self) -> usize {
         self.connections.iter().filter(|connection| !connection.retired).count()
     }
 
-    /// Lets what waits behind a large value that stands still be answered on other connections; see
-    /// [`release_behind_first`](Self::release_behind_first).
-    pub fn release_behind_large_value(&mut self, number: u64) -> Vec<AttemptId> {
+    /// Moves the commands that are blocked behind a stalled large value to other connections; see
+    /// [`release_blocked`](Self::release_blocked).
+    pub fn release_blocked_by_large_value(&mut self, number: u64) -> Vec<AttemptId> {
         let Some(connection) = self.connections.iter().find(|c| c.number == number) else {
             return Vec::new();
         };
-        let mut line = connection.shared.line.borrow_mut();
-        // It may have gone on since this was told.
-        if !line.streaming {
+        let mut pipeline = connection.shared.pipeline.borrow_mut();
+        // It may have progressed since the stall was reported.
+        if !pipeline.streaming {
             return Vec::new();
         }
-        line.held_up = true;
-        drop(line);
-        self.release_behind_first(number)
+        pipeline.stream_stalled = true;
+        drop(pipeline);
+        self.release_blocked(number)
     }
 
-    /// Takes from a connection what waits behind the answer that comes next: what has not been written waits for another
-    /// connection, and reads that have been written are returned, to be sent again.
-    pub fn release_behind_first(&mut self, number: u64) -> Vec<AttemptId> {
+    /// Releases the commands of a connection that wait behind its next response: queued ones wait for another connection,
+    /// and reads in flight are returned to be sent again.
+    pub fn release_blocked(&mut self, number: u64) -> Vec<AttemptId> {
         let Some(connection) = self.connections.iter().find(|c| c.number == number) else {
             return Vec::new();
         };
-        let mut line = connection.shared.line.borrow_mut();
-        while let Some(command) = line.unsent.pop_back() {
+        let mut pipeline = connection.shared.pipeline.borrow_mut();
+        while let Some(command) = pipeline.queued.pop_back() {
             self.waiting.push_front(command);
         }
-        line.release_reads()
+        pipeline.release_reads()
     }
 
-    /// Closes the connections that carry nothing.
+    /// Closes the idle connections.
     pub fn close_idle(&mut self) {
-        self.connections.retain(|c| !c.up() || c.load() > 0);
+        self.connections.retain(|c| !c.is_connected() || c.load() > 0);
     }
 
-    /// Closes one connection that carries nothing, where there is one.
+    /// Closes one idle connection, if there is one.
     pub fn close_one_idle(&mut self) {
-        let idle = self.connections.iter().position(|c| c.up() && c.load() == 0);
-        idle.map(|place| self.connections.remove(place));
+        let idle = self.connections.iter().position(|c| c.is_connected() && c.load() == 0);
+        idle.map(|index| self.connections.remove(index));
     }
 
-    /// Puts an attempt behind others on the connection with the fewest that is not held up.
-    pub fn append(&mut self, command: AttemptCommand, multiplex: usize) -> bool {
-        let line = |c: &Connection| {
-            let line = c.shared.line.borrow();
-            (line.up
-                && !line.ending
-                && !line.streaming
+    /// Queues a command on the least loaded connection that is not blocked. Returns whether there was room for it.
+    pub fn enqueue(&mut self, command: AttemptCommand, attempts_per_connection: usize) -> bool {
+        let load = |c: &Connection| {
+            let pipeline = c.shared.pipeline.borrow();
+            (pipeline.connected
+                && !pipeline.closing
+                && !pipeline.streaming
                 && !c.retired
-                && !line.stalled()
-                && !line.may_skip_an_answer()
-                && line.load() < multiplex)
-                .then(|| (!line.is_in_step(), line.load()))
+                && !pipeline.has_given_up_command()
+                && !pipeline.may_miss_a_response()
+                && pipeline.load() < attempts_per_connection)
+                .then(|| (!pipeline.is_in_sync(), pipeline.load()))
         };
-        if let Some(c) = self.connections.iter_mut().filter(|c| line(c).is_some()).min_by_key(|c| line(c)) {
+        if let Some(c) = self.connections.iter_mut().filter(|c| load(c).is_some()).min_by_key(|c| load(c)) {
             c.push(command);
             return true;
         }
-        let coming = self.connections.iter().filter(|c| !c.up() && !c.retired).count();
-        let room = self.waiting.len() < coming * multiplex;
-        if room {
+        let connecting = self.connections.iter().filter(|c| !c.is_connected() && !c.retired).count();
+        let has_room = self.waiting.len() < connecting * attempts_per_connection;
+        if has_room {
             self.waiting.push_back(command);
         }
-        room
+        has_room
     }
 
-    /// A connection on which a command could be answered at once; one on which the answer to an earlier command may still come
-    /// is the last choice.
-    pub fn free(&mut self) -> Option<&mut Connection> {
-        let in_step = |c: &Connection| c.free() && c.shared.line.borrow().is_in_step();
-        let place = self.connections.iter().position(in_step);
-        let place = place.or_else(|| self.connections.iter().position(Connection::free));
-        place.map(|place| &mut self.connections[place])
+    /// A connection that would answer a command at once. One on which the response to an earlier command may still
+    /// arrive is the last choice.
+    pub fn available_connection(&mut self) -> Option<&mut Connection> {
+        let in_sync = |c: &Connection| c.is_available() && c.shared.pipeline.borrow().is_in_sync();
+        let index = self.connections.iter().position(in_sync);
+        let index = index.or_else(|| self.connections.iter().position(Connection::is_available));
+        index.map(|index| &mut self.connections[index])
     }
 
-    /// The same for what may not run twice: not behind a refusal that may be repeated.
-    pub fn free_after_no_refusal(&mut self) -> Option<&mut Connection> {
+    /// The same for a command that must not run twice: the last response must not be a refusal that may be duplicated.
+    pub fn available_without_refusal(&mut self) -> Option<&mut Connection> {
         self.connections.iter_mut().find(|c| {
-            let is_believed = || {
-                let line = c.shared.line.borrow();
-                line.is_in_step() && !line.recent.may_repeat_refusal()
+            let is_trusted = || {
+                let pipeline = c.shared.pipeline.borrow();
+                pipeline.is_in_sync() && !pipeline.recent_responses.may_duplicate_refusal()
             };
-            c.free() && is_believed()
+            c.is_available() && is_trusted()
         })
     }
 
-    /// Whether a command could be answered at once on one of them.
-    pub fn has_free(&self) -> bool {
-        self.connections.iter().any(Connection::free)
+    /// Whether any connection would answer a command at once.
+    pub fn has_available(&self) -> bool {
+        self.connections.iter().any(Connection::is_available)
     }
 
-    /// Closes a connection that carries nothing and on which the answer to an earlier command may still come, where nothing else
-    /// is free and one more may be made in its place.
-    pub fn replace_out_of_step(&mut self) {
-        let is_out_of_step = |c: &Connection| c.free() && !c.shared.line.borrow().is_in_step();
-        if self.connections.iter().any(|c| c.free() && !is_out_of_step(c)) {
+    /// Closes an idle connection on which the response to an earlier command may still arrive, if no other connection is
+    /// available and a new one may be opened in its place.
+    pub fn replace_out_of_sync(&mut self) {
+        let is_out_of_sync = |c: &Connection| c.is_available() && !c.shared.pipeline.borrow().is_in_sync();
+        if self.connections.iter().any(|c| c.is_available() && !is_out_of_sync(c)) {
             return;
         }
-        let Some(place) = self.connections.iter().position(is_out_of_step) else { return };
-        if self.findings.borrow_mut().grants_connection() {
-            self.connections.remove(place);
+        let Some(index) = self.connections.iter().position(is_out_of_sync) else { return };
+        if self.verification.borrow_mut().take_connection_token() {
+            self.connections.remove(index);
         }
     }
 
-    /// Gives waiting attempts the connections that are free, in the order in which they came.
-    pub fn assign_free_connections(&mut self) {
+    /// Assigns available connections to the waiting commands, in order of arrival.
+    pub fn assign_waiting(&mut self) {
         while let Some(command) = self.waiting.pop_front() {
-            match self.free() {
-                Some(free) => free.push(command),
+            match self.available_connection() {
+                Some(connection) => connection.push(command),
                 None => return self.waiting.push_front(command),
             }
         }
     }
 
-    /// Gives waiting attempts the connections that have become free; once none is being made any more those
-    /// left go behind others. Returns those that have found no connection.
-    pub fn pump(&mut self, multiplex: usize) -> Vec<AttemptId> {
-        self.assign_free_connections();
+    /// Assigns available connections to the waiting commands; if no connection is being opened any more, queues the rest
+    /// behind other commands. Returns the attempts that found no connection.
+    pub fn dispatch_waiting(&mut self, attempts_per_connection: usize) -> Vec<AttemptId> {
+        self.assign_waiting();
         let mut unplaced = Vec::new();
-        if self.connections.iter().any(|c| !c.up() && !c.retired) {
+        if self.connections.iter().any(|c| !c.is_connected() && !c.retired) {
             return unplaced;
         }
         while let Some(command) = self.waiting.pop_front() {
             let attempt = command.attempt;
-            if !self.append(command, multiplex) {
+            if !self.enqueue(command, attempts_per_connection) {
                 unplaced.push(attempt);
             }
         }
--- a/crates/node/src/service.rs
+++ b/crates/node/src/service.rs
@@ -1,5 +1,5 @@
-//! A node from its start to its end: its parts are put together ([`assembly`]), it follows what it is told, and it ends in
-//! order ([`ending`]).
+//! The life cycle of a node: its components are assembled ([`assembly`]), it handles control messages, and it shuts down
+//! ([`shutdown`]).
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,41 +13,41 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::Instant;
 
-use crate::clients::Plan;
+use crate::clients::RetirementPlan;
 use crate::config::Config;
 use crate::handover::Handover;
 use crate::input::Input;
 
 mod assembly;
-mod ending;
+mod shutdown;
 
-use assembly::Running;
+use assembly::RunningNode;
 
-/// After SIGTERM new connections come for 0.4 s at most; this much longer they are still taken.
-const KEEP_ACCEPTING: Duration = Duration::from_millis(600);
+/// After SIGTERM new connections may arrive for 0.4 s; they are accepted for this long.
+const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(600);
 
-/// What the one who started a node tells it.
+/// Control messages from the owner of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Control {
-    /// End: take nothing new soon, answer what was taken.
+    /// Shut down: soon accept nothing new, and answer what was accepted.
     Stop,
-    /// The lifecycle at the desk took a step that its connections are to follow.
+    /// The lifecycle of the operations endpoint has changed, and the connections of clients are to follow.
     LifecycleChanged,
     /// Discovery is at this address from now on.
     SetDiscoveryAddress(SocketAddr),
-    /// Staff have ordered something of a zone.
+    /// An operator's order about a zone.
     ZoneOrder(ZoneOrder),
-    /// Recording goes on or off, where the node has a recorder.
+    /// Switch recording on or off if the node has a recorder.
     SetRecording(bool),
 }
 
-/// What a node begins with beside its configuration.
+/// What a node starts with beside its configuration.
 pub struct StartOptions<H: Host> {
-    /// Where the decision module's events are recorded.
+    /// Records the events of the decision module.
     pub recorder: Option<Recorder>,
-    /// The listener for clients, where it is one that other processes hold, too; else one is opened.
+    /// The listener for clients if it is shared with other processes; otherwise one is opened.
     pub listener: Option<H::Listener>,
-    /// The other processes of this node, where there can be any.
+    /// The other processes of this node, if there can be any.
     pub handover: Option<Handover>,
 }
 
@@ -57,73 +57,73 @@
     }
 }
 
-/// Runs a node until it is told to stop and has answered what it took. What the decision module is told goes to the
-/// recorder, where one is given. Must run inside a
-/// [`LocalSet`](tokio::task::LocalSet): dropping that ends the node at once, as a kill would.
+/// Runs a node until it is told to stop and has answered the requests that it accepted. The events of the decision module
+/// are recorded if there is a recorder. Must run inside a [`LocalSet`](tokio::task::LocalSet): dropping that ends the node
+/// at once, as a kill would.
 ///
 /// # Errors
-/// One plain line: an address that cannot be opened, or the end of one of the node's parts.
+/// One line of text: an address that cannot be opened, or the end of a component.
 pub async fn run<H: Host>(
     host: H,
     config: Config,
-    desk: Arc<OpsEndpoint>,
+    ops_endpoint: Arc<OpsEndpoint>,
     mut control: mpsc::Receiver<Control>,
     start: StartOptions<H>,
 ) -> Result<(), String> {
-    let mut running = assembly::assemble(host, config, desk, start).await?;
-    running.follow(&mut control).await?;
+    let mut running = assembly::assemble(host, config, ops_endpoint, start).await?;
+    running.handle_control(&mut control).await?;
     running.end().await;
     Ok(())
 }
 
-impl<H: Host> Running<H> {
-    /// Does what the node is told, until it is told to stop.
+impl<H: Host> RunningNode<H> {
+    /// Handles control messages until the node is told to stop.
     ///
     /// # Errors
-    /// The node's own part has ended.
-    async fn follow(&mut self, control: &mut mpsc::Receiver<Control>) -> Result<(), String> {
-        let mut watching: Option<AbortHandle> = None;
+    /// The node's own task has ended.
+    async fn handle_control(&mut self, control: &mut mpsc::Receiver<Control>) -> Result<(), String> {
+        let mut log_task: Option<AbortHandle> = None;
         loop {
-            let told = tokio::select! {
+            let message = tokio::select! {
                 biased;
-                told = control.recv() => told,
-                () = self.moved.notified() => Some(Control::LifecycleChanged),
-                ended = &mut self.node => return Err(format!("the node ended: {ended:?}")),
+                message = control.recv() => message,
+                () = self.lifecycle_changed.notified() => Some(Control::LifecycleChanged),
+                ended = &mut self.node => return Err(format!("the node task ended: {ended:?}")),
             };
-            match told {
-                Some(Control::SetDiscoveryAddress(address)) => self.move_discovery(address),
-                // With no recorder there is nobody to tell.
-                Some(Control::SetRecording(on)) if self.recorded => {
+            match message {
+                Some(Control::SetDiscoveryAddress(address)) => self.set_discovery_address(address),
+                // Without a recorder nobody needs the message.
+                Some(Control::SetRecording(on)) if self.has_recorder => {
                     let _ = self.events.send(Input::SetRecording(on)).await;
                 }
                 Some(Control::SetRecording(_)) => {}
-                Some(Control::LifecycleChanged) => self.follow_lifecycle(&mut watching),
-                Some(Control::ZoneOrder(wish)) => {
-                    let _ = self.events.send(Input::ZoneOrder(wish)).await;
+                Some(Control::LifecycleChanged) => self.apply_lifecycle(&mut log_task),
+                Some(Control::ZoneOrder(order)) => {
+                    let _ = self.events.send(Input::ZoneOrder(order)).await;
                 }
                 Some(Control::Stop) | None => return Ok(()),
             }
         }
     }
 
-    fn move_discovery(&self, address: SocketAddr) {
-        let moved = self.discovery.send_if_modified(|a| std::mem::replace(a, address) != address);
-        let what = if moved { "now" } else { "still" };
-        self.host.log(format_args!("configuration read again: discovery is {what} at {address}"));
+    fn set_discovery_address(&self, address: SocketAddr) {
+        let changed = self.discovery_address.send_if_modified(|a| std::mem::replace(a, address) != address);
+        let verb = if changed { "now" } else { "still" };
+        self.host.log(format_args!("configuration read again: discovery is {verb} at {address}"));
     }
 
-    /// Lets the connections of clients go, or keeps those that have not gone, as the lifecycle says. A drain that is told again
-    /// goes on as it is.
-    fn follow_lifecycle(&self, watching: &mut Option<AbortHandle>) {
-        let drained = self.desk.lifecycle.phase() == Phase::Drained;
-        if drained && watching.is_none() {
-            let plan = Plan::drain(Instant::now(), self.longest_deadline);
-            self.retiring.drain(Some(plan));
-            let watch = spawn_local(self.clients.clone().watch_retirement(plan));
-            *watching = Some(watch.abort_handle());
-        } else if !drained && let Some(watching) = watching.take() {
-            watching.abort();
-            self.retiring.drain(None);
+    /// Retires the connections of clients, or keeps those still open, according to the lifecycle. A repeated drain does not
+    /// restart the retirement.
+    fn apply_lifecycle(&self, log_task: &mut Option<AbortHandle>) {
+        let is_drained = self.ops_endpoint.lifecycle.phase() == Phase::Drained;
+        if is_drained && log_task.is_none() {
+            let plan = RetirementPlan::drain(Instant::now(), self.longest_deadline);
+            self.retirement.set_drain_plan(Some(plan));
+            let log = spawn_local(self.clients.clone().log_retirement(plan));
+            *log_task = Some(log.abort_handle());
+        } else if !is_drained && let Some(log_task) = log_task.take() {
+            log_task.abort();
+            self.retirement.set_drain_plan(None);
         }
     }
 }
--- a/crates/node/src/service/assembly.rs
+++ b/crates/node/src/service/assembly.rs
@@ -1,4 +1,4 @@
-//! The parts of a node, put together and started.
+//! Assembles and starts the components of a node.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,98 +15,103 @@
 use tokio::time::sleep;
 
 use super::StartOptions;
-use crate::clients::{Bounds, Clients, Grammar, Retiring};
+use crate::clients::{ClientLimits, Clients, ParserConfig, RetirementControl};
 use crate::config::Config;
 use crate::discovery::DiscoveryKind;
-use crate::handover::{self, Budget, Side};
+use crate::handover::{self, DescriptorBudget, HandoverParticipant};
 use crate::input::Input;
 use crate::locality::LocalityController;
 use crate::node::{Clock, Components, Node, ResumedState, cache_server_descriptors};
 use crate::storm_monitor::StormMonitor;
 use crate::{agreement, discovery, ops, origin, peers, servers};
 
-/// Inputs that wait for the node; who brings more waits in turn.
-const QUEUE: usize = 1024;
-/// Between two looks whether a node that shares its listener can serve: until then it accepts nothing.
-const READY_LOOK: Duration = Duration::from_millis(5);
-/// A node that was given no server is used all the same after this time, when discovery is silent.
-const WITHOUT_DISCOVERY: Duration = Duration::from_secs(1);
+/// Length of the node's input queue; senders wait while it is full.
+const INPUT_QUEUE_LENGTH: usize = 1024;
+/// Interval of the readiness check of a node with a shared listener: until it is ready it accepts nothing.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// A node that has received no server list becomes ready after this time, when discovery does not respond.
+const READY_WITHOUT_DISCOVERY_AFTER: Duration = Duration::from_secs(1);
 /// Descriptors for the listener, the peers, discovery, the runtime and the standard streams.
-const OWN_DESCRIPTORS: usize = 16;
+const RESERVED_DESCRIPTORS: usize = 16;
 
-/// Connections to each cache server that the node can do with.
-const FOR_EACH_SERVER: usize = 4;
-/// The same for all origins together.
-const FOR_ORIGINS: usize = 12;
+/// Connections that the node needs to each cache server.
+const CONNECTIONS_PER_SERVER: usize = 4;
+/// Connections that the node needs to all origins together.
+const ORIGIN_CONNECTIONS: usize = 12;
 
-/// How many of the descriptors are for servers: as many as those that are known need, but neither may leave the other side
-/// without. Three eighths is the least, and half of them the most.
-fn for_servers(pool: usize, known: usize) -> usize {
+/// Number of descriptors for connections to servers: what the known servers need, but between three eighths and one half,
+/// so that enough are left for clients.
+fn server_descriptors(pool: usize, known: usize) -> usize {
     let (least, most) = ((pool * 3 / 8).max(1), (pool / 2).max(1));
-    (known * FOR_EACH_SERVER + FOR_ORIGINS).clamp(least, most)
+    (known * CONNECTIONS_PER_SERVER + ORIGIN_CONNECTIONS).clamp(least, most)
 }
 
-/// A node that runs.
-pub(super) struct Running<H: Host> {
+/// A running node.
+pub(super) struct RunningNode<H: Host> {
     pub(super) host: H,
-    pub(super) desk: Arc<OpsEndpoint>,
+    pub(super) ops_endpoint: Arc<OpsEndpoint>,
     pub(super) clients: Rc<Clients<H>>,
-    pub(super) retiring: Rc<Retiring>,
-    /// What its other processes are told.
-    pub(super) side: Side<H>,
-    /// Where the node's own part hears of everything.
+    pub(super) retirement: Rc<RetirementControl>,
+    /// This process in a handover.
+    pub(super) handover: HandoverParticipant<H>,
+    /// The input of the node's own task.
     pub(super) events: mpsc::Sender<Input>,
     pub(super) node: JoinHandle<()>,
     pub(super) accepting: JoinHandle<()>,
-    /// Where discovery is.
-    pub(super) discovery: watch::Sender<SocketAddr>,
-    /// Told where the lifecycle has taken a step by itself.
-    pub(super) moved: Rc<Notify>,
-    /// Whether other processes hold its listener, too.
-    pub(super) shared: bool,
-    /// Whether what the decision module is told is recorded.
-    pub(super) recorded: bool,
+    /// The address of discovery.
+    pub(super) discovery_address: watch::Sender<SocketAddr>,
+    /// Notified when the lifecycle has changed by itself.
+    pub(super) lifecycle_changed: Rc<Notify>,
+    /// Whether other processes share its listener.
+    pub(super) shares_listener: bool,
+    /// Whether the events of the decision module are recorded.
+    pub(super) has_recorder: bool,
     /// No request lives longer.
     pub(super) longest_deadline: Duration,
 }
 
-/// Starts all parts of a node.
+/// Starts all components of a node.
 ///
 /// # Errors
-/// One plain line: an address that cannot be opened.
+/// One line of text: an address that cannot be opened.
 pub(super) async fn assemble<H: Host>(
     host: H,
     config: Config,
-    desk: Arc<OpsEndpoint>,
+    ops_endpoint: Arc<OpsEndpoint>,
     start: StartOptions<H>,
-) -> Result<Running<H>, String> {
+) -> Result<RunningNode<H>, String> {
     let mut clock = Clock::start(&host);
     let StartOptions { mut recorder, listener, handover } = start;
-    let shared = listener.is_some();
-    let (events, inputs) = mpsc::channel(QUEUE);
-    let mut site = config.site;
+    let shares_listener = listener.is_some();
+    let (events, inputs) = mpsc::channel(INPUT_QUEUE_LENGTH);
+    let mut settings = config.site;
     let storm = config.operator.storm;
-    site.policy.storm_mitigation = storm.damping();
-    let idle_close = Duration::from_micros(site.server_idle_timeout);
-    let connect_timeout = Duration::from_micros(site.policy.connect_timeout);
-    let staff = config.ops_listen.map_or(0, |_| ops::reserved_descriptors(config.max_descriptors));
-    let pool = (config.max_descriptors - OWN_DESCRIPTORS).saturating_sub(staff).max(2);
-    let servers = for_servers(pool, config.cached_list.as_ref().map_or(0, |list| list.members.len()));
-    let descriptors = pool - servers;
+    settings.policy.storm_mitigation = storm.damping();
+    let idle_close = Duration::from_micros(settings.server_idle_timeout);
+    let connect_timeout = Duration::from_micros(settings.policy.connect_timeout);
+    let ops_descriptors = config.ops_listen.map_or(0, |_| ops::reserved_descriptors(config.max_descriptors));
+    let available = (config.max_descriptors - RESERVED_DESCRIPTORS).saturating_sub(ops_descriptors).max(2);
+    let for_servers =
+        server_descriptors(available, config.cached_list.as_ref().map_or(0, |list| list.members.len()));
+    let client_descriptors = available - for_servers;
     let limits = servers::Limits {
-        node_count: site.policy.node_count as usize,
-        // A request that may have one attempt out must close the connection of one given up, so that no other
-        // may be on it.
-        attempts_per_connection: if site.policy.may_duplicate { site.attempts_per_connection } else { 1 },
+        node_count: settings.policy.node_count as usize,
+        // A request with only one attempt allowed at a time must close the connection of a given-up attempt, so no other
+        // command may be on it.
+        attempts_per_connection: if settings.policy.may_duplicate {
+            settings.attempts_per_connection
+        } else {
+            1
+        },
         idle_close,
         connect_timeout,
-        max_connections: cache_server_descriptors(servers),
+        max_connections: cache_server_descriptors(for_servers),
     };
-    let peers = match config.peer_listen.filter(|_| site.policy.may_send_to_peers) {
+    let peers = match config.peer_listen.filter(|_| settings.policy.may_send_to_peers) {
         Some(listen) => peers::Peers::open(
             host.clone(),
             listen,
-            shared,
+            shares_listener,
             config.peers,
             config.peer_broadcast,
             events.clone(),
@@ -116,30 +121,35 @@
         .map_err(|e| format!("cannot open {listen}: {e}"))?,
         None => None,
     };
-    let aims = site.class_names.iter().zip(&site.policy.classes);
-    let aims =
-        aims.map(|(name, c)| format!("{name} {} of {} ms", c.target_latency / 1000, c.deadline / 1000));
-    let aims = format!("aims: {}; {} nodes", aims.collect::<Vec<_>>().join(", "), site.policy.node_count);
-    let teller =
-        if site.policy.subscribes_to_discovery { DiscoveryKind::Service } else { DiscoveryKind::Agent };
-    let watched = discovery::Subscription { watch: teller == DiscoveryKind::Agent, requested_calls: 0 };
-    let (wanted, wishes) = watch::channel(watched);
-    let mut parts = Components {
-        servers: servers::Servers::new(host.clone(), limits, desk.metrics.clone(), events.clone()),
+    let targets = settings.class_names.iter().zip(&settings.policy.classes);
+    let targets =
+        targets.map(|(name, c)| format!("{name} {} of {} ms", c.target_latency / 1000, c.deadline / 1000));
+    let targets = format!(
+        "latency targets (of deadlines): {}; {} nodes",
+        targets.collect::<Vec<_>>().join(", "),
+        settings.policy.node_count
+    );
+    let discovery_kind =
+        if settings.policy.subscribes_to_discovery { DiscoveryKind::Service } else { DiscoveryKind::Agent };
+    let initial =
+        discovery::Subscription { watch: discovery_kind == DiscoveryKind::Agent, requested_calls: 0 };
+    let (subscription, subscriptions) = watch::channel(initial);
+    let mut components = Components {
+        servers: servers::Servers::new(host.clone(), limits, ops_endpoint.metrics.clone(), events.clone()),
         origins: origin::Origins::new(
             host.clone(),
             idle_close,
             connect_timeout,
-            servers - cache_server_descriptors(servers),
-            desk.metrics.clone(),
+            for_servers - cache_server_descriptors(for_servers),
+            ops_endpoint.metrics.clone(),
             events.clone(),
         ),
         peers,
-        subscription: wanted,
-        ops_endpoint: desk.clone(),
+        subscription,
+        ops_endpoint: ops_endpoint.clone(),
         has_ops_address: config.ops_listen.is_some(),
         storm_monitor: None,
-        locality: LocalityController::new(&config.operator.places, &site, config.seed)
+        locality: LocalityController::new(&config.operator.places, &settings, config.seed)
             .map_err(|e| format!("places.{e}"))?,
         agreement: None,
         lifecycle_changed: Rc::default(),
@@ -149,16 +159,18 @@
     };
     let members = &config.operator.agreement;
     if config.operator.places.on {
-        // Set once, by the one node that this desk is of.
-        let _ = desk.zone_status.set(ZoneStatusBoard::new(site.zone_names.clone(), members.on));
+        // Set only once, by the one node of this operations endpoint.
+        let _ = ops_endpoint.zone_status.set(ZoneStatusBoard::new(settings.zone_names.clone(), members.on));
     }
-    let moved: Rc<Notify> = parts.lifecycle_changed.clone();
-    let (who, zones) = ((site.policy.node_index, config.seed), (site.zone_names.clone(), site.zone));
-    let accord = agreement::Agreement::open(&host, (members, shared), who, zones, events.clone()).await;
-    parts.agreement = accord.map_err(|e| format!("accord: {e}"))?;
-    let (before, successors) = handover.map_or((None, None), |h| (h.predecessor, Some(h.successors)));
+    let lifecycle_changed: Rc<Notify> = components.lifecycle_changed.clone();
+    let (identity, zones) =
+        ((settings.policy.node_index, config.seed), (settings.zone_names.clone(), settings.zone));
+    let agreement =
+        agreement::Agreement::open(&host, (members, shares_listener), identity, zones, events.clone()).await;
+    components.agreement = agreement.map_err(|e| format!("accord: {e}"))?;
+    let (predecessor, successors) = handover.map_or((None, None), |h| (h.predecessor, Some(h.successors)));
     let mut known = config.cached_list;
-    if let Some((state, _)) = &before {
+    if let Some((state, _)) = &predecessor {
         match handover::decode_list(state) {
             Ok(list) => known = Some(list),
             Err(e) => host.log(format_args!("handover: {e}")),
@@ -167,15 +179,21 @@
         if let Some(policy) = &policy {
             clock = clock.continued_from(policy.now());
         }
-        let warm = if policy.is_some() { "its state" } else { "no state of the module" };
-        host.log(format_args!("this process takes over: revision {}, {warm}", state.list_revision));
-        parts.predecessor = Some(ResumedState { policy, inherited: state.remaining.inherited.clone() });
+        let module_state =
+            if policy.is_some() { "with the module state" } else { "without the module state" };
+        host.log(format_args!(
+            "this process takes over: list revision {}, {module_state}",
+            state.list_revision
+        ));
+        components.predecessor = Some(ResumedState { policy, inherited: state.remaining.inherited.clone() });
     }
-    // A list from before is a start: discovery, where many call it, may take seconds to tell what has changed since.
-    let origin =
-        site.policy.origin_machine_type.and_then(|kind| site.machine_type_names.get(usize::from(kind)));
+    // A list from an earlier run is enough to start: discovery under load may take seconds to send the changes since.
+    let origin = settings
+        .policy
+        .origin_machine_type
+        .and_then(|kind| settings.machine_type_names.get(usize::from(kind)));
     if known.as_ref().is_some_and(|list| list.has_ready_cache_server(origin)) {
-        desk.lifecycle.apply(LifecycleEvent::Ready);
+        ops_endpoint.lifecycle.apply(LifecycleEvent::Ready);
     }
     let revision = known.as_ref().map(|l| l.revision);
     let listener = match listener {
@@ -185,81 +203,87 @@
             listener.map_err(|e| format!("cannot listen on {}: {e}", config.listen))?
         }
     };
-    // Only for the log: a node that can't tell where it listens serves all the same.
-    let listening = listener.local_addr().unwrap_or(config.listen);
-    let retiring = Rc::new(Retiring::default());
-    let longest: Micros = site.policy.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
+    // Only for the log: a node that can't determine its address serves all the same.
+    let address = listener.local_addr().unwrap_or(config.listen);
+    let retirement = Rc::new(RetirementControl::default());
+    let longest: Micros = settings.policy.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
     let longest_deadline = Duration::from_micros(longest);
-    let bounds = Bounds {
-        most: descriptors,
-        memory: config.memory_bytes / 2,
-        admission: ConnectionAdmission::new(&storm.tuning, descriptors),
+    let client_limits = ClientLimits {
+        max_connections: client_descriptors,
+        memory_bytes: config.memory_bytes / 2,
+        admission: ConnectionAdmission::new(&storm.tuning, client_descriptors),
     };
     let clients = Clients::new(
         host.clone(),
-        Grammar { site: site.clone(), keys: config.key_hasher },
+        ParserConfig { settings: settings.clone(), key_hasher: config.key_hasher },
         Box::new(move || clock.now()),
-        desk.clone(),
-        bounds,
-        retiring.clone(),
+        ops_endpoint.clone(),
+        client_limits,
+        retirement.clone(),
         events.clone(),
     );
-    parts.storm_monitor = StormMonitor::new(&storm, site.tenant_names.len(), clients.connections());
+    components.storm_monitor =
+        StormMonitor::new(&storm, settings.tenant_names.len(), clients.total_connections());
     if let Some(recorder) = &mut recorder {
-        recorder.born(&config.name, config.seed, &site, clock.now());
+        recorder.born(&config.name, config.seed, &settings, clock.now());
     }
-    parts.recorder = recorder;
-    let ends = events.clone();
-    let recorded = parts.recorder.is_some();
-    let node = Node::new(host.clone(), site, config.seed, clock, parts);
+    components.recorder = recorder;
+    let inputs_sender = events.clone();
+    let has_recorder = components.recorder.is_some();
+    let node = Node::new(host.clone(), settings, config.seed, clock, components);
     let node = spawn_local(node.run(known, inputs));
     let (discovery, addresses) = watch::channel(config.discovery);
-    spawn_local(discovery::run(host.clone(), teller, addresses, revision, wishes, events));
-    let own = OWN_DESCRIPTORS + config.ops_listen.map_or(0, |_| ops::IDLE_DESCRIPTORS);
-    let budget = Budget { limit: config.max_descriptors, clients: descriptors, servers, own };
-    let side = Side {
+    spawn_local(discovery::run(host.clone(), discovery_kind, addresses, revision, subscriptions, events));
+    let reserved = RESERVED_DESCRIPTORS + config.ops_listen.map_or(0, |_| ops::IDLE_DESCRIPTORS);
+    let budget = DescriptorBudget {
+        total: config.max_descriptors,
+        clients: client_descriptors,
+        servers: for_servers,
+        reserved,
+    };
+    let participant = HandoverParticipant {
         host: host.clone(),
         name: config.name.clone(),
         clients: clients.clone(),
-        node: ends.clone(),
+        inputs: inputs_sender.clone(),
         budget,
         successor: Rc::default(),
         successor_ended: Rc::default(),
         longest_deadline,
     };
-    if let Some((state, link)) = before {
-        spawn_local(side.clone().beside_predecessor(state.remaining, link));
+    if let Some((state, link)) = predecessor {
+        spawn_local(participant.clone().run_beside_predecessor(state.remaining, link));
     }
     if let Some(successors) = successors {
-        spawn_local(side.clone().beside_successors(successors));
+        spawn_local(participant.clone().serve_successors(successors));
     }
-    let (accepts, waits) = (clients.clone(), desk.clone());
+    let (clients_to_accept, endpoint) = (clients.clone(), ops_endpoint.clone());
     let accepting = spawn_local(async move {
-        while shared && waits.lifecycle.phase() == Phase::Starting {
-            sleep(READY_LOOK).await;
+        while shares_listener && endpoint.lifecycle.phase() == Phase::Starting {
+            sleep(READY_POLL_INTERVAL).await;
         }
-        accepts.accept(listener).await;
+        clients_to_accept.accept(listener).await;
     });
-    let waits = desk.clone();
+    let endpoint = ops_endpoint.clone();
     spawn_local(async move {
-        sleep(WITHOUT_DISCOVERY).await;
-        waits.lifecycle.apply(LifecycleEvent::Ready);
+        sleep(READY_WITHOUT_DISCOVERY_AFTER).await;
+        endpoint.lifecycle.apply(LifecycleEvent::Ready);
     });
-    host.log(format_args!("{} listens on {listening}", config.name));
-    host.log(format_args!("{aims}"));
-    Ok(Running {
+    host.log(format_args!("{} listens on {address}", config.name));
+    host.log(format_args!("{targets}"));
+    Ok(RunningNode {
         host,
-        desk,
+        ops_endpoint,
         clients,
-        retiring,
-        side,
-        events: ends,
+        retirement,
+        handover: participant,
+        events: inputs_sender,
         node,
         accepting,
-        discovery,
-        moved,
-        shared,
-        recorded,
+        discovery_address: discovery,
+        lifecycle_changed,
+        shares_listener,
+        has_recorder,
         longest_deadline,
     })
 }
--- a/crates/node/tests/unit/client_inbox.rs
+++ b/crates/node/tests/unit/client_inbox.rs
@@ -1,17 +1,17 @@
-//! When a command arrived, told apart from when it was read.
+//! Arrival times of commands, as opposed to the times when they were read.
 
 use std::cell::Cell;
 use std::io;
 
 use super::*;
 
-/// A connection on which bytes lie, the last of which arrived so long ago.
-struct Waiting {
+/// A connection with unread bytes, the last of which arrived this long ago.
+struct UnreadBytes {
     bytes: Cell<&'static [u8]>,
-    for_so_long: Option<Duration>,
+    arrived_ago: Option<Duration>,
 }
 
-impl Reading for Waiting {
+impl Reading for UnreadBytes {
     async fn readable(&self) -> io::Result<()> {
         if self.bytes.get().is_empty() { std::future::pending().await } else { Ok(()) }
     }
@@ -23,7 +23,7 @@
     }
 
     fn since_last_arrival(&self) -> Option<Duration> {
-        self.for_so_long
+        self.arrived_ago
     }
 
     fn remote_end_closed(&self) -> bool {
@@ -34,56 +34,56 @@
 const COMMAND: &[u8] = b"*1\r\n$4\r\nPING\r\n";
 const NOW: Micros = 10_000_000;
 
-fn waiting(for_so_long: Option<u64>) -> Waiting {
-    Waiting { bytes: Cell::new(COMMAND), for_so_long: for_so_long.map(Duration::from_millis) }
+fn unread_command(arrived_ago: Option<u64>) -> UnreadBytes {
+    UnreadBytes { bytes: Cell::new(COMMAND), arrived_ago: arrived_ago.map(Duration::from_millis) }
 }
 
-/// When the command counts as received that is read now, in milliseconds before now.
-async fn counted(unread: Unread, for_so_long: Option<u64>) -> Micros {
-    let reading = waiting(for_so_long);
+/// How long before now the command that is read now counts as received, in milliseconds.
+async fn counted_wait_ms(unread: Unread, arrived_ago: Option<u64>) -> Micros {
+    let reading = unread_command(arrived_ago);
     let mut inbox = Inbox::new(&reading, NOW, unread);
     assert!(inbox.read(|| NOW).await);
-    (NOW - inbox.received()) / 1000
+    (NOW - inbox.received_at()) / 1000
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_wait_of_a_connection_before_it_was_accepted_counts() {
+async fn wait_before_accept_counts() {
     let since = Unread::Since(Instant::now());
     tokio::time::advance(Duration::from_millis(300)).await;
-    assert_eq!(counted(since, Some(120)).await, 120);
-    assert_eq!(counted(Unread::Unknown, Some(1_170)).await, 1_170);
+    assert_eq!(counted_wait_ms(since, Some(120)).await, 120);
+    assert_eq!(counted_wait_ms(Unread::Unknown, Some(1_170)).await, 1_170);
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_machine_is_not_believed_beyond_what_the_node_knows() {
+async fn reported_arrival_is_bounded_by_the_known_wait() {
     let since = Unread::Since(Instant::now());
     tokio::time::advance(Duration::from_millis(300)).await;
-    assert_eq!(counted(since, Some(5_000)).await, 300);
-    assert_eq!(counted(since, None).await, 0);
-    assert_eq!(counted(Unread::Nothing, Some(5_000)).await, 0);
+    assert_eq!(counted_wait_ms(since, Some(5_000)).await, 300);
+    assert_eq!(counted_wait_ms(since, None).await, 0);
+    assert_eq!(counted_wait_ms(Unread::Nothing, Some(5_000)).await, 0);
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_comes_behind_a_whole_command_does_not_make_it_younger() {
-    let reading = waiting(None);
+async fn later_bytes_keep_arrival_time_of_complete_command() {
+    let reading = unread_command(None);
     let mut inbox = Inbox::new(&reading, NOW, Unread::Nothing);
     assert!(inbox.read(|| NOW).await);
     reading.bytes.set(COMMAND);
     assert!(inbox.read(|| NOW + 700_000).await);
-    assert_eq!(inbox.received(), NOW);
+    assert_eq!(inbox.received_at(), NOW);
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_time_in_which_nothing_was_read_counts() {
-    let reading = waiting(Some(400));
+async fn time_while_reading_was_paused_counts() {
+    let reading = unread_command(Some(400));
     let mut inbox = Inbox::new(&reading, NOW, Unread::Nothing);
-    inbox.stops_reading();
+    inbox.pause_reading();
     tokio::time::advance(Duration::from_millis(1_000)).await;
     assert!(inbox.read(|| NOW).await);
-    assert_eq!(NOW - inbox.received(), 400_000);
-    // From then on each is read as it arrives.
+    assert_eq!(NOW - inbox.received_at(), 400_000);
+    // From then on bytes are read as they arrive.
     inbox.buffer.clear();
     reading.bytes.set(COMMAND);
     assert!(inbox.read(|| NOW).await);
-    assert_eq!(inbox.received(), NOW);
+    assert_eq!(inbox.received_at(), NOW);
 }
--- a/crates/node/tests/unit/client_state.rs
+++ b/crates/node/tests/unit/client_state.rs
@@ -11,23 +11,23 @@
 }
 
 #[test]
-fn a_new_connection_reads_commands_and_misses_nothing_of_one() {
-    let state = State::new();
+fn new_connection_reads_commands() {
+    let state = InputState::new();
     assert!(state.reads_commands() && state.awaits_commands() && state.takes_bytes());
-    assert!(!state.client_has_closed() && !state.misses_value() && !state.has_reservation());
+    assert!(!state.client_has_closed() && !state.awaits_value() && !state.has_reservation());
 }
 
 #[test]
-fn what_is_reserved_for_a_value_goes_with_its_command() {
+fn reservation_is_returned_with_its_command() {
     let (memory, permit) = reservation();
-    let mut state = State::new();
+    let mut state = InputState::new();
     state.expect_value();
-    assert!(state.misses_value() && !state.has_reservation());
+    assert!(state.awaits_value() && !state.has_reservation());
     state.reserve(permit);
     state.expect_value();
-    assert!(state.has_reservation(), "looking at the value again keeps what is reserved for it");
+    assert!(state.has_reservation(), "expecting the value again keeps the reservation");
     let reserved = state.command_complete();
-    assert!(!state.misses_value() && !state.has_reservation());
+    assert!(!state.awaits_value() && !state.has_reservation());
     assert_eq!(memory.available_permits(), 3);
     drop(reserved);
     assert_eq!(memory.available_permits(), 8);
@@ -35,56 +35,56 @@
 }
 
 #[test]
-fn a_refused_value_is_discarded_to_its_end_and_not_beyond() {
-    let mut state = State::new();
+fn refused_value_is_discarded_exactly() {
+    let mut state = InputState::new();
     state.expect_value();
     state.refuse_value(5);
     let mut buffer = BytesMut::from(&b"abc"[..]);
     state.discard_refused(&mut buffer);
-    assert!(buffer.is_empty() && state.misses_value());
+    assert!(buffer.is_empty() && state.awaits_value());
     buffer.extend_from_slice(b"deNEXT");
     state.discard_refused(&mut buffer);
     assert_eq!(&buffer[..], b"NEXT");
-    assert!(!state.misses_value());
+    assert!(!state.awaits_value());
     state.discard_refused(&mut buffer);
     assert_eq!(&buffer[..], b"NEXT");
 }
 
 #[test]
-fn behind_the_last_command_only_so_much_is_read() {
-    let mut state = State::new();
-    state.discard_bytes(MAX_DISCARDED);
+fn input_behind_last_command_is_bounded() {
+    let mut state = InputState::new();
+    state.discard_bytes(MAX_DISCARDED_BYTES);
     assert!(state.takes_bytes(), "nothing is discarded while commands are read");
     state.finish();
     assert!(!state.reads_commands() && !state.awaits_commands() && !state.client_has_closed());
-    state.discard_bytes(MAX_DISCARDED - 1);
+    state.discard_bytes(MAX_DISCARDED_BYTES - 1);
     state.finish();
     assert!(state.takes_bytes());
     state.discard_bytes(1);
     assert!(!state.takes_bytes());
     state.finish();
-    assert!(!state.takes_bytes(), "finishing again forgets nothing");
+    assert!(!state.takes_bytes(), "finishing again keeps the count");
 }
 
 #[test]
-fn the_rest_of_a_refused_value_is_no_flood() {
-    let mut state = State::new();
+fn rest_of_refused_value_does_not_count_towards_limit() {
+    let mut state = InputState::new();
     state.refuse_value(7);
     state.finish();
-    state.discard_bytes(MAX_DISCARDED + 6);
+    state.discard_bytes(MAX_DISCARDED_BYTES + 6);
     assert!(state.takes_bytes());
     state.discard_bytes(1);
     assert!(!state.takes_bytes());
 }
 
 #[test]
-fn a_client_that_has_closed_is_read_no_further_but_for_what_it_had_sent() {
-    let mut state = State::new();
+fn closed_client_only_finishes_received_input() {
+    let mut state = InputState::new();
     state.expect_value();
     state.hang_up();
     assert!(state.reads_commands() && state.client_has_closed());
     assert!(!state.awaits_commands() && !state.takes_bytes());
-    assert!(state.misses_value(), "what was missing still is");
+    assert!(state.awaits_value(), "the value is still awaited");
     state.finish();
     assert!(!state.reads_commands() && state.client_has_closed() && !state.takes_bytes());
     state.hang_up();
@@ -94,8 +94,8 @@
 
 #[test]
 fn no_transition_leads_back_to_reading() {
-    for end in [State::finish, State::hang_up] {
-        let mut state = State::new();
+    for end in [InputState::finish, InputState::hang_up] {
+        let mut state = InputState::new();
         end(&mut state);
         state.expect_head();
         state.expect_value();
@@ -103,17 +103,17 @@
         assert!(state.command_complete().is_none());
         assert!(!state.awaits_commands());
     }
-    let mut state = State::new();
+    let mut state = InputState::new();
     state.finish();
     state.hang_up();
     assert!(state.client_has_closed() && !state.reads_commands());
 }
 
 #[test]
-fn what_is_reserved_is_kept_until_the_connection_is_dropped() {
+fn reservation_is_held_until_connection_is_dropped() {
     for hung_up in [false, true] {
         let (memory, permit) = reservation();
-        let mut state = State::new();
+        let mut state = InputState::new();
         state.reserve(permit);
         if hung_up {
             state.hang_up();
--- a/crates/node/tests/unit/failing_host.rs
+++ b/crates/node/tests/unit/failing_host.rs
@@ -1,4 +1,4 @@
-//! The machine that the tests run on, whose connections fail as a test says.
+//! A host for tests whose connections fail as the test specifies.
 
 use std::cell::{Cell, RefCell};
 use std::fmt;
@@ -9,7 +9,7 @@
 
 use mothpier_host::{Host, SystemHost};
 
-/// Numbers of Linux's errors.
+/// Linux error numbers.
 pub const EPERM: i32 = 1;
 pub const EINTR: i32 = 4;
 pub const EAGAIN: i32 = 11;
@@ -25,21 +25,21 @@
 pub const ECONNREFUSED: i32 = 111;
 pub const EHOSTUNREACH: i32 = 113;
 
-/// Those that lie on this machine.
+/// Errors caused by this machine.
 pub const LOCAL_ERRORS: [i32; 10] =
     [EPERM, EINTR, EAGAIN, ENOMEM, ENFILE, EMFILE, EADDRNOTAVAIL, ENETDOWN, ENETUNREACH, ENOBUFS];
-/// Those that lie at the other side or on the way to it.
+/// Errors caused by the other side or the network.
 pub const REMOTE_ERRORS: [i32; 4] = [ECONNRESET, ETIMEDOUT, ECONNREFUSED, EHOSTUNREACH];
 
-/// A clone shares the counts.
+/// A test host. Clones share its counts.
 #[derive(Clone)]
 pub struct FailingHost {
     machine: SystemHost,
-    /// The error of each connection that is tried, where it fails.
+    /// The error with which connections fail, if they do.
     pub error: Rc<Cell<Option<i32>>>,
-    /// Connections that were tried.
+    /// Number of connections tried.
     pub connects: Rc<Cell<u32>>,
-    /// Lines of the log.
+    /// Log lines.
     pub log: Rc<RefCell<Vec<String>>>,
 }
 
@@ -53,7 +53,7 @@
         }
     }
 
-    /// One whose connections fail with an error from the start.
+    /// A host whose connections fail with this error from the start.
     pub fn failing_with(error: i32) -> Self {
         let host = FailingHost::new();
         host.error.set(Some(error));
--- a/crates/node/tests/unit/fence.rs
+++ b/crates/node/tests/unit/fence.rs
@@ -1,134 +1,140 @@
-//! What the answer to a fence shows, told from bytes alone.
+//! What the reply to a fence proves, determined from bytes alone.
 
 use std::time::Duration;
 
 use super::*;
 use crate::command::AttemptId;
-use crate::servers::line::Sent;
+use crate::servers::pipeline::InFlightCommand;
 use crate::servers::tests::read_until;
 
 const VALUE: &str = "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n";
 const PONG: &str = "+PONG\r\n";
 
-/// A read that has been written, with so many fences behind it.
-fn sent(attempt: AttemptId, fences: usize) -> Sent {
+/// A read in flight, with this many fences behind it.
+fn in_flight(attempt: AttemptId, fences: usize) -> InFlightCommand {
     let command = read_until(attempt, Instant::now() + Duration::from_secs(9));
-    Sent { command, written: Instant::now(), given_up: false, fences }
+    InFlightCommand { command, written_at: Instant::now(), given_up: false, fences_behind: fences }
 }
 
-/// A line with reads that have so many fences behind them each.
-fn line(fences: &[usize]) -> Line {
-    let mut line = Line::default();
-    line.sent.extend(fences.iter().zip(1..).map(|(fences, attempt)| sent(attempt, *fences)));
-    line
+/// A pipeline of reads, each with this many fences behind it.
+fn pipeline(fences: &[usize]) -> Pipeline {
+    let mut pipeline = Pipeline::default();
+    pipeline.in_flight.extend(fences.iter().zip(1..).map(|(fences, attempt)| in_flight(attempt, *fences)));
+    pipeline
 }
 
-/// What some frames show that came behind the first answer.
-fn shown(fences: &[usize], frames: &[&str]) -> Order {
-    order(&line(fences), frames.concat().as_bytes())
+/// What these frames behind the first response prove.
+fn check(fences: &[usize], frames: &[&str]) -> OrderCheck {
+    check_order(&pipeline(fences), frames.concat().as_bytes())
 }
 
 #[test]
-fn a_fence_in_its_place_shows_that_all_answers_before_it_are_in_order() {
-    assert_eq!(shown(&[1], &[PONG]), Order::Kept { answers: 0 });
-    assert_eq!(shown(&[0, 0, 1, 0], &[VALUE, VALUE, PONG]), Order::Kept { answers: 2 });
-    assert_eq!(shown(&[0, 1], &["-BUSY\r\n", PONG, VALUE]), Order::Kept { answers: 1 });
-    assert_eq!(shown(&[0, 1], &["-ERR failed\r\n", PONG]), Order::Kept { answers: 1 });
+fn fence_reply_in_place_proves_order_of_responses_before_it() {
+    assert_eq!(check(&[1], &[PONG]), OrderCheck::InOrder { responses: 0 });
+    assert_eq!(check(&[0, 0, 1, 0], &[VALUE, VALUE, PONG]), OrderCheck::InOrder { responses: 2 });
+    assert_eq!(check(&[0, 1], &["-BUSY\r\n", PONG, VALUE]), OrderCheck::InOrder { responses: 1 });
+    assert_eq!(check(&[0, 1], &["-ERR failed\r\n", PONG]), OrderCheck::InOrder { responses: 1 });
 }
 
-/// The protocol page has it that a cache server answers with an error what is neither a read nor a write.
+/// By the protocol, a cache server answers anything but reads and writes with an error.
 #[test]
-fn any_answer_that_is_neither_a_reads_nor_a_writes_is_a_fences() {
+fn any_other_reply_is_a_fence_reply() {
     for answer in [PONG, "-ERR unknown command\r\n", "$4\r\nPING\r\n"] {
-        assert_eq!(shown(&[1], &[answer]), Order::Kept { answers: 0 }, "{answer}");
+        assert_eq!(check(&[1], &[answer]), OrderCheck::InOrder { responses: 0 }, "{answer}");
     }
     for answer in [VALUE, "-ERR failed\r\n", "-BUSY\r\n", "-BUSY 20\r\n"] {
-        assert_eq!(shown(&[1], &[answer]), Order::Broken, "{answer}");
+        assert_eq!(check(&[1], &[answer]), OrderCheck::DuplicateFound, "{answer}");
     }
 }
 
 #[test]
-fn an_answer_too_many_is_found_before_the_fence_or_without_one() {
-    assert_eq!(shown(&[1], &[VALUE, PONG]), Order::Broken);
-    assert_eq!(shown(&[0, 1], &[VALUE, VALUE, PONG]), Order::Broken);
-    assert_eq!(shown(&[0], &[VALUE]), Order::Broken, "not written yet");
-    assert_eq!(shown(&[0, 0], &[VALUE, VALUE]), Order::Broken, "not written yet");
+fn extra_response_is_found_with_or_without_a_fence() {
+    assert_eq!(check(&[1], &[VALUE, PONG]), OrderCheck::DuplicateFound);
+    assert_eq!(check(&[0, 1], &[VALUE, VALUE, PONG]), OrderCheck::DuplicateFound);
+    assert_eq!(check(&[0], &[VALUE]), OrderCheck::DuplicateFound, "not written yet");
+    assert_eq!(check(&[0, 0], &[VALUE, VALUE]), OrderCheck::DuplicateFound, "not written yet");
 }
 
-/// An error would pass for the answer to a command, were it not that of an earlier fence.
+/// An error would be taken for the response to a command, were it not the reply to an earlier fence.
 #[test]
-fn a_repeat_of_an_earlier_fences_answer_is_no_commands() {
+fn duplicate_fence_reply_is_no_response() {
     const ERROR: &str = "-ERR unknown command\r\n";
-    let mut line = line(&[0, 2]);
-    assert_eq!(order(&line, [ERROR, ERROR, ERROR].concat().as_bytes()), Order::Kept { answers: 1 });
-    assert!(line.fences.take(ERROR.into()));
-    assert_eq!(order(&line, [ERROR, ERROR, ERROR].concat().as_bytes()), Order::Broken);
-    assert_eq!(order(&line, [VALUE, ERROR, ERROR].concat().as_bytes()), Order::Kept { answers: 1 });
+    let mut pipeline = pipeline(&[0, 2]);
+    assert_eq!(
+        check_order(&pipeline, [ERROR, ERROR, ERROR].concat().as_bytes()),
+        OrderCheck::InOrder { responses: 1 }
+    );
+    assert!(pipeline.fences.accept_reply(ERROR.into()));
+    assert_eq!(check_order(&pipeline, [ERROR, ERROR, ERROR].concat().as_bytes()), OrderCheck::DuplicateFound);
+    assert_eq!(
+        check_order(&pipeline, [VALUE, ERROR, ERROR].concat().as_bytes()),
+        OrderCheck::InOrder { responses: 1 }
+    );
 }
 
-/// A server that answers a fence ahead of its turn, or an earlier one again, shows nothing by it.
+/// A fence reply that comes too early, or is a duplicate of an earlier one, proves nothing.
 #[test]
-fn a_fence_before_its_turn_is_no_proof() {
-    assert_eq!(shown(&[0, 1], &[PONG]), Order::Broken);
-    assert_eq!(shown(&[0, 1], &[PONG, VALUE]), Order::Broken);
-    // Two were written, for one may be the repeat of an earlier one's answer.
-    assert_eq!(shown(&[2], &[PONG]), Order::Unknown);
-    assert_eq!(shown(&[2], &[PONG, VALUE, PONG, PONG]), Order::Broken);
-    assert_eq!(shown(&[2], &[PONG, PONG]), Order::Kept { answers: 0 });
+fn early_fence_reply_proves_nothing() {
+    assert_eq!(check(&[0, 1], &[PONG]), OrderCheck::DuplicateFound);
+    assert_eq!(check(&[0, 1], &[PONG, VALUE]), OrderCheck::DuplicateFound);
+    // Two fences were written because one reply may be a duplicate of an earlier one.
+    assert_eq!(check(&[2], &[PONG]), OrderCheck::Unknown);
+    assert_eq!(check(&[2], &[PONG, VALUE, PONG, PONG]), OrderCheck::DuplicateFound);
+    assert_eq!(check(&[2], &[PONG, PONG]), OrderCheck::InOrder { responses: 0 });
 }
 
 #[test]
-fn what_has_not_all_come_shows_nothing_yet() {
+fn incomplete_input_proves_nothing() {
     let frames = [VALUE, PONG].concat();
     for cut in 0..frames.len() {
-        let order = order(&line(&[0, 1]), &frames.as_bytes()[..cut]);
-        assert_eq!(order, Order::Unknown, "{cut}");
+        let order = check_order(&pipeline(&[0, 1]), &frames.as_bytes()[..cut]);
+        assert_eq!(order, OrderCheck::Unknown, "{cut}");
     }
-    assert_eq!(shown(&[0], &[]), Order::Unknown);
+    assert_eq!(check(&[0], &[]), OrderCheck::Unknown);
     let large = format!("*3\r\n${}\r\n", resp::MAX_BUFFERED_VALUE_BYTES + 1);
-    assert_eq!(shown(&[0, 1], &[&large]), Order::Unreadable);
+    assert_eq!(check(&[0, 1], &[&large]), OrderCheck::Unreadable);
 }
 
-/// As many as may be repeated are written, and one more, up to a bound.
+/// As many fences are written as replies may be duplicated, plus one, up to a limit.
 #[test]
-fn a_fence_is_written_again_for_each_answer_that_may_be_repeated() {
-    const MOST: usize = 4;
-    let mut line = line(&[0]);
-    let written = |line: &mut Line| {
-        line.want_fence(MOST);
-        let wanted = line.fences.wanted;
-        line.fences_written(wanted);
-        assert!(line.has_fence());
+fn enough_fences_are_written_for_duplicable_replies() {
+    const LIMIT: usize = 4;
+    let mut pipeline = pipeline(&[0]);
+    let written = |pipeline: &mut Pipeline| {
+        pipeline.request_fences(LIMIT);
+        let wanted = pipeline.fences.requested;
+        pipeline.record_fences_written(wanted);
+        assert!(pipeline.has_pending_fence());
         wanted
     };
-    assert_eq!(written(&mut line), 1);
-    assert_eq!(written(&mut line), 2);
-    assert_eq!(written(&mut line), MOST);
-    assert!(line.take_answered().is_some());
-    assert!(!line.has_fence());
-    assert_eq!((line.fences.due, line.repeatable_fences()), (7, 7));
+    assert_eq!(written(&mut pipeline), 1);
+    assert_eq!(written(&mut pipeline), 2);
+    assert_eq!(written(&mut pipeline), LIMIT);
+    assert!(pipeline.pop_answered().is_some());
+    assert!(!pipeline.has_pending_fence());
+    assert_eq!((pipeline.fences.awaited, pipeline.duplicable_fences()), (7, 7));
     for _ in 0..7 {
-        assert!(line.fences.take(PONG.into()));
+        assert!(pipeline.fences.accept_reply(PONG.into()));
     }
-    assert!(!line.fences.take(VALUE.into()));
-    assert_eq!((line.fences.due, line.repeatable_fences()), (0, 7));
-    let long_ago = |at: &mut Instant| *at -= LATEST_REPEAT;
-    line.fences.answered.iter_mut().for_each(long_ago);
-    assert_eq!(line.repeatable_fences(), 0);
-    assert_eq!(line.fences.repeated([PONG, VALUE].concat().as_bytes()), Some(PONG.len()));
-    assert_eq!(line.fences.repeated(VALUE.as_bytes()), None);
+    assert!(!pipeline.fences.accept_reply(VALUE.into()));
+    assert_eq!((pipeline.fences.awaited, pipeline.duplicable_fences()), (0, 7));
+    let long_ago = |at: &mut Instant| *at -= MAX_DUPLICATE_DELAY;
+    pipeline.fences.replied_at.iter_mut().for_each(long_ago);
+    assert_eq!(pipeline.duplicable_fences(), 0);
+    assert_eq!(pipeline.fences.duplicate_length([PONG, VALUE].concat().as_bytes()), Some(PONG.len()));
+    assert_eq!(pipeline.fences.duplicate_length(VALUE.as_bytes()), None);
 }
 
-/// What stands between an answer and its fence is shown to be in order with it, and nothing behind that.
+/// The responses between a response and its fence are proved to be in order, and none behind the fence.
 #[test]
-fn as_many_answers_are_in_order_as_were_shown_to_be() {
-    let mut line = line(&[0, 1, 0]);
-    line.in_order = 2;
+fn only_proved_responses_count_as_in_order() {
+    let mut pipeline = pipeline(&[0, 1, 0]);
+    pipeline.confirmed_in_order = 2;
     for left in [1, 0, 0] {
-        assert!(line.take_answered().is_some());
-        assert_eq!(line.in_order, left);
+        assert!(pipeline.pop_answered().is_some());
+        assert_eq!(pipeline.confirmed_in_order, left);
     }
-    assert_eq!(line.fences.due, 1);
-    line.fences_written(2);
-    assert_eq!(line.fences.due, 3, "behind nothing that waits");
+    assert_eq!(pipeline.fences.awaited, 1);
+    pipeline.record_fences_written(2);
+    assert_eq!(pipeline.fences.awaited, 3, "behind no command in flight");
 }
--- a/crates/node/tests/unit/local_failures.rs
+++ b/crates/node/tests/unit/local_failures.rs
@@ -5,11 +5,11 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_pause_doubles_up_to_its_bound_and_ends_with_a_connection() {
+async fn backoff_doubles_up_to_its_limit_and_ends_with_a_connection() {
     let mut failures = LocalFailures::default();
     for pause in [10, 20, 40, 80, 160, 160, 160] {
         assert!(failures.may_connect());
-        // Those that were tried together count once.
+        // Connections tried at the same time count once.
         for _ in 0..5 {
             failures.record_failure();
         }
@@ -26,7 +26,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_log_is_told_once_in_five_seconds_however_many_fail() {
+async fn failures_are_logged_once_in_five_seconds() {
     let mut failures = LocalFailures::default();
     let mut logged = 0;
     for _ in 0..1100 {
--- a/crates/node/tests/unit/servers.rs
+++ b/crates/node/tests/unit/servers.rs
@@ -1,4 +1,4 @@
-//! Connections to cache servers, told apart from the node that drives them.
+//! Connections to cache servers, without the node that drives them.
 
 use std::io::{ErrorKind, Read};
 
@@ -11,34 +11,38 @@
 use crate::command::{Command as ClientCommand, RequestIdGuard, RequestIds};
 use crate::failing_host::{EMFILE, ENETUNREACH, FailingHost, LOCAL_ERRORS, REMOTE_ERRORS};
 
-/// The connections of one of so many nodes, with so many descriptors for them, and what they tell.
-fn servers(balancers: usize, descriptors: usize) -> (Servers<SystemHost>, mpsc::Receiver<Input>) {
-    servers_on(SystemHost { program: "test" }, balancers, descriptors)
+/// The connections of one of this many nodes, with this connection limit, and their events.
+fn servers(node_count: usize, max_connections: usize) -> (Servers<SystemHost>, mpsc::Receiver<Input>) {
+    servers_on(SystemHost { program: "test" }, node_count, max_connections)
 }
 
-/// The same on a host.
-fn servers_on<H: Host>(host: H, balancers: usize, descriptors: usize) -> (Servers<H>, mpsc::Receiver<Input>) {
+/// The same on a given host.
+fn servers_on<H: Host>(
+    host: H,
+    node_count: usize,
+    max_connections: usize,
+) -> (Servers<H>, mpsc::Receiver<Input>) {
     let (events, inputs) = mpsc::channel(8);
     let limits = Limits {
-        node_count: balancers,
+        node_count,
         attempts_per_connection: 32,
         idle_close: Duration::from_secs(60),
         connect_timeout: Duration::from_secs(30),
-        max_connections: descriptors,
+        max_connections,
     };
-    let figures = OpsEndpoint::new(["read"]).metrics.clone();
-    (Servers::new(host, limits, figures, events), inputs)
+    let metrics = OpsEndpoint::new(["read"]).metrics.clone();
+    (Servers::new(host, limits, metrics, events), inputs)
 }
 
-/// Answers come in the order of the commands: one that is slow or lost must not hold up seven others.
+/// Responses arrive in the order of the commands: a slow or lost one must not delay seven others.
 #[test]
-fn a_node_uses_its_part_of_the_connections_before_it_queues_behind_an_answer() {
+fn node_opens_its_share_of_connections_before_it_queues() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        for (balancers, descriptors, connections) in [(4, 64, 8), (2, 64, 16), (2, 6, 6), (64, 64, 1)] {
-            let (mut servers, _inputs) = servers(balancers, descriptors);
+        for (node_count, max_connections, connections) in [(4, 64, 8), (2, 64, 16), (2, 6, 6), (64, 64, 1)] {
+            let (mut servers, _inputs) = servers(node_count, max_connections);
             assert!(servers.update_server(7, Some(address), true).is_empty());
             for attempt in 1..=20 {
                 assert!(servers.send(7, AttemptCommand::new(attempt, Payload::Probe)).is_ok());
@@ -48,15 +52,19 @@
                 servers.take_connect_counts(),
                 ConnectCounts { started: connections as u32, refused: 0, local_failures: 0 }
             );
-            assert_eq!(servers.take_connect_counts(), ConnectCounts::default(), "told once");
+            assert_eq!(
+                servers.take_connect_counts(),
+                ConnectCounts::default(),
+                "counts are reset when taken"
+            );
         }
     });
 }
 
-/// A connection that is up, and of which the node has not heard yet, belongs to the attempt for which it was made: one that
-/// comes now gets a connection of its own, and neither waits behind the other.
+/// A connection that is up, but not yet reported to the node, belongs to the attempt for which it was opened: a later
+/// attempt gets a connection of its own, and neither waits behind the other.
 #[test]
-fn a_later_attempt_does_not_take_the_connection_that_an_earlier_one_waits_for() {
+fn later_attempt_does_not_take_connection_of_earlier_one() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
@@ -67,7 +75,7 @@
         assert!(matches!(inputs.recv().await, Some(Input::Server { event: ConnectionEvent::Up, .. })));
         assert!(servers.send(7, probe(2)).is_ok());
         assert!(servers.handle_event(7, 1, ConnectionEvent::Up).is_empty());
-        assert_eq!(servers.pools[&7].connections.len(), 2, "one behind the other");
+        assert_eq!(servers.pools[&7].connections.len(), 2, "the second command was queued behind the first");
         assert!(matches!(
             inputs.recv().await,
             Some(Input::Server { connection: 2, event: ConnectionEvent::Up, .. })
@@ -78,7 +86,7 @@
     });
 }
 
-/// A rule of drains: what still waits for its connection when the notice comes is never written.
+/// By the rules of draining, an attempt that still waits for its connection when the drain is announced is never written.
 #[test]
 fn what_waits_for_a_connection_is_not_sent_after_the_notice_of_a_drain() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -86,13 +94,13 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let (mut servers, mut inputs) = servers(1, 8);
-        let ping = |attempt| AttemptCommand::new(attempt, Payload::Probe);
+        let probe = |attempt| AttemptCommand::new(attempt, Payload::Probe);
         assert!(servers.update_server(7, Some(address), true).is_empty());
-        assert!(servers.send(7, ping(1)).is_ok());
+        assert!(servers.send(7, probe(1)).is_ok());
         assert!(matches!(inputs.recv().await, Some(Input::Server { event: ConnectionEvent::Up, .. })));
-        // Up, but the node has not been told yet: the attempt still waits.
+        // Up, but the node has not been notified yet: the attempt still waits.
         assert_eq!(servers.update_server(7, Some(address), false), [1]);
-        assert!(servers.send(7, ping(2)).is_err(), "taken for a server that drains");
+        assert!(servers.send(7, probe(2)).is_err(), "accepted for a draining server");
         assert!(servers.handle_event(7, 1, ConnectionEvent::Up).is_empty());
     });
     let mut written = Vec::new();
@@ -100,10 +108,10 @@
     assert_eq!(written, b"");
 }
 
-/// Its answer, or the end of its connection, may be on its way to the node when its deadline fires: nothing says that it
-/// never ran then.
+/// The response, or the end of the connection, may be on its way to the node when the deadline fires: the attempt then
+/// can't be reported as never run.
 #[test]
-fn an_attempt_that_is_given_up_as_its_answer_comes_may_have_run() {
+fn attempt_given_up_as_its_response_arrives_may_have_run() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
@@ -124,16 +132,16 @@
             stream.set_nonblocking(false).unwrap();
             std::io::Write::write_all(&mut stream, answer).unwrap();
             drop(stream);
-            // It has been taken from the connection, and waits to be told to the node.
+            // It has been read from the connection, and is queued for the node.
             while inputs.is_empty() {
                 tokio::task::yield_now().await;
             }
-            assert!(!servers.give_up(7, 1).unwritten, "said never to have run");
+            assert!(!servers.give_up(7, 1).unwritten, "reported as never run");
         });
     }
 }
 
-/// A read of which the attempt is waited for until `attempt_ends`.
+/// A read whose attempt has this deadline.
 pub(super) fn read_until(attempt: AttemptId, attempt_ends: Instant) -> AttemptCommand {
     let id = Bytes::from(attempt.to_string());
     let command = ClientCommand {
@@ -149,7 +157,7 @@
     AttemptCommand::new(attempt, Payload::Request { command: command.into(), extras, may_run_twice: true })
 }
 
-/// Runs a test of a node that may have one connection to the server 7, which the test serves by hand.
+/// Runs a test of a node that may open one connection to server 7, which the test serves by hand.
 fn with_one_connection(
     test: impl AsyncFnOnce(std::net::TcpListener, Servers<SystemHost>, mpsc::Receiver<Input>),
 ) {
@@ -163,9 +171,9 @@
     });
 }
 
-/// There is no time that it could tell: it stays unwritten until it is given up, and holds up nothing behind it.
+/// With no time left to report, it stays unwritten until it is given up, and blocks nothing behind it.
 #[test]
-fn an_attempt_without_time_left_is_not_written() {
+fn attempt_without_time_left_is_not_written() {
     with_one_connection(async |listener, mut servers, mut inputs| {
         assert!(servers.send(7, read_until(1, Instant::now())).is_ok());
         assert!(servers.send(7, AttemptCommand::new(2, Payload::Probe)).is_ok());
@@ -183,36 +191,37 @@
             }
         }
         assert_eq!(asked, probe);
-        assert!(servers.give_up(7, 1).unwritten, "said to have run");
+        assert!(servers.give_up(7, 1).unwritten, "reported as run");
     });
 }
 
-/// What was sent before it has been given up already: nothing would ever end this connection.
+/// The commands sent before have been given up already: nothing else would ever close this connection.
 #[test]
-fn a_connection_is_closed_when_the_last_that_waits_on_it_is_taken_back_unwritten() {
+fn connection_closes_when_its_last_waiting_command_is_withdrawn() {
     with_one_connection(async |listener, mut servers, mut inputs| {
         assert!(servers.send(7, AttemptCommand::new(1, Payload::Probe)).is_ok());
         assert!(matches!(inputs.recv().await, Some(Input::Server { event: ConnectionEvent::Up, .. })));
         assert!(servers.handle_event(7, 1, ConnectionEvent::Up).is_empty());
         let (stream, _) = listener.accept().unwrap();
-        let written =
-            |servers: &Servers<SystemHost>| servers.pools[&7].connections[0].shared.line.borrow().sent.len();
+        let written = |servers: &Servers<SystemHost>| {
+            servers.pools[&7].connections[0].shared.pipeline.borrow().in_flight.len()
+        };
         while written(&servers) == 0 {
             tokio::task::yield_now().await;
         }
         assert!(servers.send(7, read_until(2, Instant::now())).is_ok());
         assert!(!servers.give_up(7, 1).unwritten);
-        assert_eq!(servers.pools[&7].connections.len(), 1, "closed under one that waits");
+        assert_eq!(servers.pools[&7].connections.len(), 1, "closed while a command waits");
         assert!(servers.give_up(7, 2).unwritten);
         assert!(servers.pools[&7].connections.is_empty());
         drop(stream);
     });
 }
 
-/// The server may end a connection in the moment in which a command is given to it: it was never written, and the server
-/// takes new connections. To call that a failure to connect would have the request refused.
+/// A server may close a connection at the moment when a command is queued on it: the command was never written, and the
+/// server accepts new connections. Reported as a failure to connect, the request would be refused.
 #[test]
-fn a_command_for_a_connection_that_has_just_ended_goes_to_another() {
+fn command_for_ended_connection_is_sent_on_another() {
     with_one_connection(async |listener, mut servers, mut inputs| {
         assert!(servers.send(7, read_until(1, Instant::now() + Duration::from_secs(9))).is_ok());
         assert!(next_event(&mut servers, &mut inputs).await.is_empty());
@@ -223,9 +232,11 @@
         drop(stream);
         assert!(servers.send(7, read_until(2, Instant::now() + Duration::from_secs(9))).is_ok());
         let mut ended = next_event(&mut servers, &mut inputs).await;
-        let Some((2, AttemptOutcome::Interrupted(displaced))) = ended.pop() else { panic!("not sent again") };
-        assert!(!displaced.was_written);
-        assert_eq!(servers.resend(7, displaced), Ok(()));
+        let Some((2, AttemptOutcome::Interrupted(interrupted))) = ended.pop() else {
+            panic!("not interrupted")
+        };
+        assert!(!interrupted.was_written);
+        assert_eq!(servers.resend(7, interrupted), Ok(()));
         assert!(next_event(&mut servers, &mut inputs).await.is_empty());
         let (mut stream, _) = listener.accept().unwrap();
         std::io::Write::write_all(&mut stream, b"*3\r\n$1\r\nw\r\n$-1\r\n$-1\r\n").unwrap();
@@ -234,7 +245,7 @@
     });
 }
 
-/// A server that is ready, at an address at which a [`FailingHost`] may fail.
+/// A server that is ready, at an address to which a [`FailingHost`] may fail to connect.
 fn failing_server(host: &FailingHost) -> (Servers<FailingHost>, mpsc::Receiver<Input>) {
     let (mut servers, inputs) = servers_on(host.clone(), 1, 64);
     assert!(servers.update_server(7, Some("127.0.0.1:1".parse().unwrap()), true).is_empty());
@@ -245,7 +256,7 @@
     AttemptCommand::new(attempt, Payload::Probe)
 }
 
-/// Takes the next event of a connection to a server, and returns the attempts that it ends.
+/// Handles the next event of a connection to a server, and returns the attempts that it ends.
 async fn next_event<H: Host>(
     servers: &mut Servers<H>,
     inputs: &mut mpsc::Receiver<Input>,
@@ -254,21 +265,21 @@
         Some(Input::Server { server, connection: number, event }) => {
             servers.handle_event(server, number, event)
         }
-        _ => panic!("something else"),
+        _ => panic!("unexpected input"),
     }
 }
 
-/// Runs a test on one thread with a clock that stands still unless it is moved.
+/// Runs a test on one thread with a paused clock.
 fn with_paused_clock(test: impl Future<Output = ()>) {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, test);
 }
 
-/// What this machine lacks tells nothing of the server: its attempts never ran, it counts as refused nowhere, and the next
-/// connection is tried as soon as the pause is over.
+/// A shortage on this machine says nothing about the server: its attempts never ran, it is not counted as refused, and
+/// the next connection is tried as soon as the back-off is over.
 #[test]
-fn a_connection_that_this_machine_cannot_make_is_no_refusal_of_the_server() {
+fn local_connect_failure_is_no_refusal() {
     with_paused_clock(async {
         for error in LOCAL_ERRORS {
             let host = FailingHost::failing_with(error);
@@ -278,7 +289,7 @@
             assert!(matches!(ended[..], [(1, AttemptOutcome::LocalFailure)]), "error {error}");
             let connects = servers.take_connect_counts();
             assert_eq!((connects.refused, connects.local_failures), (0, 1), "error {error}");
-            assert_eq!(servers.send(7, probe(2)), Err(SendError::LocalFailure), "tried again at once");
+            assert_eq!(servers.send(7, probe(2)), Err(SendError::LocalFailure), "retried at once");
             tokio::time::advance(Duration::from_millis(10)).await;
             assert_eq!(servers.send(7, probe(3)), Ok(()), "error {error}");
             assert_eq!(host.log.borrow().len(), 1);
@@ -287,7 +298,7 @@
 }
 
 #[test]
-fn a_connection_that_fails_at_the_server_or_on_the_way_to_it_is_a_refusal() {
+fn remote_connect_failure_is_a_refusal() {
     with_paused_clock(async {
         for error in REMOTE_ERRORS {
             let host = FailingHost::failing_with(error);
@@ -301,9 +312,9 @@
     });
 }
 
-/// Where no route leads to one server and another is connected, it is that server that can't be reached.
+/// If there is no route to one server while another is connected, that server is unreachable.
 #[test]
-fn a_route_that_only_one_server_lacks_is_a_refusal_of_its() {
+fn missing_route_to_one_server_is_a_refusal() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
@@ -321,9 +332,9 @@
     });
 }
 
-/// Requests go on to come, and each wants a connection: this machine is asked for one at a bounded rate, and so is the log.
+/// While requests keep arriving and each needs a connection, both connects and log lines are limited in rate.
 #[test]
-fn a_shortage_of_descriptors_is_not_met_with_a_storm_of_connections() {
+fn descriptor_shortage_causes_no_connect_storm() {
     with_paused_clock(async {
         let host = FailingHost::failing_with(EMFILE);
         let (mut servers, mut inputs) = failing_server(&host);
@@ -340,9 +351,9 @@
     });
 }
 
-/// Connections that there are serve on: nothing waits for the pause.
+/// Existing connections keep serving: nothing waits for the back-off.
 #[test]
-fn a_connection_that_is_up_is_used_while_this_machine_can_make_no_other() {
+fn open_connection_is_used_while_no_other_can_be_opened() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
@@ -353,7 +364,7 @@
         assert_eq!(servers.send(7, probe(1)), Ok(()));
         assert!(next_event(&mut servers, &mut inputs).await.is_empty());
         host.error.set(Some(EMFILE));
-        // The second waits for a connection of its own, which fails: it goes behind the first.
+        // The second waits for a connection of its own, which fails: it is queued behind the first.
         assert_eq!(servers.send(7, probe(2)), Ok(()));
         assert!(next_event(&mut servers, &mut inputs).await.is_empty());
         assert_eq!(servers.send(7, probe(3)), Ok(()));
@@ -361,9 +372,9 @@
     });
 }
 
-/// What waits to be sent again is taken back unwritten when its client leaves, or its server drains.
+/// A command that waits to be resent is withdrawn unwritten when its client leaves or its server drains.
 #[test]
-fn what_waits_to_be_sent_again_is_taken_back_unwritten() {
+fn command_waiting_to_be_resent_is_withdrawn_unwritten() {
     for drains in [false, true] {
         with_one_connection(async |listener, mut servers, mut inputs| {
             let ends = Instant::now() + Duration::from_secs(9);
@@ -377,22 +388,22 @@
                 [(1, AttemptOutcome::Answered(_))]
             ));
             assert!(servers.send(7, read_until(2, ends)).is_ok());
-            while servers.pools[&7].connections[0].shared.line.borrow().sent.is_empty() {
+            while servers.pools[&7].connections[0].shared.pipeline.borrow().in_flight.is_empty() {
                 tokio::task::yield_now().await;
             }
             std::io::Write::write_all(&mut stream, value).unwrap();
             let mut ended = next_event(&mut servers, &mut inputs).await;
-            let Some((2, AttemptOutcome::Interrupted(displaced))) = ended.pop() else {
+            let Some((2, AttemptOutcome::Interrupted(interrupted))) = ended.pop() else {
                 panic!("not doubted")
             };
-            assert!(displaced.was_written);
-            assert_eq!(servers.resend(7, displaced), Ok(()));
+            assert!(interrupted.was_written);
+            assert_eq!(servers.resend(7, interrupted), Ok(()));
             if drains {
                 assert_eq!(servers.update_server(7, Some(listener.local_addr().unwrap()), false), [2]);
             } else {
                 assert!(servers.withdraw(7, 2).unwritten);
             }
-            // Time for what must not be written.
+            // Time in which nothing may be written.
             tokio::time::sleep(Duration::from_millis(50)).await;
             listener.set_nonblocking(true).unwrap();
             if let Ok((mut again, _)) = listener.accept() {
@@ -406,10 +417,10 @@
     }
 }
 
-/// A doubt is settled by the answer to the same command alone: once that is taken back, the value of another
-/// key proves no repeat.
+/// A doubt is resolved only by the response to the same command: once that is withdrawn, the value of another key proves
+/// no duplicate.
 #[test]
-fn the_value_of_another_key_settles_no_doubt() {
+fn value_of_another_key_resolves_no_doubt() {
     with_one_connection(async |listener, mut servers, mut inputs| {
         let ends = Instant::now() + Duration::from_secs(9);
         assert!(servers.send(7, read_until(1, ends)).is_ok());
@@ -422,14 +433,14 @@
             [(1, AttemptOutcome::Answered(_))]
         ));
         assert!(servers.send(7, read_until(2, ends)).is_ok());
-        while servers.pools[&7].connections[0].shared.line.borrow().sent.is_empty() {
+        while servers.pools[&7].connections[0].shared.pipeline.borrow().in_flight.is_empty() {
             tokio::task::yield_now().await;
         }
         std::io::Write::write_all(&mut stream, value).unwrap();
         let mut ended = next_event(&mut servers, &mut inputs).await;
-        let Some((2, AttemptOutcome::Interrupted(displaced))) = ended.pop() else { panic!("not doubted") };
-        assert_eq!(servers.resend(7, displaced), Ok(()));
-        // Its client leaves while the new connection is made, and another command is the first on it.
+        let Some((2, AttemptOutcome::Interrupted(interrupted))) = ended.pop() else { panic!("not doubted") };
+        assert_eq!(servers.resend(7, interrupted), Ok(()));
+        // Its client leaves while the new connection is opened, and another command is the first on it.
         assert!(servers.withdraw(7, 2).unwritten);
         assert!(next_event(&mut servers, &mut inputs).await.is_empty());
         assert!(servers.send(7, read_until(3, ends)).is_ok());
@@ -439,6 +450,6 @@
             next_event(&mut servers, &mut inputs).await[..],
             [(3, AttemptOutcome::Answered(_))]
         ));
-        assert!(!servers.pools[&7].findings.borrow().is_distrusted(), "said to have repeated");
+        assert!(!servers.pools[&7].verification.borrow().is_distrusted(), "a duplicate was recorded");
     });
 }
