--- a/crates/node/src/accept_failures.rs
+++ b/crates/node/src/accept_failures.rs
@@ -12,7 +12,7 @@
 /// resources may be free again by then.
 pub(crate) const RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Number of consecutive failures that are each followed by an immediate retry. Each removes one connection from the
-/// queue, which holds no more than this many; after that the network is down for longer.
+/// queue, which holds no more than this many at a bad moment; after that the network is down for longer.
 const MAX_IMMEDIATE_RETRIES: u32 = 64;
 /// Shortest time between two log lines.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
--- a/crates/node/src/clients/reading.rs
+++ b/crates/node/src/clients/reading.rs
@@ -54,8 +54,8 @@
         self.refuse_large_value(head, received_at);
     }
 
-    /// Refuses a command, given without its value. An invalid command is answered with its error, and a request is counted in
-    /// its class.
+    /// Refuses a command, given without its value. An invalid command is answered with its error, and a request is
+    /// counted in its class.
     fn refuse_large_value(&mut self, mut head: BytesMut, received_at: Micros) {
         let Ok(Some(frame)) = resp::take_frame(&mut head, MAX_BUFFERED_VALUE_BYTES) else { return };
         let class = command_arguments(frame).map(|arguments| {
@@ -138,8 +138,8 @@
         if self.clients.retirement.plans().refuses(!self.pending.is_empty(), Instant::now()) {
             return self.refuse(request.class, RefuseReason::Retiring);
         }
-        // Memory is bounded by what open requests may hold, and each connection by its own share of them. Requests beyond that
-        // are refused instead of being left unread.
+        // Memory is bounded by what open requests may hold, and each connection by its own share of them. Requests beyond
+        // that are refused instead of being left unread.
         let value = command.value.as_ref().filter(|_| reserved.is_none()).map_or(0, Bytes::len);
         let mut memory = match self.acquire_memory(REQUEST_MEMORY_KB + value.div_ceil(1024)) {
             Ok(memory) => memory,
--- a/crates/node/src/clients/retirement.rs
+++ b/crates/node/src/clients/retirement.rs
@@ -19,7 +19,7 @@
 const LARGE_VALUE_GRACE: Duration = Duration::from_secs(10);
 
 /// Delays after a drain was announced. Four seconds after it a client's connection may neither be idle nor have a request
-/// from the last two seconds; both limits include 0.15 s by which the process may be delayed.
+/// from the last two seconds; a delayed process may use up 0.15 s of either limit.
 mod drain {
     use super::Duration;
 
--- a/crates/node/src/duplicate_responses.rs
+++ b/crates/node/src/duplicate_responses.rs
@@ -109,7 +109,8 @@
 enum DoubtCause {
     /// Its value was received before on this connection, for another key.
     OtherKey,
-    /// Its value was received before on this connection for the same key, at a server whose values are not known to be stable from one request to the next.
+    /// Its value was received before on this connection for the same key, at a server whose values are not known to be
+    /// stable from one request to the next.
     SameKey,
     /// Its value is new, but a response without a value arrived twice before it: if the second was a duplicate, this
     /// response belongs to the previous command.
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -130,10 +130,10 @@
         self.set_descriptor_limits((self.budget.clients, self.budget.servers)).await;
     }
 
-    /// Requests the state that the node would leave behind, and with `whole` all of its state.
-    async fn request_state(&self, whole: bool) -> Option<PredecessorState> {
+    /// Requests the state that the node would leave behind, and with `full` all of its state.
+    async fn request_state(&self, full: bool) -> Option<PredecessorState> {
         let (reply, snapshot) = oneshot::channel();
-        self.send_input(Input::TakeSnapshot { full: whole, reply }).await;
+        self.send_input(Input::TakeSnapshot { full, reply }).await;
         let mut state = timeout(HELLO_TIMEOUT, snapshot).await.ok()?.ok()?;
         state.remaining.descriptors += (self.clients.open_count() + self.budget.reserved) as u32;
         Some(state)
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -394,7 +394,7 @@
     pub fn handle_event(
         &mut self,
         server: ServerId,
-        number: u64,
+        connection_number: u64,
         event: ConnectionEvent,
     ) -> Vec<(AttemptId, AttemptOutcome)> {
         let mut ended = Vec::new();
@@ -406,7 +406,9 @@
             ConnectionEvent::Up => self.local_failures.record_success(),
             ConnectionEvent::Response(attempt, frame) => {
                 let pool = self.pools.get_mut(&server);
-                if let Some(c) = pool.and_then(|p| p.connections.iter_mut().find(|c| c.number == number)) {
+                if let Some(c) =
+                    pool.and_then(|p| p.connections.iter_mut().find(|c| c.number == connection_number))
+                {
                     c.last_used = Instant::now();
                 }
                 ended.push((attempt, AttemptOutcome::Answered(frame)));
@@ -419,7 +421,7 @@
             }
             ConnectionEvent::Stalled => {
                 if let Some(pool) = self.pools.get_mut(&server) {
-                    let released = pool.release_blocked_by_large_value(number).into_iter();
+                    let released = pool.release_blocked_by_large_value(connection_number).into_iter();
                     ended.extend(released.map(|id| (id, AttemptOutcome::Reset)));
                 }
             }
@@ -431,7 +433,7 @@
                     interrupted.into_iter().map(|d| (d.command.attempt, AttemptOutcome::Interrupted(d))),
                 );
                 if let Some(pool) = self.pools.get_mut(&server) {
-                    pool.connections.retain(|c| c.number != number);
+                    pool.connections.retain(|c| c.number != connection_number);
                 }
             }
         }
@@ -502,11 +504,12 @@
     ) -> Vec<(AttemptId, AttemptOutcome)> {
         let Some(pool) = self.pools.get_mut(&server) else { return Vec::new() };
         let is_blocked = |c: &&Connection| c.shared.pipeline.borrow().is_blocked_by(attempt);
-        let Some(number) = pool.connections.iter().find(is_blocked).map(|c| c.number) else {
+        let Some(connection_number) = pool.connections.iter().find(is_blocked).map(|c| c.number) else {
             return Vec::new();
         };
-        let released = pool.release_blocked(number);
-        pool.connections.retain(|c| c.number != number || !c.shared.pipeline.borrow().has_no_waiters());
+        let released = pool.release_blocked(connection_number);
+        pool.connections
+            .retain(|c| c.number != connection_number || !c.shared.pipeline.borrow().has_no_waiters());
         let mut ended: Vec<_> = released.into_iter().map(|id| (id, AttemptOutcome::Reset)).collect();
         ended.extend(
             pool.dispatch_waiting(self.limits.attempts_per_connection)
--- a/crates/node/src/servers/driver.rs
+++ b/crates/node/src/servers/driver.rs
@@ -60,7 +60,7 @@
 pub(super) async fn run_connection<H: Host>(
     host: &H,
     server: ServerId,
-    number: u64,
+    connection_number: u64,
     address: SocketAddr,
     connect_timeout: Duration,
     shared: &Shared,
@@ -72,12 +72,16 @@
         Err(_) => return ConnectionEnd::TimedOut,
     };
     shared.pipeline.borrow_mut().connected = true;
-    if events.send(Input::Server { server, connection: number, event: ConnectionEvent::Up }).await.is_err() {
+    if events
+        .send(Input::Server { server, connection: connection_number, event: ConnectionEvent::Up })
+        .await
+        .is_err()
+    {
         return ConnectionEnd::Broken;
     }
     let (reading, writing) = stream.into_halves();
     let mut writing = RetryingStream::new(writing);
-    let reader = read_responses(host, server, number, address, &reading, shared, events);
+    let reader = read_responses(host, server, connection_number, address, &reading, shared, events);
     let writer = async {
         loop {
             // Yield to the runtime once, so that a received close is read before anything more is written.
@@ -132,13 +136,13 @@
 async fn read_responses<H: Host>(
     host: &H,
     server: ServerId,
-    number: u64,
+    connection_number: u64,
     address: SocketAddr,
     reading: &impl Reading,
     shared: &Shared,
     events: &mpsc::Sender<Input>,
 ) -> ConnectionEnd {
-    let notify = |event| events.send(Input::Server { server, connection: number, event });
+    let notify = |event| events.send(Input::Server { server, connection: connection_number, event });
     let mut buffer = BytesMut::new();
     loop {
         if take_fence_replies(&mut buffer, shared).is_err() {
--- a/crates/node/src/servers/pool.rs
+++ b/crates/node/src/servers/pool.rs
@@ -46,8 +46,8 @@
 
     /// Moves the commands that are blocked behind a stalled large value to other connections; see
     /// [`release_blocked`](Self::release_blocked).
-    pub fn release_blocked_by_large_value(&mut self, number: u64) -> Vec<AttemptId> {
-        let Some(connection) = self.connections.iter().find(|c| c.number == number) else {
+    pub fn release_blocked_by_large_value(&mut self, connection_number: u64) -> Vec<AttemptId> {
+        let Some(connection) = self.connections.iter().find(|c| c.number == connection_number) else {
             return Vec::new();
         };
         let mut pipeline = connection.shared.pipeline.borrow_mut();
@@ -57,13 +57,13 @@
         }
         pipeline.stream_stalled = true;
         drop(pipeline);
-        self.release_blocked(number)
+        self.release_blocked(connection_number)
     }
 
     /// Releases the commands of a connection that wait behind its next response: queued ones wait for another connection,
     /// and reads in flight are returned to be sent again.
-    pub fn release_blocked(&mut self, number: u64) -> Vec<AttemptId> {
-        let Some(connection) = self.connections.iter().find(|c| c.number == number) else {
+    pub fn release_blocked(&mut self, connection_number: u64) -> Vec<AttemptId> {
+        let Some(connection) = self.connections.iter().find(|c| c.number == connection_number) else {
             return Vec::new();
         };
         let mut pipeline = connection.shared.pipeline.borrow_mut();
--- a/crates/node/tests/unit/client_timing.rs
+++ b/crates/node/tests/unit/client_timing.rs
@@ -69,9 +69,9 @@
     assert!(!limits.first_command_is_late() && !limits.rest_of_command_is_late());
     let long_ago = Progress::new(start - ms(2600));
     assert!(Limits::of(&long_ago, newcomer, start).first_command_is_late());
-    let mut begun = Progress::new(start);
-    begun.command_started_at = Some(start - ms(2600));
-    assert!(Limits::of(&begun, newcomer, start).rest_of_command_is_late());
+    let mut partial = Progress::new(start);
+    partial.command_started_at = Some(start - ms(2600));
+    assert!(Limits::of(&partial, newcomer, start).rest_of_command_is_late());
 }
 
 #[test]
--- a/crates/node/tests/unit/duplicate_responses.rs
+++ b/crates/node/tests/unit/duplicate_responses.rs
@@ -100,7 +100,7 @@
 #[test]
 fn doubts_wait_for_a_check_in_progress() {
     let (doubt, other) = (doubt_about("0"), doubt_about("1"));
-    for answer in ["0", "changed"] {
+    for response in ["0", "changed"] {
         let mut verification = VerificationState::default();
         assert!(!verification.is_under_check(doubt));
         assert!(verification.needs_check(doubt));
@@ -108,7 +108,7 @@
         assert!(!verification.is_under_check(other));
         verification.resolve_doubt(other, value("1"));
         assert!(verification.is_under_check(doubt), "ended by the check of another value");
-        verification.resolve_doubt(doubt, value(answer));
+        verification.resolve_doubt(doubt, value(response));
         assert!(!verification.is_under_check(doubt));
     }
     let mut verification = VerificationState::default();
@@ -146,12 +146,12 @@
 #[test]
 fn checks_are_bounded_without_duplicates() {
     let mut verification = VerificationState::default();
-    let checks = |verification: &mut VerificationState, answers: u32| -> u32 {
-        let wants = |number: u32| {
+    let checks = |verification: &mut VerificationState, responses: u32| -> u32 {
+        let needs_check = |number: u32| {
             verification.record_response();
             u32::from(verification.needs_check(doubt_about(&number.to_string())))
         };
-        (0..answers).map(wants).sum()
+        (0..responses).map(needs_check).sum()
     };
     let first = checks(&mut verification, 1_000);
     assert_eq!(first, CHECK_BURST + 1_000 / RESPONSES_PER_CHECK);
@@ -197,8 +197,8 @@
 #[test]
 fn sync_checks_use_no_value_checks() {
     let mut verification = VerificationState::default();
-    let behind_miss = Doubt { value: value("one"), cause: DoubtCause::PossiblyOutOfSync };
-    while verification.needs_check(behind_miss) {}
+    let sync_doubt = Doubt { value: value("one"), cause: DoubtCause::PossiblyOutOfSync };
+    while verification.needs_check(sync_doubt) {}
     assert!(verification.needs_check(doubt_about("0")));
 }
 
@@ -251,10 +251,10 @@
         assert_eq!(fingerprints.len(), 1);
         fingerprints[0]
     };
-    let whole = fingerprint(&bytes, bytes.len());
-    assert_eq!(fingerprint(&bytes, 1_000), whole);
-    assert_eq!(fingerprint(&bytes, LARGE_VALUE_PREFIX_BYTES), whole);
-    assert_ne!(fingerprint(&bytes[1..], 1_000), whole);
+    let expected = fingerprint(&bytes, bytes.len());
+    assert_eq!(fingerprint(&bytes, 1_000), expected);
+    assert_eq!(fingerprint(&bytes, LARGE_VALUE_PREFIX_BYTES), expected);
+    assert_ne!(fingerprint(&bytes[1..], 1_000), expected);
 }
 
 /// A response without a value proves nothing about a key that could be wrong for another.
--- a/crates/node/tests/unit/fence.rs
+++ b/crates/node/tests/unit/fence.rs
@@ -39,11 +39,11 @@
 /// By the protocol, a cache server answers anything but reads and writes with an error.
 #[test]
 fn any_other_reply_is_a_fence_reply() {
-    for answer in [PONG, "-ERR unknown command\r\n", "$4\r\nPING\r\n"] {
-        assert_eq!(check(&[1], &[answer]), OrderCheck::InOrder { responses: 0 }, "{answer}");
+    for reply in [PONG, "-ERR unknown command\r\n", "$4\r\nPING\r\n"] {
+        assert_eq!(check(&[1], &[reply]), OrderCheck::InOrder { responses: 0 }, "{reply}");
     }
-    for answer in [VALUE, "-ERR failed\r\n", "-BUSY\r\n", "-BUSY 20\r\n"] {
-        assert_eq!(check(&[1], &[answer]), OrderCheck::DuplicateFound, "{answer}");
+    for reply in [VALUE, "-ERR failed\r\n", "-BUSY\r\n", "-BUSY 20\r\n"] {
+        assert_eq!(check(&[1], &[reply]), OrderCheck::DuplicateFound, "{reply}");
     }
 }
 
@@ -100,16 +100,16 @@
 fn enough_fences_are_written_for_duplicable_replies() {
     const LIMIT: usize = 4;
     let mut pipeline = pipeline(&[0]);
-    let written = |pipeline: &mut Pipeline| {
+    let write_fences = |pipeline: &mut Pipeline| {
         pipeline.request_fences(LIMIT);
-        let wanted = pipeline.fences.requested;
-        pipeline.record_fences_written(wanted);
+        let requested = pipeline.fences.requested;
+        pipeline.record_fences_written(requested);
         assert!(pipeline.has_pending_fence());
-        wanted
+        requested
     };
-    assert_eq!(written(&mut pipeline), 1);
-    assert_eq!(written(&mut pipeline), 2);
-    assert_eq!(written(&mut pipeline), LIMIT);
+    assert_eq!(write_fences(&mut pipeline), 1);
+    assert_eq!(write_fences(&mut pipeline), 2);
+    assert_eq!(write_fences(&mut pipeline), LIMIT);
     assert!(pipeline.pop_answered().is_some());
     assert!(!pipeline.has_pending_fence());
     assert_eq!((pipeline.fences.awaited, pipeline.duplicable_fences()), (7, 7));
@@ -130,9 +130,9 @@
 fn only_proved_responses_count_as_in_order() {
     let mut pipeline = pipeline(&[0, 1, 0]);
     pipeline.confirmed_in_order = 2;
-    for left in [1, 0, 0] {
+    for remaining in [1, 0, 0] {
         assert!(pipeline.pop_answered().is_some());
-        assert_eq!(pipeline.confirmed_in_order, left);
+        assert_eq!(pipeline.confirmed_in_order, remaining);
     }
     assert_eq!(pipeline.fences.awaited, 1);
     pipeline.record_fences_written(2);
--- a/crates/node/tests/unit/memory_shortage.rs
+++ b/crates/node/tests/unit/memory_shortage.rs
@@ -52,15 +52,15 @@
 
 #[tokio::test(start_paused = true)]
 async fn lasting_shortage_ends_connection_and_other_errors_end_it_at_once() {
-    let begun = Instant::now();
+    let started = Instant::now();
     let broken = RetryingStream::new(FailingSocket::new(EPIPE, 1)).write_all(b"bytes").await;
     assert_eq!(broken.unwrap_err().kind(), ErrorKind::BrokenPipe);
-    assert_eq!(begun.elapsed(), Duration::ZERO);
+    assert_eq!(started.elapsed(), Duration::ZERO);
     let short = RetryingStream::new(FailingSocket::new(ENOBUFS, u32::MAX)).write_all(b"bytes").await;
     assert_eq!(short.unwrap_err().raw_os_error(), Some(ENOBUFS));
     assert!(
-        (MAX_SHORTAGE..MAX_SHORTAGE + RETRY_DELAY * 2).contains(&begun.elapsed()),
+        (MAX_SHORTAGE..MAX_SHORTAGE + RETRY_DELAY * 2).contains(&started.elapsed()),
         "{:?}",
-        begun.elapsed()
+        started.elapsed()
     );
 }
--- a/crates/node/tests/unit/retirement.rs
+++ b/crates/node/tests/unit/retirement.rs
@@ -42,9 +42,9 @@
     assert_eq!(actions(plan, answered, &[300, 1700, 1800]), [CloseIfIdle, CloseIfIdle, Close]);
     let before = ConnectionSnapshot { last_replied_at: Some(announced_at + ms(299)), ..idle(announced_at) };
     assert_eq!(actions(plan, before, &[300, 1199]), [Keep, Keep]);
-    let unasked = ConnectionSnapshot { has_sent_command: false, last_replied_at: None, ..idle(announced_at) };
-    assert_eq!(actions(plan, unasked, &[1200, 1799, 1800]), [Keep, Keep, Close]);
-    let late = ConnectionSnapshot { accepted_at: announced_at + ms(3000), ..unasked };
+    let unused = ConnectionSnapshot { has_sent_command: false, last_replied_at: None, ..idle(announced_at) };
+    assert_eq!(actions(plan, unused, &[1200, 1799, 1800]), [Keep, Keep, Close]);
+    let late = ConnectionSnapshot { accepted_at: announced_at + ms(3000), ..unused };
     assert_eq!(actions(plan, late, &[3000, 3499, 3500]), [Keep, Keep, Close]);
 }
 
@@ -52,12 +52,12 @@
 fn incomplete_command_fails_and_later_command_is_refused() {
     let announced_at = announced_at();
     let plan = RetirementPlan::drain(announced_at, LONGEST_DEADLINE);
-    let begun = ConnectionSnapshot { has_partial_command: true, ..idle(announced_at) };
+    let partial = ConnectionSnapshot { has_partial_command: true, ..idle(announced_at) };
     assert_eq!(
-        actions(plan, begun, &[1700, 1800, 3900]),
+        actions(plan, partial, &[1700, 1800, 3900]),
         [RetirementAction::Keep, RetirementAction::FailPartialCommand, RetirementAction::FailPartialCommand]
     );
-    let ended = ConnectionSnapshot { has_pending_replies: true, reads_commands: false, ..begun };
+    let ended = ConnectionSnapshot { has_pending_replies: true, reads_commands: false, ..partial };
     assert_eq!(actions(plan, ended, &[1800, 3900]), [RetirementAction::Keep, RetirementAction::Keep]);
     assert!(!plan.refuses(true, announced_at + ms(1799)));
     assert!(plan.refuses(true, announced_at + ms(1800)) && plan.refuses(false, announced_at + ms(1800)));
@@ -111,19 +111,19 @@
             [RetirementPlan::stop(announced_at, longest), RetirementPlan::hand_over(announced_at, longest)]
         {
             assert_eq!(plan.disconnect_all + ms(100), announced_at + kill);
-            let begun = ConnectionSnapshot {
+            let partial = ConnectionSnapshot {
                 has_partial_command: true,
                 last_received_at: announced_at + kill,
                 ..idle(announced_at)
             };
-            let open = ConnectionSnapshot { has_pending_replies: true, awaits_node: true, ..begun };
-            let unasked =
+            let open = ConnectionSnapshot { has_pending_replies: true, awaits_node: true, ..partial };
+            let unused =
                 ConnectionSnapshot { has_sent_command: false, last_replied_at: None, ..idle(announced_at) };
             let last = plan.disconnect_all - ms(100);
-            assert_eq!(plan.action(&begun, last), RetirementAction::FailPartialCommand);
+            assert_eq!(plan.action(&partial, last), RetirementAction::FailPartialCommand);
             assert_eq!(plan.action(&open, last), RetirementAction::FailOpen);
-            assert_eq!(plan.action(&unasked, last), RetirementAction::Close);
-            let states = [begun, open, unasked, idle(announced_at)];
+            assert_eq!(plan.action(&unused, last), RetirementAction::Close);
+            let states = [partial, open, unused, idle(announced_at)];
             assert!(
                 states.iter().all(
                     |snapshot| plan.action(snapshot, plan.disconnect_all) == RetirementAction::Disconnect
@@ -173,18 +173,18 @@
         Some(RetirementPlan::hand_over(announced_at + ms(300), ms(50))),
     ] {
         let plans = RetirementPlans { drain, end };
-        let cut = plans.disconnect_all_at().unwrap();
+        let closed_by = plans.disconnect_all_at().unwrap();
         for snapshot in every_snapshot(announced_at) {
             let mut now = announced_at;
             let mut checks = 0;
             while plans.action(&snapshot, now).0 == RetirementAction::Keep {
                 let next = plans.next_change(&snapshot, now).expect("a plan is active");
                 assert!(next > now, "{snapshot:?} at {:?}", now - announced_at);
-                assert!(next <= cut, "{snapshot:?} stays open beyond the end");
+                assert!(next <= closed_by, "{snapshot:?} stays open beyond the end");
                 (now, checks) = (next, checks + 1);
                 assert!(checks < 10, "{snapshot:?}");
             }
-            assert!(now <= cut);
+            assert!(now <= closed_by);
         }
     }
 }
--- a/crates/node/tests/unit/servers.rs
+++ b/crates/node/tests/unit/servers.rs
@@ -115,7 +115,7 @@
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    for answer in [&b"$0\r\n\r\n"[..], b""] {
+    for response in [&b"$0\r\n\r\n"[..], b""] {
         tokio::task::LocalSet::new().block_on(&runtime, async {
             let (mut servers, mut inputs) = servers(1, 8);
             assert!(servers.update_server(7, Some(address), true).is_empty());
@@ -124,13 +124,13 @@
             assert!(servers.handle_event(7, 1, ConnectionEvent::Up).is_empty());
             let (mut stream, _) = listener.accept().unwrap();
             tokio::task::yield_now().await;
-            let mut asked = [0; 4];
-            while matches!(stream.set_nonblocking(true).and_then(|()| stream.read(&mut asked)), Err(e) if e.kind() == ErrorKind::WouldBlock)
+            let mut received = [0; 4];
+            while matches!(stream.set_nonblocking(true).and_then(|()| stream.read(&mut received)), Err(e) if e.kind() == ErrorKind::WouldBlock)
             {
                 tokio::task::yield_now().await;
             }
             stream.set_nonblocking(false).unwrap();
-            std::io::Write::write_all(&mut stream, answer).unwrap();
+            std::io::Write::write_all(&mut stream, response).unwrap();
             drop(stream);
             // It has been read from the connection, and is queued for the node.
             while inputs.is_empty() {
@@ -142,7 +142,7 @@
 }
 
 /// A read whose attempt has this deadline.
-pub(super) fn read_until(attempt: AttemptId, attempt_ends: Instant) -> AttemptCommand {
+pub(super) fn read_until(attempt: AttemptId, deadline: Instant) -> AttemptCommand {
     let id = Bytes::from(attempt.to_string());
     let command = ClientCommand {
         name: "CACHE.GET".into(),
@@ -153,7 +153,7 @@
         write: false,
         _id_guard: RequestIdGuard::acquire(&RequestIds::default(), &id).unwrap(),
     };
-    let extras = command.attempt_extras(attempt_ends);
+    let extras = command.attempt_extras(deadline);
     AttemptCommand::new(attempt, Payload::Request { command: command.into(), extras, may_run_twice: true })
 }
 
@@ -182,15 +182,15 @@
         let (mut stream, _) = listener.accept().unwrap();
         stream.set_nonblocking(true).unwrap();
         let probe = resp::encode_command(["INFO".into(), "load".into()]);
-        let (mut asked, mut buffer) = (Vec::new(), [0; 1024]);
-        while asked.len() < probe.len() {
+        let (mut received, mut buffer) = (Vec::new(), [0; 1024]);
+        while received.len() < probe.len() {
             match stream.read(&mut buffer) {
-                Ok(read) => asked.extend_from_slice(&buffer[..read]),
+                Ok(read) => received.extend_from_slice(&buffer[..read]),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => tokio::task::yield_now().await,
                 Err(e) => panic!("{e}"),
             }
         }
-        assert_eq!(asked, probe);
+        assert_eq!(received, probe);
         assert!(servers.give_up(7, 1).unwritten, "reported as run");
     });
 }
@@ -262,8 +262,8 @@
     inputs: &mut mpsc::Receiver<Input>,
 ) -> Vec<(AttemptId, AttemptOutcome)> {
     match inputs.recv().await {
-        Some(Input::Server { server, connection: number, event }) => {
-            servers.handle_event(server, number, event)
+        Some(Input::Server { server, connection: connection_number, event }) => {
+            servers.handle_event(server, connection_number, event)
         }
         _ => panic!("unexpected input"),
     }
@@ -377,8 +377,8 @@
 fn command_waiting_to_be_resent_is_withdrawn_unwritten() {
     for drains in [false, true] {
         with_one_connection(async |listener, mut servers, mut inputs| {
-            let ends = Instant::now() + Duration::from_secs(9);
-            assert!(servers.send(7, read_until(1, ends)).is_ok());
+            let deadline = Instant::now() + Duration::from_secs(9);
+            assert!(servers.send(7, read_until(1, deadline)).is_ok());
             assert!(next_event(&mut servers, &mut inputs).await.is_empty());
             let (mut stream, _) = listener.accept().unwrap();
             let value = b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n";
@@ -387,7 +387,7 @@
                 next_event(&mut servers, &mut inputs).await[..],
                 [(1, AttemptOutcome::Answered(_))]
             ));
-            assert!(servers.send(7, read_until(2, ends)).is_ok());
+            assert!(servers.send(7, read_until(2, deadline)).is_ok());
             while servers.pools[&7].connections[0].shared.pipeline.borrow().in_flight.is_empty() {
                 tokio::task::yield_now().await;
             }
@@ -422,8 +422,8 @@
 #[test]
 fn value_of_another_key_resolves_no_doubt() {
     with_one_connection(async |listener, mut servers, mut inputs| {
-        let ends = Instant::now() + Duration::from_secs(9);
-        assert!(servers.send(7, read_until(1, ends)).is_ok());
+        let deadline = Instant::now() + Duration::from_secs(9);
+        assert!(servers.send(7, read_until(1, deadline)).is_ok());
         assert!(next_event(&mut servers, &mut inputs).await.is_empty());
         let (mut stream, _) = listener.accept().unwrap();
         let value = b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n";
@@ -432,7 +432,7 @@
             next_event(&mut servers, &mut inputs).await[..],
             [(1, AttemptOutcome::Answered(_))]
         ));
-        assert!(servers.send(7, read_until(2, ends)).is_ok());
+        assert!(servers.send(7, read_until(2, deadline)).is_ok());
         while servers.pools[&7].connections[0].shared.pipeline.borrow().in_flight.is_empty() {
             tokio::task::yield_now().await;
         }
@@ -443,7 +443,7 @@
         // Its client leaves while the new connection is opened, and another command is the first on it.
         assert!(servers.withdraw(7, 2).unwritten);
         assert!(next_event(&mut servers, &mut inputs).await.is_empty());
-        assert!(servers.send(7, read_until(3, ends)).is_ok());
+        assert!(servers.send(7, read_until(3, deadline)).is_ok());
         let (mut stream, _) = listener.accept().unwrap();
         std::io::Write::write_all(&mut stream, b"*3\r\n$1\r\nw\r\n$-1\r\n$-1\r\n").unwrap();
         assert!(matches!(
