--- a/crates/mothpier/src/handover.rs
+++ b/crates/mothpier/src/handover.rs
@@ -1,4 +1,4 @@
-//! The links between the processes of one node: a Unix socket in the folder that they share.
+//! Handover connections between the successive processes of one node, over a Unix socket in a shared folder.
 
 use std::io::ErrorKind;
 use std::path::{Path, PathBuf};
@@ -16,31 +16,32 @@
 
 use crate::HOST;
 
-/// The socket's name in the folder.
+/// File name of the socket in the shared folder.
 const NAME: &str = "mothpier-handover.sock";
-/// An old process answers within this time, or a new one begins without it: it has 6 s for all.
+/// How long a starting process waits for its predecessor's state before it starts without. The whole start may take
+/// 6 s.
 const ANSWER: Duration = Duration::from_secs(1);
-/// Messages of a link that may wait.
+/// Capacity of a link's message queues, in messages.
 const QUEUE: usize = 4;
-/// Read from a link at once.
+/// Size of a link's read buffer, in bytes.
 const READ: usize = 64 * 1024;
-/// A message is taken within this time, or its link has ended.
+/// A link is closed when its other end does not take a message within this time.
 const TAKEN: Duration = Duration::from_secs(2);
-/// Between tries to accept after a failure.
+/// Pause after a failed `accept`.
 const PAUSE: Duration = Duration::from_millis(100);
 
-/// Asks the process whose place this one takes, where there is one, and lets those ask that will take this one's.
+/// Asks the predecessor process, if there is one, for its state, and starts to listen for successor processes.
 pub async fn begin(folder: PathBuf, name: &str) -> Handover {
     let path = folder.join(NAME);
     let (ended, has_ended) = oneshot::channel();
     let before = match timeout(ANSWER, ask(&path, name, ended)).await {
         Ok(Ok(before)) => before,
         Ok(Err(why)) => {
-            HOST.log(format_args!("handover: {why}; this process begins from nothing"));
+            HOST.log(format_args!("handover: {why}; starting without the predecessor's state"));
             None
         }
         Err(_) => {
-            HOST.log(format_args!("handover: no answer; this process begins from nothing"));
+            HOST.log(format_args!("handover: no answer; starting without the predecessor's state"));
             None
         }
     };
@@ -48,17 +49,18 @@
     let alone = before.is_none();
     spawn_local(async move {
         if !alone {
-            // The old process may outlive this one, and is asked again then.
+            // The socket stays the predecessor's until it ends: if this process dies first, the predecessor must
+            // answer the next successor.
             let _ = has_ended.await;
         }
         if let Err(e) = listen(&path, found).await {
-            HOST.log(format_args!("handover: {}: {e}; no other process can take over", path.display()));
+            HOST.log(format_args!("handover: {}: {e}; no successor process can take over", path.display()));
         }
     });
     Handover { before, successors }
 }
 
-/// Asks who listens at a path; none is no error.
+/// Asks the process that listens at `path` for its state. `Ok(None)` if no process listens there.
 async fn ask(path: &Path, name: &str, ended: oneshot::Sender<()>) -> Result<Option<(State, Link)>, String> {
     let stream = match UnixStream::connect(path).await {
         Ok(stream) => stream,
@@ -70,13 +72,13 @@
     match link.inbox.recv().await {
         Some(Message::State(state)) => Ok(Some((state, link))),
         Some(Message::Declined(why)) => Err(why),
-        Some(_) => Err("an answer out of turn".into()),
-        None => Err("the other process has closed".into()),
+        Some(_) => Err("unexpected message from the predecessor".into()),
+        None => Err("the predecessor closed the connection".into()),
     }
 }
 
-/// Listens until the process ends. What a process that was killed left at the path goes; what one that lives has there
-/// stays.
+/// Listens for successor processes until this process ends. Replaces the stale socket of a killed process; fails if a
+/// live process listens at `path`.
 async fn listen(path: &Path, found: mpsc::Sender<Link>) -> std::io::Result<()> {
     let listener = match UnixListener::bind(path) {
         Err(e) if e.kind() == ErrorKind::AddrInUse => {
@@ -90,7 +92,7 @@
     };
     loop {
         match listener.accept().await {
-            // One at a time; another is told so by the end of its link.
+            // Only one successor at a time: the link of another is dropped, which closes its connection.
             Ok((stream, _)) => {
                 if let Ok(place) = found.try_reserve() {
                     place.send(link(stream, None));
@@ -104,7 +106,7 @@
     }
 }
 
-/// Carries messages over a connection until either side ends; that is told, where someone wants to know.
+/// Carries messages over a connection until either side closes it, then notifies `ended`.
 fn link(stream: UnixStream, ended: Option<oneshot::Sender<()>>) -> Link {
     let (mut reading, mut writing) = stream.into_split();
     let (heard, inbox) = mpsc::channel(QUEUE);
--- a/crates/mothpier/src/main.rs
+++ b/crates/mothpier/src/main.rs
@@ -1,4 +1,5 @@
-//! `mothpier`, a load-balancing node for a fleet of cache servers: environment, runtime and signals.
+//! `mothpier`, a load-balancing node for a fleet of cache servers: reads the environment, starts the runtime and
+//! handles signals.
 
 mod handover;
 mod recording;
@@ -18,15 +19,16 @@
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
 
-/// The variables of the environment that are read, behind their common beginning.
+/// Environment variables that the program reads, without [`VARIABLES_BEGIN`].
 const VARIABLES: [&str; 7] = ["NAME", "LISTEN", "DISCOVERY", "CONFIG", "OPS", "OPERATOR", "SOCKET_FD"];
-/// With what each of them begins.
+/// Common prefix of all environment variables of the program.
 const VARIABLES_BEGIN: &str = "ROUTER_";
 
 const HOST: Machine = Machine { program: "mothpier" };
 
 fn main() -> ExitCode {
-    // Before anything is opened: what has this number now is what was left open for this process.
+    // The inherited descriptor is taken before anything is opened, so that its number can't belong to a file of this
+    // process.
     let begun = inherited_listener().and_then(|l| read(Precedence::Environment).map(|config| (config, l)));
     let (config, listener) = match begun {
         Ok(begun) => begun,
@@ -48,21 +50,21 @@
     }
 }
 
-/// Variables of the environment that are meant for a node, and that nothing reads.
+/// Environment variables with the program's prefix that it does not read, most likely misspelt.
 fn unknown_variables() -> Vec<String> {
     let names = std::env::vars_os().filter_map(|(name, _)| name.into_string().ok());
     let unknown = |name: &String| name.strip_prefix(VARIABLES_BEGIN).is_some_and(|n| !VARIABLES.contains(&n));
     names.filter(unknown).collect()
 }
 
-/// The listener that `ROUTER_SOCKET_FD` names, where it is set.
+/// The inherited listener whose descriptor number `ROUTER_SOCKET_FD` holds, if that is set.
 fn inherited_listener() -> Result<Option<TcpListener>, String> {
     let named = std::env::var_os("ROUTER_SOCKET_FD").filter(|v| !v.is_empty());
     let listener = named.map(|text| inherited::listener(&text.to_string_lossy())).transpose();
     listener.map_err(|e| format!("ROUTER_SOCKET_FD: {e}"))
 }
 
-/// Reads the environment and the files that it names; the error is one plain line.
+/// Reads the environment and the files that it names. The error is a single line.
 fn read(precedence: Precedence) -> Result<Config, String> {
     let env = |name: &str| std::env::var(name).ok().filter(|v| !v.is_empty());
     let path = env("ROUTER_CONFIG").ok_or("ROUTER_CONFIG is not set")?;
@@ -87,8 +89,8 @@
     Ok(config)
 }
 
-/// Opens the second address on a thread of its own: staff are owed an answer in a second also when the node's own thread
-/// has more to do than it can.
+/// Starts the operations endpoint on a thread of its own, so that operators get an answer within a second even when the
+/// node's main thread is saturated.
 fn staff(
     address: SocketAddr,
     desk: Arc<Desk>,
@@ -104,7 +106,7 @@
         LocalSet::new().block_on(&runtime, async {
             match listen_with_retry(&HOST, address).await {
                 Ok(listener) => {
-                    // Only for the log.
+                    // The address is only logged.
                     let _ = bound.send(Ok(listener.local_addr().unwrap_or(address)));
                     ops::serve(HOST, listener, desk, control, descriptors).await;
                 }
@@ -114,27 +116,27 @@
     };
     let thread = std::thread::Builder::new().name("ops".into()).spawn(serves);
     let bound = thread.and_then(|_| is_bound.recv().map_err(std::io::Error::other)?);
-    let address = bound.map_err(|e| format!("cannot listen on {address} for staff: {e}"))?;
-    HOST.log(format_args!("staff are answered on {address}"));
+    let address = bound.map_err(|e| format!("cannot listen on {address} for the operations endpoint: {e}"))?;
+    HOST.log(format_args!("serving the operations endpoint on {address}"));
     Ok(())
 }
 
-/// Runs the node and passes signals on to it.
+/// Runs the node and forwards signals to it.
 async fn serve(config: Config, listener: Option<TcpListener>) -> Result<(), String> {
     let mut terminate = signal(SignalKind::terminate()).map_err(|e| e.to_string())?;
     let mut interrupt = signal(SignalKind::interrupt()).map_err(|e| e.to_string())?;
-    // Taken from the start on: unhandled, this signal would end the node.
+    // Handled before the node starts: the default action of SIGHUP ends the process.
     let mut hangup = signal(SignalKind::hangup()).map_err(|e| e.to_string())?;
     let (control, told) = mpsc::channel(8);
     config.notes.iter().for_each(|note| HOST.log(format_args!("{note}")));
-    unknown_variables().iter().for_each(|name| HOST.log(format_args!("nothing reads the variable {name}")));
+    unknown_variables().iter().for_each(|name| HOST.log(format_args!("unknown environment variable {name}")));
     let desk = Desk::new(&config.site.classes);
     if let Some(address) = config.ops {
         staff(address, desk.clone(), control.clone(), config.sockets)?;
     }
     let listener =
         listener.map(|l| HOST.adopt(l)).transpose().map_err(|e| format!("inherited listener: {e}"))?;
-    // Only where processes share a listener do they follow each other.
+    // A handover needs a listener that predecessor and successor share.
     let folder =
         std::env::var_os("TMPDIR").map(PathBuf::from).filter(|f| listener.is_some() && f.is_absolute());
     let handover = match folder {
@@ -143,7 +145,7 @@
     };
     let start = Start { recorder: recording::recorder(HOST, &config), listener, handover };
     let mut node = std::pin::pin!(run(HOST, config, desk, told, start));
-    // Told to end: that waits for room where other words are before it, and is said once.
+    // `Control::Stop` is sent once, and waits for room in the channel, unlike the commands of a reload.
     let (mut ends, mut said) = (false, false);
     loop {
         let tell = tokio::select! {
@@ -163,20 +165,20 @@
                 ends = true;
                 continue;
             }
-            // All but discovery's address and whether to record is fixed at the start. A file that can't be read must not cost the node
-            // what it has.
+            // A reload changes only discovery's address and whether to record. If the file can't be read, the node
+            // keeps its configuration.
             Some(()) = hangup.recv() => match read(Precedence::File) {
                 Ok(config) => {
                     let _ = control.try_send(Control::Record(config.operator.record.on));
                     Control::Discovery(config.discovery)
                 }
                 Err(e) => {
-                    HOST.log(format_args!("the configuration stays as it was: {e}"));
+                    HOST.log(format_args!("reload failed, configuration unchanged: {e}"));
                     continue;
                 }
             },
         };
-        // One that is stopping listens no longer.
+        // A node that is stopping has closed the channel.
         let _ = control.try_send(tell);
     }
 }
--- a/crates/mothpier/src/recording.rs
+++ b/crates/mothpier/src/recording.rs
@@ -1,6 +1,7 @@
-//! The recorder that the operator's file asks for, and what the record of an earlier incarnation left to count.
+//! Starts the recorder that the operator's file configures, and recovers state from the records of earlier
+//! incarnations.
 //!
-//! What fails here costs the record, never the node: each failure is a line of the log.
+//! A failure here disables recording or recovery and is logged; the node starts all the same.
 
 use std::path::PathBuf;
 use std::sync::mpsc;
@@ -16,13 +17,13 @@
 use mothpier_record::store::{Folder, Store, largest_incarnation, newest_first};
 use nix::time::ClockId;
 
-/// A number that the kernel draws at each boot.
+/// File with the random UUID that the kernel generates at each boot.
 const BOOT_ID: &str = "/proc/sys/kernel/random/boot_id";
 
-/// A start waits no longer for the folder: a disk that hangs costs the record.
+/// How long the start waits for the folder of records to be read. A hanging disk must not delay the node.
 const FOLDER_WAIT: Duration = Duration::from_secs(1);
 
-/// The recorder, where the operator's file names a folder.
+/// Creates the recorder if the operator's file names a folder.
 pub fn recorder(host: Machine, config: &Config) -> Option<Recorder> {
     let record = &config.operator.record;
     let folder = record.folder.as_ref()?;
@@ -40,7 +41,7 @@
         None => None,
     };
     let store = Store::start(Folder(folder.clone()), &record.figures)
-        .inspect_err(|e| host.log(format_args!("nothing is recorded: {e}")))
+        .inspect_err(|e| host.log(format_args!("recording disabled: {e}")))
         .ok()?;
     let secret = matches!(config.keys, Keys::Secret(_));
     let recorder = Recorder::new(record.figures.clone(), record.on, Box::new(store), legacy)
@@ -51,34 +52,34 @@
     Some(recorder)
 }
 
-/// What the folder says of earlier incarnations.
+/// What the folder of records shows about earlier incarnations.
 #[derive(Default)]
 struct Earlier {
     largest_incarnation: Option<u64>,
-    /// `None` where there is no segment, or the operator does not want to know.
+    /// `None` if there is no segment, or recovery is switched off.
     found: Option<Found>,
 }
 
-/// Reads the folder on a thread of its own, and waits for that with a bound.
+/// Reads the folder on a separate thread, and waits at most [`FOLDER_WAIT`] for it.
 fn look_back(config: &Config, folder: PathBuf, now: Now) -> Earlier {
     let record = &config.operator.record;
     let wanted = record.on && record.recover;
     let node = config.name.clone();
-    // As the node will act on them.
+    // The settings that the node will use, with the operator's overrides.
     let settings = Settings { damping: config.operator.storm.damping(), ..config.site.decisions.clone() };
     let unseen = Unseen { span: (record.figures.hand_over_ms * 1000.0) as u64 };
     let (done, result) = mpsc::sync_channel(1);
     let (its_node, its_settings) = (node.clone(), settings.clone());
     let reads = move || {
         let recovery = Recovery { node: &its_node, settings: &its_settings, now, unseen };
-        // Nobody waits any longer where this fails.
+        // Sending fails once the wait has timed out.
         let _ = done.send(read_folder(&recovery, folder, wanted));
     };
     let started = std::thread::Builder::new().name("recover".into()).spawn(reads);
     let why = match started.map(|_| result.recv_timeout(FOLDER_WAIT)) {
         Ok(Ok(earlier)) => return earlier,
-        Ok(Err(_)) => "its folder did not answer in time".to_string(),
-        Err(e) => format!("it was not read: {e}"),
+        Ok(Err(_)) => "reading its folder timed out".to_string(),
+        Err(e) => format!("cannot start a thread to read it: {e}"),
     };
     let recovery = Recovery { node: &node, settings: &settings, now, unseen };
     Earlier { largest_incarnation: None, found: wanted.then(|| recovery.assume_most(&why)) }
@@ -98,7 +99,8 @@
     Earlier { largest_incarnation: largest_incarnation(&segments), found }
 }
 
-/// The machine's monotonic clock, that of `Instant`; `None` where it can't be told from that of another boot.
+/// Reads the monotonic clock that `Instant` uses. `None` if the boot can't be identified: readings of different boots
+/// can't be compared.
 fn monotonic() -> Option<Reading> {
     let boot_id = std::fs::read_to_string(BOOT_ID).ok()?;
     let digits: String = boot_id.chars().filter(char::is_ascii_hexdigit).collect();
--- a/crates/mothpier/tests/drain.rs
+++ b/crates/mothpier/tests/drain.rs
@@ -1,4 +1,4 @@
-//! How long a drained node holds the connections of clients, whatever these do.
+//! How long a drained or ending node keeps client connections open, for clients of all usage patterns.
 #![allow(missing_docs)]
 
 mod habits;
@@ -9,8 +9,8 @@
 
 use habits::{Habit, Scene, wait_until};
 
-/// Habits with the kinds of keys that they are seen with. Each group has a node and a cache server of its own, for an answer that
-/// is slow to come holds up those behind it on a server's connection.
+/// Usage patterns with the kind of keys that they ask for. Each group has its own node and cache server, because a slow
+/// response delays the ones behind it on the same server connection.
 const GROUPS: [&[(Habit, &str)]; 4] = [
     &[
         (Habit::Silent, "fast"),
@@ -30,7 +30,7 @@
     &[(Habit::ClosedLoop, "slow"), (Habit::Overlaps(2), "slow"), (Habit::Overlaps(3), "slow")],
     &[(Habit::ClosedLoop, "silent"), (Habit::Overlaps(2), "silent"), (Habit::Overlaps(8), "silent")],
 ];
-/// The same for connections that are opened after the drain was told.
+/// The same for connections that are opened after the drain has begun.
 const OPENED_LATE: &[(Habit, &str)] = &[
     (Habit::Silent, "fast"),
     (Habit::ClosedLoop, "fast"),
@@ -44,7 +44,7 @@
     Duration::from_millis(milliseconds)
 }
 
-/// Lets clients of some habits use a node, drains it, and gives what was wrong with their connections.
+/// Drains a node that clients use, and returns what went wrong with their connections.
 fn drained_under(
     name: &str,
     habits: &[(Habit, &'static str)],
@@ -52,7 +52,7 @@
 ) -> Vec<String> {
     let mut scene = Scene::new(name, habits);
     let began = scene.drain();
-    // The front sends new connections for 0.2 s more.
+    // The load balancer in front of the nodes goes on sending new connections for 0.2 s.
     wait_until(began, ms(150));
     scene.start(late);
     let wrong = scene.held(began);
@@ -71,12 +71,12 @@
     assert!(wrong.is_empty(), "4 s after the drain:\n{}", wrong.join("\n"));
 }
 
-/// Lets clients of some habits use a node, ends it with SIGTERM and SIGKILL, and gives what was wrong with their connections.
+/// Ends a node that clients use with SIGTERM and SIGKILL, and returns what went wrong with their connections.
 fn ended_under(name: &str, habits: &[(Habit, &'static str)], late: &[(Habit, &'static str)]) -> Vec<String> {
     let mut scene = Scene::new(name, habits);
     let began = scene.begin();
     scene.node.signal("TERM");
-    // New connections come for 0.4 s at most.
+    // New connections arrive for 0.4 s at most.
     wait_until(began, ms(350));
     scene.start(late);
     let wrong = scene.ended(name, began);
@@ -92,5 +92,5 @@
     });
     let groups: Vec<_> = groups.collect();
     let wrong: Vec<String> = groups.into_iter().flat_map(|group| group.join().unwrap()).collect();
-    assert!(wrong.is_empty(), "as the process ended:\n{}", wrong.join("\n"));
+    assert!(wrong.is_empty(), "at the end of the process:\n{}", wrong.join("\n"));
 }
--- a/crates/mothpier/tests/node.rs
+++ b/crates/mothpier/tests/node.rs
@@ -1,4 +1,4 @@
-//! The node as a process, over loopback sockets: what would cost a request, an effect or the node itself.
+//! The node as a process, over loopback sockets: faults that could lose a request, repeat a write or stop the node.
 #![allow(missing_docs)]
 
 mod world;
@@ -38,7 +38,7 @@
     let fetch = calls.recv_timeout(HUNG).unwrap();
     assert_eq!(fetch[0], "GET /7f3a9c21e0b4d655 HTTP/1.1");
     assert!(fetch.contains(&"x-request-id: 9b1f".to_owned()), "{fetch:?}");
-    // As it came but for what is left, which is no more than the cache server was told before it.
+    // Unchanged but for the time left, which is no more than what the cache server was given before.
     let extras = fetch.iter().find_map(|line| line.strip_prefix("x-extras: c=read,t=acme,d=")).unwrap();
     let (left, rest) = extras.split_once(',').unwrap();
     assert!((1..=wait).contains(&left.parse::<u32>().unwrap()), "{left}, and {wait} before");
@@ -54,7 +54,7 @@
     let server = serve(command, |asked| array(&asked[2]));
     let node = Node::start("pipeline", &Discovery::start(&member("s-1", server, "m", "ready")));
     let mut client = node.client();
-    // So many at once as the module takes before it has seen the server answer.
+    // As many at once as the decision module sends before it has seen the server answer.
     for batch in 0..40 {
         let mut all = String::new();
         for i in batch * 4..batch * 4 + 4 {
@@ -63,13 +63,13 @@
             all += &format!("*4\r\n$9\r\nCACHE.GET\r\n${k}\r\n{key}\r\n${i}\r\n{id}\r\n");
             all += "$20\r\nc=read,t=acme,d=9000\r\n";
         }
-        // Cut anywhere, as a network would.
+        // Split at arbitrary places, as on a network.
         all.as_bytes().chunks(97).for_each(|part| client.write(part));
         for i in batch * 4..batch * 4 + 4 {
             assert_eq!(client.answer(), format!("$id{i}"));
         }
     }
-    assert_eq!(client.ask(&["PING"]), "+PONG", "an answer too many");
+    assert_eq!(client.ask(&["PING"]), "+PONG", "a surplus answer");
 }
 
 #[test]
@@ -84,7 +84,8 @@
     let members = [member("s-1", server, "m", "ready"), member("o-1", origin, "origin", "ready")].join(",");
     let node = Node::start("reset", &Discovery::start(&members));
     let mut client = node.client();
-    // On a connection that was used before, too: there a library might take the reset for a stale one.
+    // Also on a connection that was used before, where an HTTP client library might retry because it takes the reset
+    // for a stale connection.
     assert_eq!(client.ask(&["CACHE.GET", "warm", "r0", "c=read,t=acme,d=9000"]), "$v");
     for id in ["w1", "w2"] {
         assert_eq!(client.ask(&["CACHE.SET", "k", id, "c=once,t=acme,d=9000,k=5", "v"]), "-ERR failed");
@@ -219,7 +220,7 @@
     client.send(&["CACHE.GET", "k", "i1", "c=read,t=acme,d=9000"]);
     commands.recv_timeout(HUNG).unwrap();
     node.signal("TERM");
-    // Clients go on coming for a while, and may use what they have.
+    // New clients are accepted for a while.
     assert_eq!(node.client().ask(&["PING"]), "+PONG");
     assert_eq!(idle.answer(), "end", "closed between requests");
     go.send(()).unwrap();
@@ -233,17 +234,17 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let mut child = node_command("silent", address, 1024, "").stderr(Stdio::null()).spawn().unwrap();
-    // The first connection stays open and silent: the node must come with another.
+    // The first connection stays open and silent: the node must open another.
     let (mut first, _) = listener.accept().unwrap();
     let _second = listener.accept().unwrap();
     let mut asked = Vec::new();
     first.read_to_end(&mut asked).unwrap();
-    assert!(asked.starts_with(b"GET /api/targets"), "the first call was given up, and its connection closed");
+    assert!(asked.starts_with(b"GET /api/targets"), "the first call, whose connection the node has closed");
     child.kill().unwrap();
     child.wait().unwrap();
 }
 
-/// A node that must ask one discovery for all nodes, at an address, and was given a list of revision 7.
+/// Starts a node that polls a discovery shared by all nodes, and has a list of revision 7 in its configuration.
 fn asking(name: &str, discovery: std::net::SocketAddr, known: &str) -> Node {
     let path = scratch(&format!("{name}-asks.json"));
     let list = format!(r#""known":{{"revision":7,"complete":true,"members":[{known}]}},"settings""#);
@@ -257,7 +258,7 @@
     Node::spawn(command)
 }
 
-/// Whoever asks it before discovery has answered is served from the list that it was given.
+/// Until discovery answers, the node serves from the list in its configuration.
 #[test]
 fn a_node_with_a_list_from_before_serves_from_its_start() {
     let server = serve(command, |asked| array(&asked[2]));
@@ -265,7 +266,7 @@
     let node = asking("from-before", silent, &member("s-1", server, "m", "ready"));
     assert_eq!(node.client().ask(&["PING"]), "+PONG");
     assert_eq!(node.client().ask(&["CACHE.GET", "k", "i", "c=read,t=acme,d=9000"]), "$i");
-    // One that was given none, or only what may not be asked, has nothing to serve from yet.
+    // Without a list, or with no cache server in it that is ready, the node can't serve yet.
     for known in
         [String::new(), member("s-1", server, "m", "draining"), member("s-1", server, "origin", "ready")]
     {
@@ -274,7 +275,7 @@
     }
 }
 
-/// What it was given from before may be anything: it must not keep the node from its start.
+/// A malformed list in the configuration must not keep the node from starting.
 #[test]
 fn a_list_from_before_that_cannot_be_read_is_said_and_not_used() {
     let server = serve(command, |asked| array(&asked[2]));
@@ -293,7 +294,7 @@
     }
 }
 
-/// A discovery at which each call has to wait nearly as long as calls may: where it is, and the calls made.
+/// A discovery that answers each call only shortly before the call's time-out. Returns its address and the calls made.
 fn answers_in_turn(revision: u64, members: &str) -> (std::net::SocketAddr, Receiver<Vec<String>>) {
     let (told, calls) = channel();
     let told = report(told);
@@ -306,19 +307,19 @@
     (discovery, calls)
 }
 
-/// Where calls are many each waits its turn. A node that gave up before would cost the service a call for nothing.
+/// A busy discovery answers calls in turn. A node that gave up early would have made it do the work for nothing.
 #[test]
 fn a_call_that_discovery_takes_in_turn_is_waited_for_and_asks_for_changes_only() {
     let server = serve(command, |asked| array(&asked[2]));
     let (discovery, calls) = answers_in_turn(8, &member("s-1", server, "m", "ready"));
     let node = asking("in-turn", discovery, "");
-    assert!(calls.recv_timeout(HUNG).unwrap()[0].contains("after=7&"), "what is held need not come again");
-    // The next one goes on from the answer to the first; none has come between them.
+    assert!(calls.recv_timeout(HUNG).unwrap()[0].contains("after=7&"), "the whole list was asked for again");
+    // The next call follows the answer to the first, with none in between.
     assert!(calls.recv_timeout(HUNG).unwrap()[0].contains("after=8&"));
     assert_eq!(node.client().ask(&["CACHE.GET", "k", "i", "c=read,t=acme,d=9000"]), "$i");
 }
 
-/// After a move the whole list is asked for, which takes its turn as well.
+/// After a change of the discovery address the node asks for the whole list, and waits as long for it.
 #[test]
 fn a_whole_list_that_comes_in_its_turn_is_waited_for_after_a_move() {
     let server = serve(command, |asked| array(&asked[2]));
@@ -348,7 +349,7 @@
     assert!(said == "end" || said.starts_with("-ERR"), "{said}");
 }
 
-/// Slow clients write a head in pieces and leave the longest pause before the last.
+/// A client that sends its command in pieces, with the longest pause before the last, must keep its connection.
 #[test]
 fn a_head_that_goes_on_outlives_a_crowd_that_shows_nothing() {
     let node = Node::start_with("slow-head", &Discovery::start(""), 64, "");
@@ -357,7 +358,7 @@
         slow.write(piece);
         std::thread::sleep(Duration::from_millis(50));
     }
-    // Half of the places and more are taken all the time, by those that came last.
+    // More than half of the connection slots are always taken by the newest connections.
     let mut held = Vec::new();
     for _ in 0..38 {
         held.push(node.client());
@@ -389,7 +390,7 @@
         peer.send_to(bytes, sender).unwrap();
         stranger.send_to(bytes, sender).unwrap();
     }
-    // It goes on to speak, and to serve.
+    // The node goes on to send messages, and to serve.
     peer.recv_from(&mut message).unwrap();
     assert_eq!(node.client().ask(&["PING"]), "+PONG");
 }
@@ -416,7 +417,7 @@
     let names = ["old", "second", "third"];
     let [old, second, third] = names.map(|n| serve(command, move |_| array(n)));
     let list = |server| member("s-1", server, "m", "ready");
-    // The first agent answers once and leaves the watch open: the node must leave it in the middle of that.
+    // The first discovery answers once and leaves the watch open: the node must abandon that watch.
     let agent = TcpListener::bind("127.0.0.1:0").unwrap();
     let first = agent.local_addr().unwrap();
     let mut started = node_command("reload", first, 1024, "");
@@ -438,10 +439,10 @@
     let path = scratch("reload.json");
     std::fs::write(&path, "{\"discovery\":").unwrap();
     node.signal("HUP");
-    node.logged("stays as it was");
+    node.logged("configuration unchanged");
     assert_eq!(ask("i2"), "$old");
 
-    // Reloads in a row, at services whose revisions begin anew.
+    // Two reloads, each to a discovery whose revisions start again at 1.
     let mut left = Vec::new();
     for (i, server) in [second, third].into_iter().enumerate() {
         let next = Discovery::start(&list(server));
@@ -452,7 +453,7 @@
         assert_eq!(ask(&format!("r{i}")), format!("${}", names[i + 1]));
         if i == 0 {
             watch.read_to_end(&mut left).unwrap();
-            assert_eq!(left, b"", "the old address is left in the middle of the watch");
+            assert_eq!(left, b"", "the watch at the old address was not abandoned");
         }
     }
 }
@@ -467,7 +468,7 @@
     assert!(second.ask(&["CACHE.GET", "other", "i1", "c=read,t=acme,d=9000"]).starts_with("-ERR"));
     go.send(()).unwrap();
     assert_eq!(first.answer(), "$mine");
-    // It is forgotten with its request.
+    // An id can be used again once its request is over.
     go.send(()).unwrap();
     assert_eq!(second.ask(&["CACHE.GET", "other", "i1", "c=read,t=acme,d=9000"]), "$other");
     assert_eq!(commands.try_iter().count(), 1, "the id in use went on to a server");
@@ -505,7 +506,7 @@
     assert!(client.ask(&["Cache.Get", "k", "i", "c=read,t=acme,d=900"]).starts_with("-ERR"));
     assert!(client.ask(&["CACHE.GET", "k", "", "c=read,t=acme,d=900"]).starts_with("-ERR"));
     assert_eq!(commands.try_iter().count(), 0);
-    // No stricter than that.
+    // Everything else passes.
     assert_eq!(
         client.ask(&["CACHE.GET", "k\n\u{e9}", "no-hex:1", "d=9000.5,x=y=z,t=acme,r=1,h=5,k=,c=read"]),
         "$v"
@@ -525,7 +526,7 @@
     assert_eq!(silent.answer(), "end");
     assert!(half.answer().starts_with("-ERR"));
     assert_eq!(half.answer(), "end");
-    // Clients that ask once and keep their connection for good.
+    // A client that asked once and keeps its connection.
     assert_eq!(once.answer(), "end");
     go.send(()).unwrap();
     assert_eq!(behind.answer(), "$late");
@@ -555,7 +556,7 @@
     assert!(ask(3000) < 3000);
 }
 
-/// A connection to a cache server on which a test speaks for itself.
+/// Accepts a connection to a cache server that the test itself answers on.
 fn accept(server: &TcpListener) -> BufReader<std::net::TcpStream> {
     let (stream, _) = server.accept().unwrap();
     stream.set_read_timeout(Some(std::time::Duration::from_secs(8))).unwrap();
@@ -585,7 +586,7 @@
         "*3\r\n$1\r\nv\r\n:1\r\n$-1\r\n",
         "*3\r\n$3000000000\r\nxxxx",
         "\0\0noise",
-        // It begins, and nothing more comes.
+        // The response begins, and never ends.
         "*3\r\n$500\r\nv\r\n$3\r\nhit\r\n$-1\r\n",
     ]
     .into_iter()
@@ -599,7 +600,7 @@
         let answer = client.answer();
         assert!(answer.starts_with("-BUSY"), "{spoilt:?}: {answer}");
     }
-    assert_eq!(calls.try_iter().count(), 0, "a spoilt answer was taken for a miss");
+    assert_eq!(calls.try_iter().count(), 0, "a malformed response was taken for a miss");
 }
 
 #[test]
@@ -612,7 +613,7 @@
             "noise" => "*".into(),
             _ => String::new(),
         };
-        // A report that can't be read takes nothing from the value.
+        // A load report that can't be parsed does not affect the value.
         let answer = if asked[1] == "report" {
             good(&asked[2]).replace("$17\r\nlat_ms=5,busy=0.1", ":7")
         } else {
@@ -644,23 +645,23 @@
     assert_eq!(client.ask(&["CACHE.GET", "k", "i1", "c=read,t=acme,d=9000"]), "$new");
 }
 
-/// Clients can hold only so many connections: those that some keep for good must not keep the rest out.
+/// Idle connections must not keep new clients out once the node's connections are nearly all in use.
 #[test]
 fn kept_connections_are_closed_sooner_where_many_are_open() {
     let node = Node::start_with("kept", &Discovery::start(""), 64, "");
     let since = std::time::Instant::now();
     let (ended, ends) = channel();
-    // Of 30 that there may be: five eighths of what 64 descriptors leave, as no list asks for more servers.
+    // Of 30 client connections: five eighths of what 64 descriptors leave, as there are no cache servers to connect to.
     for _ in 0..25 {
         let (mut client, ended) = (node.client(), ended.clone());
         assert_eq!(client.ask(&["PING"]), "+PONG");
         std::thread::spawn(move || ended.send(client.answer()));
     }
-    // Until fewer than half are open. Which of them go is open: all have rested alike, and their timers come due
-    // in one tick of the runtime, in no order.
+    // Connections are closed until fewer than half of the 30 are open. Which ones is undefined: all have been idle
+    // equally long, and their timers fire in the same tick of the runtime, in no order.
     for _ in 0..11 {
         assert_eq!(ends.recv_timeout(HUNG).unwrap(), "end");
     }
-    // Without need they have 10 s.
+    // The usual idle time-out is 10 s.
     assert!(since.elapsed().as_secs() < 8, "{:?}", since.elapsed());
 }
--- a/crates/mothpier/tests/opening.rs
+++ b/crates/mothpier/tests/opening.rs
@@ -1,4 +1,4 @@
-//! A node opens its addresses although that fails for a while, and says so where it fails for good.
+//! A node retries to open its addresses while that fails, and reports an error if it fails permanently.
 #![allow(missing_docs)]
 
 mod world;
@@ -14,12 +14,12 @@
 use interposed::let_calls_fail;
 use world::{Discovery, Node, array, command, config, member, node_command, scratch, serve};
 
-/// Nine starts in ten are ready within this time.
+/// Nine of ten starts must be ready within this time.
 const READY: Duration = Duration::from_secs(6);
-/// A start that can't succeed has ended within this time: no node may take longer to be ready.
+/// A start that can't succeed must end within this time, the longest that any node may take to be ready.
 const ENDED: Duration = Duration::from_secs(30);
 
-/// An address that nothing has.
+/// A TCP address that is not in use.
 fn free_address() -> SocketAddr {
     TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap().local_addr().unwrap()
 }
@@ -28,8 +28,8 @@
     UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).unwrap().local_addr().unwrap()
 }
 
-/// A command that starts a node which opens all four addresses: for clients, for staff, for its peers and for the
-/// agreement.
+/// A command that starts a node which opens all four addresses: for clients, for the operations endpoint, for peers and
+/// for the agreement.
 fn start_of_four_addresses(name: &str, discovery: &Discovery, listen: SocketAddr) -> Command {
     let (peers, agreement) = (free_datagram_address(), free_datagram_address());
     let operator = scratch(&format!("{name}-opening.toml"));
@@ -41,7 +41,7 @@
     let addresses = format!(r#""peer_listen":"{peers}","peers":["{peers}"],"limits""#);
     let text = config(name, discovery.address, 1024);
     let text = text.replacen(r#""limits""#, &addresses, 1).replace("127.0.0.1:0", &listen.to_string());
-    // The agreement is about zones: the node is in one.
+    // The agreement requires that the node is in a zone.
     let text = text.replace(r#""zones":["a"],"#, r#""zones":["a"],"zone":0,"#);
     std::fs::write(&path, text).unwrap();
     let mut command = node_command(name, discovery.address, 1024, "");
@@ -57,7 +57,7 @@
     Discovery::start(&member("s-1", server, "m", "ready"))
 }
 
-/// Runs a start that is to fail: what it told, and how long it took.
+/// Runs a start that must fail, and returns its log and how long it took.
 fn failed(mut command: Command) -> (String, Duration) {
     let began = Instant::now();
     let Output { status, stderr, .. } = command.stderr(Stdio::piped()).output().unwrap();
@@ -70,7 +70,7 @@
 fn a_failure_that_passes_at_any_address_is_outlived() {
     let discovery = discovery();
     let rules = [
-        // The first three calls fail, and every second of the others: one at each address.
+        // With `:1:3` the first three calls fail; with `:2` every second call does, so one for each address.
         ("bind", libc::ENOBUFS, ":1:3"),
         ("bind", libc::ENOBUFS, ":2"),
         ("bind", libc::ENOMEM, ":2"),
@@ -125,7 +125,7 @@
 #[test]
 fn an_address_of_another_machine_ends_the_start_with_a_clear_line() {
     let discovery = discovery();
-    // Of the block that is kept for documentation: no machine has it.
+    // An address reserved for documentation (TEST-NET-1), which no machine has.
     let listen = SocketAddr::from((Ipv4Addr::new(192, 0, 2, 1), 6379));
     let (log, took) = failed(start_of_four_addresses("elsewhere", &discovery, listen));
     assert!(log.contains(&format!("cannot listen on {listen}: Cannot assign requested address")), "{log}");
@@ -139,7 +139,7 @@
     let mut command = start_of_four_addresses("forbidden", &discovery, listen);
     let_calls_fail(&mut command, &format!("bind:{}:1", libc::EACCES));
     let (log, took) = failed(command);
-    assert!(log.contains("for staff: Permission denied"), "{log}");
-    assert!(!log.contains("yet"), "tried again: {log}");
+    assert!(log.contains("for the operations endpoint: Permission denied"), "{log}");
+    assert!(!log.contains("yet"), "retried: {log}");
     assert!(took < READY, "{took:?}");
 }
--- a/crates/mothpier/tests/process_end.rs
+++ b/crates/mothpier/tests/process_end.rs
@@ -1,4 +1,4 @@
-//! What a node has read by its end is answered.
+//! A node that is shut down answers every request that it has read.
 #![allow(missing_docs)]
 
 mod world;
@@ -12,10 +12,10 @@
 
 use world::{Discovery, HUNG, LONG, Node, Reaction, array, command, member, node, serve};
 
-/// From SIGTERM on: between the time when the node passes no more requests on (3.35 s) and the one when those that are
-/// open fail (3.5 s), for the longest deadline counts as 3 s.
+/// Delay after SIGTERM, at which the node forwards no more requests (from 3.35 s on) and has not yet failed the open ones
+/// (3.5 s). A shutdown counts at most 3 s of the longest deadline.
 const NEAR_THE_END: Duration = Duration::from_millis(3380);
-/// Runs at most: one in which the test was held up beyond that time shows nothing.
+/// Maximum number of runs. A run in which the test was delayed past that time proves nothing.
 const RUNS: usize = 5;
 
 #[test]
@@ -41,53 +41,53 @@
         node.ended();
         return;
     }
-    panic!("held up in each of {RUNS} runs");
+    panic!("the test was delayed in each of {RUNS} runs");
 }
 
-/// Every class has this deadline.
+/// Deadline of all classes in [`SHORT`].
 const SHORT_DEADLINE: Duration = Duration::from_millis(50);
 const SHORT: [(&str, &str); 3] = [
     (r#""deadlineUs":20000000,"goalTimeUs":2000000,"#, r#""deadlineUs":50000,"goalTimeUs":50000,"#),
     (r#""deadlineUs":20000000,"goalTimeUs":1000000,"#, r#""deadlineUs":50000,"goalTimeUs":50000,"#),
     (r#""deadlineUs":400000,"goalTimeUs":400000,"#, r#""deadlineUs":50000,"goalTimeUs":50000,"#),
 ];
-/// What a server takes for a slow answer.
+/// Response time of the cache server for "slow" keys.
 const SLOW: Duration = Duration::from_millis(25);
-/// The same for one that comes when its request is over.
+/// Response time for "late" keys: longer than the deadline.
 const LATE: Duration = Duration::from_millis(60);
-/// SIGKILL comes so long after the longest deadline is over, which is counted from SIGTERM.
+/// Time from the longest deadline, counted from SIGTERM, to SIGKILL.
 const BEYOND_DEADLINE: Duration = Duration::from_millis(700);
-/// Connections that ask nothing for a moment are closed from 0.3 s after SIGTERM on: some are used longer than that.
+/// From this time after SIGTERM on, connections that are idle for a moment are closed. Some must stay in use for longer.
 const LAST_USE: Duration = Duration::from_millis(300);
-/// A request that was sent so long before its client saw the end of the connection was read.
+/// A request that was sent this long before the client saw its connection closed counts as read by the node.
 const CROSSING: Duration = Duration::from_millis(20);
-/// A thread of the test that sleeps this much too long shows a machine that holds up the node as well.
+/// A scheduling delay of this length, of the test or of the node, makes a run inconclusive.
 const HELD_UP: Duration = Duration::from_millis(10);
-/// Runs at most with [`SHORT_DEADLINE`]: see `end_with_short_deadlines`.
+/// Maximum number of runs with [`SHORT_DEADLINE`]: see `end_with_short_deadlines`.
 const SHORT_RUNS: usize = 12;
 
-/// What became of the requests on one connection that a client uses until its end.
+/// The outcome of the requests on a connection that a client uses until the node closes it.
 struct Used {
-    /// The requests that have no answer, by id, and when each was sent; in their order.
+    /// Ids of the requests without an answer and when each was sent, in order.
     unanswered: VecDeque<(String, Instant)>,
-    /// When each request that has an answer was sent.
+    /// When each answered request was sent.
     answered: Vec<Instant>,
-    /// When the client saw the end.
+    /// When the client saw the connection closed.
     ended: Instant,
 }
 
-/// Uses a connection until its end: a request goes out after each pause, whether or not the last is answered.
+/// Sends a request after each pause, whether or not the last one is answered, until the node closes the connection.
 fn use_to_the_end(node: &Node, number: usize, kind: &'static str, pause: Duration) -> JoinHandle<Used> {
     let mut client = node.client();
     let mut sending = client.sending();
-    // Else the system holds a request back until the answer before it has come, and it is not with the node when it was sent.
+    // With Nagle's algorithm a request could wait in this machine for the acknowledgement of the one before it.
     sending.set_nodelay(true).unwrap();
     let open = Arc::new(Mutex::new(VecDeque::new()));
     let sent = open.clone();
     thread::spawn(move || {
         for request in 0.. {
             let id = format!("{number}-{request}");
-            // Reads of one key may share an answer.
+            // The node may merge concurrent reads of one key.
             let key = format!("{kind}-{id}");
             let words = ["CACHE.GET", &key, &id, "c=read,t=acme,d=50"];
             let words: String = words.iter().map(|word| format!("${}\r\n{word}\r\n", word.len())).collect();
@@ -96,7 +96,7 @@
             if sending.write_all(format!("*4\r\n{words}").as_bytes()).is_err() {
                 return;
             }
-            // Only now it certainly is with the node.
+            // Only now has the request certainly reached the node.
             if let Some((_, at)) = sent.lock().unwrap().iter_mut().find(|(id, _)| *id == this) {
                 *at = Instant::now();
             }
@@ -111,7 +111,7 @@
                 let ended = Instant::now();
                 return Used { unanswered: std::mem::take(&mut *open.lock().unwrap()), answered, ended };
             }
-            let (id, at) = open.lock().unwrap().pop_front().expect("an answer that nobody asked for");
+            let (id, at) = open.lock().unwrap().pop_front().expect("an answer without a request");
             let refused = answer.starts_with("-BUSY") || answer.starts_with("-ERR failed");
             assert!(refused || answer == format!("${id}"), "{id}: {answer}");
             answered.push(at);
@@ -119,18 +119,18 @@
     })
 }
 
-/// How long a process was ready to run and did not, since its start; `None` once it has ended.
+/// Time since its start for which a process was runnable and did not run. `None` once it has ended.
 fn time_not_run(process: u32) -> Option<Duration> {
     let text = std::fs::read_to_string(format!("/proc/{process}/schedstat")).ok()?;
     Some(Duration::from_nanos(text.split(' ').nth(1)?.parse().ok()?))
 }
 
-/// Tells for how long at a time the test or a process was held up at most, until it is told to stop.
+/// Measures, until `stop` is set, the longest scheduling delay of the test or of a process.
 fn watch_machine(process: u32, stop: Arc<AtomicBool>) -> JoinHandle<Duration> {
     const STEP: Duration = Duration::from_millis(2);
     thread::spawn(move || {
         let mut most = Duration::ZERO;
-        let mut before = time_not_run(process).expect("no account of the scheduler");
+        let mut before = time_not_run(process).expect("no scheduler statistics of the process");
         while !stop.load(Ordering::Relaxed) {
             let begun = Instant::now();
             thread::sleep(STEP);
@@ -142,7 +142,7 @@
     })
 }
 
-/// Waits for the end of the node's process, and gives when that was.
+/// Waits for the node's process to exit, and returns when that was.
 fn ended_by_itself(node: &mut Node) -> Instant {
     let begun = Instant::now();
     loop {
@@ -150,13 +150,13 @@
             assert!(status.success(), "{status}");
             return Instant::now();
         }
-        assert!(begun.elapsed() < HUNG, "it does not end");
+        assert!(begun.elapsed() < HUNG, "the process does not exit");
         thread::sleep(Duration::from_millis(1));
     }
 }
 
-/// One end under load with short deadlines; `None` where the machine was held up, or no connection was used up
-/// to the end.
+/// Shuts a node down under load with short deadlines. `None` if the machine delayed the run, or no connection stayed in
+/// use until the node closed the last ones.
 fn end_with_short_deadlines(run: usize) -> Option<()> {
     let server = serve(command, |asked| {
         match asked[1].split('-').next() {
@@ -168,7 +168,7 @@
     });
     let discovery = Discovery::start(&member("s-1", server, "m", "ready"));
     let mut node = node(&format!("short-{run}"), &discovery, &SHORT);
-    // Some are never idle, for an answer takes longer than the pause; others are between two requests.
+    // Some clients always have a request open, as an answer takes longer than the pause; others are idle at times.
     let uses = [("slow", 8), ("slow", 12), ("late", 30), ("quick", 5), ("quick", 70), ("late", 110)];
     let used: Vec<_> = (0..12)
         .map(|number| {
@@ -198,14 +198,14 @@
             .collect();
         assert!(
             lost.is_empty(),
-            "client {number}: read and not answered: {lost:?}, closed at {:?}, process at {lasted:?}",
+            "client {number}: read and not answered: {lost:?}, connection closed at {:?}, process ended at {lasted:?}",
             used.ended - told
         );
     }
     let after: usize =
         used.iter().map(|used| used.answered.iter().filter(|sent| **sent > told).count()).sum();
-    assert!(after > 0, "no request came after SIGTERM");
-    // Where each connection happened to be idle, and was closed, before the last moments, those were not seen.
+    assert!(after > 0, "no request was sent after SIGTERM");
+    // If every connection was closed early because it happened to be idle, the run shows nothing about the end.
     if used.iter().all(|used| used.ended < told + LAST_USE) {
         return None;
     }
@@ -215,5 +215,5 @@
 
 #[test]
 fn with_short_deadlines_all_that_was_read_is_answered_and_the_process_ends_in_time() {
-    assert!((0..SHORT_RUNS).any(|run| end_with_short_deadlines(run).is_some()), "no run shows the end");
+    assert!((0..SHORT_RUNS).any(|run| end_with_short_deadlines(run).is_some()), "no run was conclusive");
 }
--- a/crates/mothpier/tests/retirement.rs
+++ b/crates/mothpier/tests/retirement.rs
@@ -1,4 +1,4 @@
-//! Drains and ends that cross each other, a reload, a hold-up or a crowd.
+//! Drains and shutdowns that coincide with each other, with a reload, with a paused process or with a full node.
 #![allow(missing_docs)]
 
 mod habits;
@@ -15,11 +15,11 @@
     Duration::from_millis(milliseconds)
 }
 
-/// Between two things that cross.
+/// Time between a drain and the SIGTERM that follows it.
 const APART: [Duration; 4] = [ms(0), ms(300), ms(1200), ms(3900)];
-/// A node is held up for so long at most between reading its clock and writing.
+/// How long the node's process is paused at each step.
 const HELD_UP: Duration = ms(150);
-/// Clients of which one or another is in every state that a drain can find.
+/// Clients that together cover every connection state that a drain can find.
 const HABITS: [(Habit, &str); 8] = [
     (Habit::Silent, "fast"),
     (Habit::Rests, "fast"),
@@ -31,7 +31,7 @@
     (Habit::Uploads, "fast"),
 ];
 
-/// Runs cases side by side; none may find anything wrong.
+/// Joins cases that run in parallel; none may report a violation.
 fn none_is_wrong(cases: Vec<thread::JoinHandle<Vec<String>>>) {
     let wrong: Vec<String> = cases.into_iter().flat_map(|case| case.join().unwrap()).collect();
     assert!(wrong.is_empty(), "{}", wrong.join("\n"));
@@ -71,7 +71,7 @@
                     scene.node.signal("TERM");
                     scene.node.logged("stopping");
                     wait_until(terminated, apart);
-                    // It says so as long as it is there.
+                    // The call succeeds as long as the process exists.
                     if scene.node.child.try_wait().unwrap().is_none() {
                         assert_eq!(scene.node.status("PUT /drain"), 200);
                     }
@@ -111,13 +111,13 @@
     let mut resting = scene.node.client();
     assert_eq!(resting.ask(&["PING"]), "+PONG");
     scene.drain();
-    // Behind the first closes, and before those of connections that rest.
+    // After the drain's first closes, and before it closes idle connections.
     thread::sleep(ms(800));
     assert_eq!(scene.node.status("PUT /undrain"), 200);
     thread::sleep(ms(1500));
-    assert_eq!(resting.ask(&["PING"]), "+PONG", "it has asked nothing while the node was drained");
+    assert_eq!(resting.ask(&["PING"]), "+PONG", "a client that was idle during the drain");
     assert_eq!(resting.ask(&["CACHE.GET", "fast-k", "id", "c=read,t=acme,d=9000"]), "$id");
-    // A later drain counts from itself: nothing closes at once for what was answered in the first.
+    // A later drain starts its own schedule: no connection closes at once because of an answer in the first drain.
     scene.drain();
     thread::sleep(ms(100));
     assert!(!resting.has_ended());
@@ -160,7 +160,7 @@
 
 #[test]
 fn a_node_that_is_drained_before_its_first_list_holds_nothing_either() {
-    // Discovery never answers: this listener takes connections, and nobody reads from them.
+    // Discovery never answers: this listener accepts connections, and nobody reads from them.
     let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let mut command = node_command("drained-early", silent.local_addr().unwrap(), 1024, "");
     command.env("ROUTER_OPS", "127.0.0.1:0");
--- a/crates/mothpier/tests/staff.rs
+++ b/crates/mothpier/tests/staff.rs
@@ -1,4 +1,4 @@
-//! The second address of a node as a process: figures against an account of what was asked, drain, callers that hang.
+//! The operations endpoint of a node: metrics compared with the requests that were made, drains, and callers that hang.
 #![allow(missing_docs)]
 
 mod world;
@@ -12,10 +12,10 @@
 
 use world::*;
 
-/// A node with a second address.
+/// Starts a node with an operations endpoint.
 fn staffed(name: &str, discovery: &Discovery) -> Node {
     let node = Node::run(staffed_command(name, discovery, "127.0.0.1:0"), discovery);
-    // It has asked for the list's next version, and may not have taken in this one yet.
+    // The node has asked for the next revision of the list, and may not have applied this one yet.
     node.ready();
     node
 }
@@ -30,7 +30,7 @@
 fn every_way_a_request_ends_is_counted_once() {
     let (arrived, commands) = channel();
     let arrived = Mutex::new(arrived);
-    // By their keys: served, failing, silent, and missing at the server with an origin that is busy.
+    // The key decides the outcome: served, failing, silent, or missing at the server with a busy origin.
     let server = serve(command, move |asked| {
         let _ = arrived.lock().unwrap().send(asked[1].clone());
         match asked[1].as_str() {
@@ -72,7 +72,7 @@
     // A write that the origin proves not to have run is refused; one whose connection is lost has failed.
     assert!(ask("busy", "b1", "c=once,t=acme,d=9000", true).starts_with("-BUSY"));
     assert_eq!(ask("reset", "b2", "c=once,t=acme,d=9000", true), "-ERR failed");
-    // Its time is up before anyone answers.
+    // Its time runs out before any answer.
     assert_eq!(ask("silent", "c1", "c=brief,t=acme,d=150", false).as_bytes()[0], b'-');
     assert_eq!(ask("good", "d1", "c=read,t=nobody,d=9000", false), "-ERR unknown tenant");
     let sum = |end: &str| -> u64 {
@@ -84,7 +84,7 @@
     assert_eq!(["served", "refused", "failed"].map(sum), account);
     assert_eq!(node.figure("edge_router_served_total{class=\"read\"}"), Some(2));
     assert_eq!(node.figure("edge_router_failed_total{class=\"read\"}"), Some(1));
-    // One that the client abandons is no end, and is in flight until then.
+    // A request that its client abandons is in flight until then, and counts as none of the three.
     while commands.try_recv().is_ok() {}
     let mut gone = node.client();
     gone.send(&["CACHE.GET", "silent", "e1", "c=read,t=acme,d=9000"]);
@@ -114,12 +114,12 @@
     assert_eq!(node.status("PUT /drain"), 200, "a second time");
     assert_eq!(node.status("GET /ready"), 503);
     assert_eq!(pings.ask(&["PING"]), "-ERR drained");
-    // What rests goes, well before 4 s; what is owed an answer stays until it has it.
+    // Idle connections are closed well before 4 s; one with an open request stays until it is answered.
     let begun = Instant::now();
     assert_eq!(resting.answer(), "end");
     assert!(begun.elapsed() < Duration::from_secs(2), "{:?}", begun.elapsed());
-    assert_eq!(node.client().ask(&["PING"]), "-ERR drained", "a drained node is still asked");
-    // A reload does not undo it.
+    assert_eq!(node.client().ask(&["PING"]), "-ERR drained", "a drained node still accepts connections");
+    // A reload does not undo a drain.
     node.signal("HUP");
     node.logged("configuration read again");
     assert_eq!(node.client().ask(&["PING"]), "-ERR drained");
@@ -131,8 +131,8 @@
     let mut again = node.client();
     go.send(()).unwrap();
     assert_eq!(again.ask(&["CACHE.GET", "k", "id2", "c=read,t=acme,d=9000"]), "$id2");
-    assert_eq!(again.ask(&["PING"]), "+PONG", "nothing leaves any more");
-    // Ended while it is drained: in order, and no longer to be undrained.
+    assert_eq!(again.ask(&["PING"]), "+PONG", "closed after the undrain");
+    // A drained node shuts down in order, and can't be undrained while it does.
     assert_eq!(node.status("PUT /drain"), 200);
     node.signal("TERM");
     node.logged("stopping");
@@ -164,7 +164,7 @@
     let mut buffer = [0; 64];
     assert_eq!(stream.read(&mut buffer).unwrap(), 7);
     assert_eq!(node.status("PUT /drain"), 200);
-    // The end has come and the client has not looked yet.
+    // The node has closed the connection, and the client has not read that yet.
     std::thread::sleep(Duration::from_millis(1300));
     stream.write_all(b"*1\r\n$4\r\nPING\r\n").unwrap();
     std::thread::sleep(Duration::from_millis(50));
@@ -187,7 +187,7 @@
         assert_eq!(node.status("GET /ready"), 200);
         assert!(begun.elapsed() < Duration::from_secs(1), "{:?}", begun.elapsed());
     }
-    // The last one had room: it is told that it is too slow, in time.
+    // The last connection was accepted, and gets a request time-out.
     let mut last = held.pop().unwrap();
     last.set_read_timeout(Some(HUNG)).unwrap();
     let mut told = String::new();
@@ -230,7 +230,8 @@
     let ended = command.stderr(Stdio::piped()).output().unwrap();
     let log = String::from_utf8(ended.stderr).unwrap();
     assert!(
-        !ended.status.success() && log.contains(&format!("cannot listen on {address} for staff")),
+        !ended.status.success()
+            && log.contains(&format!("cannot listen on {address} for the operations endpoint")),
         "{log}"
     );
 }
--- a/crates/mothpier/tests/upgrade.rs
+++ b/crates/mothpier/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! Two processes of one node on one inherited listener: what clients, the origin and peers may notice of it.
+//! Upgrades: two processes of one node share an inherited listener. What clients, the origin and peers notice of it.
 #![allow(missing_docs)]
 
 mod world;
@@ -11,18 +11,18 @@
 
 use world::*;
 
-/// A listener that the processes of one node share, and a folder that they share, too.
+/// The listener and the folder that the processes of one node share.
 struct Platform {
     name: &'static str,
     listener: TcpListener,
     folder: String,
-    /// Descriptors of both processes together.
+    /// File descriptor limit of both processes together.
     sockets: usize,
-    /// Settings that are others.
+    /// Replacements in the text of the settings.
     changed: &'static [(&'static str, &'static str)],
 }
 
-/// Calls that a node alone may have out at the origin.
+/// Maximum concurrent origin calls of a node that is alone.
 const CALLS_OUT: usize = 100;
 /// The longest deadline of [`SHORT_DEADLINES`].
 const SHORT_DEADLINE: Duration = Duration::from_secs(2);
@@ -52,7 +52,7 @@
         command
     }
 
-    /// Starts a process and waits until it says yes.
+    /// Starts a process and waits until it reports ready.
     fn start(&self, discovery: &Discovery) -> Node {
         let node = Node::spawn(self.command(discovery));
         node.ready();
@@ -86,7 +86,7 @@
         assert!(!ended.status.success(), "{number}");
         assert!(log.contains("ROUTER_SOCKET_FD: ") && log.contains(told), "{number}: {log}");
     }
-    // A socket, and of TCP, but not one that listens.
+    // A TCP socket that does not listen.
     let stream = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let mut command = node_command("no-listener", discovery.address, 1024, "exec 4<&0 0</dev/null;");
     command.stdin(Stdio::from(OwnedFd::from(stream))).env("ROUTER_SOCKET_FD", "4");
@@ -114,7 +114,7 @@
                 while !stop.load(std::sync::atomic::Ordering::Relaxed) {
                     let id = format!("c{number}-{asked}");
                     let mut answer = client.ask(&["CACHE.GET", &id, &id, "c=read,t=acme,d=9000"]);
-                    // Closed between requests: asked once more, on a new connection.
+                    // Closed between requests: sent once more, on a new connection.
                     if answer == "end" {
                         (client, renewed) = (Client::connect(address), renewed + 1);
                         answer = client.ask(&["CACHE.GET", &id, &format!("{id}-2"), "c=read,t=acme,d=9000"]);
@@ -134,7 +134,7 @@
     std::thread::sleep(Duration::from_millis(300));
     stop.store(true, std::sync::atomic::Ordering::Relaxed);
     let (asked, renewed): (Vec<u32>, Vec<u32>) = clients.into_iter().map(|c| c.join().unwrap()).unzip();
-    assert!(renewed.iter().all(|r| *r <= 1), "a client was sent away more than once: {renewed:?}");
+    assert!(renewed.iter().all(|r| *r <= 1), "a client was disconnected more than once: {renewed:?}");
     assert!(asked.iter().all(|a| *a > 20), "{asked:?}");
     assert_eq!(Client::connect(address).ask(&["PING"]), "+PONG");
     assert!(new.figure("edge_router_served_total{class=\"read\"}").unwrap() > 0);
@@ -146,7 +146,7 @@
     let discovery = Discovery::start(&member("s-1", server, "m", "ready"));
     let platform = Platform::new("dies");
     let old = platform.start(&discovery);
-    // Killed before it can say yes, and after.
+    // Killed before it is ready, and after.
     drop(Node::spawn(platform.command(&discovery)));
     drop(platform.start(&discovery));
     for i in 0..20 {
@@ -187,7 +187,7 @@
     old.signal("TERM");
     new.logged("messages of peers come here from now on");
     let begun = Instant::now();
-    // Told by the new one, from the same address.
+    // The successor sends from the same address.
     assert!(old.ended().success());
     assert_eq!(peer.recv_from(&mut buffer).unwrap().1, duty);
     assert!(begun.elapsed() < HUNG);
@@ -205,7 +205,7 @@
     let new = platform.start(&discovery);
     old.signal("TERM");
     old.logged("stopping");
-    // A connection that comes now is the new one's.
+    // The successor accepts new connections.
     assert_eq!(Client::connect(old.address).ask(&["PING"]), "+PONG");
     go.send(()).unwrap();
     assert_eq!(client.answer(), "$id");
@@ -214,8 +214,8 @@
     assert_eq!(new.status("GET /ready"), 200);
 }
 
-/// A process that was told to stop leaves what comes to the one that takes over, and takes it again once that one has died:
-/// nobody else would.
+/// A stopping process leaves new connections to its successor, and must accept them again if the successor dies: otherwise
+/// nobody would.
 #[test]
 fn an_old_process_that_was_told_to_stop_serves_what_comes_once_the_new_one_has_died() {
     let (server, commands, go) = held(|asked| asked[2].clone());
@@ -228,7 +228,7 @@
     let new = platform.start(&discovery);
     old.signal("TERM");
     old.logged("stopping");
-    assert_eq!(Client::connect(old.address).ask(&["PING"]), "+PONG", "the new one's while it lives");
+    assert_eq!(Client::connect(old.address).ask(&["PING"]), "+PONG", "served by the successor while it lives");
     drop(new);
     let mut late = Client::connect(old.address);
     late.send(&["CACHE.GET", "other", "late", "c=read,t=acme,d=9000"]);
@@ -251,14 +251,14 @@
     assert_eq!(client.ask(&["PING"]), "+PONG");
     assert_eq!(old.status("PUT /drain"), 200);
     let new = platform.start(&discovery);
-    assert_eq!(client.answer(), "end", "a drain goes on beside a new process");
+    assert_eq!(client.answer(), "end", "the drain goes on while a successor runs");
     assert_eq!((old.status("GET /ready"), new.status("GET /ready")), (503, 200));
     old.signal("TERM");
     assert!(old.ended().success());
     assert_eq!(Client::connect(address).ask(&["PING"]), "+PONG");
     assert_eq!(new.status("PUT /drain"), 200);
     assert_eq!(Client::connect(address).ask(&["PING"]), "-ERR drained");
-    // One more process: what staff said to the one before it was not said to it.
+    // A drain does not pass on to the next process.
     let third = platform.start(&discovery);
     assert_eq!(third.status("GET /ready"), 200);
     assert_eq!(new.status("PUT /undrain"), 200);
@@ -288,7 +288,7 @@
             }
         })
     };
-    // Until every place has been taken once.
+    // Long enough for the idle clients to take every connection slot.
     std::thread::sleep(Duration::from_millis(600));
     let client = {
         let stop = stop.clone();
@@ -314,15 +314,15 @@
     assert!(client.join().unwrap() > 50);
 }
 
-/// Calls of a process that died may run at the origin for as long as a deadline is: one that takes over meanwhile leaves them
-/// their half of the caps and the process before it a quarter, calls within the quarter that is left, and has its half when
-/// they are over.
+/// Calls of a process that died may run at the origin for up to the longest deadline. A process that takes over meanwhile
+/// must reserve half of the caps for them and a quarter for its predecessor, and keep to the remaining quarter; it has its
+/// half once those calls are over.
 #[test]
 fn a_process_that_takes_over_after_a_dead_one_leaves_it_its_part_and_calls_within_its_own() {
     let server = serve(command, |_| miss());
     let (told, calls) = channel();
     let told = report(told);
-    // Calls last until the test is over: what is out is what was begun.
+    // No call ends before the test does: all calls that were begun are concurrent.
     let (_over, lasts) = channel::<()>();
     let lasts = std::sync::Mutex::new(lasts);
     let origin = serve(call, move |asked| {
@@ -339,7 +339,7 @@
     old.logged("this one goes on");
     let _new = platform.start(&discovery);
     old.logged("a new process takes over");
-    // Clients come to the new one alone.
+    // Only the successor accepts clients from now on.
     old.signal("STOP");
     let mut clients: Vec<_> = (0..CALLS_OUT).map(|_| Client::connect(old.address)).collect();
     for (number, client) in clients.iter_mut().enumerate() {
@@ -348,7 +348,7 @@
     }
     std::thread::sleep(Duration::from_secs(1).saturating_sub(ended.elapsed()));
     let within = calls.try_iter().count();
-    assert!((1..=CALLS_OUT / 4).contains(&within), "{within} calls beside those of the dead one");
+    assert!((1..=CALLS_OUT / 4).contains(&within), "{within} calls while those of the dead process may run");
     std::thread::sleep((SHORT_DEADLINE + Duration::from_millis(500)).saturating_sub(ended.elapsed()));
     let mut later: Vec<_> = (0..CALLS_OUT).map(|_| Client::connect(old.address)).collect();
     for (number, client) in later.iter_mut().enumerate() {
@@ -357,11 +357,11 @@
     }
     std::thread::sleep(Duration::from_millis(500));
     let after = calls.try_iter().count();
-    assert!((1..=CALLS_OUT / 2).contains(&after), "{after} calls once those of the dead one are over");
+    assert!((1..=CALLS_OUT / 2).contains(&after), "{after} calls once those of the dead process are over");
     assert!(after > within, "{after} calls with half of the caps, {within} with a quarter");
 }
 
-/// The socket at which processes of a node find each other.
+/// Path of the handover socket.
 fn socket(platform: &Platform) -> String {
     format!("{}/mothpier-handover.sock", platform.folder)
 }
@@ -374,7 +374,7 @@
     let mut old = platform.start(&discovery);
     let mut client = old.client();
     assert_eq!(client.ask(&["CACHE.GET", "k", "i1", "c=read,t=acme,d=9000"]), "$i1");
-    // A discovery that says nothing: the list comes from the old process alone.
+    // Discovery never answers: the server list can come from the predecessor only.
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut command = platform.command(&discovery);
     command.env("ROUTER_DISCOVERY", silent.local_addr().unwrap().to_string());
@@ -386,7 +386,7 @@
     let mut client = Client::connect(old.address);
     assert_eq!(client.ask(&["CACHE.GET", "k", "i2", "c=read,t=acme,d=9000"]), "$i2");
     new.figure_becomes("edge_router_cache_servers_known", 1);
-    // It is asked next.
+    // It is the next successor's predecessor.
     let third = platform.start(&discovery);
     new.logged("a new process takes over");
     drop(third);
@@ -406,7 +406,7 @@
     assert!(!old.ended().success());
     new.logged("the process before this one has ended");
     assert_eq!(Client::connect(address).ask(&["CACHE.GET", "k", "i", "c=read,t=acme,d=9000"]), "$i");
-    // Killed itself, it leaves its socket behind, which the next one clears away.
+    // A killed process leaves its socket behind, which the next process removes.
     drop(new);
     assert!(std::fs::exists(socket(&platform)).unwrap());
     let next = platform.start(&discovery);
@@ -469,7 +469,7 @@
     }
 }
 
-/// What a node says of the accord to staff.
+/// The state of the agreement that a node reports to operators.
 fn accord(node: &Node) -> serde_json::Value {
     let answer = node.call("GET /places");
     let body = answer.split_once("\r\n\r\n").unwrap_or_default().1;
@@ -487,7 +487,7 @@
     std::fs::write(&file, format!("[places]\non = true\n{accord_on}")).unwrap();
     let start = || {
         let mut command = platform.command(&discovery);
-        // One zone, which this node is in.
+        // The agreement requires that the node is in a zone.
         let path = scratch("accord.json");
         let text = std::fs::read_to_string(&path).unwrap();
         std::fs::write(&path, text.replace(r#""zones":["a"],"#, r#""zones":["a"],"zone":0,"#)).unwrap();
@@ -502,22 +502,22 @@
     let wait_until = |node: &Node| {
         let begin = Instant::now();
         while !decides(node) {
-            assert!(begin.elapsed() < Duration::from_secs(20), "it never decides: {}", accord(node));
+            assert!(begin.elapsed() < Duration::from_secs(20), "the node never decides: {}", accord(node));
             std::thread::sleep(Duration::from_millis(20));
         }
     };
     let mut old = start();
     wait_until(&old);
     let new = start();
-    assert!(decides(&old) && !decides(&new), "the other has the address");
-    // Long enough that a member which began with its process would abstain no longer.
+    assert!(decides(&old) && !decides(&new), "the predecessor holds the address");
+    // Long enough that a member which had started with the new process would no longer abstain.
     std::thread::sleep(Duration::from_millis(2500));
     assert!(decides(&old) && !decides(&new));
     let told = Instant::now();
     old.signal("TERM");
     assert!(old.ended().success());
-    assert!(!decides(&new), "what the other one granted a moment ago has not run out");
+    assert!(!decides(&new), "the predecessor's last grant has not expired");
     wait_until(&new);
-    // The hold of a grant: 2.2 s.
+    // A grant lasts for 2.2 s.
     assert!(told.elapsed() >= Duration::from_millis(2200), "{:?}", told.elapsed());
 }
--- a/crates/mothpier/tests/world/mod.rs
+++ b/crates/mothpier/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! What stands round a node under test: cache servers, an origin, discovery and clients, on loopback sockets.
+//! Test environment of a node: stub cache servers, origin, discovery and clients, on loopback sockets.
 #![allow(dead_code, missing_docs)]
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -11,7 +11,7 @@
 
 use socket2::{Domain, Socket, Type};
 
-/// Only what has hung waits for so long; nothing is measured by it.
+/// Time-out after which a test counts as hung. It bounds nothing else.
 pub const HUNG: Duration = Duration::from_secs(30);
 
 pub const SETTINGS: &str = r#"{"balancers":1,"me":0,"classes":[
@@ -25,17 +25,17 @@
  "connectTimeoutUs":5000000,"maxOpen":1000,"maxRetryAfterUs":600000,"peers":true},
  "guarantees":{"coldUs":10000000,"drainGraceUs":500000},"periodUs":1000}"#;
 
-/// Where a file or folder of a test goes: runs of the same tests side by side must not share any.
+/// Path for a file or folder of a test. It contains the process id, because the same tests may run in parallel.
 pub fn scratch(name: &str) -> String {
     let folder = format!("{}/process-{}", env!("CARGO_TARGET_TMPDIR"), std::process::id());
     std::fs::create_dir_all(&folder).unwrap();
     format!("{folder}/{name}")
 }
 
-/// What a server does with a command or call.
+/// How a stub server reacts to a command or call.
 pub enum Reaction {
     Answer(Vec<u8>),
-    /// Answers, closes, and only then tells the test.
+    /// Answers, closes the connection, and then notifies the test.
     AnswerAndClose(Vec<u8>, Mutex<Sender<()>>),
     Reset,
     Silence,
@@ -52,7 +52,7 @@
     Reaction::Answer(b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n".to_vec())
 }
 
-/// The answer to `PING`, which a node sends to find out whether answers are in order.
+/// The answer to `PING`, which a node sends as a fence to check that responses are in order.
 pub fn pong() -> Reaction {
     Reaction::Answer(b"+PONG\r\n".to_vec())
 }
@@ -80,7 +80,7 @@
     String::from_utf8(bytes).ok()
 }
 
-/// Reads an HTTP request: its first line, its headers as they came, and its body.
+/// Reads an HTTP request: its request line, its headers in their order, and its body.
 pub fn call(from: &mut impl BufRead) -> Option<Vec<String>> {
     let (mut lines, mut length) = (Vec::new(), 0);
     loop {
@@ -104,12 +104,12 @@
 /// Reads one whole request from a connection; `None` at its end.
 pub type Reader = fn(&mut BufReader<TcpStream>) -> Option<Vec<String>>;
 
-/// A server: each thing asked is given to `react`, whose answer goes back. Returns where it listens.
+/// Starts a server that answers each command or call with the reaction of `react`, and returns its address.
 pub fn serve(read: Reader, react: impl Fn(&[String]) -> Reaction + Send + Sync + 'static) -> SocketAddr {
     serve_on(TcpListener::bind("127.0.0.1:0").unwrap(), read, react)
 }
 
-/// The same at a listener that is there already.
+/// The same on an existing listener.
 pub fn serve_on(
     listener: TcpListener,
     read: Reader,
@@ -143,14 +143,14 @@
     address
 }
 
-/// Something asked of a server, given on to the test.
+/// Returns a function that forwards the commands and calls of a server to the test.
 pub fn report(to: Sender<Vec<String>>) -> impl Fn(&[String]) + Send + Sync {
     let to = Mutex::new(to);
     move |asked| to.lock().unwrap().send(asked.to_vec()).unwrap_or_default()
 }
 
-/// A cache server that answers a command only when the test lets it: its address, the commands that have come, and
-/// the word to go on.
+/// A cache server that answers each command only when the test signals it. Returns its address, the commands it has
+/// received, and the sender of the signal.
 pub fn held(
     value: impl Fn(&[String]) -> String + Send + Sync + 'static,
 ) -> (SocketAddr, Receiver<Vec<String>>, Sender<()>) {
@@ -165,7 +165,7 @@
     (server, commands, go)
 }
 
-/// A list of servers that can be changed, and word of the calls that the node makes for it.
+/// A stub of discovery with a server list that can be changed. It records the calls that the node makes.
 pub struct Discovery {
     pub address: SocketAddr,
     state: Arc<(Mutex<(u64, String)>, Condvar)>,
@@ -184,7 +184,7 @@
                 asked[0].split("after=").nth(1).and_then(|a| a.split('&').next()).map(|a| a.parse().unwrap());
             let (lock, changed) = &*held;
             let mut list = lock.lock().unwrap();
-            // A watch waits for something newer; it does not mind how long.
+            // A watch waits, however long, for a newer revision.
             while after.is_some_and(|after: u64| after >= list.0) {
                 list = changed.wait(list).unwrap();
             }
@@ -193,7 +193,7 @@
         Discovery { address, state, calls }
     }
 
-    /// Waits until the node watches for what comes after a revision: it has taken in that revision then.
+    /// Waits until the node watches for changes after `revision`, which shows that it has received that revision.
     pub fn watched_after(&self, revision: u64) {
         let wanted = format!("after={revision}&");
         while !self.calls.recv_timeout(HUNG).expect("no call to discovery").contains(&wanted) {}
@@ -216,9 +216,9 @@
 pub struct Node {
     pub child: Child,
     pub address: SocketAddr,
-    /// Where staff ask it.
+    /// Address of the operations endpoint.
     pub staff: Option<SocketAddr>,
-    /// What it logs after its start.
+    /// Log lines after the start.
     log: Receiver<String>,
 }
 
@@ -236,7 +236,7 @@
     )
 }
 
-/// A configuration file in the folder that Cargo keeps for tests, and a command that starts a node with it.
+/// Writes a configuration file, and returns a command that starts a node with it.
 pub fn node_command(name: &str, discovery: SocketAddr, sockets: usize, before: &str) -> Command {
     let path = scratch(&format!("{name}.json"));
     std::fs::write(&path, config(name, discovery, sockets)).unwrap();
@@ -251,7 +251,7 @@
         Node::start_with(name, discovery, 1024, "")
     }
 
-    /// Starts a node and waits until it holds the first list.
+    /// Starts a node and waits until it has received the first server list.
     pub fn start_with(name: &str, discovery: &Discovery, sockets: usize, before: &str) -> Self {
         Node::run(node_command(name, discovery.address, sockets, before), discovery)
     }
@@ -269,8 +269,8 @@
         let mut staff = None;
         let address = loop {
             let mut line = String::new();
-            assert!(log.read_line(&mut line).unwrap() > 0, "the node ended at its start");
-            if let Some((_, address)) = line.trim_end().split_once("staff are answered on ") {
+            assert!(log.read_line(&mut line).unwrap() > 0, "the node ended during its start");
+            if let Some((_, address)) = line.trim_end().split_once("serving the operations endpoint on ") {
                 staff = Some(address.parse().unwrap());
             }
             if let Some((_, address)) = line.trim_end().split_once(" listens on ") {
@@ -282,30 +282,30 @@
         Node { child, address, staff, log: lines }
     }
 
-    /// Sends it a signal by its name.
+    /// Sends the process a signal, by name.
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
         assert!(Command::new("kill").args([&format!("-{name}"), &pid]).status().unwrap().success());
     }
 
-    /// Waits for a line of the log that holds a text.
+    /// Waits for a log line that contains a text.
     pub fn logged(&self, text: &str) -> String {
         loop {
-            let line = self.log.recv_timeout(HUNG).unwrap_or_else(|_| panic!("nothing logged of {text:?}"));
+            let line = self.log.recv_timeout(HUNG).unwrap_or_else(|_| panic!("no log line with {text:?}"));
             if line.contains(text) {
                 return line;
             }
         }
     }
 
-    /// Processor time that it has used, in ticks of the system: 100 a second.
+    /// CPU time that the process has used, in clock ticks of 10 ms.
     pub fn processor_ticks(&self) -> u64 {
         let text = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
         let fields: Vec<&str> = text.rsplit(") ").next().unwrap().split(' ').collect();
         fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap()
     }
 
-    /// What else it logs, up to its end.
+    /// The remaining log lines, up to the end of the process.
     pub fn rest_of_log(&self) -> Vec<String> {
         let mut lines = Vec::new();
         while let Ok(line) = self.log.recv_timeout(HUNG) {
@@ -314,9 +314,9 @@
         lines
     }
 
-    /// A call at the second address: the whole answer.
+    /// Makes a call to the operations endpoint, and returns the whole response.
     pub fn call(&self, line: &str) -> String {
-        let mut stream = TcpStream::connect(self.staff.expect("no second address")).unwrap();
+        let mut stream = TcpStream::connect(self.staff.expect("no operations endpoint")).unwrap();
         stream.set_read_timeout(Some(HUNG)).unwrap();
         stream.write_all(format!("{line} HTTP/1.1\r\nHost: node\r\n\r\n").as_bytes()).unwrap();
         let mut answer = String::new();
@@ -324,12 +324,12 @@
         answer
     }
 
-    /// The code of a call's answer.
+    /// Makes a call to the operations endpoint, and returns the status code.
     pub fn status(&self, line: &str) -> u16 {
         self.call(line).split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or_default()
     }
 
-    /// Waits until it says that it can serve.
+    /// Waits until the node reports ready.
     pub fn ready(&self) {
         let begun = std::time::Instant::now();
         while self.status("GET /ready") != 200 {
@@ -338,14 +338,14 @@
         }
     }
 
-    /// A figure by its name, labels included.
+    /// The value of a metric, by its name with labels.
     pub fn figure(&self, name: &str) -> Option<u64> {
         let text = self.call("GET /metrics");
         let line = text.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix(' '));
         line.and_then(|value| value.parse().ok())
     }
 
-    /// Waits until a figure has a value.
+    /// Waits until a metric has a value.
     pub fn figure_becomes(&self, name: &str, value: u64) {
         let begun = std::time::Instant::now();
         while self.figure(name) != Some(value) {
@@ -382,7 +382,8 @@
         self.write(bytes);
     }
 
-    /// The next answer: an error or simple line, or a bulk string behind `$`; `end` at the end.
+    /// The next answer: an error or simple string as its line, a bulk string with a leading `$`, or `end` if the
+    /// connection has ended.
     pub fn answer(&mut self) -> String {
         let mut line = String::new();
         match self.0.read_line(&mut line) {
@@ -401,22 +402,22 @@
         }
     }
 
-    /// Takes so many bytes of what comes.
+    /// Reads and drops a number of bytes.
     pub fn take(&mut self, bytes: usize) {
         self.0.read_exact(&mut vec![0; bytes]).unwrap();
     }
 
-    /// Sends nothing more; what comes is still taken.
+    /// Shuts down the sending side of the connection.
     pub fn ends_sending(&self) {
         self.0.get_ref().shutdown(std::net::Shutdown::Write).unwrap();
     }
 
-    /// The side that sends, for another thread.
+    /// The sending side, for use by another thread.
     pub fn sending(&self) -> TcpStream {
         self.0.get_ref().try_clone().unwrap()
     }
 
-    /// Whether the node has ended the connection by now.
+    /// Whether the node has closed the connection.
     pub fn has_ended(&self) -> bool {
         let stream = self.0.get_ref();
         stream.set_nonblocking(true).unwrap();
@@ -435,7 +436,7 @@
     }
 }
 
-/// A node with a second address, and settings of which some are others.
+/// Starts a node with an operations endpoint and some replacements in the text of its settings.
 pub fn node(name: &str, discovery: &Discovery, changed: &[(&str, &str)]) -> Node {
     let path = scratch(&format!("{name}-crossing.json"));
     let mut text = config(name, discovery.address, 1024);
@@ -451,14 +452,14 @@
     node
 }
 
-/// Time enough that no deadline of the node's decides anything.
+/// Deadlines and time-outs so long that none is reached in a test.
 pub const LONG: [(&str, &str); 3] = [
     (r#""deadlineUs":20000000,"goalTimeUs":2000000,"#, r#""deadlineUs":600000000,"goalTimeUs":600000000,"#),
     (r#""deadlineUs":20000000,"goalTimeUs":1000000,"#, r#""deadlineUs":600000000,"goalTimeUs":600000000,"#),
     (r#""connectTimeoutUs":5000000"#, r#""connectTimeoutUs":600000000"#),
 ];
 
-/// A listener at which no connection comes up while the one that fills its queue is not accepted.
+/// A listener whose accept queue is full, so that connections to it are not established.
 pub struct Shut {
     listener: TcpListener,
     filler: TcpStream,
@@ -468,7 +469,7 @@
     pub fn new() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into()).unwrap();
-        // The queue holds one: the next connection gets no answer until it is taken.
+        // The queue holds one connection: the next gets no response until that one is accepted.
         socket.listen(0).unwrap();
         let listener = TcpListener::from(socket);
         let filler = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -479,7 +480,7 @@
         self.listener.local_addr().unwrap()
     }
 
-    /// Takes the one that filled the queue: connections come up from now on.
+    /// Accepts the connection that fills the queue: connections are established from now on.
     pub fn open(self) -> TcpListener {
         drop(self.listener.accept().unwrap());
         drop(self.filler);
@@ -492,7 +493,7 @@
     BufReader::new(stream)
 }
 
-/// The first command that comes on any connection.
+/// The first command or call that arrives on any connection.
 pub fn first(
     listener: TcpListener,
     read: fn(&mut BufReader<TcpStream>) -> Option<Vec<String>>,
