--- a/crates/mothpier/src/main.rs
+++ b/crates/mothpier/src/main.rs
@@ -116,7 +116,8 @@
     };
     let thread = std::thread::Builder::new().name("ops".into()).spawn(serves);
     let bound = thread.and_then(|_| is_bound.recv().map_err(std::io::Error::other)?);
-    let address = bound.map_err(|e| format!("cannot listen on {address} for the operations endpoint: {e}"))?;
+    let address =
+        bound.map_err(|e| format!("cannot listen on {address} for the operations endpoint: {e}"))?;
     HOST.log(format_args!("serving the operations endpoint on {address}"));
     Ok(())
 }
--- a/crates/mothpier/tests/accepting.rs
+++ b/crates/mothpier/tests/accepting.rs
@@ -1,4 +1,4 @@
-//! Connections are accepted, and those that are open kept, although the call that accepts fails now and then.
+//! A node accepts new connections and keeps the open ones although `accept4` fails now and then.
 #![allow(missing_docs)]
 
 mod world;
@@ -12,14 +12,14 @@
 use interposed::let_calls_fail;
 use world::{Client, Discovery, Node, Reaction, array, command, member, node_command, serve};
 
-/// Clients that rest while others come.
+/// Idle clients while others connect.
 const RESTING: usize = 20;
-/// Clients that come.
+/// Clients that connect one after the other.
 const COMING: usize = 60;
-/// Longer than a connection that has only just come is kept from giving way.
+/// Longer than the time for which a new connection is protected from eviction.
 const NO_LONGER_NEW: Duration = Duration::from_millis(100);
 
-/// A node, of so many descriptors, in which calls fail by these rules.
+/// Starts a node with a limit of descriptors in which system calls fail by `rules`.
 fn node(name: &str, discovery: &Discovery, sockets: usize, rules: &str) -> Node {
     let mut command = node_command(name, discovery.address, sockets, "");
     let_calls_fail(&mut command, rules);
@@ -31,7 +31,7 @@
     Discovery::start(&member("s-1", server, "m", "ready"))
 }
 
-/// Clients that have asked once and rest.
+/// Connects clients that ask once and are idle afterwards.
 fn resting(node: &Node) -> Vec<Client> {
     let mut clients: Vec<Client> = (0..RESTING).map(|_| node.client()).collect();
     for client in &mut clients {
@@ -41,7 +41,7 @@
     clients
 }
 
-/// More clients come, one after the other, and each is answered.
+/// Connects more clients one after the other, each of which must be answered.
 fn come(node: &Node) {
     for number in 0..COMING {
         assert_eq!(node.client().ask(&["PING"]), "+PONG", "client {number}");
@@ -56,7 +56,7 @@
         let rested = resting(&node);
         come(&node);
         let ended = rested.iter().filter(|client| client.has_ended()).count();
-        assert_eq!(ended, 0, "errno {error}: so many resting clients gave way");
+        assert_eq!(ended, 0, "errno {error}: idle clients evicted");
     }
 }
 
@@ -64,14 +64,15 @@
 fn without_a_descriptor_one_that_rests_gives_way_and_all_who_come_are_answered() {
     let discovery = discovery();
     for error in [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM] {
-        // Past the calls that the clients at rest need: each takes one, and one more that finds the queue empty.
+        // The failures begin after the calls for the idle clients: each needs one call, and one more that finds the
+        // queue empty.
         let node = node("short", &discovery, 1024, &format!("accept4:{error}:{}:2", 2 * RESTING + 10));
         let rested = resting(&node);
-        // So many that the second failure comes though no call finds the queue empty.
+        // Enough clients to reach the second failure even if no call finds the queue empty.
         come(&node);
         come(&node);
         let ended = rested.iter().filter(|client| client.has_ended()).count();
-        assert_eq!(ended, 2, "errno {error}: so many resting clients gave way");
+        assert_eq!(ended, 2, "errno {error}: idle clients evicted");
     }
 }
 
@@ -85,8 +86,8 @@
         let before = node.processor_ticks();
         thread::sleep(Duration::from_secs(1));
         let used = node.processor_ticks() - before;
-        // Of 100 in a second.
-        assert!(used < 30, "errno {error}: {used} ticks of the processor in a second");
+        // Of 100 ticks in a second.
+        assert!(used < 30, "errno {error}: {used} ticks of CPU time in a second");
         let _ = node.child.kill();
         let lines = node.rest_of_log().iter().filter(|line| line.contains("accepting failed")).count();
         assert!(lines <= 4, "errno {error}: {lines} lines");
@@ -98,7 +99,7 @@
 fn at_the_end_those_behind_one_that_was_aborted_are_answered() {
     let silent = serve(command, |_| Reaction::Silence);
     let discovery = Discovery::start(&member("s-1", silent, "m", "ready"));
-    // Of 64 descriptors the clients have so many; those beyond wait in the machine's queue.
+    // Client connections of a node with 64 descriptors. More connections wait in the kernel's accept queue.
     const PLACES: usize = 23;
     const BEYOND: usize = 7;
     for error in [libc::ECONNABORTED, libc::EMFILE] {
@@ -112,9 +113,12 @@
         for client in &mut waiting {
             client.send(&["PING"]);
         }
-        // None of them is accepted, though there is time for it.
+        // None of them is accepted, though there is enough time.
         thread::sleep(Duration::from_millis(300));
-        assert!(waiting.iter().all(|client| !client.has_ended()), "errno {error}: no queue");
+        assert!(
+            waiting.iter().all(|client| !client.has_ended()),
+            "errno {error}: a queued connection has ended"
+        );
         node.signal("TERM");
         for client in &mut waiting {
             assert_eq!(client.answer(), "+PONG", "errno {error}");
@@ -126,7 +130,7 @@
     }
 }
 
-/// A client with a request open, from the moment that it is accepted.
+/// A client that has sent a request which stays open.
 fn busy(node: &Node, number: usize) -> Client {
     let mut client = node.client();
     client.send(&["CACHE.GET", "k", &format!("id-{number}"), "c=read,t=acme,d=20000"]);
--- a/crates/mothpier/tests/beyond_clients.rs
+++ b/crates/mothpier/tests/beyond_clients.rs
@@ -1,6 +1,5 @@
-//! Clients, restarts and pauses under trouble that is rarer than the bench's: commands that stop half way,
-//! long quiet times, a process that is held up, very little time left. On real sockets, with the daemon as a
-//! process.
+//! Rare faults of clients and of the node's process: incomplete commands, long idle times, a paused process, very short
+//! deadlines, and restarts during a drain. On real sockets, with the daemon as a process.
 #![allow(missing_docs)]
 
 mod load;
@@ -15,19 +14,17 @@
 use load::{GRACE, Load, Tally};
 use world::*;
 
-/// Clients that stop in the middle of a command are owed an error or the end within this time.
+/// A client that stops in the middle of a command must get an error or a close within this time.
 const OWED: Duration = Duration::from_secs(3);
-/// The longest time for which a process is held up.
+/// Maximum pause of the process.
 const HELD_UP: Duration = Duration::from_millis(150);
-/// How much longer the signals themselves may make that; it is measured, and this keeps the hold itself
-/// below the bound.
+/// Time that sending the signals may add to a pause. It is subtracted, to keep the pause below [`HELD_UP`].
 const SIGNALLING: Duration = Duration::from_millis(10);
 
-/// The grace of the settings: a server that drains may still be asked for so long.
+/// The drain grace of the settings: for this long a draining server may still get requests.
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
 
-/// Stops the process for as long as it may be held up, while other things happen. Returns for how long it
-/// was.
+/// Pauses the process for up to [`HELD_UP`] while `happens` runs. Returns how long the pause was.
 fn hold_up(node: &Node, happens: impl FnOnce()) -> Duration {
     let begun = Instant::now();
     node.signal("STOP");
@@ -37,9 +34,9 @@
     begun.elapsed()
 }
 
-// Commands that stop half way.
+// Incomplete commands.
 
-/// How a client's command begins that never ends.
+/// Incomplete commands, with a name for each.
 fn halves() -> Vec<(&'static str, Vec<u8>)> {
     let write = "*5\r\n$9\r\nCACHE.SET\r\n$1\r\nk\r\n$1\r\ni\r\n$20\r\nc=once,t=acme,d=9000\r\n";
     let large = format!("{write}$60000\r\n{}", "v".repeat(20_000));
@@ -68,7 +65,7 @@
     .into()
 }
 
-/// On a new connection, and behind a whole command that was answered.
+/// An incomplete command, on a new connection and after a complete command, must get an error or a close in time.
 #[test]
 fn a_command_that_stops_anywhere_ends_within_the_time_that_is_owed() {
     let discovery = Discovery::start("");
@@ -97,7 +94,7 @@
     assert_eq!(node.client().ask(&["PING"]), "+PONG");
 }
 
-/// One that stops behind a request whose answer is owed gets that answer, and then its error.
+/// An incomplete command after an open request: the client gets the answer to the request, and then an error or a close.
 #[test]
 fn a_command_that_stops_behind_an_answered_request_costs_that_nothing() {
     let server = serve(command, |asked| array(&asked[2]));
@@ -122,14 +119,14 @@
     }
 }
 
-// Trouble after a long quiet time.
+// Faults after a long idle time.
 
-/// Servers close what stands idle for so long.
+/// Setting for servers that close connections after this idle time.
 const IDLE_CLOSE: (&str, &str) = (r#""idleCloseUs":60000000"#, r#""idleCloseUs":400000"#);
-/// Many times that.
+/// Many times the idle time after which servers close connections.
 const QUIET: Duration = Duration::from_secs(5);
 
-/// Asks so many reads side by side, each on its own connection.
+/// Sends a number of reads concurrently, each on its own connection.
 fn reads(node: &Node, name: &str, count: usize) -> Vec<String> {
     let asked: Vec<_> = (0..count)
         .map(|number| {
@@ -144,8 +141,7 @@
     (0..count).map(|number| format!("${name}-{number}")).collect()
 }
 
-/// A cache server that closes its connections once they have stood idle, and can be stopped: it then
-/// accepts nothing more.
+/// A cache server that closes idle connections, and can be stopped, after which it accepts no connections.
 struct StoppableServer {
     address: SocketAddr,
     stopped: Arc<AtomicBool>,
@@ -170,7 +166,7 @@
         server
     }
 
-    /// Its listener goes; connections have gone long before.
+    /// Closes the listener. Idle connections have been closed long before.
     fn stop(&self) {
         self.stopped.store(true, Ordering::SeqCst);
         drop(std::net::TcpStream::connect(self.address));
@@ -226,17 +222,19 @@
     assert!(servers[2].asked() + servers[3].asked() > 0, "the new servers were not asked");
 }
 
-// A process that is held up.
+// A paused process.
 
-/// A command as it came to a cache server.
+/// A command that arrived at a cache server.
 struct Arrival {
     at: Instant,
     server: usize,
-    /// What it told: the time left, milliseconds.
+    /// The remaining time that the command states, in milliseconds.
     told_ms: u64,
-    /// When the client sent it, milliseconds of the time of day, and what it gave it.
+    /// When the client sent the request, in milliseconds of Unix time.
     sent_ms: u64,
+    /// The time that the client gave the request, in milliseconds.
     given_ms: u64,
+    /// When the command arrived, in milliseconds of Unix time.
     wall_ms: u64,
 }
 
@@ -249,7 +247,7 @@
     value.and_then(|value| value.parse().ok()).unwrap_or_else(|| panic!("no {name} in {extras}"))
 }
 
-/// A cache server that reports what arrives, and now and then fails or is slow, so that there are retries.
+/// A cache server that reports the commands that arrive, and fails or delays some, so that there are retries.
 fn reporting(server: usize, arrivals: mpsc::Sender<Arrival>) -> SocketAddr {
     let (arrivals, count) = (Mutex::new(arrivals), AtomicUsize::new(0));
     serve(command, move |asked| {
@@ -266,7 +264,7 @@
             wall_ms: wall_ms(),
         };
         arrivals.lock().unwrap().send(arrival).unwrap_or_default();
-        // One in six fails and one in six is slow, so that retries and hedges go out.
+        // One in six fails and one in six is slow, which causes retries and hedges.
         match count.fetch_add(1, Ordering::Relaxed) % 6 {
             3 => Reaction::Answer(b"-ERR failed\r\n".to_vec()),
             5 => {
@@ -278,8 +276,8 @@
     })
 }
 
-/// Clients that say when they sent each request and how long they wait for it, until told to stop. Returns
-/// how many requests got no final answer in their time.
+/// Runs, until `stop` is set, clients whose requests state when they were sent and how long the client waits. Each returns
+/// the number of requests, and those without a final answer in time.
 fn timed_clients(node: SocketAddr, stop: &Arc<AtomicBool>) -> Vec<thread::JoinHandle<(usize, Vec<String>)>> {
     let client = |client: usize| {
         let stop = stop.clone();
@@ -305,7 +303,7 @@
     (0..4).map(client).collect()
 }
 
-/// Measures until told to stop by how much a busy machine wakes a thread too late at the most.
+/// Measures, until `stop` is set, the longest delay with which the machine wakes a thread.
 fn late_wakes(stop: &Arc<AtomicBool>) -> thread::JoinHandle<Duration> {
     const STEP: Duration = Duration::from_millis(1);
     let stop = stop.clone();
@@ -333,7 +331,7 @@
     let mut longest = Duration::ZERO;
     let mut drained = None;
     for round in 0..12 {
-        // At varying points of what it does.
+        // Pauses at varying points of the node's work.
         thread::sleep(Duration::from_millis(37 + round * 11));
         let drain = || {
             if round == 6 {
@@ -352,7 +350,7 @@
         assert!(missing.is_empty(), "{missing:?}");
     }
     drop(node);
-    // Behind the hold the node's thread has to wake, and that of the server which notes the time.
+    // After a pause two threads have to wake: the node's, and that of the server which records the time.
     let busy = late_wakes.join().unwrap() * 2;
     let slack_ms = (HELD_UP.max(longest) + busy).as_millis() as u64 + 1;
     let drained = drained.unwrap();
@@ -362,16 +360,19 @@
         let left = (arrival.sent_ms + arrival.given_ms + slack_ms).saturating_sub(arrival.wall_ms);
         let (told, late) = (arrival.told_ms, arrival.wall_ms - arrival.sent_ms);
         let given = arrival.given_ms;
-        assert!(told <= left, "told {told} ms of {given} after {late} ms, held {longest:?}, busy {busy:?}");
+        assert!(
+            told <= left,
+            "{told} ms of {given} left after {late} ms, paused {longest:?}, delay {busy:?}"
+        );
         let after = arrival.at.saturating_duration_since(drained);
         assert!(arrival.server != 0 || after < DRAIN_GRACE, "asked a draining server after {after:?}");
     }
 }
 
-// Very little time left.
+// Very short deadlines.
 
-/// A cache server that drops some requests without a word, and answers nothing more on their connection;
-/// others it answers slowly.
+/// A cache server that silently drops some requests, after which it answers nothing on their connection, and delays
+/// others.
 fn dropping() -> SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -419,7 +420,7 @@
     node.figure_becomes("edge_router_in_flight", 0);
 }
 
-/// A cache server that drops one in four requests without a word, and answers those behind them.
+/// A cache server that silently drops one in four requests, and answers the ones behind them.
 fn skipping() -> SocketAddr {
     let count = AtomicUsize::new(0);
     serve(command, move |asked| match count.fetch_add(1, Ordering::Relaxed) % 4 {
@@ -432,7 +433,7 @@
     })
 }
 
-/// The answer to the next request must not be taken for that of the one that was dropped.
+/// The response to the next request must not be taken for that of the dropped one.
 #[test]
 fn an_answer_behind_a_dropped_request_is_not_taken_for_its_own() {
     static LITTLE: [u64; 20] = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20];
@@ -446,9 +447,9 @@
     assert!(tally.missing.is_empty(), "{tally:?}");
 }
 
-// Clients that close as the process is held up.
+// Clients that disconnect while the process is paused.
 
-/// What has been asked of servers and origin, counted.
+/// A cache server that counts the reads it receives.
 fn counting(count: &Arc<AtomicUsize>) -> SocketAddr {
     let count = count.clone();
     serve(command, move |asked| {
@@ -484,14 +485,14 @@
             words(get(&format!("n-{round}")), &mut new);
             drop((resting, halfway, many, new));
         });
-        // Answered behind all that: what was to be begun has begun.
+        // Answered after all of these: any attempt that would begin has begun.
         assert_eq!(node.client().ask(&["PING"]), "+PONG");
         node.figure_becomes("edge_router_in_flight", 0);
     }
-    assert_eq!(count.load(Ordering::SeqCst), 0, "begun for clients that had left");
+    assert_eq!(count.load(Ordering::SeqCst), 0, "attempts for clients that had disconnected");
 }
 
-/// The first attempt fails, or misses, in the moment in which the client leaves: nothing further is begun.
+/// The first attempt fails or misses just as the client disconnects: no further attempt may begin.
 #[test]
 fn no_further_attempt_begins_for_a_client_that_left_while_the_process_was_held_up() {
     let failures: [fn() -> Reaction; 3] =
@@ -536,7 +537,7 @@
     }
 }
 
-// Restarts and drains together.
+// Restarts during a drain.
 
 #[test]
 fn a_restart_with_a_drain_and_a_server_that_comes_back_costs_no_request() {
@@ -575,7 +576,7 @@
     let (clients, until) = (load.clone(), stop.clone());
     let clients = thread::spawn(move || clients.run_until(&until));
     thread::sleep(Duration::from_millis(300));
-    // The drain begins in the moment of SIGTERM, and the new process starts beside the old one.
+    // The drain begins together with the SIGTERM, and the new process starts while the old one runs.
     old.signal("TERM");
     discovery.change(2, &list("draining"));
     let drained = Instant::now();
@@ -589,7 +590,7 @@
     let last = asked_last.lock().unwrap().unwrap();
     let after = last.saturating_duration_since(drained);
     assert!(after < DRAIN_GRACE, "asked a draining server after {after:?}");
-    // It comes back.
+    // The draining server comes back.
     discovery.change(3, &list("ready"));
     thread::sleep(Duration::from_millis(500));
     stop.store(true, Ordering::Relaxed);
--- a/crates/mothpier/tests/beyond_servers.rs
+++ b/crates/mothpier/tests/beyond_servers.rs
@@ -1,6 +1,6 @@
-//! Trouble at cache servers, the origin and discovery beyond the common faults, on real sockets with the daemon as a
-//! process: forgotten connections, hangs through a shutdown, requests dropped without a word, retries and hedges that fail
-//! at once, answers in single bytes, small socket buffers, and configurations in quick succession.
+//! Rare faults of cache servers, the origin and discovery, on real sockets with the daemon as a process: half-open
+//! connections, hangs during a shutdown, silently dropped requests, retries and hedges that fail at once, responses in
+//! single bytes, small socket buffers, and reloads in quick succession.
 #![allow(missing_docs)]
 
 mod world;
@@ -15,24 +15,24 @@
 use socket2::{Domain, SockRef, Socket, Type};
 use world::*;
 
-/// Writes go to cache servers where these fetch what they lack by themselves.
+/// Setting for read-through cache servers, to which writes go, too.
 const THROUGH: (&str, &str) = (r#""mode":"aside""#, r#""mode":"through""#);
 
-/// Deadlines of 1.5 s for the two classes that have 20 s.
+/// Settings with deadlines of 1.5 s for the two classes that have 20 s.
 const SHORT: [(&str, &str); 2] = [
     (r#""deadlineUs":20000000,"goalTimeUs":2000000,"#, r#""deadlineUs":1500000,"goalTimeUs":1500000,"#),
     (r#""deadlineUs":20000000,"goalTimeUs":1000000,"#, r#""deadlineUs":1500000,"goalTimeUs":1000000,"#),
 ];
 
-/// SIGKILL comes no sooner after SIGTERM than the longest deadline ([`SHORT`]) and 0.7 s more.
+/// Minimum time from SIGTERM to SIGKILL: the longest deadline ([`SHORT`]) plus 0.7 s.
 const KILLED_AFTER: Duration = Duration::from_millis(1500 + 700);
 
-/// Ends a connection by a reset.
+/// Makes the close of a connection a reset.
 fn reset_connection(stream: &TcpStream) {
     SockRef::from(stream).set_linger(Some(Duration::ZERO)).unwrap();
 }
 
-/// Gives each connection of a listener a thread of its own.
+/// Serves each connection of a listener on its own thread.
 fn each_connection(listener: TcpListener, serve: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let address = listener.local_addr().unwrap();
     let serve = Arc::new(serve);
@@ -49,7 +49,7 @@
     TcpListener::bind("127.0.0.1:0").unwrap()
 }
 
-/// The bytes of a reaction that answers.
+/// The bytes of a reaction that is an answer.
 fn bytes_of(reaction: Reaction) -> Vec<u8> {
     match reaction {
         Reaction::Answer(bytes) => bytes,
@@ -57,23 +57,23 @@
     }
 }
 
-/// What becomes of a connection that has answered its first command.
+/// How a cache server ends a connection after the first answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Forgets {
     Closes,
     Resets,
-    /// The server knows nothing of it any more, and says so only when something more comes.
+    /// The connection is half-open: the server has lost it, and resets it when the next command arrives.
     ResetsAtNextRequest,
 }
 
-/// A cache server that forgets each connection after its first answer.
+/// A cache server that ends each connection after its first answer.
 struct ForgetfulServer {
     address: SocketAddr,
-    /// The ids of the commands that were read.
+    /// Ids of the commands that were read.
     seen: Receiver<String>,
-    /// Lets the connection that answered last end.
+    /// Makes the server end the connection that answered last.
     end: Sender<()>,
-    /// Told when it has ended: the node's address on it.
+    /// The node's address of a connection that has ended.
     ended: Receiver<SocketAddr>,
 }
 
@@ -98,7 +98,7 @@
                 return;
             }
             if forgets == Forgets::Closes {
-                // Until the node has closed its side: it has noticed then.
+                // Wait until the node has closed its side, which shows that it has noticed the close.
                 stream.get_ref().shutdown(Shutdown::Write).unwrap();
                 let _ = stream.read_to_end(&mut Vec::new());
             } else {
@@ -111,9 +111,9 @@
     }
 }
 
-/// A connection that its server has closed or reset while it was idle costs no request. Nothing tells the test when a reset
-/// has been noticed, and a write that overtakes it would fail: only reads follow one. One that overtakes it takes a retry
-/// from the node's budget, which holds five: no node is asked more often than that.
+/// No request may fail because a server closed or reset an idle connection. The test can't see when the node has noticed
+/// a reset, and a write before that would fail, so only reads follow a reset. A read before that takes one of the five
+/// retries of the node's budget, so no node gets more than five.
 #[test]
 fn an_idle_connection_that_its_server_has_ended_is_not_used_again() {
     let closed = [(Forgets::Closes, 20)];
@@ -139,14 +139,13 @@
     }
 }
 
-/// Waits until the reset of a connection has reached its other side, at an address: the kernel's table of connections has it
-/// no longer then.
+/// Waits until the reset of a connection has reached the other side, when it vanishes from the kernel's connection table.
 fn wait_for_reset(server: SocketAddr, other_side: SocketAddr) {
     let port = |of: SocketAddr| format!(":{:04X}", of.port());
     let is_listed = || {
         let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
         table.lines().any(|line| {
-            // A number, the local address, the remote one, and more.
+            // The fields are a number, the local address, the remote address, and more.
             let mut fields = line.split_whitespace().skip(1);
             let (local, remote) = (fields.next().unwrap(), fields.next().unwrap());
             local.ends_with(&port(other_side)) && remote.ends_with(&port(server))
@@ -157,8 +156,8 @@
     }
 }
 
-/// A node that is held up finds the reset of its idle connection and the next request at once. It costs no request, however
-/// often it happens in a row at the only server.
+/// A paused node sees the reset of its idle connection and the next request at the same time. No request may fail, however
+/// often this happens in a row at the only server.
 #[test]
 fn a_reset_that_a_held_up_node_finds_together_with_the_next_request_costs_no_request() {
     let server = ForgetfulServer::start(Forgets::Resets);
@@ -179,7 +178,7 @@
     }
 }
 
-/// The same for writes, which may not be sent twice: a connection of which the reset has come is not written to.
+/// The same for writes, which may not be sent twice: the node must not write to a connection whose reset has arrived.
 #[test]
 fn a_reset_that_a_held_up_node_finds_together_with_the_next_write_costs_no_write() {
     let server = ForgetfulServer::start(Forgets::Resets);
@@ -200,8 +199,8 @@
     }
 }
 
-/// Nothing tells of it before a request has been written whole: a safe read is sent again, a write that may not run twice
-/// gets its error.
+/// The node learns that a connection is half-open only after it has written a request. A read is retried; a write, which
+/// may not run twice, fails.
 #[test]
 fn on_a_connection_forgotten_without_a_word_a_read_is_retried_and_a_write_fails() {
     let server = ForgetfulServer::start(Forgets::ResetsAtNextRequest);
@@ -218,8 +217,8 @@
     assert_eq!(seen, ["r1", "r2", "r2", "w1", "r3"]);
 }
 
-/// A server that has forgotten all its idle connections, and says so only when something comes: a read that met one of them
-/// is sent again on a new connection, not on another that is forgotten too.
+/// All idle connections to a server are half-open. A read that failed on one of them must be retried on a new connection,
+/// not on another half-open one.
 #[test]
 fn a_read_that_met_a_forgotten_connection_is_not_sent_again_on_another_one() {
     let both = Arc::new(Barrier::new(2));
@@ -245,17 +244,17 @@
     assert_eq!(clients[0].ask(&["CACHE.GET", "k", "alone", "c=read,t=acme,d=9000"]), "$alone");
 }
 
-/// Where a large value stands still.
+/// Where a large value stalls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum StandsStill {
-    /// Its server writes no more of it.
+    /// The server writes no more of it.
     AtServer,
-    /// Its client takes no more of it.
+    /// The client reads no more of it.
     AtClient,
 }
 
-/// A cache server that answers two commands of its first connection with a large value and what stands behind it, and those
-/// of all other connections at once.
+/// A cache server that answers two commands on its first connection with a stalling large value and the response behind
+/// it, and commands on other connections at once.
 fn large_value_ahead(stands_still: StandsStill, value: String) -> SocketAddr {
     let first = Mutex::new(true);
     each_connection(listener(), move |stream| {
@@ -277,16 +276,16 @@
     })
 }
 
-/// A read that was written behind one whose answer turns out to be a large value is not held up by it, whether its server
-/// stops or its client takes nothing.
+/// A read that was pipelined behind one with a large value must not wait while that value stalls, at the server or at the
+/// client.
 #[test]
 fn a_read_behind_a_large_value_that_stands_still_is_answered() {
-    // As long as a value may be, and more than the buffers on its way hold.
+    // The maximum length of a value, which is more than the buffers on the way hold.
     let value = pattern(4 << 20);
     for stands_still in [StandsStill::AtClient, StandsStill::AtServer] {
         let server = large_value_ahead(stands_still, value.clone());
         let discovery = Discovery::start(&member("s-1", server, "m", "ready"));
-        // As one of 64 nodes it has one connection to the server.
+        // One of 64 nodes makes one connection to the server.
         let node = node("behind-large", &discovery, &[THROUGH, (r#""balancers":1"#, r#""balancers":64"#)]);
         let mut takes_nothing = small_client(&node);
         takes_nothing.send(&["CACHE.GET", "large", "i1", "c=read,t=acme,d=9000"]);
@@ -298,7 +297,8 @@
     }
 }
 
-/// A server answers a command twice, the second time behind the next one: that must not be taken for the next one's answer.
+/// A server sends a duplicate response after it has received the next command. The duplicate must not be taken for the
+/// response to that command.
 #[test]
 fn a_late_second_answer_behind_the_next_command_is_not_taken_for_its_own() {
     let address = each_connection(listener(), |stream| {
@@ -316,8 +316,8 @@
     assert_ne!(client.ask(&["CACHE.GET", "k2", "i2", "c=read,t=acme,d=9000"]), "$i1");
 }
 
-/// All cache servers and the origin hang, and go on to hang, when the process is told to end: every request that it reads
-/// has its final answer before SIGKILL may come, and the process has ended by then.
+/// All cache servers and the origin hang throughout a shutdown. Every request that the node reads must have its final answer
+/// before the earliest SIGKILL, and the process must have ended by then.
 #[test]
 fn all_requests_are_answered_before_sigkill_while_all_servers_hang_through_the_shutdown() {
     for connects in [true, false] {
@@ -343,7 +343,7 @@
         node.figure_becomes("edge_router_in_flight", 6);
         let told = Instant::now();
         node.signal("TERM");
-        // Clients that have a request open send on, on their open connections.
+        // Clients with an open request send another on the same connection.
         for (number, client) in clients.iter_mut().enumerate() {
             ask(client, number, &format!("after-{number}"));
         }
@@ -359,8 +359,8 @@
     }
 }
 
-/// A cache server that drops what has little time left without a word, and says nothing more on that connection, for its
-/// answers come in order.
+/// A cache server that silently drops requests with little time left, and then sends no more responses on that connection,
+/// as responses are in order.
 fn drops_without_a_word(least: u64) -> SocketAddr {
     each_connection(listener(), move |stream| {
         let mut stream = BufReader::new(stream);
@@ -375,18 +375,18 @@
     })
 }
 
-/// A request with little time left that its server drops gets its final answer in time, and those that come meanwhile or
-/// afterwards get their own answers.
+/// A request with little time left that its server silently drops must get its final answer in time. Requests at the same
+/// time and later must get their own answers.
 #[test]
 fn a_request_dropped_without_a_word_is_answered_in_time_and_harms_no_other() {
     const LITTLE: Duration = Duration::from_millis(80);
-    // What a deadline may be passed by.
+    // How late after its deadline an answer may be.
     const SLACK: Duration = Duration::from_millis(150);
     let members: Vec<String> = (0..3)
         .map(|number| member(&format!("s-{number}"), drops_without_a_word(200), "m", "ready"))
         .collect();
     let discovery = Discovery::start(&members.join(","));
-    // As one of eight nodes it has four connections to each server: some requests are written behind others.
+    // One of eight nodes makes four connections to each server, so some requests are pipelined.
     let node = node("drops", &discovery, &[(r#""balancers":1"#, r#""balancers":8"#)]);
     for round in 0..6 {
         let asked = Instant::now();
@@ -406,13 +406,13 @@
     }
 }
 
-/// A server that answers nothing more on a connection on which it has dropped a request without a word holds up what was
-/// written behind that: a read goes to another connection soon after the dropped one is given up.
+/// A server that silently dropped a request answers nothing more on that connection. A read that was pipelined behind it
+/// must move to another connection soon after the dropped request has timed out.
 #[test]
 fn a_read_behind_a_request_that_was_dropped_without_a_word_does_not_wait_for_its_deadline() {
     let server = drops_without_a_word(500);
     let discovery = Discovery::start(&member("s-1", server, "m", "ready"));
-    // As one of 64 nodes it has one connection to the server.
+    // One of 64 nodes makes one connection to the server.
     let node = node("behind-dropped", &discovery, &[THROUGH, (r#""balancers":1"#, r#""balancers":64"#)]);
     let mut dropped = node.client();
     dropped.send(&["CACHE.GET", "k", "little", "c=read,t=acme,d=400"]);
@@ -423,7 +423,7 @@
     assert!(asked.elapsed() < Duration::from_secs(5), "{:?}", asked.elapsed());
 }
 
-/// A port at which connections are refused. It is kept until the process ends, for tests beside this one take free ports.
+/// A port that refuses connections. It stays bound until the process ends, because tests in parallel take free ports.
 fn closed_port() -> SocketAddr {
     let held = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     held.bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into()).unwrap();
@@ -432,7 +432,7 @@
     address
 }
 
-/// A hedge that is refused at once takes nothing from the first attempt, which is answered later.
+/// A hedge whose connection is refused at once must not affect the first attempt, which is answered later.
 #[test]
 fn a_hedge_that_fails_at_once_leaves_the_first_attempt_its_answer() {
     let (go, wait) = channel::<()>();
@@ -448,12 +448,12 @@
     });
     let slow_server = member("s-1", slow, "m", "ready");
     let discovery = Discovery::start(&slow_server);
-    // A hedge goes out after two fifths of the aim.
+    // A hedge is sent after two fifths of the latency target.
     let node = node("hedge-fails", &discovery, &[(r#""goalTimeUs":2000000"#, r#""goalTimeUs":500000"#)]);
     let mut client = node.client();
     client.send(&["CACHE.GET", "k", "slow", "c=read,t=acme,d=20000"]);
     assert_eq!(commands.recv_timeout(HUNG).unwrap()[2], "slow");
-    // What is sent later is answered: the first is overtaken, so that it is hedged.
+    // A later command is answered first: the overtaken request is hedged.
     assert_eq!(node.client().ask(&["CACHE.GET", "k", "quick", "c=read,t=acme,d=20000"]), "$quick");
     discovery.change(2, &[slow_server, member("s-2", closed_port(), "m", "ready")].join(","));
     discovery.watched_after(2);
@@ -463,7 +463,8 @@
     node.figure_becomes("edge_router_in_flight", 0);
 }
 
-/// Of many servers only one listens: whatever is refused at once goes on to it, and each request gets its answer.
+/// Only one of the servers listens: attempts that are refused at the others are retried there, and each request gets its
+/// answer.
 #[test]
 fn retries_that_fail_at_once_go_on_to_a_server_that_listens() {
     let good = serve(command, |asked| array(&asked[2]));
@@ -481,7 +482,7 @@
     }
 }
 
-/// One whose retry fails at once, too, has its final answer long before its deadline.
+/// A request whose attempts all fail at once must get its final answer long before its deadline.
 #[test]
 fn where_every_attempt_fails_at_once_the_final_answer_is_soon() {
     let origin = serve(call, |_| Reaction::Reset);
@@ -499,8 +500,8 @@
     assert!(asked.elapsed() < Duration::from_secs(9), "{:?} for 20", asked.elapsed());
 }
 
-/// An answer over HTTP without a length ends with its connection; one that has come whole is passed on, in whatever pieces
-/// it came.
+/// An HTTP response without a length ends with its connection. A complete one must be forwarded, whatever pieces it arrives
+/// in.
 #[test]
 fn answers_without_a_length_that_come_whole_in_single_bytes_are_forwarded() {
     const HEADS: [&str; 3] = [
@@ -537,16 +538,17 @@
     assert_eq!(*answers.lock().unwrap(), 30);
 }
 
-/// A socket that holds little in either direction.
+/// Gives a socket small buffers in both directions.
 fn small_buffers(socket: SockRef<'_>) {
     const SMALL: usize = 4096;
     socket.set_recv_buffer_size(SMALL).unwrap();
     socket.set_send_buffer_size(SMALL).unwrap();
-    // Loopback's segments are larger than these buffers: the other side would wait for a timer before each of them.
+    // Segments on loopback are larger than these buffers: without a smaller MSS the sender would wait for a timer before
+    // each of them.
     socket.set_tcp_mss(1000).unwrap();
 }
 
-/// A listener whose connections have [`small_buffers`]: those that it accepts take over its sizes.
+/// A listener whose connections have [`small_buffers`], as accepted sockets inherit the sizes.
 fn small_listener() -> TcpListener {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     small_buffers(SockRef::from(&socket));
@@ -555,19 +557,19 @@
     TcpListener::from(socket)
 }
 
-/// Bytes without a period that a buffer has.
+/// Text whose period is no buffer size, so that a misplaced part shows.
 fn pattern(length: usize) -> String {
     (0..length).map(|at| char::from(b'a' + (at * at % 251 % 26) as u8)).collect()
 }
 
-/// A client whose side of the connection has [`small_buffers`].
+/// A client whose socket has [`small_buffers`].
 fn small_client(node: &Node) -> Client {
     let client = node.client();
     small_buffers(SockRef::from(&client.sending()));
     client
 }
 
-/// Every write and read is a short one: values arrive whole all the same, to and from a cache server.
+/// With short reads and writes, values to and from a cache server must arrive complete.
 #[test]
 fn large_values_go_whole_through_small_buffers_both_ways() {
     const LENGTH: usize = 150_000;
@@ -590,10 +592,10 @@
         assert!(answer.strip_prefix('$') == Some(&value), "{id}: {} bytes", answer.len());
     }
     assert_eq!(client.ask(&["CACHE.SET", "k", "w", "c=once,t=acme,d=19000", &value]), "$written");
-    assert!(written.recv_timeout(HUNG).unwrap()[4] == value, "not as it was sent");
+    assert!(written.recv_timeout(HUNG).unwrap()[4] == value, "the value has changed");
 }
 
-/// The same of the origin.
+/// The same for the origin.
 #[test]
 fn a_large_value_of_the_origin_goes_whole_through_small_buffers() {
     const LENGTH: usize = 150_000;
@@ -616,10 +618,10 @@
     let answer = client.ask(&["CACHE.GET", "k", "r", "c=read,t=acme,d=19000"]);
     assert!(answer.strip_prefix('$') == Some(&value), "{} bytes", answer.len());
     assert_eq!(client.ask(&["CACHE.SET", "k", "w", "c=once,t=acme,d=19000", &value]), "$written");
-    assert!(*written.recv_timeout(HUNG).unwrap().last().unwrap() == value, "not as it was sent");
+    assert!(*written.recv_timeout(HUNG).unwrap().last().unwrap() == value, "the value has changed");
 }
 
-/// A write that has begun and whose client leaves is never completed, however little the server's socket holds.
+/// A half-written command whose client disconnects is never completed, also with small socket buffers at the server.
 #[test]
 fn a_command_half_written_into_a_small_buffer_is_never_completed() {
     let server = small_listener();
@@ -636,12 +638,12 @@
     node.figure_becomes("edge_router_in_flight", 0);
     let mut rest = Vec::new();
     let _ = stalled.read_to_end(&mut rest);
-    assert!(begun.len() + rest.len() < value.len(), "all of it came: {} bytes", rest.len());
+    assert!(begun.len() + rest.len() < value.len(), "the command was completed: {} bytes", rest.len());
     assert_eq!(node.figure("edge_router_attempts_total"), Some(0));
 }
 
-/// Reloads that come faster than the node can follow: the last one holds, its discovery is watched, and a request that was
-/// open is answered.
+/// Reloads follow faster than the node can apply them. The last one must take effect, its discovery be watched, and an open
+/// request be answered.
 #[test]
 fn of_configurations_in_quick_succession_the_last_one_holds_and_nothing_is_lost() {
     let (held_server, commands, go) = held(|asked| asked[2].clone());
@@ -657,7 +659,7 @@
         .map(|_| Discovery::start(&member("s-1", serve(command, |_| array("passing")), "m", "ready")))
         .collect();
     let last = Discovery::start(&member("s-9", serve(command, |_| array("last")), "m", "ready"));
-    // Written beside it and moved there: no reload reads half a file.
+    // Replaced by a rename, so that no reload reads half a file.
     let configure = |discovery: &Discovery| {
         let beside = format!("{path}.new");
         std::fs::write(&beside, config("quick-reloads", discovery.address, 1024)).unwrap();
@@ -676,13 +678,13 @@
     }
     go.send(()).unwrap();
     assert_eq!(open.answer(), "$open");
-    // Reloads of what holds already change nothing.
+    // Reloads of the same configuration change nothing.
     (0..8).for_each(|_| configure(&last));
     assert_eq!(client.ask(&["CACHE.GET", "k", "after", "c=read,t=acme,d=9000"]), "$last");
 }
 
-/// Discovery answers slowly, or refuses most calls, for as long as the test goes on: requests are served from the list that
-/// the node has, and a change is taken in with the first answer that brings it.
+/// Discovery answers slowly, or refuses most calls, throughout the test. Requests must be served from the list that the node
+/// has, and a change must be applied with the first response that contains it.
 #[test]
 fn slow_and_crowded_discovery_costs_no_request_and_its_news_is_taken_in() {
     let [old, new] = ["old", "new"].map(|name| serve(command, move |_| array(name)));
@@ -702,10 +704,10 @@
         };
         match number {
             1 => list(1, old),
-            // Crowded: turned away, or cut off.
+            // Overloaded: refuses the call or resets the connection.
             _ if number < 12 && number % 3 == 0 => Reaction::Reset,
             _ if number < 12 => http("503 Service Unavailable", "later"),
-            // Slow: near the end of what a watch waits.
+            // Slow: near the time-out of a watch.
             12 => {
                 thread::sleep(Duration::from_millis(1200));
                 list(2, new)
@@ -724,14 +726,14 @@
     // Before the first list nothing can be served.
     let begun = Instant::now();
     while ask("first") != "$old" {
-        assert!(begun.elapsed() < HUNG, "no list was taken in");
+        assert!(begun.elapsed() < HUNG, "no list was applied");
         thread::sleep(Duration::from_millis(5));
     }
     let mut number = 0;
     while answered.try_recv().is_err() {
         let answer = ask(&format!("i{number}"));
         assert!(answer == "$old" || answer == "$new", "{answer}");
-        assert!(begun.elapsed() < HUNG, "the new list was never taken in");
+        assert!(begun.elapsed() < HUNG, "the new list was never applied");
         number += 1;
     }
     assert_eq!(ask("last"), "$new");
--- a/crates/mothpier/tests/client_gone.rs
+++ b/crates/mothpier/tests/client_gone.rs
@@ -1,4 +1,4 @@
-//! No attempt begins for a client that has gone.
+//! No attempt begins for a client that has disconnected.
 #![allow(missing_docs)]
 
 mod world;
@@ -10,20 +10,20 @@
 
 use world::{Discovery, HUNG, Reaction, call, command, http, member, miss, node, serve};
 
-/// A value that is passed on as it comes, and the part of it that comes.
+/// Length of a value that the node streams, and of the part of it that the cache server sends, in bytes.
 const LENGTH: usize = 4 << 20;
 const PART: usize = 1 << 20;
-/// An attempt may still begin for so long after its client has closed.
+/// For this long after a client has disconnected an attempt may still begin for it.
 const GRACE: Duration = Duration::from_millis(100);
-/// From the close until the servers react: past that time, with room for a busy machine.
+/// Time from the disconnect until the servers react: longer than [`GRACE`], with a margin for a busy machine.
 const BEFORE_REACTION: Duration = Duration::from_millis(500);
-/// Time left to the request behind the large answer; a server may stand still in a value for longer (10 s).
+/// Deadline of the request behind the large response. The node allows a server to stall in a value for longer (10 s).
 const DEADLINE: Duration = Duration::from_millis(4000);
-/// The class allows a request this much, so that no attempt is given up before the test wants it to end.
+/// Settings with a class whose deadline is so long that no attempt times out before the test ends it.
 const CLASS: [(&str, &str); 1] =
     [(r#""deadlineUs":20000000,"goalTimeUs":2000000,"#, r#""deadlineUs":20000000,"goalTimeUs":20000000,"#)];
 
-/// When something was asked of a stand-in, and its words.
+/// When a stub was asked something, and the words of the command or call.
 type Seen = (Instant, Vec<String>);
 
 fn get(id: &str) -> String {
@@ -31,18 +31,18 @@
     format!("*4\r\n$9\r\nCACHE.GET\r\n$6\r\n{id}\r\n$6\r\n{id}\r\n${}\r\n{options}\r\n", options.len())
 }
 
-/// A stand-in that tells when it was asked what.
+/// Returns a function that reports when a stub was asked what.
 fn note(seen: &Sender<Seen>) -> impl Fn(&[String]) + Send + Sync + 'static {
     let seen = Mutex::new(seen.clone());
     move |asked| seen.lock().unwrap().send((Instant::now(), asked.to_vec())).unwrap_or_default()
 }
 
-/// The connection ends after the command was read.
+/// Closes the connection once the command is read.
 fn reset() -> Reaction {
     Reaction::Reset
 }
 
-/// A cache server whose large value stands still, and which reacts to other commands only when told to.
+/// A cache server that stalls in a large value, and reacts to other commands only when the test signals it.
 fn cache_server(
     seen: &Sender<Seen>,
     react: fn() -> Reaction,
@@ -60,18 +60,18 @@
     })
 }
 
-/// What a client sends behind its two requests.
+/// What a client sends after its two requests.
 enum More<'a> {
     Nothing,
     /// Together with them.
     AtOnce(&'a str),
-    /// Once the large answer has begun: it is not taken up before that has ended.
+    /// Once the large response has begun. The node does not process it before that response has ended.
     Later(&'a str),
 }
 
-/// A client closes (or, for comparison, stays) while a large answer to it stands still; a server then ends
-/// the attempt of the request behind that in a way that calls for another. Gives the attempts that began too
-/// late, as time after the close and words.
+/// A client disconnects (or stays, for comparison) while a large response to it stalls. Then a server ends the attempt of
+/// the request behind it so that a further attempt would follow. Returns the attempts that began too late: the time after
+/// the disconnect and the words.
 fn attempts_after_close(
     name: &str,
     react: fn() -> Reaction,
@@ -94,7 +94,7 @@
     ];
     let node = node(name, &Discovery::start(&members.join(",")), &CLASS);
     let mut client = node.client();
-    // Both at once: what comes behind a large answer that is on its way is taken up after it.
+    // Sent together: the node would process a later command only after the large response.
     let begun = Instant::now();
     let (at_once, later) = match more {
         More::Nothing => ("", ""),
@@ -103,13 +103,13 @@
     };
     client.write(get("large-") + &get("behind") + at_once);
     client.take(PART);
-    // Its first attempt has begun.
+    // Wait until the first attempt of the request behind has begun.
     while !asked.recv_timeout(HUNG).expect("no command for the request behind").1.contains(&"behind".into()) {
     }
     client.write(later);
     let closed = Instant::now();
     let _stays = (!close).then_some(client);
-    // The servers react only once no attempt may begin any more.
+    // The servers react only when no attempt may begin any more.
     thread::sleep(BEFORE_REACTION);
     drop(go);
     let mut late = Vec::new();
@@ -126,7 +126,7 @@
 
 #[test]
 fn no_origin_is_asked_after_a_miss_that_comes_when_the_client_has_gone() {
-    // For a client that stays the miss does lead to a call.
+    // For a client that stays, the miss leads to a call.
     assert!(
         !attempts_after_close("miss-stays", miss, false, More::Nothing).is_empty(),
         "no call though the client stays"
@@ -143,13 +143,14 @@
     assert_eq!(attempts_after_close("reset-gone", reset, true, More::Nothing), []);
 }
 
-/// Nothing more of such a client is read as a command, and its close was not noticed either.
+/// The node parses no further commands after a protocol error, and once failed to notice the disconnect of such a client.
 #[test]
 fn no_origin_is_asked_for_a_client_that_has_gone_behind_a_protocol_error() {
     assert_eq!(attempts_after_close("miss-gone-malformed", miss, true, More::AtOnce("!\r\n")), []);
 }
 
-/// While an answer stands still no more than 16 KB are read ahead, and a close behind them is not noticed.
+/// While a response stalls the node reads at most 16 KB ahead. A disconnect behind more data than that must be noticed all
+/// the same.
 #[test]
 fn no_origin_is_asked_for_a_client_that_has_gone_behind_more_than_is_read_ahead() {
     let much: String = (0..1000).map(|number| get(&format!("ahead-{number}"))).collect();
--- a/crates/mothpier/tests/crossings.rs
+++ b/crates/mothpier/tests/crossings.rs
@@ -1,5 +1,5 @@
-//! Two events that cross, each pair forced: stand-ins hold a connection, an answer or a byte until the other event is seen
-//! to have happened. On real sockets, with the daemon as a process.
+//! Races between two events, each forced: stubs delay a connection, a response or the reading of a command until the
+//! other event has been observed. On real sockets, with the daemon as a process.
 #![allow(missing_docs)]
 
 mod world;
@@ -14,12 +14,12 @@
 use socket2::SockRef;
 use world::*;
 
-/// Ends a connection by a reset.
+/// Closes a connection with a reset.
 fn reset(stream: TcpStream) {
     SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
 }
 
-/// A client that has gone waits for nothing: what it asked for must not begin once a connection comes up.
+/// No attempt may be sent for a client that disconnected while the connection to the server was being established.
 #[test]
 fn an_attempt_whose_client_leaves_while_its_connection_comes_up_is_never_sent() {
     for leaves in [drop, |client: Client| reset(client.into_stream())] {
@@ -38,7 +38,7 @@
     }
 }
 
-/// The same of a write, which goes to the origin.
+/// The same for a write, which goes to the origin.
 #[test]
 fn a_call_whose_client_leaves_while_its_connection_comes_up_is_never_made() {
     let shut = Shut::new();
@@ -56,8 +56,8 @@
     assert!(first(shut.open(), call)[0].starts_with("PUT /stays "));
 }
 
-/// After its final answer a request is over: what is sent on then counts as lost. A hedge that waits for its connection when
-/// the first attempt is answered must not go out on it.
+/// A request is over once it has its final answer. A hedge that still waits for its connection when the first attempt is
+/// answered must not be sent.
 #[test]
 fn a_hedge_whose_request_is_answered_while_its_connection_comes_up_is_never_sent() {
     let (go, wait) = channel::<()>();
@@ -74,13 +74,13 @@
     let shut = Shut::new();
     let first_server = |phase| member("s-1", slow, "m", phase);
     let discovery = Discovery::start(&first_server("ready"));
-    // A hedge goes out after two fifths of the aim.
+    // A hedge is sent after two fifths of the latency target.
     let aim = (r#""goalTimeUs":2000000"#, r#""goalTimeUs":6000000"#);
     let node = node("hedge", &discovery, &[aim, LONG[2]]);
     let mut client = node.client();
     client.send(&["CACHE.GET", "k", "slow", "c=read,t=acme,d=20000"]);
     assert_eq!(commands.recv_timeout(HUNG).unwrap()[2], "slow");
-    // What is sent later is answered: the first is overtaken, so that it is hedged.
+    // A later command is answered first: the overtaken request is hedged.
     assert_eq!(node.client().ask(&["CACHE.GET", "k", "quick", "c=read,t=acme,d=20000"]), "$quick");
     discovery.change(2, &[first_server("ready"), member("s-2", shut.address(), "m", "ready")].join(","));
     discovery.watched_after(2);
@@ -95,20 +95,20 @@
     assert_eq!(first(shut.open(), command)[2], "next");
 }
 
-/// A command that has begun to be written runs once its last byte has come. One whose client leaves before that must not be
-/// completed.
+/// A cache server executes a command once its last byte has arrived. The node must not complete a half-written command
+/// whose client has disconnected.
 #[test]
 fn a_command_half_written_when_its_client_leaves_is_never_completed() {
     let server = TcpListener::bind("127.0.0.1:0").unwrap();
     let discovery = Discovery::start(&member("s-1", server.local_addr().unwrap(), "m", "ready"));
-    // Writes go to cache servers where these fetch what they lack by themselves.
+    // Writes go to cache servers if these are read-through.
     let through = (r#""mode":"aside""#, r#""mode":"through""#);
     let node = node("half-written", &discovery, &[LONG[0], LONG[1], LONG[2], through]);
     let value = "v".repeat(4 << 20);
     let mut gone = node.client();
     gone.send(&["CACHE.SET", "k", "gone", "c=once,t=acme,d=600000", &value]);
     let mut stalled = reader(server.accept().unwrap().0);
-    // It has begun, and no more goes than the two machines hold while nothing is read.
+    // The write has begun, and stops once the socket buffers are full.
     let mut begun = [0; 64];
     stalled.read_exact(&mut begun).unwrap();
     node.figure_becomes("edge_router_in_flight", 1);
@@ -116,17 +116,17 @@
     node.figure_becomes("edge_router_in_flight", 0);
     let mut rest = Vec::new();
     let _ = stalled.read_to_end(&mut rest);
-    assert!(begun.len() + rest.len() < value.len(), "all of it came: {} bytes", rest.len());
+    assert!(begun.len() + rest.len() < value.len(), "the command was completed: {} bytes", rest.len());
     assert_eq!(node.figure("edge_router_attempts_total"), Some(0));
 }
 
-/// What was written before a command that is taken back half-written is still answered on its connection.
+/// When the node abandons a half-written command, earlier commands on the connection must still be answered.
 #[test]
 fn what_was_sent_before_a_command_taken_back_half_written_is_still_answered() {
     let server = TcpListener::bind("127.0.0.1:0").unwrap();
     let discovery = Discovery::start(&member("s-1", server.local_addr().unwrap(), "m", "ready"));
     let through = (r#""mode":"aside""#, r#""mode":"through""#);
-    // One connection to a server.
+    // With so many nodes, a node makes one connection to each server.
     let many = (r#""balancers":1"#, r#""balancers":32"#);
     let node = node("half-behind", &discovery, &[LONG[0], LONG[1], LONG[2], through, many]);
     let mut before = node.client();
@@ -145,10 +145,10 @@
     assert_eq!(before.answer(), "$value");
     let mut rest = Vec::new();
     let _ = stalled.read_to_end(&mut rest);
-    assert!(rest.len() < 4 << 20, "all of it came: {} bytes", rest.len());
+    assert!(rest.len() < 4 << 20, "the command was completed: {} bytes", rest.len());
 }
 
-/// Behind the end of its commands a client is still there, or not.
+/// The node must notice a disconnect after a protocol error, also behind data that it does not parse.
 #[test]
 fn a_client_that_leaves_behind_a_spoilt_command_is_noticed() {
     for flood in [0, 200_000] {
@@ -166,7 +166,7 @@
     }
 }
 
-/// It goes with an answer half taken and another request open.
+/// The client disconnects with a half-read response and another request open.
 #[test]
 fn a_client_that_leaves_while_an_answer_is_being_written_is_noticed() {
     let large = "v".repeat(3 << 20);
@@ -177,7 +177,7 @@
     let node = node("half-taken", &discovery, &LONG);
     let mut gone = node.client();
     gone.send(&["CACHE.GET", "large", "i-1", "c=read,t=acme,d=600000"]);
-    // Some of it has come, and nothing more is taken.
+    // The client reads a part of the response, and no more.
     gone.take(1024);
     gone.send(&["CACHE.SET", "gone", "i-2", "c=once,t=acme,d=600000", "value"]);
     node.figure_becomes("edge_router_origin_calls_out", 1);
@@ -189,7 +189,7 @@
     assert!(first(shut.open(), call)[0].starts_with("PUT /stays "));
 }
 
-/// A reset is no end: an answer of the origin without a length that is reset on its way is not whole.
+/// An origin response without a length ends with the connection. One that is reset is incomplete.
 #[test]
 fn an_answer_without_a_length_that_is_reset_is_not_taken_for_whole() {
     for head in ["HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"] {
@@ -211,8 +211,8 @@
     }
 }
 
-/// Clients go on sending on connections that stay open. Whoever always has a request open is read from no longer than it can
-/// be answered, and what was read is answered.
+/// Clients may go on sending during a shutdown. A client that always has a request open is read from only as long as it
+/// can still be answered, and every request that was read is answered.
 #[test]
 fn a_client_that_never_rests_is_answered_whole_before_the_process_ends() {
     let (told, calls) = channel();
@@ -230,7 +230,7 @@
     let mut early = node.client();
     early.send(&["CACHE.SET", "early", "i", "c=read,t=acme,d=600000", "value"]);
     calls.recv_timeout(HUNG).unwrap();
-    // One that sends on and on, an unread answer to each behind the one that is open.
+    // A client that sends PINGs without end, whose answers must wait for its open request.
     let mut floods = node.client();
     floods.send(&["CACHE.SET", "floods", "f", "c=read,t=acme,d=600000", "value"]);
     calls.recv_timeout(HUNG).unwrap();
@@ -240,19 +240,19 @@
     client.send(&["CACHE.SET", "k-0", "i-0", "c=brief,t=acme,d=1500", "value"]);
     calls.recv_timeout(HUNG).unwrap();
     node.signal("TERM");
-    // It takes no new connection any more: the time in which what rests is closed has come.
+    // Wait until the node accepts no new connections, which is when it closes idle ones.
     while TcpStream::connect(node.address).is_ok() {
         thread::sleep(Duration::from_millis(5));
     }
     client.send(&["CACHE.SET", "k-1", "i-1", "c=brief,t=acme,d=1500", "value"]);
-    assert!(client.answer().starts_with('-'), "nobody answers the first");
-    // It may take longer than the process is left to live: it must be answered all the same.
+    assert!(client.answer().starts_with('-'), "the first request is never answered by the origin");
+    // Its deadline is after the end of the process: it must be answered all the same.
     client.send(&["CACHE.SET", "k-2", "i-2", "c=read,t=acme,d=600000", "value"]);
     for request in ["i-1", "i-2"] {
         let answer = client.answer();
         assert!(answer.starts_with('-'), "{request}: {answer}");
     }
-    assert_eq!(calls.iter().take(2).count(), 2, "all three were sent on");
+    assert_eq!(calls.iter().take(2).count(), 2, "all three were forwarded");
     assert_eq!(client.answer(), "end");
     assert_eq!((early.answer().as_str(), early.answer().as_str()), ("-ERR failed", "end"));
     assert_eq!(floods.answer(), "-ERR failed");
@@ -260,7 +260,7 @@
     flooding.join().unwrap();
 }
 
-/// Both at once, and each a second time: it ends in order.
+/// SIGHUP and SIGTERM at the same time, each twice: the process ends in order.
 #[test]
 fn signals_that_come_together_end_it_in_order() {
     let (server, commands, go) = held(|asked| asked[2].clone());
@@ -278,8 +278,8 @@
     assert!(node.ended().success());
 }
 
-/// A watch that has gone on and falls silent is opened anew at once, and its module is told of no failure, after which it
-/// would pause.
+/// A watch that has delivered a list and times out later is reopened at once. It must not be reported as a failed call, after
+/// which the decision module would pause.
 #[test]
 fn a_watch_that_falls_silent_is_opened_anew_at_once() {
     let (told, calls) = channel();
@@ -312,8 +312,8 @@
     assert_eq!(node.figure("edge_router_list_calls_failed_total"), Some(0));
 }
 
-/// Idle clients fill all that there is while discovery does not answer: at its return it is heard, and servers, the origin
-/// and a new client get theirs. What was taken before stays.
+/// Idle clients use up the descriptors while discovery is down. When it returns, discovery, servers, the origin and new
+/// clients must get their connections, and earlier requests must not be evicted.
 #[test]
 fn idle_clients_that_fill_the_descriptors_keep_neither_discovery_nor_servers_out() {
     let (server, commands, go) = held(|asked| asked[2].clone());
@@ -335,7 +335,7 @@
     let idle: Vec<Client> = (0..200).map(|_| node.client()).collect();
     let mut client = node.client();
     assert_eq!(client.ask(&["PING"]), "+PONG");
-    // It returns, with an origin that the node has not known.
+    // Discovery returns, with an origin that is new to the node.
     let members = [member("s-1", server, "m", "ready"), member("o-1", origin, "origin", "ready")].join(",");
     let list = format!(r#"{{"revision":2,"complete":true,"members":[{members}]}}"#);
     let (told, calls) = channel();
@@ -346,7 +346,7 @@
     });
     while !calls.recv_timeout(HUNG).unwrap()[0].contains("after=2&") {}
     let written = loop {
-        // The list has been written to the node, and may be taken in a moment later.
+        // The node may apply the list a moment after it was sent.
         let answer = node.client().ask(&["CACHE.SET", "k", "i", "c=read,t=acme,d=9000", "value"]);
         if !answer.starts_with("-BUSY") {
             break answer;
@@ -354,19 +354,19 @@
     };
     assert_eq!(written, "$receipt");
     go.send(()).unwrap();
-    assert_eq!(before.answer(), "$before", "what was taken before is not evicted");
+    assert_eq!(before.answer(), "$before", "the earlier request was evicted");
     drop(idle);
 }
 
-/// Stops the node's process while other things happen, so that it finds all of them at once.
+/// Pauses the node's process while `happens` runs, so that the node sees all its events at once.
 fn while_stopped(node: &Node, happens: impl FnOnce()) {
     node.signal("STOP");
     happens();
     node.signal("CONT");
 }
 
-/// A request that comes in the moment of SIGTERM, on a new connection or one that rests, before or after it: it is answered
-/// whole, and then its connection ends.
+/// A request that arrives together with SIGTERM, on a new, an idle or a half-used connection, just before or after the
+/// signal, is answered completely, and then its connection is closed.
 #[test]
 fn a_request_that_crosses_sigterm_is_answered_whole() {
     let server = serve(command, |asked| array(&asked[2]));
@@ -399,7 +399,8 @@
     }
 }
 
-/// The answer comes as its client leaves, in either order: nothing stays open, and the connection to the server serves on.
+/// A response arrives as its client disconnects, in either order: nothing stays open, and the connection to the server
+/// stays in use.
 #[test]
 fn an_answer_that_crosses_its_clients_leaving_leaves_nothing_open() {
     let (server, commands, go) = held(|asked| asked[2].clone());
@@ -443,7 +444,7 @@
     assert_eq!(node.client().ask(&["CACHE.SET", "k", "l", "c=once,t=acme,d=9000", "value"]), "$receipt");
 }
 
-/// Told to end before there is any list, with a request that comes at once: it is refused whole, and the process ends.
+/// SIGTERM before the first server list, with a request at the same time: the request is refused, and the process ends.
 #[test]
 fn a_request_that_crosses_sigterm_before_the_first_list_is_refused_whole() {
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -469,8 +470,8 @@
     }
 }
 
-/// At the limit of connections one that rests gives way to one that comes. A request that has come on it meanwhile is not
-/// lost with it.
+/// At the connection limit an idle connection is evicted for a new one. A request that has arrived on it meanwhile must not
+/// be lost.
 #[test]
 fn requests_that_cross_an_eviction_are_answered() {
     let server = serve(command, |asked| array(&asked[2]));
@@ -478,13 +479,13 @@
     let node = Node::run(node_command("evicts", discovery.address, 64, ""), &discovery);
     let get = |client: &mut Client, id: &str| client.send(&["CACHE.GET", "k", id, "c=read,t=acme,d=9000"]);
     let mut resting = Vec::new();
-    // As many as there is room for: the first of them gives way to the last.
+    // Connect until the node is full: the first connection is evicted for the last.
     loop {
         let mut client = node.client();
         get(&mut client, "rests");
         assert_eq!(client.answer(), "$rests");
         resting.push(client);
-        assert!(resting.len() < 64, "nobody gives way");
+        assert!(resting.len() < 64, "no connection was evicted");
         let first: &mut Client = &mut resting[0];
         if first.has_ended() {
             break;
@@ -506,7 +507,7 @@
         assert_eq!(client.answer(), format!("$new-{number}"));
     }
     for (number, client) in resting.iter_mut().enumerate() {
-        // One that had given way before it was stopped meets the end, and asks again elsewhere.
+        // A connection that was evicted before the pause is closed, and its client would ask another node.
         let answer = client.answer();
         assert!(answer == format!("${number}") || answer == "end", "{answer}");
     }
--- a/crates/mothpier/tests/crossings_more.rs
+++ b/crates/mothpier/tests/crossings_more.rs
@@ -1,5 +1,5 @@
-//! More events that cross, each pair forced: a large answer and SIGTERM, a reset watch and a drain, an answer and the moment
-//! at which its call is given up. On real sockets, with the daemon as a process.
+//! Further forced races: a large response and SIGTERM, a reset watch and a drain, a response and the time-out of its call.
+//! On real sockets, with the daemon as a process.
 #![allow(missing_docs)]
 
 mod world;
@@ -14,14 +14,15 @@
 use socket2::SockRef;
 use world::*;
 
-/// A change of the list counts as told so long after discovery had it and could be reached.
+/// The node must have received a list change this long after discovery had it and was reachable.
 const COUNTS_AS_TOLD: Duration = Duration::from_secs(6);
-/// A watch of an agent is given up so long after its call: what it waits at the other side, and what it may be late.
+/// Time-out of a watch: the time for which discovery holds the call, plus an allowance.
 const WATCH_GIVEN_UP: Duration = Duration::from_millis(3500);
-/// The time that a write's client tells where the test lets it pass.
+/// Deadline of writes that the test lets time out.
 const CLIENT_WAITS: Duration = Duration::from_millis(1000);
 
-/// A node with a second address, and settings of which some are others; it may not have a list yet.
+/// Starts a node with an operations endpoint and some replacements in the text of its settings, without waiting for its
+/// server list. Returns the path of the configuration file, too.
 fn spawn_node(name: &str, discovery: SocketAddr, changed: &[(&str, &str)]) -> (Node, String) {
     let path = scratch(&format!("{name}-more.json"));
     let mut text = config(name, discovery, 1024);
@@ -35,12 +36,12 @@
     (Node::spawn(command), path)
 }
 
-/// Ends a connection by a reset.
+/// Closes a connection with a reset.
 fn reset_connection(stream: TcpStream) {
     SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
 }
 
-/// Stops the node's process while other things happen, so that it finds all of them at once.
+/// Pauses the node's process while `happens` runs, so that the node sees all its events at once.
 fn with_process_stopped(node: &Node, happens: impl FnOnce()) {
     node.signal("STOP");
     happens();
@@ -50,11 +51,11 @@
 fn list(revision: u64, members: &str) -> Vec<u8> {
     match http("200 OK", &format!(r#"{{"revision":{revision},"complete":true,"members":[{members}]}}"#)) {
         Reaction::Answer(bytes) => bytes,
-        _ => unreachable!("http answers"),
+        _ => unreachable!("http returns an answer"),
     }
 }
 
-/// A server whose connection is given to the test once a whole request has come on it.
+/// A server that passes each connection to the test once a whole request has arrived on it.
 fn server_by_hand(read: Reader) -> (SocketAddr, Receiver<TcpStream>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -71,7 +72,7 @@
     (address, streams)
 }
 
-/// What becomes of an answer of which half had come at SIGTERM.
+/// What happens to the second half of a response after SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Rest {
     Comes,
@@ -79,8 +80,8 @@
     NeverComes,
 }
 
-/// Half of a large value has been passed on when the process is told to end: the client gets the other half if its server
-/// sends it, and meets the end of the connection before the value's length if not.
+/// Half of a large value has been forwarded at SIGTERM. The client must get the other half if the server sends it; if not,
+/// the connection must end before the value's length, so that the client sees it is incomplete.
 #[test]
 fn a_large_answer_half_passed_on_at_sigterm_comes_whole_or_is_seen_to_be_cut() {
     const LENGTH: usize = 1 << 20;
@@ -106,7 +107,7 @@
         let mut come = vec![0; head.len() + first.len()];
         client.read_exact(&mut come).unwrap();
         node.signal("TERM");
-        // It takes no new connection any more: it is ending, and the answer is still open.
+        // Wait until the node accepts no new connections: it is shutting down, with the response still open.
         while TcpStream::connect(node.address).is_ok() {
             thread::sleep(Duration::from_millis(5));
         }
@@ -121,7 +122,7 @@
         if rest == Rest::IsReset {
             drop(to_node);
         }
-        // The end of the connection or a reset, of which the client sees the one as clearly as the other.
+        // Either a close or a reset tells the client that the value is incomplete.
         let _ = client.read_to_end(&mut come);
         let whole = [head.as_bytes(), &value, b"\r\n"].concat();
         match rest {
@@ -132,12 +133,12 @@
     }
 }
 
-/// Discovery whose first watch the test holds in its hand, and whose list it changes.
+/// A discovery whose list the test can change, and whose first watch is passed to the test.
 struct HeldWatch {
     address: SocketAddr,
-    /// Held while the list changes: no call is answered meanwhile.
+    /// The list and its revision. No call is answered while this is locked.
     now: Arc<Mutex<(u64, String)>>,
-    /// The connection of the first watch, once its call has come.
+    /// The connection of the first watch, once its call has arrived.
     watch: Receiver<TcpStream>,
     calls: Receiver<Vec<String>>,
 }
@@ -176,22 +177,22 @@
             let (revision, members) = state.lock().unwrap().clone();
             let nothing_new = asked[0].contains(&format!("after={revision}&"));
             let _ = told.send(asked);
-            // One that has heard all there is waits; it opens anew when it has waited too long.
+            // A watch for changes after the newest revision gets no answer, and times out.
             if !nothing_new && from.get_mut().write_all(&list(revision, &members)).is_err() {
                 return;
             }
         }
     }
 
-    /// Waits until the node has taken in a revision.
+    /// Waits until the node has received a revision.
     fn watched_after(&self, revision: u64) {
         let wanted = format!("after={revision}&");
         while !self.calls.recv_timeout(HUNG).expect("no call to discovery")[0].contains(&wanted) {}
     }
 }
 
-/// The watch is reset, between two answers or in the middle of the one that tells of the drain, and the drain has begun
-/// before the node can open another: it is told within its bound, and nothing new goes to the server that drains.
+/// The watch is reset between two responses, or in the middle of the one with the drain, and the drain begins before the
+/// node can reopen the watch. The node must receive the drain in time, and send nothing new to the draining server.
 #[test]
 fn a_drain_that_begins_as_the_watch_is_reset_is_told_within_its_bound() {
     for (half_told, mode) in [(false, "push"), (true, "push"), (false, "ask"), (true, "ask")] {
@@ -208,7 +209,7 @@
         let mode = format!(r#""discovery":"{mode}""#);
         let (node, _) = spawn_node("reset-drain", discovery.address, &[(r#""discovery":"push""#, &mode)]);
         node.ready();
-        // Both are asked before the drain, or the test shows nothing.
+        // The server must be in use before the drain, or the test shows nothing.
         let (mut client, mut asked) = (node.client(), 0);
         let mut ask = |asked: &mut u32| {
             *asked += 1;
@@ -216,7 +217,7 @@
             client.ask(&["CACHE.GET", &key, &id, "c=read,t=acme,d=9000"])
         };
         while ask(&mut asked) != "$drains" {
-            assert!(asked < 1000, "{mode}: nothing goes to the server that is to drain");
+            assert!(asked < 1000, "{mode}: no request reaches the server that is to drain");
         }
         let mut watch = discovery.watch.recv_timeout(HUNG).unwrap();
         let begun = {
@@ -230,16 +231,16 @@
             Instant::now()
         };
         discovery.watched_after(2);
-        assert!(begun.elapsed() < COUNTS_AS_TOLD, "{mode}, half told {half_told}: {:?}", begun.elapsed());
+        assert!(begun.elapsed() < COUNTS_AS_TOLD, "{mode}, half sent {half_told}: {:?}", begun.elapsed());
         at_draining.try_iter().for_each(drop);
         for _ in 0..200 {
-            assert_eq!(ask(&mut asked), "$stays", "{mode}, half told {half_told}");
+            assert_eq!(ask(&mut asked), "$stays", "{mode}, half sent {half_told}");
         }
-        assert_eq!(at_draining.try_iter().count(), 0, "{mode}, half told {half_told}");
+        assert_eq!(at_draining.try_iter().count(), 0, "{mode}, half sent {half_told}");
     }
 }
 
-/// A discovery that answers everything but the revision that it has, with word of its calls.
+/// A discovery that answers all calls but watches for changes after its revision. Returns its address and the calls made.
 fn discovery_at(revision: u64, members: String) -> (SocketAddr, Receiver<Vec<String>>) {
     let (told, calls) = channel();
     let told = report(told);
@@ -255,8 +256,8 @@
     (address, calls)
 }
 
-/// The old service answers the watch in the moment at which the node is told to leave it for another: what it says does not
-/// outlast the new one's list, nor does its revision reach the new one.
+/// The old discovery answers the watch just as a reload moves the node to another one. Neither its list nor its revision
+/// may be used with the new discovery.
 #[test]
 fn an_answer_of_a_watch_that_is_left_for_another_service_is_not_kept() {
     let [old, late, new] = ["old", "late", "new"].map(|name| serve(command, move |_| array(name)));
@@ -284,18 +285,18 @@
             }
         });
         let opened = calls.recv_timeout(HUNG).unwrap();
-        assert!(!opened[0].contains("after="), "another service's revision: {}", opened[0]);
+        assert!(!opened[0].contains("after="), "the revision of another discovery: {}", opened[0]);
         assert!(calls.recv_timeout(HUNG).unwrap()[0].contains("after=1&"));
         assert_eq!(client.ask(&["CACHE.GET", "k", "after", "c=read,t=acme,d=9000"]), "$new");
-        // The old service is left for good.
+        // The node never calls the old discovery again.
         let _ = watch.get_mut().shutdown(Shutdown::Write);
         while call(&mut watch).is_some() {}
-        assert!(agent.set_nonblocking(true).is_ok() && agent.accept().is_err(), "asked again");
+        assert!(agent.set_nonblocking(true).is_ok() && agent.accept().is_err(), "called again");
     }
 }
 
-/// A watch has been silent for so long that it is given up, and its answer comes in that moment, or once another watch has
-/// been opened: what holds is the newest list, and the watch goes on from it.
+/// The response to a watch arrives just as the watch times out, or once another watch has been opened. The node must use
+/// the newest list, and watch for changes after it.
 #[test]
 fn an_answer_of_a_watch_that_is_given_up_for_its_silence_sets_nothing_back() {
     let [old, late, new] = ["old", "late", "new"].map(|name| serve(command, move |_| array(name)));
@@ -312,13 +313,13 @@
         assert_eq!(client.ask(&["CACHE.GET", "k", "before", "c=read,t=acme,d=9000"]), "$old");
         if in_that_moment {
             with_process_stopped(&node, || {
-                // A little longer than it waits: it finds both that its time is over and the answer.
+                // A little longer than the time-out: the node sees the time-out and the response at once.
                 let over = WATCH_GIVEN_UP + Duration::from_millis(200);
                 thread::sleep(over.saturating_sub(silent_since.elapsed()));
                 watch.get_mut().write_all(&list(901, &one(late))).unwrap();
             });
         }
-        // Either the answer was taken, and the watch goes on from it, or it was given up and is opened anew.
+        // Either the response was accepted and the watch goes on from it, or the watch timed out and is reopened.
         let taken = in_that_moment.then(|| call(&mut watch)).flatten();
         let mut watch_now = if let Some(asked) = taken {
             assert!(asked[0].contains("after=901&"), "{}", asked[0]);
@@ -328,7 +329,7 @@
             let asked = call(&mut opened).unwrap();
             assert!(asked[0].contains("after=900&"), "{}", asked[0]);
             if !in_that_moment {
-                // The connection may have been closed by now.
+                // The node may have closed the connection already.
                 let _ = watch.get_mut().write_all(&list(901, &one(late)));
             }
             opened
@@ -340,8 +341,8 @@
     }
 }
 
-/// A watch has been given up for its silence, and its answer was under way: what it tells counts as told, so that it holds
-/// although the watch that was opened in its place brings nothing yet.
+/// A watch has timed out while its response was in flight. The node must use that response as long as the reopened watch
+/// has brought nothing newer.
 #[test]
 fn an_answer_of_a_watch_that_was_given_up_holds_until_a_newer_one_comes() {
     let [old, late, new] = ["old", "late", "new"].map(|name| serve(command, move |_| array(name)));
@@ -365,15 +366,15 @@
     };
     let since = Instant::now();
     while !answered_by("$late")(&mut client, &mut asked) {
-        assert!(since.elapsed() < HUNG, "the late answer is not taken");
+        assert!(since.elapsed() < HUNG, "the late response is not used");
     }
     opened.get_mut().write_all(&list(902, &one(new))).unwrap();
     assert!(call(&mut opened).unwrap()[0].contains("after=902&"));
     assert!(answered_by("$new")(&mut client, &mut asked));
 }
 
-/// The origin answers in the moment at which the time of the attempt is over: its client gets one answer, the value or an
-/// error; nothing stays open, and the next call gets its own answer.
+/// The origin answers just as the attempt times out. The client must get one answer, the value or an error; nothing may
+/// stay open, and the next call must get its own response.
 #[test]
 fn an_answer_of_the_origin_as_its_call_is_given_up_is_given_once_or_not_at_all() {
     let (told, calls) = channel();
@@ -409,7 +410,7 @@
         assert!(answer == format!("$receipt of /{key}") || answer == "-ERR failed", "{answer}");
         node.figure_becomes("edge_router_in_flight", 0);
         node.figure_becomes("edge_router_origin_calls_out", 0);
-        // Nothing comes behind it but the answer to what is asked next.
+        // The client gets nothing more but the answer to its next request.
         go.send(()).unwrap();
         let next = format!("next-{round}");
         let answer = client.ask(&["CACHE.SET", &next, &next, "c=once,t=acme,d=9000", "value"]);
@@ -418,7 +419,7 @@
     }
 }
 
-/// The origin must see that nobody waits any more: the connection of a call that was given up ends.
+/// The origin must notice that nobody waits any more: the node closes the connection of a call that timed out.
 #[test]
 fn a_call_that_is_given_up_ends_its_connection_to_the_origin() {
     let (origin, calls) = server_by_hand(call);
--- a/crates/mothpier/tests/datagrams.rs
+++ b/crates/mothpier/tests/datagrams.rs
@@ -1,4 +1,4 @@
-//! Messages of peers are received although the call that does so fails.
+//! A node keeps serving, without spinning, while receiving messages of its peers fails.
 #![allow(missing_docs)]
 
 mod world;
@@ -13,7 +13,7 @@
 use interposed::let_calls_fail;
 use world::{Discovery, Node, array, command, config, member, node_command, scratch, serve};
 
-/// A node that hears its peers at an address, and in which calls fail by these rules.
+/// Starts a node that receives messages of its peers at an address, and in which system calls fail by `rules`.
 fn node(name: &str, discovery: &Discovery, peers: SocketAddr, rules: &str) -> Node {
     let path = scratch(&format!("{name}-datagrams.json"));
     let addresses = format!(r#""peer_listen":"{peers}","peers":["{peers}"],"limits""#);
@@ -33,14 +33,14 @@
         let sender = UdpSocket::bind("127.0.0.1:0").unwrap();
         let peers = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
         let node = node("receives", &discovery, peers, &format!("recvfrom:{error}:1"));
-        // Only with something to read is the call made at all.
+        // The call is made only if there is something to read.
         sender.send_to(b"something", peers).unwrap();
         thread::sleep(Duration::from_millis(100));
         let before = node.processor_ticks();
         thread::sleep(Duration::from_secs(1));
         let used = node.processor_ticks() - before;
-        // Of 100 in a second.
-        assert!(used < 30, "errno {error}: {used} ticks of the processor in a second");
+        // Of 100 ticks in a second.
+        assert!(used < 30, "errno {error}: {used} ticks of CPU time in a second");
         // It serves meanwhile.
         let answer = node.client().ask(&["CACHE.GET", "k", "id", "c=read,t=acme,d=20000"]);
         assert_eq!(answer, "$value", "errno {error}");
--- a/crates/mothpier/tests/habits/mod.rs
+++ b/crates/mothpier/tests/habits/mod.rs
@@ -1,4 +1,4 @@
-//! Clients that use one connection each, in the ways that the platform's pages leave them, until the node ends it.
+//! Clients with various usage patterns, each on one connection, which they use until the node closes it.
 #![allow(dead_code)]
 
 use std::collections::{HashSet, VecDeque};
@@ -11,29 +11,30 @@
 
 use crate::world::{self, Discovery, Node, Reaction, array, member, node, serve};
 
-/// After a drain was told, a client's connection must not be held idle from here on, nor with a request that came less than
-/// [`RECENT`] ago.
+/// So long after the start of a drain no client connection may still be open that is idle, or has a request younger than
+/// [`RECENT`].
 pub const HELD_AT_MOST: Duration = Duration::from_secs(4);
 /// See [`HELD_AT_MOST`].
 pub const RECENT: Duration = Duration::from_secs(2);
-/// A request that reached no server, and was sent so short a time before its client saw the end of the connection, crossed
-/// that end: on a busy machine either side may be held up for a while.
+/// A request that reached no server may have crossed the node's close if it was sent this shortly before the client saw the
+/// close. The time allows for scheduling delays on a busy machine.
 pub const CROSSING: Duration = Duration::from_millis(250);
-/// The value that a slow upload sends.
+/// Length of the value that a slow upload sends, in bytes.
 const UPLOAD: usize = 2 * 1024 * 1024;
-/// SIGKILL comes no sooner after SIGTERM: the longest deadline, of which 3 s count at most, and 0.7 s.
+/// Minimum time from SIGTERM to SIGKILL: the longest deadline, of which 3 s count at most, plus 0.7 s.
 pub const EARLIEST_KILL: Duration = Duration::from_millis(3700);
-/// A slow answer takes this long.
+/// Response time of the cache server for "slow" keys.
 const SLOW: Duration = Duration::from_millis(250);
-/// A usual one takes this long.
+/// Response time for "usual" keys.
 const USUAL: Duration = Duration::from_millis(20);
-/// How often a client that waits for its time looks whether its connection has ended.
+/// Polling interval of a client that waits.
 const LOOK: Duration = Duration::from_millis(5);
 
 /// The ids of the requests that have reached a cache server.
 pub type Forwarded = Arc<Mutex<HashSet<String>>>;
 
-/// A cache server that answers by the kind of the key, and what has reached it.
+/// A cache server whose response time depends on the kind of the key. Returns its address and the ids that have reached
+/// it.
 pub fn server() -> (SocketAddr, Forwarded) {
     let forwarded = Forwarded::default();
     let reached = forwarded.clone();
@@ -50,23 +51,23 @@
     (address, forwarded)
 }
 
-/// Waits until something is so old.
+/// Waits until `age` has passed since `began`.
 pub fn wait_until(began: Instant, age: Duration) {
     thread::sleep((began + age).saturating_duration_since(Instant::now()));
 }
 
-/// A node with clients at work.
+/// A node and clients that use it.
 pub struct Scene {
     pub node: Node,
     pub clients: Vec<Client>,
     pub forwarded: Forwarded,
     _discovery: Discovery,
-    /// When it was first told to drain or to end.
+    /// When the node was first asked to drain or to end.
     pub told: Arc<Mutex<Option<Instant>>>,
 }
 
 impl Scene {
-    /// Starts a node and clients of these habits, each with the kind of its keys, and lets them work for a moment.
+    /// Starts a node and clients with these usage patterns, each with a kind of keys, and lets them run for a moment.
     pub fn new(name: &str, habits: &[(Habit, &'static str)]) -> Scene {
         let (server, forwarded) = server();
         let discovery = Discovery::start(&member("s-1", server, "m", "ready"));
@@ -88,38 +89,38 @@
         self.clients.extend(started);
     }
 
-    /// Notes that the node is told to drain or to end now, and gives when that is.
+    /// Records that the node is asked to drain or to end now, and returns the time.
     pub fn begin(&self) -> Instant {
         let began = Instant::now();
         self.told.lock().unwrap().get_or_insert(began);
         began
     }
 
-    /// Tells the node to drain, and gives when that was.
+    /// Drains the node, and returns when the drain began.
     pub fn drain(&self) -> Instant {
         let began = self.begin();
         assert_eq!(self.node.status("PUT /drain"), 200);
         began
     }
 
-    /// What is wrong with the connections once the drain is four seconds old.
+    /// Waits until [`HELD_AT_MOST`] after the start of a drain, and returns the violations on all connections.
     pub fn held(&self, began: Instant) -> Vec<String> {
         wait_until(began, HELD_AT_MOST);
         let held = self.clients.iter().filter_map(|client| client.held(began));
         held.map(|held| format!("held: {held}")).chain(self.ended_wrongly()).collect()
     }
 
-    /// What is wrong once the process may be killed that was told to end at a time.
+    /// Kills the process at the earliest time after the SIGTERM at `terminated`, and returns the violations.
     pub fn ended(&mut self, name: &str, terminated: Instant) -> Vec<String> {
         wait_until(terminated, EARLIEST_KILL);
         let status = self.node.child.try_wait().unwrap();
         let _ = self.node.child.kill();
         self.node.ended();
-        // All see the end of their connections now.
+        // Time for all clients to see their connections closed.
         wait_until(terminated, EARLIEST_KILL + Duration::from_millis(200));
         let mut wrong: Vec<String> = self.ended_wrongly().collect();
         if !status.is_some_and(|status| status.success()) {
-            wrong.push(format!("{name}: the process has not ended in order by itself: {status:?}"));
+            wrong.push(format!("{name}: the process has not exited by itself with success: {status:?}"));
         }
         wrong
     }
@@ -129,68 +130,68 @@
         wrong.map(|wrong| format!("ended wrongly: {wrong}"))
     }
 
-    /// Prints what became of each client.
+    /// Prints a summary of each client.
     pub fn print(&self, began: Instant) {
         self.clients.iter().for_each(|client| println!("{}", client.told(began)));
     }
 }
 
-/// What a client does on its connection.
+/// The usage pattern of a client on its connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Habit {
-    /// Asks once, and then nothing more.
+    /// Sends one request, and is idle afterwards.
     Rests,
-    /// Asks nothing.
+    /// Sends nothing.
     Silent,
-    /// Asks again as soon as it has its answer.
+    /// Sends the next request as soon as the last is answered.
     ClosedLoop,
-    /// Keeps so many requests open at all times.
+    /// Keeps this many requests open at all times.
     Overlaps(usize),
-    /// Writes so many commands at once, and again once all are answered.
+    /// Writes this many commands at once, and again once all are answered.
     Bursts(usize),
-    /// Begins its first command so long after the drain was told, and writes a byte each 50 ms.
+    /// Begins its first command this long after the start of the drain, and writes a byte every 50 ms.
     BeginsLate(Duration),
-    /// Writes one command after the other, a byte each 5 ms.
+    /// Writes one command after the other, a byte every 5 ms.
     ByteByByte,
-    /// Writes a large value in pieces, without end.
+    /// Writes a large value in pieces, and never completes it.
     Uploads,
-    /// Asks again and again and takes no answers.
+    /// Sends requests and never reads the answers.
     NeverReads,
 }
 
 /// How a connection ended, as its client saw it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum End {
-    /// With the end of the stream.
+    /// By an orderly close.
     Closed,
-    /// With a reset.
+    /// By a reset.
     Reset,
 }
 
-/// What became of the requests of one client.
+/// The outcomes of the requests of one client.
 #[derive(Debug, Default)]
 pub struct Account {
-    /// Requests that have no answer, by their ids, and when their last byte was written.
+    /// Ids of the requests without an answer, and when the last byte of each was written.
     pub open: VecDeque<(String, Instant)>,
     pub served: usize,
     pub refused: usize,
     pub failed: usize,
-    /// Answers that belong to no open request.
+    /// Answers that match no open request.
     pub strange: Vec<String>,
     pub ended: Option<(Instant, End)>,
 }
 
-/// A client that is at work.
+/// A running client.
 pub struct Client {
     pub habit: Habit,
-    /// The kind of its keys, which tells a server how to answer.
+    /// The kind of its keys, which decides the server's response time.
     pub kind: &'static str,
     account: Arc<Mutex<Account>>,
     stop: Arc<AtomicBool>,
 }
 
 impl Client {
-    /// Connects and begins. `told` is when the drain is told, for habits that wait for it.
+    /// Connects and begins. `told` holds the start of the drain, for usage patterns that wait for it.
     pub fn start(
         node: SocketAddr,
         number: usize,
@@ -213,12 +214,12 @@
         Client { habit, kind, account, stop }
     }
 
-    /// What became of its requests by now.
+    /// The outcomes of its requests so far.
     pub fn account(&self) -> MutexGuard<'_, Account> {
         self.account.lock().unwrap()
     }
 
-    /// Why its connection breaks the rule, at a time at which the drain is [`HELD_AT_MOST`] old; `None` where it does not.
+    /// How its connection violates the rule of [`HELD_AT_MOST`], at that time after the start of a drain.
     pub fn held(&self, told: Instant) -> Option<String> {
         let account = self.account();
         if account.ended.is_some() {
@@ -227,14 +228,14 @@
         let recent = account.open.iter().filter(|(_, sent)| *sent > told + HELD_AT_MOST - RECENT).count();
         let state = match (account.open.len(), recent) {
             (0, _) => "idle".to_owned(),
-            // What came before may take its time.
+            // Older requests may take their time.
             (_, 0) => return None,
             (open, recent) => format!("{open} open, {recent} of them recent"),
         };
         Some(format!("{:?} of {} keys: {state}, {} served", self.habit, self.kind, account.served))
     }
 
-    /// What it did, in a line.
+    /// A summary of the client in one line.
     pub fn told(&self, began: Instant) -> String {
         let Account { open, served, refused, failed, ended, .. } = &*self.account();
         let ended = ended.map(|(at, end)| (at.saturating_duration_since(began), end));
@@ -246,10 +247,11 @@
         )
     }
 
-    /// What is wrong with the end of its connection: a reset, or requests that were read and not answered.
+    /// How the end of its connection violates the rules: a reset, an unmatched answer, or requests that were read and not
+    /// answered.
     pub fn ended_wrongly(&self, forwarded: &Forwarded) -> Option<String> {
         if self.habit == Habit::NeverReads {
-            // It can't tell.
+            // It does not see its answers.
             return None;
         }
         let account = self.account();
@@ -260,7 +262,7 @@
         let wrong = end == End::Reset || !lost.is_empty() || !account.strange.is_empty();
         wrong.then(|| {
             format!(
-                "{:?} of {} keys: {end:?}, without an answer {lost:?}, strange answers {:?}",
+                "{:?} of {} keys: {end:?}, without an answer {lost:?}, unmatched answers {:?}",
                 self.habit, self.kind, account.strange
             )
         })
@@ -273,7 +275,7 @@
     }
 }
 
-/// The side of a client that writes.
+/// The writing side of a client.
 struct Writer {
     stream: TcpStream,
     number: usize,
@@ -286,7 +288,7 @@
 
 impl Writer {
     fn run(mut self, habit: Habit) {
-        // A connection that the node has ended takes nothing more.
+        // Writing fails once the node has closed the connection.
         let _ = match habit {
             Habit::Silent => Ok(()),
             Habit::Rests => self.ask(1),
@@ -298,7 +300,7 @@
             Habit::Uploads => self.upload(),
             Habit::NeverReads => self.never_read(),
         };
-        // Its side stays open until the test ends.
+        // The client's side stays open until the test ends.
         while !self.is_over() {
             thread::sleep(LOOK);
         }
@@ -316,17 +318,17 @@
         self.account.lock().unwrap().open.len()
     }
 
-    /// The next request, which is on its way from now on.
+    /// The next request, which counts as open from now on.
     fn next(&mut self) -> Vec<u8> {
         self.asked += 1;
         let id = format!("{}-{}", self.number, self.asked);
-        // Reads of one key may share an answer.
+        // The node may merge concurrent reads of one key.
         let key = format!("{}-{id}", self.kind);
         self.account.lock().unwrap().open.push_back((id.clone(), Instant::now()));
         command(&["CACHE.GET", &key, &id, "c=read,t=acme,d=20000"])
     }
 
-    /// The requests that are on their way were written whole just now.
+    /// Records that the last requests have just been written completely.
     fn written(&self, count: usize) {
         let now = Instant::now();
         let mut account = self.account.lock().unwrap();
@@ -470,7 +472,7 @@
 
 impl Account {
     fn take(&mut self, answer: &str) {
-        // What is said of a command that has not come whole belongs to no request.
+        // An error about an incomplete command belongs to no request.
         if answer.starts_with("-ERR protocol") {
             return;
         }
@@ -486,7 +488,7 @@
     }
 }
 
-/// A line, or a value behind `$`; `None` at the end.
+/// Reads a line, or a bulk string with a leading `$`. `None` at the end of the connection.
 fn read_answer(reader: &mut BufReader<TcpStream>) -> io::Result<Option<String>> {
     let mut line = String::new();
     if reader.read_line(&mut line)? == 0 {
--- a/crates/mothpier/tests/interpose/daemon.rs
+++ b/crates/mothpier/tests/interpose/daemon.rs
@@ -1,4 +1,4 @@
-//! A daemon with all of its sockets in use: clients, staff and peers, two cache servers, an origin and
+//! A daemon with all of its sockets in use: clients, the operations endpoint, peers, two cache servers, an origin and
 //! discovery.
 
 use std::io::{BufRead, BufReader};
@@ -14,23 +14,22 @@
 use super::{Control, Failure, temporary};
 use crate::world::{Discovery, Reaction, array, call, command, config, http, member, miss, serve};
 
-/// A restarted node is owed to be ready within 6 s.
+/// A restarted node must be ready within this time.
 pub const READY: Duration = Duration::from_secs(6);
-/// From SIGTERM to SIGKILL: the longest deadline that counts, and 0.7 s.
+/// Minimum time from SIGTERM to SIGKILL: the longest deadline, of which 3 s count at most, plus 0.7 s.
 const END: Duration = Duration::from_millis(3700);
-/// Between two looks whether a process has ended.
+/// Polling interval when waiting for a process to end.
 const LOOK: Duration = Duration::from_millis(5);
 
-/// A cache server closes its connection behind one in so many answers, so that connections are made all the
-/// time.
+/// A cache server closes the connection after one in this many answers, so that new connections are made all the time.
 const ANSWERS_PER_CLOSE: usize = 10;
-/// The other node answers each message with so many that mean nothing.
+/// The other node answers each message with this many invalid ones.
 const ECHOES: usize = 3;
 
-/// What stands round the daemon.
+/// The test environment of the daemon.
 pub struct Surroundings {
     pub discovery: Discovery,
-    /// Where the other node hears messages.
+    /// Address at which the other node receives messages.
     peer: SocketAddr,
 }
 
@@ -49,7 +48,7 @@
         Surroundings { discovery: Discovery::start(&members.join(",")), peer: other_node() }
     }
 
-    /// The configuration of a daemon here: with peers, and the address at which it listens for clients.
+    /// Writes a configuration file with peers and an address for clients.
     fn configuration(&self, name: &str, listen: &str) -> PathBuf {
         let peers = format!(r#""peer_listen":"127.0.0.1:0","peers":["127.0.0.1:1","{}"],"#, self.peer);
         let text = config(name, self.discovery.address, 1024)
@@ -61,7 +60,7 @@
         path
     }
 
-    /// A command that starts a daemon here.
+    /// A command that starts a daemon in this environment.
     pub fn command(&self, name: &str, listen: &str) -> Command {
         let mut command = Command::new(env!("CARGO_BIN_EXE_mothpier"));
         command.env("ROUTER_CONFIG", self.configuration(name, listen)).env("ROUTER_OPS", "127.0.0.1:0");
@@ -72,7 +71,7 @@
     }
 }
 
-/// Another node of the tier: it answers what it hears.
+/// A stub of another node, which answers each message.
 fn other_node() -> SocketAddr {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     let address = socket.local_addr().unwrap();
@@ -87,7 +86,7 @@
     address
 }
 
-/// The value is the id of the request, so that a client knows its own.
+/// A cache server's reaction. The value is the id of the request, so that a client can recognize its own.
 fn cache(asked: &[String], number: usize) -> Reaction {
     let answer = match asked {
         [name, key, id, ..] if name == "CACHE.GET" && key.starts_with("hit") => array(id),
@@ -113,7 +112,7 @@
 /// A running daemon; killed at the end of the test.
 pub struct Daemon {
     child: Child,
-    /// What it logs; ends with it.
+    /// Log lines, up to the end of the process.
     lines: Receiver<String>,
     logged: Mutex<Vec<String>>,
 }
@@ -134,36 +133,36 @@
         Daemon { child, lines, logged: Mutex::default() }
     }
 
-    /// Starts one in which calls fail.
+    /// Starts a daemon in which system calls fail.
     pub fn failing(mut command: Command, failure: &Failure, control: &Control) -> Self {
         failure.load_into(&mut command, control);
         Daemon::spawn(command)
     }
 
-    /// Waits until it listens for clients, as long as a restarted one may take.
+    /// Waits, for up to [`READY`], until the daemon listens for clients.
     pub fn address(&self) -> Result<SocketAddr, String> {
         let until = Instant::now() + READY;
         loop {
             let left = until.saturating_duration_since(Instant::now());
             let line = self.lines.recv_timeout(left).map_err(|e| match e {
                 RecvTimeoutError::Timeout => format!("not ready in {READY:?}: {}", self.log()),
-                RecvTimeoutError::Disconnected => format!("ended at its start: {}", self.log()),
+                RecvTimeoutError::Disconnected => format!("ended during its start: {}", self.log()),
             })?;
             self.logged.lock().unwrap().push(line.clone());
             if let Some((_, address)) = line.split_once(" listens on ") {
-                return address.parse().map_err(|_| format!("{address} is no address"));
+                return address.parse().map_err(|_| format!("{address} is not an address"));
             }
         }
     }
 
-    /// All that it has logged so far.
+    /// The log so far.
     pub fn log(&self) -> String {
         let mut logged = self.logged.lock().unwrap();
         logged.extend(self.lines.try_iter());
         logged.join(" | ")
     }
 
-    /// All that it logged, once it has ended.
+    /// The whole log. Waits for the end of the process.
     pub fn log_to_its_end(&self) -> String {
         let mut logged = self.logged.lock().unwrap();
         logged.extend(self.lines.iter());
@@ -179,7 +178,7 @@
         self.child.try_wait().unwrap().is_none()
     }
 
-    /// Waits for its end, for a time.
+    /// Waits for the end of the process, for up to `bound`.
     pub fn ended_within(&mut self, bound: Duration) -> Result<ExitStatus, String> {
         let begun = Instant::now();
         loop {
@@ -193,7 +192,7 @@
         }
     }
 
-    /// Ends it in order, before SIGKILL would come.
+    /// Ends the process with SIGTERM, and checks that it exits with success before SIGKILL would follow.
     pub fn terminate(&mut self) -> Result<(), String> {
         self.signal("TERM");
         let status = self.ended_within(END)?;
--- a/crates/mothpier/tests/interpose/failing_calls.c
+++ b/crates/mothpier/tests/interpose/failing_calls.c
@@ -1,14 +1,14 @@
 /*
- * A library for LD_PRELOAD that makes chosen system calls of a process fail, or transfer one byte only.
+ * A library for LD_PRELOAD that makes selected system calls of a process fail, or transfer only one byte.
  *
- * It only acts on TCP and UDP sockets, and on files and folders; pipes, the runtime's wake-up descriptors and
- * its signal socket are left alone.
+ * It affects only TCP and UDP sockets, files and folders; not pipes, the runtime's wake-up descriptors or its
+ * signal socket.
  *
  *   FAILING_CALLS    names of calls, comma-separated: "bind", "accept4,recv"
  *   FAILING_ERROR    the name of the error ("EINTR"), or SHORT for transfers of one byte
- *   FAILING_SKIP     so many matching calls pass first
- *   FAILING_FIRST    then so many fail; 0 for no limit
- *   FAILING_EVERY    of these, one in so many fails
+ *   FAILING_SKIP     this many matching calls succeed first
+ *   FAILING_FIRST    then this many may fail; 0 for no limit
+ *   FAILING_EVERY    of these, one in this many fails
  *   FAILING_SOCKETS  only these sockets: "tcp", "udp", "outgoing" or "incoming" (TCP by who connected)
  *   FAILING_BUFFERS  bytes of the send and receive buffers of each TCP socket; 0 leaves them as they are
  *   FAILING_CONTROL  a file of two 64-bit words that is shared with the test: whether calls fail now, and
@@ -30,13 +30,13 @@
 #include <sys/uio.h>
 #include <unistd.h>
 
-/* Descriptors above this are not told apart by direction, nor watched again after a short transfer. */
+/* For descriptors above this, neither the direction nor the epoll registration is tracked. */
 #define MOST_DESCRIPTORS 4096
 
-/* Not an errno: the call goes on, but with one byte. */
+/* Not an errno: the call is made, but transfers one byte. */
 #define SHORT (-1)
 
-/* The function of that name that this library hides. */
+/* The function of the C library that this library interposes. */
 #define REAL(name) ((__typeof__(&name))dlsym(RTLD_NEXT, #name))
 
 struct control {
@@ -44,7 +44,7 @@
     _Atomic uint64_t failed;
 };
 
-/* How a descriptor was last registered, so that it can be registered again. */
+/* The last epoll registration of a descriptor, so that it can be repeated. */
 struct watch {
     int epoll;
     struct epoll_event event;
@@ -88,7 +88,7 @@
     for (size_t i = 0; name && i < sizeof ERRORS / sizeof ERRORS[0]; i++) {
         if (!strcmp(ERRORS[i].name, name)) return ERRORS[i].number;
     }
-    /* A misspelt name must not pass as a run without failures. */
+    /* A misspelt name must not result in a run without failures. */
     abort();
 }
 
@@ -128,7 +128,7 @@
     return failed ? -1 : value;
 }
 
-/* Whether a socket of this domain and type is one of those that are chosen. */
+/* Whether failures apply to a socket of this domain and type. */
 static int is_chosen(int domain, int type, int fd) {
     if (domain != AF_INET && domain != AF_INET6) return 0;
     int tcp = type == SOCK_STREAM;
@@ -139,7 +139,7 @@
     return outgoing[fd] == !strcmp(sockets, "outgoing");
 }
 
-/* Whether this call is one that fails, by its number among those that match. */
+/* Whether this call fails, by its number among the matching calls. */
 static int is_due(void) {
     unsigned long number = atomic_fetch_add(&matched, 1);
     if (number < skip) return 0;
@@ -153,7 +153,7 @@
     return control && control->enabled && is_named(call);
 }
 
-/* What becomes of a call on a socket: 0, an errno, or SHORT. */
+/* The failure to inject into a call on a socket: 0, an errno, or SHORT. */
 static int fate_on_socket(const char *call, int fd) {
     if (!is_on(call) || !is_chosen(option(fd, SO_DOMAIN), option(fd, SO_TYPE), fd)) return 0;
     return is_due() ? error : 0;
@@ -162,12 +162,12 @@
 static int fate_on_file(const char *call, int fd) {
     struct stat about;
     if (!is_on(call) || fstat(fd, &about)) return 0;
-    /* A folder is synced, too. */
+    /* Folders are synced, too. */
     if (!S_ISREG(about.st_mode) && !S_ISDIR(about.st_mode)) return 0;
     return is_due() ? error : 0;
 }
 
-/* Reading and writing may be of a socket or of a file. */
+/* The same for a call on a socket or a file, for reading and writing. */
 static int fate_on_any(const char *call, int fd) {
     return option(fd, SO_DOMAIN) == -1 ? fate_on_file(call, fd) : fate_on_socket(call, fd);
 }
@@ -178,8 +178,8 @@
     return 1;
 }
 
-/* Linux never leaves a socket ready after a short transfer without a new event, and edge-triggered readers
- * count on that: registering the descriptor once more gives the event. */
+/* On Linux a socket is not ready after a short transfer until a new event, and edge-triggered readers rely on that.
+ * After an injected short transfer the descriptor is registered again, which causes the event. */
 static void ready_again(int fate, int fd) {
     if (fate != SHORT || fd < 0 || fd >= MOST_DESCRIPTORS || !watches[fd].event.events) return;
     int before = errno;
@@ -231,12 +231,12 @@
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
     if (fd >= 0 && fd < MOST_DESCRIPTORS) outgoing[fd] = 1;
     int fate = fate_on_socket("connect", fd);
-    /* One that is interrupted goes on coming up. */
+    /* An interrupted connect goes on in the background. */
     if (fate == EINTR) REAL(connect)(fd, address, length);
     return fails(fate) ? -1 : REAL(connect)(fd, address, length);
 }
 
-/* The error of a connection that did not come up is read as an option. */
+/* The error of a failed connect is read as a socket option. */
 int getsockopt(int fd, int level, int name, void *value, socklen_t *length) {
     int result = REAL(getsockopt)(fd, level, name, value, length);
     if (result || level != SOL_SOCKET || name != SO_ERROR) return result;
@@ -315,7 +315,7 @@
 }
 
 int epoll_ctl(int epoll, int operation, int fd, struct epoll_event *event) {
-    /* Only new descriptors need memory. */
+    /* Only new registrations need memory. */
     if (operation == EPOLL_CTL_ADD && fails(fate_on_socket("epoll_ctl", fd))) return -1;
     int result = REAL(epoll_ctl)(epoll, operation, fd, event);
     if (!result && operation == EPOLL_CTL_ADD && fd < MOST_DESCRIPTORS) {
--- a/crates/mothpier/tests/interpose/mod.rs
+++ b/crates/mothpier/tests/interpose/mod.rs
@@ -1,4 +1,4 @@
-//! A daemon whose system calls fail as a test wants: the library that makes them fail, and the file that it
+//! Failure injection into the daemon's system calls: the preloaded library that makes calls fail, and the file that it
 //! shares with the test.
 
 pub mod daemon;
@@ -11,11 +11,12 @@
 
 const SOURCE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/interpose/failing_calls.c");
 
-/// Offsets of the words in the shared file.
+/// Offset of the word that enables failures in the shared file, in bytes.
 const ENABLED_AT: u64 = 0;
+/// Offset of the word that counts failed calls in the shared file, in bytes.
 const FAILED_AT: u64 = 8;
 
-/// The library, built once in a process with the system's compiler.
+/// The library, built once per process with the system's compiler.
 fn library() -> &'static Path {
     static LIBRARY: OnceLock<PathBuf> = OnceLock::new();
     LIBRARY.get_or_init(|| {
@@ -28,14 +29,14 @@
     })
 }
 
-/// A file in a folder of this process' own: runs of the same tests side by side must not share any.
+/// Path for a temporary file. It contains the process id, because the same tests may run in parallel.
 pub fn temporary(name: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("process-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     folder.join(name)
 }
 
-/// Which sockets a failure is of.
+/// Which sockets a failure affects.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Sockets {
     All,
@@ -62,22 +63,22 @@
 /// Which of the matching calls fail.
 #[derive(Clone, Copy)]
 pub enum Pattern {
-    /// So many pass, then so many fail.
+    /// The first `skip` calls succeed, the next `fail` calls fail.
     Range {
         skip: u32,
         fail: u32,
     },
-    /// One in so many.
+    /// One in this many calls fails.
     OneIn(u32),
     All,
 }
 
-/// One kind of failure of system calls.
+/// A kind of failure of system calls.
 #[derive(Clone, Copy)]
 pub struct Failure {
-    /// Names, comma-separated.
+    /// Names of the calls, comma-separated.
     pub calls: &'static str,
-    /// The error's name, or `SHORT` for transfers of one byte.
+    /// Name of the error, or `SHORT` for transfers of one byte.
     pub error: &'static str,
     pub pattern: Pattern,
     pub sockets: Sockets,
@@ -93,7 +94,7 @@
         format!("{} {} {pattern} {}", self.calls, self.error, self.sockets.name()).trim_end().to_owned()
     }
 
-    /// Loads the library into the process that the command starts.
+    /// Preloads the library into the process that the command starts.
     pub fn load_into(&self, command: &mut Command, control: &Control) {
         let (skip, first, every) = match self.pattern {
             Pattern::Range { skip, fail } => (skip, fail, 1),
@@ -112,7 +113,7 @@
     }
 }
 
-/// The file by which a test switches failures on and counts them; removed at the end.
+/// The file through which a test enables and counts failures. Removed on drop.
 pub struct Control {
     path: PathBuf,
     file: File,
@@ -126,12 +127,12 @@
         Control { path, file }
     }
 
-    /// Calls fail from now on, or no more.
+    /// Enables or disables failures.
     pub fn enable(&self, on: bool) {
         self.file.write_all_at(&u64::from(on).to_ne_bytes(), ENABLED_AT).unwrap();
     }
 
-    /// How many calls have failed so far.
+    /// Number of calls that have failed so far.
     pub fn failed(&self) -> u64 {
         let mut word = [0; 8];
         self.file.read_exact_at(&mut word, FAILED_AT).unwrap();
--- a/crates/mothpier/tests/large.rs
+++ b/crates/mothpier/tests/large.rs
@@ -1,4 +1,4 @@
-//! Large values through a node as a process: byte for byte, as they come, and at the cost of the slow one alone.
+//! Large values are passed on unchanged and as a stream, and a slow reader delays nobody else.
 #![allow(missing_docs)]
 
 mod world;
@@ -14,7 +14,7 @@
 
 const LARGE: usize = 4 << 20;
 
-/// Bytes that are the same for a seed and have no period that a buffer has.
+/// Pseudo-random bytes from a seed, so that a misplaced part of any size shows.
 fn bytes(seed: u64, length: usize) -> Vec<u8> {
     let mut state = seed | 1;
     let mut next = || {
@@ -24,7 +24,7 @@
     (0..length).map(|_| next()).collect()
 }
 
-/// Reads a value of the node's answer.
+/// Reads a bulk string that the node sends.
 fn value(stream: &mut impl BufRead) -> Vec<u8> {
     let mut line = String::new();
     stream.read_line(&mut line).unwrap();
@@ -36,7 +36,7 @@
     value
 }
 
-/// A cache server that writes its answers itself, as the test says.
+/// A cache server whose answers the test writes to the stream.
 fn server(answer: impl Fn(&[String], &mut TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -86,7 +86,7 @@
             "missing" => b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n".to_vec(),
             key => whole(&bytes(7, key.parse().unwrap())),
         };
-        // Cut anywhere, as a network would.
+        // Split at arbitrary places, as on a network.
         bytes.chunks(9973).for_each(|part| stream.write_all(part).unwrap_or_default());
     });
     let origin = serve(call, |asked| {
@@ -107,7 +107,7 @@
     ask(client.get_mut(), "missing", "b1");
     ask(client.get_mut(), "missing", "b2");
     assert!(value(&mut client) == bytes(9, LARGE), "from the origin");
-    assert!(value(&mut client) == bytes(9, LARGE), "behind another");
+    assert!(value(&mut client) == bytes(9, LARGE), "the next value on the connection");
     assert!(peak(&node) < 24 * 1024, "{} KiB at the most", peak(&node));
 }
 
@@ -121,7 +121,7 @@
         wait.lock().unwrap().recv().unwrap();
         stream.write_all(&answer[50..60_000]).unwrap();
         thread::sleep(Duration::from_millis(600));
-        // Its last bytes one by one.
+        // The last bytes one by one.
         stream.write_all(&answer[60_000..answer.len() - 40]).unwrap();
         for byte in &answer[answer.len() - 40..] {
             stream.write_all(&[*byte]).unwrap();
@@ -159,7 +159,7 @@
     node.ready();
     let mut client = get(&node, "cut", "a1");
     let mut all = Vec::new();
-    // A reset or the end: in either case fewer bytes than the header says.
+    // A reset or a close: in either case fewer bytes than the header announced.
     let _ = client.read_to_end(&mut all);
     assert!(all.starts_with(b"$100000\r\n") && all.len() < 100_000, "{} bytes", all.len());
     node.figure_becomes("edge_router_failed_total{class=\"read\"}", 1);
@@ -175,7 +175,7 @@
         let _ = stream.write_all(&whole(&value));
     });
     let node = Node::start("readers", &Discovery::start(&member("s-1", large, "m", "ready")));
-    // Each stops after the first line. A node that has just begun refuses some at first.
+    // Each stops reading after the first line. A node that has just started refuses some at first.
     let mut readers = Vec::new();
     for try_no in 0..400 {
         let mut reader = get(&node, &format!("large{try_no}"), &format!("a{try_no}"));
@@ -189,10 +189,10 @@
             break;
         }
     }
-    assert_eq!(readers.len(), 24, "too few have begun");
+    assert_eq!(readers.len(), 24, "too few responses have begun");
     let asked = Instant::now();
     assert_eq!(value(&mut get(&node, "small", "b1")), b"v");
-    // As soon as if nobody else were there.
+    // As fast as without the slow readers.
     assert!(asked.elapsed() < Duration::from_secs(2), "{:?}", asked.elapsed());
     assert!(peak(&node) < 24 * 1024, "{} KiB at the most", peak(&node));
 }
@@ -206,7 +206,7 @@
     stream
 }
 
-/// An origin that tells of each write its body's length and whether it is as it should be.
+/// An origin that reports each write: the length of its body, and whether the bytes are correct.
 fn writes() -> (SocketAddr, Receiver<(usize, bool)>) {
     let (told, seen): (Sender<(usize, bool)>, _) = channel();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -249,7 +249,7 @@
     let mut reader = BufReader::new(stream);
     assert_eq!(value(&mut reader), b"ok");
     assert_eq!(seen.recv_timeout(HUNG).unwrap(), (LARGE, true));
-    // Of 192 MB half may be held by requests: 23 such values and no more. They come and never end.
+    // Requests may use half of the 192 MB: 23 values of this size and no more. These 23 never end.
     let held: Vec<TcpStream> = (0..23).map(|i| set(&node, &format!("h{i}"), LARGE)).collect();
     thread::sleep(Duration::from_millis(300));
     let mut refused = set(&node, "w2", LARGE);
@@ -261,14 +261,14 @@
     assert!(line.starts_with("-BUSY"), "{line:?}");
     line.clear();
     told.read_line(&mut line).unwrap();
-    assert_eq!(line, "+PONG\r\n", "what stands behind a dropped value");
+    assert_eq!(line, "+PONG\r\n", "the command behind a dropped value");
     drop(held);
     let mut again = set(&node, "w3", LARGE);
     again.write_all(&bytes(11, LARGE)).unwrap();
     again.write_all(b"\r\n").unwrap();
     assert_eq!(value(&mut BufReader::new(again)), b"ok");
     assert_eq!(seen.recv_timeout(HUNG).unwrap(), (LARGE, true));
-    assert!(seen.try_recv().is_err(), "what was refused reached the origin");
+    assert!(seen.try_recv().is_err(), "a refused write reached the origin");
 }
 
 #[test]
--- a/crates/mothpier/tests/load/mod.rs
+++ b/crates/mothpier/tests/load/mod.rs
@@ -1,4 +1,4 @@
-//! Several clients that ask side by side, and what became of each of their requests.
+//! Concurrent clients, and the outcomes of their requests.
 #![allow(dead_code)]
 
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -9,26 +9,27 @@
 use std::thread;
 use std::time::Duration;
 
-/// Clients side by side, and what each of them asks in a round.
+/// Number of concurrent clients.
 const CLIENTS: usize = 6;
+/// Requests of each client in a round.
 const REQUESTS: usize = 40;
-/// A client takes a new connection after so many requests.
+/// A client opens a new connection after this many requests.
 const REQUESTS_PER_CONNECTION: usize = 8;
-/// Longer than anything that a test does to a request, milliseconds.
+/// Deadline longer than any delay that a test injects, in milliseconds.
 const PATIENT_MS: u64 = 3000;
-/// A final answer may be this much later than its deadline.
+/// A final answer may come this long after its deadline.
 pub const GRACE: Duration = Duration::from_millis(500);
-/// One in so many requests is a read that the cache servers lack, and one a write.
+/// Of this many requests, one is a read that misses at the cache servers, and one is a write.
 const ONE_IN: usize = 10;
 
-/// What became of requests.
+/// The outcomes of requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
     pub asked: usize,
     pub served: usize,
     pub refused: usize,
     pub failed: usize,
-    /// No final answer: what the client saw instead.
+    /// What the client saw instead of a final answer.
     pub missing: Vec<String>,
 }
 
@@ -55,25 +56,24 @@
     }
 }
 
-/// How clients ask.
+/// The requests of the clients.
 #[derive(Clone)]
 pub struct Load {
-    /// The node that is asked; another one may take its place.
+    /// The node's address, which a test may replace by another node's.
     pub node: Arc<Mutex<SocketAddr>>,
-    /// The time that each client gives its requests in turn, milliseconds.
+    /// The deadlines that each client gives its requests in turn, in milliseconds.
     pub deadlines_ms: &'static [u64],
-    /// Whether a request that crosses the end of a connection that rested is sent once more, on a new one.
+    /// Whether a request that crosses the close of a connection that was used before is sent again on a new one.
     pub resends: bool,
 }
 
 impl Load {
-    /// Of patient clients that expect no connection of theirs to end.
+    /// Clients with long deadlines that do not resend.
     pub fn on(node: SocketAddr) -> Self {
         Load { node: Arc::new(Mutex::new(node)), deadlines_ms: &[PATIENT_MS], resends: false }
     }
 
-    /// Sends all requests and waits for their answers; `round` makes their ids differ from those of other
-    /// rounds.
+    /// Sends all requests of a round and waits for their answers. `round` makes the ids unique.
     pub fn run(&self, round: usize) -> Tally {
         let begin = |client| {
             let load = self.clone();
@@ -85,7 +85,7 @@
         all
     }
 
-    /// Goes on with rounds until told to stop.
+    /// Runs rounds until `stop` is set.
     pub fn run_until(&self, stop: &AtomicBool) -> Tally {
         let mut all = Tally::default();
         for round in 0.. {
@@ -144,7 +144,7 @@
     matches!(error.kind(), BrokenPipe | ConnectionReset | UnexpectedEof)
 }
 
-/// A read of what cache servers hold, or now and then of what they lack, or a write.
+/// A read that hits, or now and then a read that misses or a write.
 fn request(number: usize, id: &str, deadline_ms: u64) -> Vec<u8> {
     let extras = |class: &str| format!("c={class},t=acme,d={deadline_ms}");
     let words = match number % ONE_IN {
@@ -157,7 +157,7 @@
     bytes.into_bytes()
 }
 
-/// A value, or the line of an error.
+/// Reads a value, or the line of an error.
 fn answer(reader: &mut BufReader<TcpStream>) -> io::Result<String> {
     let mut line = String::new();
     if reader.read_line(&mut line)? == 0 {
--- a/crates/mothpier/tests/node.rs
+++ b/crates/mothpier/tests/node.rs
@@ -244,7 +244,7 @@
     child.wait().unwrap();
 }
 
-/// Starts a node that polls a discovery shared by all nodes, and has a list of revision 7 in its configuration.
+/// Starts a node that must ask discovery for changes of the server list, with a list of revision 7 in its configuration.
 fn asking(name: &str, discovery: std::net::SocketAddr, known: &str) -> Node {
     let path = scratch(&format!("{name}-asks.json"));
     let list = format!(r#""known":{{"revision":7,"complete":true,"members":[{known}]}},"settings""#);
--- a/crates/mothpier/tests/off.rs
+++ b/crates/mothpier/tests/off.rs
@@ -1,5 +1,5 @@
-//! What an operator has not switched on opens no socket and starts no thread, and the platform's own operator's file leaves off
-//! all that is new.
+//! Features that are switched off open no socket and start no thread, and the deployed operator's file switches all
+//! optional ones off.
 #![allow(missing_docs)]
 
 mod world;
@@ -13,7 +13,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// Listening and datagram sockets of a process (those of connections come and go), and its threads.
+/// Counts the listening TCP sockets, the UDP sockets and the threads of a process.
 fn holds(id: u32) -> (usize, usize, usize) {
     let inodes: BTreeSet<String> = std::fs::read_dir(format!("/proc/{id}/fd"))
         .unwrap()
@@ -25,7 +25,7 @@
         let fields = text.lines().skip(1).map(|line| line.split_whitespace().collect::<Vec<_>>());
         fields.filter(|f| f.len() > 9 && f[3] == state && inodes.contains(f[9])).count()
     };
-    // 0A is a socket that listens, 07 one of datagrams.
+    // Socket states: 0A is a listening TCP socket, 07 an unconnected UDP socket.
     let threads = std::fs::read_dir(format!("/proc/{id}/task")).unwrap().count();
     (own("tcp", "0A"), own("udp", "07"), threads)
 }
@@ -34,7 +34,7 @@
     let server = serve(command, |_| array("value"));
     let discovery = Discovery::start(&member("s-1", server, "m", "ready"));
     let mut command = node_command(name, discovery.address, 1024, "");
-    // One zone, which this node is in: what is switched on must find what it asks of the settings.
+    // The features need settings in which the node is in a zone.
     let path = scratch(&format!("{name}.json"));
     let text =
         std::fs::read_to_string(&path).unwrap().replace(r#""zones":["a"],"#, r#""zones":["a"],"zone":0,"#);
@@ -57,7 +57,7 @@
     let file = std::fs::read_to_string(root().join("deploy/operator.toml")).unwrap();
     assert!(file.contains("[places]\non = false") && file.contains("[accord]\non = false"));
     assert_eq!(with("off-operator", Some(&file)), without);
-    // The same figures do change where the accord is on: one socket more, on the node's own thread.
+    // With the agreement on there is one UDP socket more, and no further thread.
     let free = std::net::UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let on = format!(
         "[places]\non = true\n[accord]\non = true\nvoters = [0]\nlisten = \"{free}\"\nmembers = [\"{free}\"]"
--- a/crates/mothpier/tests/repeating/mod.rs
+++ b/crates/mothpier/tests/repeating/mod.rs
@@ -1,5 +1,5 @@
-//! A cache server that answers a share of its commands a second time, some milliseconds late. Everything that
-//! it does is drawn from a seed and the command's request id, and recorded by connection.
+//! A cache server that sends duplicate responses to a share of its commands, some milliseconds late. Its behaviour is
+//! determined by a seed and the request ids, and is recorded per connection.
 #![allow(dead_code, missing_docs)]
 
 pub mod trace;
@@ -15,14 +15,14 @@
 use self::trace::{Record, Trace};
 use crate::world::{Reaction, array, command, miss};
 
-/// The kind of a key is its first letter.
+/// First letter of keys that have their own value.
 pub const UNIQUE: char = 'u';
-/// Many keys have this value in common.
+/// First letter of keys that all have the same value.
 pub const SAME: char = 's';
-/// The cache lacks it, and the origin has it.
+/// First letter of keys that the cache server does not have, and the origin does.
 pub const LACKED: char = 'l';
 
-/// The value of a key: the key, but for those that have a value in common.
+/// The value of a key: the key itself, or the value that all [`SAME`] keys have.
 pub fn value_of(key: &str) -> &str {
     match key.starts_with(SAME) {
         true => "0",
@@ -30,30 +30,30 @@
     }
 }
 
-/// What a cache server does besides answering.
+/// How a cache server delays and duplicates its responses.
 #[derive(Clone, Copy, Debug)]
 pub struct Habits {
     pub seed: u64,
-    /// The part of its commands that it answers a second time.
+    /// Share of the commands with a duplicate response.
     pub repeated: f64,
-    /// A second answer comes up to so much later than the first.
+    /// Maximum delay of a duplicate after the first response.
     pub latest_repeat: Duration,
-    /// A first answer takes up to so long.
+    /// Maximum time of a first response.
     pub slowest_answer: Duration,
 }
 
-/// Numbers from a seed (SplitMix64).
+/// Pseudo-random numbers (SplitMix64).
 pub struct Draws(u64);
 
 impl Draws {
-    /// Numbers that depend on a seed and a name.
+    /// Numbers that are determined by a seed and a name.
     pub fn new(seed: u64, name: &str) -> Self {
         // FNV-1a.
         let hash = |h: u64, byte: u8| (h ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
         Draws(name.bytes().fold(seed ^ 0xcbf2_9ce4_8422_2325, hash))
     }
 
-    /// From 0 up to 1.
+    /// Uniform in [0, 1).
     pub fn next(&mut self) -> f64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut z = self.0;
@@ -71,21 +71,21 @@
 pub struct Repeater {
     pub address: SocketAddr,
     pub trace: Arc<Trace>,
-    /// How often each request id has come.
+    /// Number of commands received per request id.
     attempts: Arc<Mutex<HashMap<String, u32>>>,
 }
 
-/// A command that has come, with all that is drawn for it.
+/// A received command and how it will be answered.
 struct Pending {
-    /// Its place among the commands of its connection.
+    /// Its index among the commands of the connection.
     number: usize,
     bytes: Vec<u8>,
     due: Instant,
-    /// How long after its answer the second one comes.
+    /// Delay of the duplicate after the first response.
     repeat_after: Option<Duration>,
 }
 
-/// A second answer that is to be sent; the earliest is the greatest.
+/// A duplicate response to send. The earliest orders as the greatest, for the max-heap.
 #[derive(PartialEq, Eq)]
 struct Repeat {
     due: Instant,
@@ -121,14 +121,14 @@
         Repeater { address, trace, attempts }
     }
 
-    /// Commands that have come for some requests.
+    /// Number of commands received for some request ids.
     pub fn attempts_of<'a>(&self, ids: impl Iterator<Item = &'a String>) -> u32 {
         let attempts = self.attempts.lock().unwrap();
         ids.map(|id| attempts.get(id).copied().unwrap_or(0)).sum()
     }
 }
 
-/// Reads the commands of a connection; another thread answers them.
+/// Reads the commands of a connection, which another thread answers.
 fn read_commands(
     stream: TcpStream,
     habits: Habits,
@@ -150,7 +150,7 @@
     writer.join().unwrap();
 }
 
-/// Records a command, draws what becomes of it and gives it on to be answered.
+/// Records a command, determines its responses and passes it to the thread that answers.
 fn take(
     asked: &[String],
     habits: Habits,
@@ -159,7 +159,7 @@
     attempts: &Mutex<HashMap<String, u32>>,
     to: &Sender<Pending>,
 ) {
-    // `PING` has no further word.
+    // `PING` has no argument.
     let subject = asked.get(1).unwrap_or(&asked[0]);
     let (number, behind) = {
         let mut record = record.lock().unwrap();
@@ -191,7 +191,7 @@
                 repeat_after: repeated.then_some(after),
             }
         }
-        // A probe: it is answered with the load alone.
+        // A probe is answered with the load only.
         _ => Pending {
             number,
             bytes: b"$9\r\nbusy=0.10\r\n".to_vec(),
@@ -199,11 +199,11 @@
             repeat_after: None,
         },
     };
-    // The other side may have ended with the connection.
+    // The answering thread may have ended with the connection.
     let _ = to.send(pending);
 }
 
-/// The answer to a read.
+/// The bytes of the response to a read.
 fn bytes_for(key: &str) -> Vec<u8> {
     let reaction = match key.starts_with(LACKED) {
         true => miss(),
@@ -215,8 +215,8 @@
     }
 }
 
-/// Sends the answers of a connection in the order of its commands, and second answers when they are due,
-/// whatever stands before and behind them: each of them whole, since nothing else writes.
+/// Sends first responses in the order of the commands, and duplicates when they are due, at any place in between. No
+/// other thread writes to the connection, so each response is whole.
 fn answer(mut stream: TcpStream, commands: &Receiver<Pending>, record: &Mutex<Record>, begun: Instant) {
     let mut firsts = VecDeque::<Pending>::new();
     let mut repeats = BinaryHeap::<Repeat>::new();
@@ -250,7 +250,7 @@
                 None => continue,
             },
         };
-        // On record before the node can have it.
+        // Recorded before the node can receive it.
         record.lock().unwrap().frame(begun.elapsed(), number, is_repeat);
         if stream.write_all(&bytes).is_err() {
             return;
--- a/crates/mothpier/tests/repeating/trace.rs
+++ b/crates/mothpier/tests/repeating/trace.rs
@@ -1,8 +1,7 @@
-//! What has passed on the connections of a cache server, and why an answer went to the wrong client.
+//! Trace of the connections of a cache server, and analysis of responses that reached the wrong client.
 //!
-//! A node takes the answers of a connection in the order of its commands: to the node, the answer in some
-//! place belongs to the command in the same place. Once it has taken a second answer so, all later ones are
-//! shifted.
+//! A node matches the responses of a connection to its commands by position. Once it has taken a duplicate for a
+//! response, all later responses are shifted.
 
 use std::fmt;
 use std::io::Write;
@@ -11,59 +10,59 @@
 
 use super::{LACKED, value_of};
 
-/// An answer as it was sent.
+/// A response that was sent.
 #[derive(Clone, Debug)]
 pub struct Frame {
     pub at: Duration,
-    /// The number of the command that it answers.
+    /// Index of the command that it answers.
     pub answers: usize,
-    /// It is a second answer.
+    /// Whether it is a duplicate.
     pub is_repeat: bool,
-    /// How many commands had come and were not answered yet.
+    /// Number of commands received and not yet answered.
     pub out: usize,
 }
 
-/// What has passed on a connection; times are from the start of the server.
+/// Trace of a connection. Times are relative to the start of the server.
 #[derive(Debug, Default)]
 pub struct Record {
-    /// When each command came, and its key.
+    /// Arrival time and key of each command.
     pub commands: Vec<(Duration, String)>,
     pub frames: Vec<Frame>,
-    /// Commands that have been answered.
+    /// Number of answered commands.
     answered: usize,
-    /// When the node closed it.
+    /// When the node closed the connection.
     pub closed: Option<Duration>,
 }
 
 impl Record {
-    /// Takes down a command; returns its number.
+    /// Records a command and returns its index.
     pub fn command(&mut self, at: Duration, key: &str) -> usize {
         self.commands.push((at, key.to_owned()));
         self.commands.len() - 1
     }
 
-    /// Takes down an answer.
+    /// Records a response.
     pub fn frame(&mut self, at: Duration, answers: usize, is_repeat: bool) {
         let out = self.commands.len() - self.answered;
         self.answered += usize::from(!is_repeat);
         self.frames.push(Frame { at, answers, is_repeat, out });
     }
 
-    /// The first answers that were sent between a command's answer and the frame with this number.
+    /// Number of first responses that were sent between the frame at this index and the first response to its command.
     fn answers_before(&self, frame: usize) -> usize {
         let answers = self.frames[frame].answers;
         let between = self.frames[..frame].iter().filter(|f| !f.is_repeat && f.answers > answers);
         between.count()
     }
 
-    /// How long after the answer the frame with this number came.
+    /// Delay of the frame at this index after the first response to its command.
     fn lateness(&self, frame: usize) -> Duration {
         let repeat = &self.frames[frame];
         let first = self.frames.iter().find(|f| f.answers == repeat.answers).map_or(repeat.at, |f| f.at);
         repeat.at.saturating_sub(first)
     }
 
-    /// The number of a command whose place among the answers was taken by one of this value.
+    /// Index of a command for `key` whose position among the responses holds one with `value`.
     fn taken(&self, key: &str, value: &str) -> Option<usize> {
         let places = self.commands.iter().zip(&self.frames).enumerate();
         places
@@ -91,33 +90,33 @@
     pub repeats_with_several_out: usize,
 }
 
-/// A wrong value that a client got.
+/// A wrong value that a client received.
 #[derive(Clone, Debug)]
 pub struct Wrong {
     pub key: String,
     pub got: String,
 }
 
-/// How wrong values came about.
+/// Causes of wrong values.
 #[derive(Debug, Default)]
 pub struct Causes {
-    /// The value is that of the second answer itself.
+    /// Wrong values that were the value of a duplicate.
     repeats: usize,
-    /// By how many places the true answer of another command came late, and how often.
+    /// Wrong values that were the first response to another command: by how many positions it was shifted, and how often.
     shifted: Vec<(usize, usize)>,
-    /// No connection's order tells why.
+    /// Wrong values that no connection's trace explains.
     unexplained: Vec<Wrong>,
-    /// How late the second answers were that were taken for others, in microseconds.
+    /// Delays of the duplicates that were taken for other responses, in microseconds.
     lateness: Vec<u128>,
-    /// How many answers were sent between an answer and its repeat that was taken for another.
+    /// Number of responses between a first response and its duplicate that was taken for another response.
     between: Vec<usize>,
-    /// How long the command had been at the server for whose answer the repeat was taken, in microseconds; 0
-    /// where it came after the repeat had been sent.
+    /// How long the command for whose response a duplicate was taken had been at the server, in microseconds; 0 if it
+    /// arrived after the duplicate was sent.
     waited: Vec<u128>,
-    /// Of those repeats, how many were sent while no command was out: they crossed the next one on its way.
+    /// Number of those duplicates that were sent while no command was open, and crossed the next command.
     crossed: usize,
-    /// Connections on which values went wrong: how many did, how long from the first answer that was shifted
-    /// to the end of the connection, and how it ended.
+    /// For each connection with wrong values: their number, the time from the first shifted response to the end of the
+    /// connection, and how it ended.
     shifts: Vec<(usize, Duration, &'static str)>,
 }
 
@@ -126,7 +125,7 @@
         Trace { begun: Instant::now(), connections: Mutex::default() }
     }
 
-    /// A record for a new connection.
+    /// Adds the trace of a new connection.
     pub fn connection(&self) -> Arc<Mutex<Record>> {
         let record = Arc::<Mutex<Record>>::default();
         self.connections.lock().unwrap().push(record.clone());
@@ -151,7 +150,7 @@
         counts
     }
 
-    /// Finds out for each wrong value which answer on which connection brought it.
+    /// Finds the response that caused each wrong value.
     pub fn causes(&self, wrong: &[Wrong], end: Duration) -> Causes {
         let mut causes = Causes::default();
         let mut unexplained = wrong.to_vec();
@@ -172,7 +171,7 @@
         causes
     }
 
-    /// Writes all that has passed, one line for each command and answer.
+    /// Writes one line for each command and response.
     pub fn write(&self, mut to: impl Write) {
         for (connection, record) in self.connections.lock().unwrap().iter().enumerate() {
             let record = record.lock().unwrap();
@@ -196,22 +195,22 @@
     }
 }
 
-/// The shift of a connection on which so many values went wrong.
+/// The shift on a connection with this many wrong values.
 fn shift(record: &Record, wrong: usize, end: Duration) -> (usize, Duration, &'static str) {
     let places = record.commands.iter().zip(&record.frames).enumerate();
     let first = places.filter(|(number, (_, f))| f.answers != *number).map(|(_, (_, f))| f.at).next();
-    // An answer in flight when the node closes may be on record a moment later.
+    // A response that was in flight when the node closed the connection may be recorded a moment later.
     let surplus = record.frames.len() > record.commands.len();
     let how = match record.closed {
-        Some(_) if surplus => "closed over an answer that nothing had asked for",
-        Some(_) => "closed otherwise",
+        Some(_) if surplus => "closed because of a surplus response",
+        Some(_) => "closed for another reason",
         None => "open at the end",
     };
     (wrong, record.closed.unwrap_or(end).saturating_sub(first.unwrap_or_default()), how)
 }
 
 impl Causes {
-    /// Takes down why the command with this number got the answer in its place.
+    /// Records why the command at this index got the response at its position.
     fn explain(&mut self, record: &Record, number: usize) {
         let frame = &record.frames[number];
         if frame.is_repeat {
@@ -231,7 +230,7 @@
     }
 }
 
-/// The least, middle and greatest of some figures.
+/// Minimum, median and maximum of some values.
 fn spread<T: Ord + Copy + fmt::Debug>(figures: impl IntoIterator<Item = T>) -> String {
     let mut figures: Vec<T> = figures.into_iter().collect();
     figures.sort_unstable();
@@ -243,19 +242,19 @@
 
 impl fmt::Display for Causes {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "  the second answer itself: {}", self.repeats)?;
+        writeln!(f, "  a duplicate: {}", self.repeats)?;
         for (places, count) in &self.shifted {
-            writeln!(f, "  a true answer, shifted by {places}: {count}")?;
+            writeln!(f, "  a first response, shifted by {places}: {count}")?;
         }
         writeln!(f, "  unexplained: {} {:?}", self.unexplained.len(), self.unexplained.first())?;
-        writeln!(f, "  harmful repeats, us late (least / median / most): {}", spread(self.lateness.clone()))?;
-        writeln!(f, "  harmful repeats, answers between: {}", spread(self.between.clone()))?;
-        writeln!(f, "  harmful repeats, us behind the other's command: {}", spread(self.waited.clone()))?;
-        writeln!(f, "  harmful repeats that crossed the other's command: {}", self.crossed)?;
+        writeln!(f, "  harmful duplicates, us late (min / median / max): {}", spread(self.lateness.clone()))?;
+        writeln!(f, "  harmful duplicates, responses between: {}", spread(self.between.clone()))?;
+        writeln!(f, "  harmful duplicates, us after the other command: {}", spread(self.waited.clone()))?;
+        writeln!(f, "  harmful duplicates that crossed the other command: {}", self.crossed)?;
         let wrong = spread(self.shifts.iter().map(|s| s.0));
         let lasted = spread(self.shifts.iter().map(|s| s.1.as_micros()));
         writeln!(f, "  connections with wrong values: {}, wrong on each {wrong}", self.shifts.len())?;
-        writeln!(f, "  a shift lasted us: {lasted}")?;
+        writeln!(f, "  duration of a shift, us: {lasted}")?;
         let mut ends: Vec<&str> = self.shifts.iter().map(|s| s.2).collect();
         ends.sort_unstable();
         for group in ends.chunk_by(|a, b| a == b) {
--- a/crates/mothpier/tests/second_answer_orders.rs
+++ b/crates/mothpier/tests/second_answer_orders.rs
@@ -1,8 +1,7 @@
-//! Second answers that come late, on real sockets with the daemon as a process. A stand-in writes an answer
-//! again only once the event has happened that it must follow, so that each order of events is forced and no
-//! time decides it.
+//! Duplicate responses that arrive late, on real sockets with the daemon as a process. A stub sends a duplicate only after
+//! the event that it must follow, so that each order of events is forced and does not depend on timing.
 //!
-//! Where a node that guards against repeats may never bring the event, the stand-in goes on after [`GRACE`].
+//! A node that detects duplicates may never cause that event; then the stub goes on after [`GRACE`].
 #![allow(missing_docs)]
 
 mod world;
@@ -18,22 +17,22 @@
 
 use world::*;
 
-/// How long a stand-in waits for an event that may not come.
+/// How long a stub waits for an event that may not happen.
 const GRACE: Duration = Duration::from_secs(2);
 
-/// Writes go to cache servers where these fetch what they lack by themselves.
+/// Setting for read-through cache servers, to which writes go, too.
 const THROUGH: (&str, &str) = (r#""mode":"aside""#, r#""mode":"through""#);
 
-/// As one of 64 nodes a node has one connection to each server: commands are written behind each other.
+/// Setting for one of 64 nodes, which makes one connection to each server and pipelines commands on it.
 const ONE_CONNECTION: (&str, &str) = (r#""balancers":1"#, r#""balancers":64"#);
 
-/// More than a value that is taken whole.
+/// Length of a value that the node streams instead of buffering it, in bytes.
 const LARGE: usize = 70_000;
 
-/// What a stand-in makes for a request; `None` where it says nothing.
+/// Makes the response of a stub to a request. `None` if it sends no response.
 type Makes = fn(&[String]) -> Option<Vec<u8>>;
 
-/// One connection to a stand-in: what it was asked and has not answered, and what it has answered.
+/// A connection to a stub, with its open requests and the responses sent on it.
 struct Line {
     stream: BufReader<TcpStream>,
     read: Reader,
@@ -41,13 +40,13 @@
     seen: Sender<Vec<String>>,
     unanswered: VecDeque<Vec<String>>,
     answers: Vec<Vec<u8>>,
-    /// Commands that only show whether answers are in order, as far as they have been read.
+    /// Number of fences (`PING` commands) read.
     fences: usize,
     ended: bool,
 }
 
 impl Line {
-    /// Reads the next request; whether one has come.
+    /// Reads the next request. Returns false if the connection has ended.
     fn next(&mut self) -> bool {
         loop {
             let Some(asked) = (self.read)(&mut self.stream) else {
@@ -65,7 +64,7 @@
         }
     }
 
-    /// As [`next`](Self::next), where a node may rightly send nothing.
+    /// As [`next`](Self::next), but waits at most [`GRACE`], as the node may be right to send nothing.
     fn next_within(&mut self) -> bool {
         self.stream.get_ref().set_read_timeout(Some(GRACE)).unwrap();
         let comes = self.stream.fill_buf().map(|bytes| !bytes.is_empty());
@@ -78,12 +77,12 @@
         false
     }
 
-    /// A word of the request that came last; empty where all is answered.
+    /// A word of the newest open request. Empty if there is none.
     fn word(&self, at: usize) -> &str {
         self.unanswered.back().map_or("", |asked| &asked[at])
     }
 
-    /// Answers the oldest request with what was made for it.
+    /// Answers the oldest open request.
     fn answer(&mut self) {
         let made = self.unanswered.front().and_then(|asked| (self.makes)(asked));
         match made {
@@ -92,7 +91,7 @@
         }
     }
 
-    /// Answers the oldest request with these bytes.
+    /// Answers the oldest open request with these bytes.
     fn answer_with(&mut self, bytes: Vec<u8>) {
         if self.unanswered.pop_front().is_some() {
             self.write(&bytes);
@@ -101,7 +100,7 @@
         }
     }
 
-    /// Answers commands that ask for no key, as far as all before them has been answered.
+    /// Answers commands without a key, as far as all requests before them have been answered.
     fn answer_sides(&mut self) {
         while let Some(bytes) = self.unanswered.front().and_then(|asked| side_answer(asked)) {
             self.write(&bytes);
@@ -109,19 +108,19 @@
         }
     }
 
-    /// Writes an answer again, which nobody asked for; nothing where the connection has not carried so many.
+    /// Sends a duplicate of the response at an index, if the connection has carried that many.
     fn repeat(&mut self, number: usize) {
         if let Some(bytes) = self.answers.get(number).cloned() {
             self.write(&bytes);
         }
     }
 
-    /// A connection that the node has ended takes nothing more.
+    /// Writes bytes. Ignores errors, as the node may have closed the connection.
     fn write(&mut self, bytes: &[u8]) {
         let _ = self.stream.get_mut().write_all(bytes);
     }
 
-    /// Answers all that is asked until the connection ends.
+    /// Answers all requests until the connection ends.
     fn serve(&mut self) {
         loop {
             while !self.unanswered.is_empty() {
@@ -134,7 +133,7 @@
     }
 }
 
-/// The answer to what asks for no key: other commands of a cache server, and probes of the origin.
+/// The response to a request without a key: other commands of a cache server, and probes of the origin.
 fn side_answer(asked: &[String]) -> Option<Vec<u8>> {
     match asked[0].as_str() {
         word if word.starts_with("CACHE.") => None,
@@ -146,15 +145,15 @@
     }
 }
 
-/// A stand-in whose connections are played by a script, and after that serve what they are asked.
+/// A stub server that runs a script on each connection, and then answers all requests on it.
 struct StandIn {
     address: SocketAddr,
-    /// All that was asked of it.
+    /// All requests that it has received.
     seen: Receiver<Vec<String>>,
 }
 
 impl StandIn {
-    /// The script is given each connection and its number, counted from 0.
+    /// Starts a stub. The script gets each connection and its number, from 0 on.
     fn start(read: Reader, makes: Makes, script: impl Fn(&mut Line, usize) + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -177,7 +176,7 @@
         StandIn { address, seen }
     }
 
-    /// A cache server of which the script plays the first connection.
+    /// A cache server that runs the script on its first connection.
     fn cache(script: impl Fn(&mut Line) + Send + Sync + 'static) -> Self {
         StandIn::start(command, makes_for_key, move |line, number| {
             if number == 0 {
@@ -186,7 +185,7 @@
         })
     }
 
-    /// An origin of which the script plays the first connection.
+    /// An origin that runs the script on its first connection.
     fn origin(script: impl Fn(&mut Line) + Send + Sync + 'static) -> Self {
         StandIn::start(call, origin_makes, move |line, number| {
             if number == 0 {
@@ -195,14 +194,14 @@
         })
     }
 
-    /// How often a request with this id has come by now.
+    /// How often a request with this id has arrived so far.
     fn runs(&self, id: &str) -> usize {
         let header = format!("x-request-id: {id}");
         let names = |word: &String| word == id || word.eq_ignore_ascii_case(&header);
         self.seen.try_iter().filter(|asked| asked.iter().any(names)).count()
     }
 
-    /// Waits until a request that holds a text in its first words has come, or for [`GRACE`].
+    /// Waits up to [`GRACE`] for a request whose first two words contain a text.
     fn saw(&self, text: &str) -> bool {
         while let Ok(asked) = self.seen.recv_timeout(GRACE) {
             if asked.iter().take(2).any(|word| word.contains(text)) {
@@ -213,7 +212,7 @@
     }
 }
 
-/// What a cache server has for a key, or its receipt for a write.
+/// A cache server's response: the value of the key, or a receipt for a write.
 fn makes_for_key(asked: &[String]) -> Option<Vec<u8>> {
     let value = match asked[0].as_str() {
         "CACHE.SET" => format!("receipt-of-{}", asked[2]),
@@ -222,7 +221,7 @@
     Some(bytes_of(array(&value)))
 }
 
-/// The same of a cache server that lacks the keys whose names begin with `miss`.
+/// The same for a cache server on which keys that begin with `miss` miss.
 fn makes_but_misses(asked: &[String]) -> Option<Vec<u8>> {
     match asked[1].starts_with("miss") {
         true => Some(bytes_of(miss())),
@@ -230,8 +229,7 @@
     }
 }
 
-/// The value of a key: that of one whose name begins with `large` is larger than what is taken whole, all of
-/// one length.
+/// The value of a key. Keys that begin with `large` have values of the length [`LARGE`].
 fn value_of(key: &str) -> String {
     let value = format!("value-of-{key};");
     match key.starts_with("large") {
@@ -240,7 +238,7 @@
     }
 }
 
-/// What the origin has for a key, or its receipt for a write.
+/// The origin's response: the value of the key, or a receipt for a write.
 fn origin_makes(asked: &[String]) -> Option<Vec<u8>> {
     let path = asked[0].split(' ').nth(1).unwrap_or_default();
     let id = asked
@@ -253,7 +251,7 @@
     Some(bytes_of(http("200 OK", &body)))
 }
 
-/// The bytes of a reaction that answers.
+/// The bytes of a reaction that is an answer.
 fn bytes_of(reaction: Reaction) -> Vec<u8> {
     match reaction {
         Reaction::Answer(bytes) => bytes,
@@ -275,7 +273,7 @@
     (node(name, &discovery, changed), discovery)
 }
 
-/// A node with the origin, and a cache server that has nothing.
+/// A node with an origin, and a cache server on which all keys miss.
 fn node_of_origin(name: &str, origin: &StandIn) -> (Node, Discovery) {
     let cache = serve(command, |_| miss());
     let members = [member("s-1", cache, "m", "ready"), member("o-1", origin.address, "origin", "ready")];
@@ -301,7 +299,7 @@
     &answer[..answer.len().min(40)]
 }
 
-/// A read is owed the value of its key; a failure is not foreign to it, but no more than that.
+/// Checks that a read got the value of its own key or an error, never the value of another key.
 fn assert_own_or_unserved(answer: &str, key: &str) {
     assert!(answer == format!("${}", value_of(key)) || answer.starts_with('-'), "{key}: {}", short(answer));
     if answer.starts_with('-') {
@@ -309,8 +307,7 @@
     }
 }
 
-/// Reads one key after the other, and only then says whether all got what they are owed: a shift shows as a
-/// whole.
+/// Reads one key after the other, and then checks all answers, so that the output shows a shift as a whole.
 fn assert_each_own_or_unserved(client: &mut Client, keys: &[&str]) {
     let answers: Vec<String> = keys.iter().map(|key| read(client, key)).collect();
     let told: Vec<&str> = answers.iter().map(|answer| short(answer)).collect();
@@ -322,7 +319,7 @@
     assert!(answer == format!("${}", value_of(key)), "{key}: {}", short(answer));
 }
 
-/// A write is owed its own receipt or an error. A refusal would say that it never ran.
+/// Checks that a write got its own receipt or an error. A refusal would mean that it never ran.
 fn assert_receipt_or_failed(answer: &str, id: &str) {
     assert!(answer == format!("$receipt-of-{id}") || answer.starts_with("-ERR"), "{id}: {answer}");
     if answer.starts_with('-') {
@@ -330,8 +327,8 @@
     }
 }
 
-/// The first value comes again so many answers later, behind one more command, of which the answer follows
-/// only behind the next command.
+/// The first value is sent again after `others` further responses and one more command, whose own response follows only
+/// after the next command.
 fn repeated_behind(name: &str, others: usize) {
     let server = StandIn::cache(move |line| {
         for _ in 0..=others {
@@ -348,20 +345,20 @@
     assert_each_own_or_unserved(&mut client, &keys[..others + 4]);
 }
 
-/// Guards against a guard that knows the last answer only: a value repeated two answers later, taken for
-/// another key's.
+/// Guards against a node that compares with the last response only: a duplicate two responses later is taken for the value
+/// of another key.
 #[test]
 fn a_value_repeated_two_answers_later_reaches_no_other_key() {
     repeated_behind("repeated-2", 2);
 }
 
-/// Guards against the same for a value repeated five answers later.
+/// Guards against the same for a duplicate five responses later.
 #[test]
 fn a_value_repeated_five_answers_later_reaches_no_other_key() {
     repeated_behind("repeated-5", 5);
 }
 
-/// Four commands are written behind each other; the repeat stands before the answers of those from `at` on.
+/// Four commands are pipelined. The duplicate is sent before the response to the command at index `at`.
 fn repeated_amid_a_queue(name: &str, at: usize) {
     const QUEUE: usize = 4;
     let server = StandIn::cache(move |line| {
@@ -389,20 +386,20 @@
     keys.iter().zip(&answers).for_each(|(key, answer)| assert_own(answer, key));
 }
 
-/// Guards against a queue of pipelined commands shifted whole by a repeat before its first answer.
+/// Guards against a duplicate before the first response to pipelined commands that shifts all of the responses.
 #[test]
 fn a_repeat_before_pipelined_commands_shifts_none_of_their_answers() {
     repeated_amid_a_queue("queue-0", 0);
 }
 
-/// Guards against the tail of such a queue shifted by a repeat in its middle.
+/// Guards against a duplicate amid the responses to pipelined commands that shifts the later ones.
 #[test]
 fn a_repeat_amid_pipelined_commands_shifts_none_of_their_answers() {
     repeated_amid_a_queue("queue-2", 2);
 }
 
-/// The first command is answered by a line without a value, which comes again behind the second; the answer
-/// of each later one is held until the next has come.
+/// The first command gets a response without a value, which is sent again after the second command. Each later response
+/// is delayed until the next command has arrived.
 fn line_repeated(line_bytes: &'static [u8]) -> StandIn {
     StandIn::cache(move |line| {
         line.next();
@@ -416,7 +413,8 @@
     })
 }
 
-/// Guards against a repeated miss, after which the value of its command goes to the command after.
+/// Guards against a duplicate miss that is taken for the response to the next command, whose value then goes to the
+/// command after it.
 #[test]
 fn after_a_repeated_miss_no_value_goes_to_the_command_after() {
     let server = line_repeated(b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n");
@@ -425,7 +423,7 @@
     assert_each_own_or_unserved(&mut client, &["k0", "k1", "k2", "k3", "k4", "k5"]);
 }
 
-/// Guards against a repeated error, after which the value of its command goes to the command after.
+/// Guards against the same for a duplicate error.
 #[test]
 fn after_a_repeated_error_no_value_goes_to_the_command_after() {
     let server = line_repeated(b"-ERR failed\r\n");
@@ -434,14 +432,13 @@
     assert_each_own_or_unserved(&mut client, &["k0", "k1", "k2", "k3", "k4", "k5"]);
 }
 
-/// The first command is a read that is answered by a line which says that nothing ran; it comes again behind
-/// a write, which does run.
+/// The first command is a read whose response says that nothing ran. A duplicate of it follows a write, which does run.
 fn never_ran_repeated_behind_a_write(name: &str, never_ran: &'static [u8]) {
     let server = StandIn::cache(move |line| {
         line.next();
         line.answer_with(never_ran.to_vec());
         line.next();
-        // A read that was answered so may have been sent again.
+        // The node may have retried the read.
         while line.word(0) == "CACHE.GET" {
             line.answer_with(never_ran.to_vec());
             if !line.next() {
@@ -461,14 +458,14 @@
     assert_receipt_or_failed(&answer, "w1");
 }
 
-/// Guards against a repeated `-BUSY` taken for the answer of a write that ran: it would run twice, or its
-/// client would be told that it never ran.
+/// Guards against a duplicate `-BUSY` that is taken for the response to a write that ran: the write would run twice, or be
+/// refused as if it had never run.
 #[test]
 fn a_write_behind_which_a_refusal_is_repeated_runs_once_and_is_not_refused() {
     never_ran_repeated_behind_a_write("repeated-busy", b"-BUSY\r\n");
 }
 
-/// Guards against the same of a repeated miss, which has no effect either.
+/// Guards against the same for a duplicate miss, which means that nothing ran, too.
 #[test]
 fn a_write_behind_which_a_miss_is_repeated_runs_once_and_is_not_refused() {
     never_ran_repeated_behind_a_write("miss-for-write", b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n");
@@ -494,10 +491,10 @@
     assert_eq!(ids, ["w0", "w1", "w2", "w3"], "runs");
 }
 
-/// Guards against receipts shifted along a queue of writes: none gets another's, and each runs once.
+/// Guards against receipts that are shifted among pipelined writes: each must get its own, and run once.
 #[test]
 fn a_receipt_repeated_before_pipelined_writes_shifts_none_of_theirs() {
-    // The gate lets no more writes of one of 64 nodes out at once.
+    // The gate of one of 64 nodes lets at most two writes out at the same time.
     const QUEUE: usize = 2;
     let server = StandIn::cache(|line| {
         line.next();
@@ -549,7 +546,7 @@
     assert_eq!(server.runs("w1"), 1, "runs");
 }
 
-/// The value of the first key comes again behind the command for the second.
+/// The value of the first key is sent again after the command for the second.
 fn first_repeated_behind_second(name: &str, keys: [&str; 2]) {
     let server = StandIn::cache(|line| {
         line.next();
@@ -564,26 +561,26 @@
     assert_each_own_or_unserved(&mut client, &[keys[1], "k2", "large-3"]);
 }
 
-/// Guards against a large value passed on in pieces to a command for another of the same length.
+/// Guards against a duplicate of a large value that is streamed as the value of another key with the same length.
 #[test]
 fn a_large_value_repeated_is_not_passed_on_for_another_of_its_length() {
     first_repeated_behind_second("large-for-large", ["large-0", "large-1"]);
 }
 
-/// Guards against a large value passed on for a small one.
+/// Guards against a duplicate of a large value that is streamed instead of a small one.
 #[test]
 fn a_large_value_repeated_is_not_passed_on_for_a_small_one() {
     first_repeated_behind_second("large-for-small", ["large-0", "k1"]);
 }
 
-/// Guards against a small value taken for a large one, of which the pieces then go to the command after.
+/// Guards against a duplicate of a small value that is taken for a large one, whose parts then go to the next command.
 #[test]
 fn a_small_value_repeated_is_not_taken_for_a_large_one() {
     first_repeated_behind_second("small-for-large", ["k0", "large-1"]);
 }
 
-/// Guards against the loser of a hedge that answers late and twice, the second time for the command behind
-/// it.
+/// Guards against the losing attempt of a hedged request that is answered late and twice: the duplicate must not answer
+/// the command behind it.
 #[test]
 fn a_loser_of_a_hedge_that_answers_twice_answers_no_other_command() {
     let is_held = Arc::new(AtomicBool::new(false));
@@ -592,7 +589,7 @@
         StandIn::cache(move |line| {
             while line.next() {
                 if line.word(1) == "slow" && !is_held.swap(true, Ordering::SeqCst) {
-                    // The other server answers the hedge; then something is written behind this.
+                    // The other server answers the hedge; then another command is pipelined behind this one.
                     line.next_within();
                     line.answer();
                     line.repeat(line.answers.len() - 1);
@@ -607,7 +604,7 @@
     let members =
         [member("s-1", servers[0].address, "m", "ready"), member("s-2", servers[1].address, "m", "ready")];
     let discovery = Discovery::start(&members.join(","));
-    // A hedge goes out after two fifths of the aim.
+    // A hedge is sent after two fifths of the latency target.
     let soon = (r#""goalTimeUs":2000000"#, r#""goalTimeUs":500000"#);
     let node = node("hedge-twice", &discovery, &[THROUGH, ONE_CONNECTION, soon]);
     let mut client = node.client();
@@ -619,7 +616,7 @@
     assert_each_own_or_unserved(&mut client, &keys);
 }
 
-/// Guards against a value from before a change, repeated for a read of the same key after it.
+/// Guards against a duplicate of the value before a change that is taken for the response to a read after the change.
 #[test]
 fn a_value_from_before_a_change_repeated_behind_the_next_read_is_not_its_answer() {
     let server = StandIn::cache(|line| {
@@ -644,8 +641,8 @@
     );
 }
 
-/// Answers that are equal for different keys, one at a time and behind each other; no repeats. Returns what
-/// the server saw.
+/// Different keys have equal responses, read one at a time and concurrently, without duplicates. Returns the requests
+/// that the server received.
 fn all_equal(
     name: &str,
     makes: Makes,
@@ -675,8 +672,8 @@
     server.seen.try_iter().collect()
 }
 
-/// Guards against a defence that takes equal values of different keys for repeats: each is served, at little
-/// more cost.
+/// Guards against equal values of different keys being taken for duplicates: each must be served, with few further
+/// commands.
 #[test]
 fn equal_values_of_different_keys_are_served_with_few_commands_more() {
     const REQUESTS: usize = 80;
@@ -687,8 +684,8 @@
     assert!(reads <= 2 * REQUESTS, "{reads} reads for {REQUESTS} requests");
 }
 
-/// Guards against the same for misses, which are all equal, and for what the origin has for them: at most one call in fifty
-/// may be made again to see whether equal values are true.
+/// Guards against the same for misses, which are all equal, and for their values at the origin: at most one origin call in
+/// fifty may be repeated to check equal values.
 #[test]
 fn equal_misses_of_different_keys_are_fetched_with_few_commands_more() {
     const REQUESTS: usize = 80;
@@ -707,7 +704,7 @@
     assert!((REQUESTS..=REQUESTS + REQUESTS / 50).contains(&calls), "{calls} calls at the origin");
 }
 
-/// The node is stopped while a repeat and the next request come: it finds both at once.
+/// The node is paused while a duplicate and the next request arrive, so that it sees both at once.
 fn found_with_the_next_request(name: &str, kind: Kind) {
     let (go, wait) = channel::<()>();
     let (has_repeated, repeated) = channel::<()>();
@@ -746,14 +743,14 @@
     }
 }
 
-/// Who answers twice.
+/// Which stub sends the duplicate.
 #[derive(Clone, Copy)]
 enum Kind {
     Cache,
     Origin,
 }
 
-/// Guards against a write on a connection of which a second answer has come already, at a cache server.
+/// Guards against a write to a cache server on a connection on which a duplicate has arrived already.
 #[test]
 fn a_second_answer_found_together_with_the_next_write_costs_it_nothing() {
     found_with_the_next_request("found-with-write", Kind::Cache);
@@ -765,8 +762,8 @@
     found_with_the_next_request("found-with-put", Kind::Origin);
 }
 
-/// What the origin writes unasked comes on its idle connection, and the next write is sent once the node has
-/// ended that.
+/// The origin sends an unasked response on an idle connection. The next write is sent once the node has closed that
+/// connection.
 fn unasked_while_idle(name: &str, unasked: Option<&'static [u8]>) {
     let (told, ended) = channel::<bool>();
     let told = Mutex::new(told);
@@ -783,7 +780,7 @@
     let (node, _discovery) = node_of_origin(name, &origin);
     let mut client = node.client();
     assert_eq!(write(&mut client, "k0", "w0"), "$receipt-of-w0");
-    assert!(ended.recv_timeout(HUNG).unwrap(), "the connection stays open");
+    assert!(ended.recv_timeout(HUNG).unwrap(), "the connection stayed open");
     for number in 1..4 {
         let (key, id) = (format!("k{number}"), format!("w{number}"));
         assert_eq!(write(&mut client, &key, &id), format!("$receipt-of-{id}"));
@@ -791,19 +788,19 @@
     }
 }
 
-/// Guards against a second response of the origin on an idle connection, kept for the next call.
+/// Guards against a duplicate of the origin on an idle connection that is kept for the next call.
 #[test]
 fn a_second_response_on_an_idle_connection_of_the_origin_ends_it() {
     unasked_while_idle("origin-idle", None);
 }
 
-/// Guards against an interim response on an idle connection, kept for the next call.
+/// Guards against an interim response on an idle connection that is kept for the next call.
 #[test]
 fn an_interim_response_on_an_idle_connection_of_the_origin_costs_no_call() {
     unasked_while_idle("interim-idle", Some(b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"));
 }
 
-/// Guards against a second response that comes in one piece with the first and is kept for the next call.
+/// Guards against a duplicate that arrives in one piece with the first response and is kept for the next call.
 #[test]
 fn a_second_response_of_the_origin_together_with_the_first_costs_no_call() {
     let origin = StandIn::start(call, origin_makes, |line, _| {
@@ -821,7 +818,7 @@
     }
 }
 
-/// Guards against a second response of the origin taken for the receipt of the next write.
+/// Guards against a duplicate of the origin that is taken for the receipt of the next write.
 #[test]
 fn a_second_response_of_the_origin_behind_the_next_write_is_not_its_receipt() {
     let origin = StandIn::origin(|line| {
@@ -840,8 +837,8 @@
     assert_eq!(origin.seen.try_iter().count(), 4, "runs");
 }
 
-/// Guards against a 503 of the origin that never ran a call, repeated behind a write that did: it would run
-/// twice, or its client would be told that it never ran.
+/// Guards against a duplicate 503 of the origin (the call never ran) that is taken for the response to a write that ran: the
+/// write would run twice, or be refused as if it had never run.
 #[test]
 fn a_write_of_the_origin_behind_which_a_refusal_is_repeated_runs_once_and_is_not_refused() {
     let origin = StandIn::origin(|line| {
@@ -855,9 +852,9 @@
     });
     let (node, _discovery) = node_of_origin("origin-refusal", &origin);
     let mut client = node.client();
-    // The first is refused and sent again: then it runs.
+    // The first write is refused and retried, and then it runs.
     assert_eq!(write(&mut client, "k0", "w0"), "$receipt-of-w0");
-    assert_eq!(origin.runs("w0"), 2, "not sent again");
+    assert_eq!(origin.runs("w0"), 2, "not retried");
     let answer = write(&mut client, "k1", "w1");
     let runs = origin.runs("w1");
     println!("write: {answer}, {runs} runs");
@@ -865,7 +862,7 @@
     assert_receipt_or_failed(&answer, "w1");
 }
 
-/// Guards against a second response of the origin taken for the value of the next key.
+/// Guards against a duplicate of the origin that is taken for the value of the next key.
 #[test]
 fn a_second_response_of_the_origin_behind_the_next_fetch_is_not_its_value() {
     let origin = StandIn::origin(|line| {
@@ -880,7 +877,7 @@
     assert_each_own_or_unserved(&mut client, &["k0", "k1", "k2", "k3"]);
 }
 
-/// Guards against an interim response taken for the answer of the call that it stands before.
+/// Guards against an interim response that is taken for the final response to its call.
 #[test]
 fn interim_responses_behind_the_next_call_of_the_origin_are_no_answers() {
     let origin = StandIn::origin(|line| {
@@ -907,8 +904,8 @@
     bytes_of(http("200 OK", &text))
 }
 
-/// Discovery that tells four lists, one for each call, and says the second again behind the call for the
-/// fourth. That one is held until the test lets it go, and told whole on another connection.
+/// A discovery that sends four lists, one for each call, and a duplicate of the second after the call for the fourth. The
+/// fourth is delayed until the test signals it, and sent as a whole list on another connection.
 fn repeats_second_list(lists: [Vec<u8>; 4], fourth_whole: Vec<u8>) -> (StandIn, Receiver<()>, Sender<()>) {
     let (told, repeated) = channel::<()>();
     let (go, wait) = channel::<()>();
@@ -942,7 +939,7 @@
     (discovery, repeated, go)
 }
 
-/// Guards against a list lost behind one that comes twice in one piece: each is taken in.
+/// Guards against a list that is lost behind one that arrives twice in one piece: each must be applied.
 #[test]
 fn a_list_that_comes_twice_in_one_piece_costs_no_later_one() {
     const LISTS: u64 = 6;
@@ -964,11 +961,12 @@
         },
     );
     let node = Node::spawn(node_command("list-twice", discovery.address, 1024, ""));
-    assert!(discovery.saw(&format!("after={LISTS}&")), "the newest list was not taken in");
+    assert!(discovery.saw(&format!("after={LISTS}&")), "the newest list was not applied");
     assert_eq!(read(&mut node.client(), "k"), format!("$list-{LISTS}"));
 }
 
-/// Guards against an older whole list that replaces a newer one, and against the list that it pushes back.
+/// Guards against a duplicate of an older whole list that replaces a newer one, and against the loss of the list that
+/// follows.
 #[test]
 fn a_list_repeated_behind_the_next_watch_replaces_no_newer_one() {
     let server = |name: &'static str| serve(command, move |_| array(name));
@@ -981,13 +979,12 @@
     let answer = read(&mut client, "k0");
     println!("with the older list repeated: {answer}");
     go.send(()).unwrap();
-    assert!(discovery.saw("after=4&"), "the newest list was not taken in");
+    assert!(discovery.saw("after=4&"), "the newest list was not applied");
     assert_eq!(read(&mut client, "k1"), "$four");
     assert!(answer == "$three" || answer == "$four", "served by the older list: {answer}");
 }
 
-/// Guards against a change that is undone by an older one repeated: a server that drains would be sent
-/// requests again.
+/// Guards against a duplicate of an older change that undoes a newer one: a draining server would get requests again.
 #[test]
 fn a_change_repeated_behind_the_next_watch_undoes_no_newer_one() {
     let server = |name: &'static str| serve(command, move |_| array(name));
@@ -1002,16 +999,16 @@
     let node = Node::spawn(node_command("change-repeated", discovery.address, 1024, ""));
     repeated.recv_timeout(HUNG).unwrap();
     go.send(()).unwrap();
-    assert!(discovery.saw("after=4&"), "the newest list was not taken in");
+    assert!(discovery.saw("after=4&"), "the newest list was not applied");
     let mut client = node.client();
     let answers: Vec<String> = (0..30).map(|number| read(&mut client, &format!("k{number}"))).collect();
     let drained = answers.iter().filter(|answer| *answer == "$two").count();
-    assert_eq!(drained, 0, "of 30 requests went to a server that drains");
+    assert_eq!(drained, 0, "of 30 requests went to a draining server");
     assert!(answers.iter().any(|answer| answer == "$four"), "the newest change was lost");
 }
 
-/// Guards against a repeated `-BUSY` taken for the answer of a read whose class may not run twice: the
-/// settings, not the name of the command, tell what may.
+/// Guards against a duplicate `-BUSY` that is taken for the response to a read whose class may not run twice: that is
+/// decided by the settings, not by the name of the command.
 #[test]
 fn a_read_that_may_not_run_twice_behind_a_repeated_refusal_runs_once() {
     let server = StandIn::cache(|line| {
@@ -1037,8 +1034,7 @@
     assert!(!answer.starts_with("-BUSY"), "refused though it ran");
 }
 
-/// Guards against a refusal that is repeated behind another one, of another load: it is compared with
-/// more than the last.
+/// Guards against a duplicate refusal that is compared with the last refusal only, which had another load.
 #[test]
 fn a_write_behind_which_the_refusal_before_the_last_is_repeated_runs_once_and_is_not_refused() {
     const FIRST: &[u8] = b"-BUSY lat_ms=5,busy=0.1\r\n";
@@ -1060,7 +1056,7 @@
     });
     let (node, _discovery) = node_of("busy-before-last", &server, &[THROUGH]);
     let mut client = node.client();
-    // Their receipts differ: the next write goes out on any connection.
+    // These receipts differ, so the next write may use any connection.
     for id in ["w0", "w1"] {
         assert_eq!(write(&mut client, id, id), format!("$receipt-of-{id}"));
     }
@@ -1072,8 +1068,7 @@
     assert!(runs == 0 || !answer.starts_with("-BUSY"), "refused though it ran");
 }
 
-/// Guards against more attempts than the settings allow: one that is sent again counts at its server like
-/// any other.
+/// Guards against more attempts than the settings allow: an attempt that is sent again must count as a further one.
 #[test]
 fn an_attempt_that_is_sent_again_counts_among_the_attempts_of_its_request() {
     let makes: Makes = |asked| match asked[1].as_str() {
@@ -1111,7 +1106,7 @@
     assert!(runs <= 3, "{runs} sends where the settings allow 3 attempts");
 }
 
-/// Counts the connections that a server gets.
+/// A cache server that counts its connections.
 fn counting(makes: Makes) -> (StandIn, Arc<AtomicUsize>) {
     let connections = Arc::new(AtomicUsize::new(0));
     let count = connections.clone();
@@ -1121,7 +1116,7 @@
     (server, connections)
 }
 
-/// Guards against a new connection for each write of one key: it costs a server work.
+/// Guards against a new connection for each write of one key, which costs the server work.
 #[test]
 fn writes_of_one_key_do_not_each_cost_a_connection() {
     let (server, connections) = counting(makes_for_key);
@@ -1136,8 +1131,7 @@
     assert!(connections <= 12, "{connections} connections for 50 writes");
 }
 
-/// Guards against a new connection for each write at a server that turns writes away: it has too much to
-/// do already.
+/// Guards against a new connection for each write to a server that refuses writes because it is overloaded.
 #[test]
 fn writes_that_are_turned_away_do_not_each_cost_a_connection() {
     let (server, connections) = counting(|_| Some(b"-BUSY\r\n".to_vec()));
@@ -1153,8 +1147,8 @@
     assert!(connections <= 12, "{connections} connections for {runs} commands");
 }
 
-/// Guards against writes told as failed, and against connections ended, where a server turns all away and
-/// repeats nothing.
+/// Guards against writes that are reported as failed, and connections that are closed, where a server refuses all writes and
+/// sends no duplicates.
 #[test]
 fn writes_of_a_server_that_turns_all_away_are_refused_and_not_failed() {
     let busy = Arc::new(AtomicBool::new(false));
@@ -1182,11 +1176,10 @@
     let failed = answers.iter().filter(|answer| !answer.starts_with("-BUSY")).count();
     let made = connections.load(Ordering::SeqCst) - before;
     println!("{failed} of 50 failed, {made} connections made");
-    assert_eq!(failed, 0, "of 50 writes that never ran were told as failed; {made} connections made");
+    assert_eq!(failed, 0, "of 50 writes that never ran were reported as failed; {made} connections made");
 }
 
-/// Guards against a new connection for each few misses of a server that has nothing yet and repeats
-/// nothing.
+/// Guards against a new connection for every few misses of a cold server that sends no duplicates.
 #[test]
 fn misses_of_a_cold_server_cost_few_connections() {
     let (server, connections) = counting(|_| Some(bytes_of(miss())));
@@ -1201,7 +1194,7 @@
     assert!(connections <= 12, "{connections} connections for 100 reads");
 }
 
-/// Guards against values that are taken unchecked because misses have used up the checks.
+/// Guards against values that are accepted unchecked because misses have exhausted the budget for checks.
 #[test]
 fn a_repeat_behind_many_misses_reaches_no_other_key() {
     let server = StandIn::start(command, makes_but_misses, |line, _| {
@@ -1223,8 +1216,8 @@
     assert_own_or_unserved(&answer, "last");
 }
 
-/// Misses of two keys and a value behind them, again and again on one connection that brings nothing twice: each such value
-/// may be the answer to the command before, until all that may be asked again for that has been.
+/// Reads two keys that miss and one with a value, repeatedly on one connection without duplicates. Each value might be the
+/// response to the command before it, and is checked until the budget for checks is exhausted.
 fn use_up_checks_behind_misses(clients: &mut [Client]) {
     const ROUNDS: usize = 60;
     for round in 0..ROUNDS {
@@ -1234,8 +1227,8 @@
     }
 }
 
-/// Guards against a repeated miss that is taken for an answer where nothing may be asked again any more: the true answer comes
-/// behind the next command.
+/// Guards against a duplicate miss that is accepted because the budget for checks is exhausted, while the true response
+/// follows after the next command.
 #[test]
 fn a_value_behind_a_repeated_miss_reaches_no_other_key_where_all_checks_are_used_up() {
     let server = StandIn::start(command, makes_but_misses, |line, _| {
@@ -1244,10 +1237,10 @@
                 line.answer();
                 continue;
             }
-            // Both come in one piece, so that no time passes between the miss and its repeat.
+            // Both arrive in one piece, so that no time passes between the miss and its duplicate.
             line.next();
             line.answer_with(bytes_of(miss()).repeat(2));
-            // The true answer to the second command comes behind the third.
+            // The true response to the second command follows after the third command.
             line.next_within();
             return;
         }
@@ -1267,7 +1260,7 @@
     assert_each_own_or_unserved(&mut clients[0], &["k1", "k2"]);
 }
 
-/// Guards against a request that finds no connection because an answer is held back on the only one.
+/// Guards against a request that gets no connection because a response is held back on the only one.
 #[test]
 fn while_a_value_is_held_back_another_request_is_served() {
     let server = StandIn::start(command, makes_but_misses, |_, _| {});
@@ -1279,15 +1272,15 @@
         clients.iter_mut().zip(&keys).for_each(|(client, key)| send_read(client, key));
         let others = keys.iter().zip(&mut clients).take(2);
         others.for_each(|(key, client)| assert_own(&client.answer(), key));
-        // The misses have been answered, and the value behind them is held back.
+        // The misses have been answered, and the node holds back the value behind them.
         let key = format!("beside{round}");
         assert_own(&read(&mut clients[0], &key), &key);
         assert_own(&clients[2].answer(), &keys[2]);
     }
 }
 
-/// Guards against values of several keys that change with time: that another comes when one is asked for
-/// again proves no repeat.
+/// Guards against changing values of several keys being taken for duplicates: a different value on a second read proves
+/// nothing.
 #[test]
 fn values_that_several_keys_share_for_a_while_are_served_with_few_commands_more() {
     const REQUESTS: usize = 300;
@@ -1299,7 +1292,7 @@
         move |line, _| {
             count.fetch_add(1, Ordering::SeqCst);
             while line.next() {
-                // Another value with each fourth command.
+                // The value changes with every fourth command.
                 let value = format!("tick-{}", asked.fetch_add(1, Ordering::SeqCst) / 4);
                 line.answer_with(bytes_of(array(&value)));
             }
@@ -1317,7 +1310,7 @@
     assert!(reads <= REQUESTS + 32 + REQUESTS / 50, "{reads} reads for {REQUESTS} requests");
 }
 
-/// Guards against a large response of the origin that is passed on for another key's.
+/// Guards against a duplicate of a large origin response that is streamed as the value of another key.
 #[test]
 fn a_large_response_of_the_origin_repeated_behind_the_next_fetch_is_not_its_value() {
     let origin = StandIn::origin(|line| {
@@ -1332,8 +1325,8 @@
     assert_each_own_or_unserved(&mut client, &["large0", "large1", "k2"]);
 }
 
-/// Guards against a repeated failure of the origin, after which the value of its call goes to the call
-/// after.
+/// Guards against a duplicate error of the origin that is taken for the response to the next call, whose value then goes to
+/// the call after it.
 #[test]
 fn after_a_repeated_failure_of_the_origin_no_value_goes_to_the_call_after() {
     let origin = StandIn::origin(|line| {
@@ -1351,8 +1344,7 @@
     assert_each_own_or_unserved(&mut client, &["k0", "k1", "k2", "k3", "k4", "k5"]);
 }
 
-/// Guards against an answer that a slow server owes still: behind a repeat that was taken for it, however
-/// long after.
+/// Guards against the late response of a slow server, long after a duplicate was taken for it, that goes to another key.
 #[test]
 fn an_answer_that_comes_long_after_a_repeat_was_taken_for_it_goes_to_no_other_key() {
     let server = StandIn::cache(|line| {
@@ -1360,7 +1352,7 @@
         line.answer_with(bytes_of(miss()));
         line.next();
         line.repeat(0);
-        // Slow: the next command comes meanwhile.
+        // The response is delayed until the next command arrives.
         line.next_within();
         line.answer();
         line.next_within();
@@ -1373,7 +1365,7 @@
     assert_own_or_unserved(&read(&mut client, "k2"), "k2");
 }
 
-/// Guards against writes told as failed where the origin turns all away and repeats nothing.
+/// Guards against writes that are reported as failed where the origin refuses all and sends no duplicates.
 #[test]
 fn writes_of_an_origin_that_turns_all_away_are_refused_and_not_failed() {
     let busy = Arc::new(AtomicBool::new(false));
@@ -1399,10 +1391,10 @@
     let failed = answers.iter().filter(|answer| !answer.starts_with("-BUSY")).count();
     let calls = origin.seen.try_iter().filter(|asked| asked[0].starts_with("PUT")).count() - 4;
     println!("{failed} of 50 failed, {calls} calls");
-    assert_eq!(failed, 0, "of 50 writes that never ran were told as failed");
+    assert_eq!(failed, 0, "of 50 writes that never ran were reported as failed");
 }
 
-/// Guards against more connections to a server than the node's part of them: it holds only so many.
+/// Guards against a node that makes more connections to a server than its share of the server's limit.
 #[test]
 fn writes_of_one_client_leave_no_more_connections_than_the_part_of_the_node() {
     let open = Arc::new(AtomicUsize::new(0));
@@ -1421,12 +1413,12 @@
     }
     thread::sleep(Duration::from_millis(50));
     let open = open.load(Ordering::SeqCst);
-    println!("{open} connections open, a part is 4, one client");
+    println!("{open} connections open, the node's share is 4, one client");
     assert!(open <= 4, "{open} connections");
 }
 
-/// A cache server that has one value for all keys whose names begin with `same`, and repeats its last answer behind the command
-/// for `k1`.
+/// A cache server that has one value for all keys that begin with `same`, and sends a duplicate of its last response after
+/// the command for `k1`.
 fn repeats_common_value() -> StandIn {
     let makes: Makes = |asked| match asked[1].as_str() {
         key if key.starts_with("same") => Some(bytes_of(array("equal"))),
@@ -1444,8 +1436,7 @@
     })
 }
 
-/// Guards against a repeat of a value that several keys have, at a server that has sent none twice
-/// before.
+/// Guards against a duplicate of a value that several keys have, at a server that has sent no duplicate before.
 #[test]
 fn a_common_value_that_is_repeated_for_the_first_time_reaches_no_key_with_another() {
     let server = repeats_common_value();
@@ -1457,8 +1448,8 @@
     assert_each_own_or_unserved(&mut client, &["k1", "k2", "k3", "k4"]);
 }
 
-/// Guards against an old value of a key that is repeated behind its next read, where values were seen to
-/// stay: the true answer goes to the command after.
+/// Guards against a duplicate of a key's old value after the next read of that key, on a connection where another key has
+/// kept its value: the true response would go to the next command.
 #[test]
 fn after_a_repeat_for_its_own_key_the_true_answer_goes_to_no_other_key() {
     let server = StandIn::start(command, makes_for_key, |line, _| {
@@ -1468,7 +1459,7 @@
                 if !line.next() {
                     return;
                 }
-                // The second read of it: the old value comes again, and the new one behind the next command.
+                // After the second read of the key the old value is sent again, and the new one only after the next command.
                 let last = line.answers.len() - 1;
                 line.repeat(last);
                 line.next_within();
@@ -1480,7 +1471,7 @@
     });
     let (node, _discovery) = node_of("old-repeated", &server, &[THROUGH]);
     let mut client = node.client();
-    // Read often, its value stays.
+    // This key is read often and keeps its value.
     for _ in 0..4 {
         assert_own(&read(&mut client, "stays"), "stays");
     }
@@ -1494,15 +1485,15 @@
     assert!(answer != "$old", "an answer that was not made for this request");
 }
 
-/// Counts what was asked of a server: reads, and commands that only show whether answers are in order.
+/// Counts the reads and the fences that a server received.
 fn reads_and_fences(server: &StandIn) -> (usize, usize) {
     let seen: Vec<Vec<String>> = server.seen.try_iter().collect();
     let count = |name: &str| seen.iter().filter(|asked| asked[0] == name).count();
     (count("CACHE.GET"), count("PING"))
 }
 
-/// Guards against attempts and connections that a key costs which is read often and keeps its value: whether an answer is a
-/// repeat is seen from a command that stands behind its own.
+/// Guards against further attempts and connections for a key that is read often and keeps its value: a fence behind the
+/// command shows whether a response is a duplicate.
 #[test]
 fn a_key_that_is_read_often_and_keeps_its_value_costs_no_further_attempt_or_connection() {
     const REQUESTS: usize = 100;
@@ -1517,10 +1508,10 @@
     println!("{REQUESTS} requests: {reads} reads, {fences} fences, {connections} connections");
     assert!(reads <= REQUESTS + REQUESTS / 50, "{reads} reads for {REQUESTS} requests");
     assert!(connections <= 2, "{connections} connections");
-    assert!(fences > 0, "nothing was tried");
+    assert!(fences > 0, "no fence was sent");
 }
 
-/// Guards against the answer to a fence that comes a second time, and as an error, taken for the answer of the next read.
+/// Guards against a duplicate of a fence's response, sent as an error, that is taken for the response to the next read.
 #[test]
 fn an_answer_to_a_fence_that_is_repeated_is_not_taken_for_the_next_commands() {
     let repeated = Arc::new(AtomicUsize::new(0));
@@ -1541,10 +1532,10 @@
         let key = format!("k{round}");
         assert_own(&read(&mut client, &key), &key);
     }
-    assert!(repeated.load(Ordering::SeqCst) > 0, "nothing was tried");
+    assert!(repeated.load(Ordering::SeqCst) > 0, "no duplicate was sent");
 }
 
-/// Guards against a value that several keys have, believed for any key once all that may be asked again has been.
+/// Guards against a value of several keys that is accepted for any key once the budget for checks is exhausted.
 #[test]
 fn a_common_value_that_is_repeated_reaches_no_key_with_another_where_all_checks_are_used_up() {
     const NEW_KEYS: usize = 60;
@@ -1559,14 +1550,14 @@
     assert_each_own_or_unserved(&mut client, &["k1", "k2", "k3", "k4"]);
 }
 
-/// Guards against answers that are late where a server delays small writes until the one before is acknowledged: that of a fence
-/// is one.
+/// Guards against late responses at a server with Nagle's algorithm, which delays a small write (the response to a fence)
+/// until the one before is acknowledged.
 #[test]
 fn answers_that_await_a_fence_are_not_late_at_a_server_that_delays_small_writes() {
     const REQUESTS: usize = 100;
-    /// An acknowledgement that is delayed is so by 40 ms at least.
+    /// Bound of the mean response time. Delayed acknowledgements take at least 40 ms.
     const IN_THE_MEAN: Duration = Duration::from_millis(10);
-    // The stand-in's sockets delay them, and it writes each answer by itself.
+    // The stub's sockets use Nagle's algorithm, and it writes each response separately.
     let server = serve(command, |_| array("equal"));
     let discovery = Discovery::start(&member("s-1", server, "m", "ready"));
     let node = node("delayed-writes", &discovery, &[THROUGH, ONE_CONNECTION]);
@@ -1581,11 +1572,11 @@
     assert!(took < REQUESTS as u32 * IN_THE_MEAN, "{REQUESTS} reads took {took:?}");
 }
 
-/// Guards against a write that is told as failed because its receipt is like others and slow commands stand between it and the
-/// fence that shows it to be true.
+/// Guards against a write that is reported as failed because its receipt equals others, and slow commands precede the fence
+/// that confirms it.
 #[test]
 fn a_write_with_a_common_receipt_before_slow_commands_is_not_told_as_failed() {
-    /// More than an answer may be silent.
+    /// Longer than the node waits for a response without hearing from the server.
     const SLOW: Duration = Duration::from_millis(600);
     let makes: Makes = |asked| match asked[0].as_str() {
         "CACHE.SET" => Some(bytes_of(array("OK"))),
@@ -1594,7 +1585,7 @@
     let server = StandIn::start(command, makes, |line, _| {
         while line.next() {
             if line.word(1) == "last" {
-                // The read is written behind the write before that is answered.
+                // The read is pipelined behind the write before the write is answered.
                 line.next();
                 line.answer();
                 thread::sleep(SLOW);
