--- a/crates/mothpier/tests/second_answers.rs
+++ b/crates/mothpier/tests/second_answers.rs
@@ -1,19 +1,19 @@
-//! A cache server answers commands a second time, milliseconds late, while many clients ask side by side: no
-//! client may get another key's value. On real sockets, with the daemon as a process.
+//! A cache server sends duplicate responses, milliseconds late, while many clients ask concurrently: no client may get
+//! the value of another key. On real sockets, with the daemon as a process.
 //!
-//! Each test is a run of a fixed length. By hand it may be longer, or another one:
+//! Each test is a run of a fixed length. These environment variables change it:
 //!
 //! | variable | default | what it sets |
 //! | --- | --- | --- |
 //! | `SECOND_ANSWERS_SECONDS` | 2 | the length of a run |
 //! | `SECOND_ANSWERS_SEED` | 1 | the seed of what clients ask and the server does |
-//! | `SECOND_ANSWERS_SHARE` | 0.3 | the part of commands answered a second time |
-//! | `SECOND_ANSWERS_CLIENTS` | 16 | the clients |
-//! | `SECOND_ANSWERS_LATEST_MS` | 30 | how much later than the first a second answer may come |
-//! | `SECOND_ANSWERS_TRACE` | | a folder: each test writes there what has passed on each connection |
+//! | `SECOND_ANSWERS_SHARE` | 0.3 | the share of commands with a duplicate response |
+//! | `SECOND_ANSWERS_CLIENTS` | 16 | the number of clients |
+//! | `SECOND_ANSWERS_LATEST_MS` | 30 | the maximum delay of a duplicate after the first response |
+//! | `SECOND_ANSWERS_TRACE` | | a folder, to which each test writes a trace of each connection |
 //!
 //! `SECOND_ANSWERS_SECONDS=20 cargo test -p mothpier --test second_answers -- --nocapture` prints the counts
-//! of each run, and how each wrong value came about.
+//! of each run, and the cause of each wrong value.
 #![allow(missing_docs)]
 
 mod repeating;
@@ -30,20 +30,20 @@
 use repeating::{Draws, Habits, LACKED, Repeater, SAME, UNIQUE, value_of};
 use world::*;
 
-/// The key that all clients ask for again and again.
+/// The key that all clients ask for repeatedly.
 const OFTEN: &str = "often";
-/// A request within this time from the start is not counted where attempts are.
+/// Requests within this time from the start are not counted in attempts per request.
 const WARM_UP: Duration = Duration::from_secs(1);
-/// Most attempts at the cache server for each request where nothing is answered twice.
+/// Maximum attempts per request at the cache server where there are no duplicate responses.
 const MOST_ATTEMPTS: f64 = 1.02;
-/// A first answer takes up to so long: commands overlap.
+/// Maximum time of a first response, long enough for commands to overlap.
 const SLOWEST_ANSWER: Duration = Duration::from_millis(6);
-/// With so many nodes a node makes few connections to a cache server, and puts commands behind others.
+/// With so many nodes, a node makes few connections to a cache server and pipelines commands.
 const MANY_NODES: (&str, &str) = (r#""balancers":1,"#, r#""balancers":8,"#);
-/// No quota decides anything.
+/// A quota that is never reached.
 const NO_QUOTA: (&str, &str) = (r#""quotaPerS":1000"#, r#""quotaPerS":100000000"#);
 
-/// A run: what clients ask, and what the cache server does.
+/// Parameters of a run: what clients ask, and what the cache server does.
 struct Run {
     name: &'static str,
     seconds: u64,
@@ -51,17 +51,17 @@
     seed: u64,
     repeated: f64,
     latest_repeat: Duration,
-    /// The part of the requests that ask for keys with one value in common.
+    /// Share of the requests for keys that have the same value.
     same: f64,
-    /// The part for keys that the cache lacks.
+    /// Share of the requests for keys that the cache server does not have.
     lacked: f64,
-    /// The part for the one key that all ask for.
+    /// Share of the requests for the one key that all clients ask for.
     often: f64,
     few_connections: bool,
 }
 
 impl Run {
-    /// A run in which every key is new and has a value of its own.
+    /// A run in which every key is new and has its own value.
     fn new(name: &'static str) -> Self {
         Run {
             name,
@@ -90,7 +90,7 @@
     }
 }
 
-/// A parameter of a run that may be given by hand.
+/// A parameter of a run that an environment variable may set.
 fn from_environment<T: FromStr>(name: &str, default: T) -> T {
     match std::env::var(format!("SECOND_ANSWERS_{name}")) {
         Ok(text) => text.parse().unwrap_or_else(|_| panic!("SECOND_ANSWERS_{name} is {text:?}")),
@@ -98,18 +98,18 @@
     }
 }
 
-/// The runs of this file go one after another: each has as many clients as the processor bears.
+/// Makes the tests of this file run one at a time: each has as many clients as the processor can handle.
 fn alone() -> MutexGuard<'static, ()> {
     static ONE: Mutex<()> = Mutex::new(());
     ONE.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// What became of the requests of a client, or of all of them.
+/// The outcomes of the requests of one client, or of all.
 #[derive(Default)]
 struct Outcomes {
     requests: usize,
     right: usize,
-    /// Right values of keys that the cache lacks.
+    /// Right values of keys that the cache server does not have.
     fetched: usize,
     wrong: Vec<Wrong>,
     refused: usize,
@@ -145,28 +145,31 @@
     }
 }
 
-/// What a run has brought.
+/// The result of a run.
 struct Report {
     name: &'static str,
     outcomes: Outcomes,
     counts: Counts,
     origin_calls: usize,
-    /// Commands that came for the requests after the warm-up.
+    /// Commands at the cache server for the requests after the warm-up.
     warm_attempts: u32,
     causes: String,
 }
 
 impl Report {
-    /// The attempts at the cache server for each request after the warm-up.
+    /// Attempts at the cache server per request after the warm-up.
     fn attempts_per_request(&self) -> f64 {
         f64::from(self.warm_attempts) / self.outcomes.warm.len() as f64
     }
 
     fn assert_no_wrong_value(&self) {
-        assert!(self.outcomes.right > 0 && self.counts.repeats > 0, "nothing was tried");
+        assert!(
+            self.outcomes.right > 0 && self.counts.repeats > 0,
+            "no right value or no duplicate response"
+        );
         let (wrong, requests) = (self.outcomes.wrong.len(), self.outcomes.requests);
         let first = self.outcomes.wrong.first();
-        assert_eq!(wrong, 0, "values of other keys, of {requests} answers ({}); first: {first:?}", self.name);
+        assert_eq!(wrong, 0, "values of other keys in {requests} answers ({}); first: {first:?}", self.name);
     }
 }
 
@@ -187,12 +190,12 @@
         writeln!(f, "  commands {}, connections {}", c.commands, c.connections)?;
         writeln!(
             f,
-            "  second answers {}: {} while idle, {} with one command out, {} with several",
+            "  duplicate responses {}: {} while idle, {} with one command open, {} with several",
             c.repeats, c.repeats_while_idle, c.repeats_with_one_out, c.repeats_with_several_out
         )?;
         writeln!(
             f,
-            "  after the warm-up {} requests, {:.4} attempts for each; calls at the origin {}, {} served",
+            "  after the warm-up {} requests, {:.4} attempts per request; origin calls {}, {} served",
             o.warm.len(),
             self.attempts_per_request(),
             self.origin_calls,
@@ -202,8 +205,7 @@
     }
 }
 
-/// One client: it asks one read after another on one connection, and takes a new one when the node has ended
-/// it.
+/// Runs a client that sends one read after another on a connection, and opens a new one when the node has closed it.
 fn ask(run: &Run, client: usize, to: SocketAddr, begun: Instant) -> Outcomes {
     let mut outcomes = Outcomes::default();
     let mut draws = Draws::new(run.seed, &format!("client {client}"));
@@ -227,7 +229,7 @@
     outcomes
 }
 
-/// Plays a run and prints what it has brought.
+/// Executes a run and prints its result.
 fn play(run: &Run) -> Report {
     let _alone = alone();
     let server = Repeater::start(Habits {
@@ -273,47 +275,47 @@
     report
 }
 
-/// Every key is new, and its value is the key.
+/// Every key is new, and the value is the key.
 #[test]
 fn no_second_answer_is_taken_for_another_keys() {
     play(&Run::new("unique")).assert_no_wrong_value();
 }
 
-/// The same where commands are written behind others, as connections are few.
+/// The same with few connections, on which commands are pipelined.
 #[test]
 fn no_second_answer_is_taken_for_another_keys_on_connections_that_commands_share() {
     play(&Run { few_connections: true, ..Run::new("shared") }).assert_no_wrong_value();
 }
 
-/// Keys with one value in common and no second answers: that answers are equal costs no further attempts.
+/// All keys have the same value and there are no duplicate responses: equal responses must not cause further attempts.
 #[test]
 fn equal_values_that_are_answered_once_cost_no_further_attempts() {
     for few_connections in [false, true] {
         let run = Run { same: 1.0, repeated: 0.0, few_connections, ..Run::new("equal-once") };
         let report = play(&run);
         let o = &report.outcomes;
-        assert!(o.warm.len() > run.clients, "nothing was tried");
+        assert!(o.warm.len() > run.clients, "too few requests after the warm-up");
         assert_eq!((o.wrong.len(), o.refused, o.failed), (0, 0, 0), "wrong, refused, failed");
         let attempts = report.attempts_per_request();
         assert!(attempts <= MOST_ATTEMPTS, "{attempts} attempts for each request");
     }
 }
 
-/// The cache lacks some keys: a miss comes a second time, too, and says nothing of another key.
+/// Some keys miss: a miss is sent twice, too, and must not be taken for the response to another key.
 #[test]
 fn no_second_answer_is_taken_for_another_keys_beside_misses() {
     let report = play(&Run { lacked: 0.05, ..Run::new("lacked") });
-    assert!(report.outcomes.fetched > 0, "nothing was fetched");
+    assert!(report.outcomes.fetched > 0, "nothing was fetched from the origin");
     report.assert_no_wrong_value();
 }
 
-/// Three in ten keys have one value in common.
+/// Three in ten keys have the same value.
 #[test]
 fn no_second_answer_is_taken_for_another_keys_where_values_are_often_equal() {
     play(&Run { same: 0.3, ..Run::new("often-equal") }).assert_no_wrong_value();
 }
 
-/// Half of the requests are for one key, whose value stays.
+/// Half of the requests are for one key, whose value does not change.
 #[test]
 fn no_second_answer_is_taken_for_another_keys_beside_a_key_that_is_asked_often() {
     play(&Run { often: 0.5, ..Run::new("one-key") }).assert_no_wrong_value();
--- a/crates/mothpier/tests/system_calls.rs
+++ b/crates/mothpier/tests/system_calls.rs
@@ -1,5 +1,5 @@
-//! System calls of the daemon fail in the ways that Linux documents, one after the other. Passing errors
-//! cost no request its answer; lasting ones end the daemon with a clear line.
+//! Injects the documented errors of system calls into the daemon, one at a time. Despite transient errors every request
+//! must be answered; permanent ones must end the daemon with a clear log line.
 
 mod interpose;
 mod load;
@@ -15,43 +15,42 @@
 
 const LOOPBACK: &str = "127.0.0.1:0";
 
-/// Within this time each of the calls is made.
+/// Time within which the daemon makes each of the calls.
 const RARE: Duration = Duration::from_secs(4);
 
 /// When the calls of a case fail.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum When {
-    /// From the first on.
+    /// From the start of the daemon on.
     FromTheStart,
     /// From the first request on.
     UnderLoad,
 }
 
-/// One row of a table.
+/// A test case: a failure and the share of requests that must be served with it.
 struct Case {
     failure: Failure,
     when: When,
-    /// The part of the requests served without failures that has to be served with them.
+    /// Of the requests served without failures, the share that must be served with them.
     share: f64,
-    /// The library's buffers of each TCP socket, bytes; 0 for the system's.
+    /// Buffer size that the library sets for TCP sockets, in bytes; 0 for the system's default.
     buffers: u32,
-    /// Whether the daemon keeps a record in a folder.
+    /// Whether the daemon records to a folder.
     records: bool,
-    /// Whether it listens for clients at a port of the test's, for it can't learn which one it got.
+    /// Whether the test chooses the port for clients, because the daemon can't find out which one it got.
     port_is_told: bool,
 }
 
-/// Calls that fail once, or one in so many, are made again: nothing may be missing.
+/// Calls that fail now and then are retried: every request must be served.
 const ALL: f64 = 1.0;
-/// A connection that does not come up costs an attempt, of which a request has three: where one in three
-/// fails, the failures of a few that run side by side may all fall on one request.
+/// A failed connect costs an attempt, of which a request has three. If one in three fails, all attempts of one request
+/// may happen to fail.
 const NEARLY_ALL: f64 = 0.98;
-/// Servers that refuse one in three connections, the origin among them, are taken for unwell: they are asked
-/// less, and a request that finds no other is refused.
+/// Servers that refuse one in three connections, including the origin, count as unhealthy: they get fewer requests, and
+/// a request without another server is refused.
 const OFTEN_REFUSED: f64 = 0.9;
-/// Calls that fail break the connection, and what was sent on it: reads are sent once more, and writes, a
-/// tenth of the requests, are not. What a server has not answered when its connection breaks counts against
-/// it, too.
+/// A failure breaks the connection. Requests on it are retried if they are reads; writes, a tenth of the requests, are
+/// not. Unanswered requests on a broken connection count against the server, too.
 const MOST: f64 = 0.85;
 
 fn at_start(calls: &'static str, error: &'static str, skip: u32, fail: u32) -> Case {
@@ -88,13 +87,10 @@
     }
     if !tally.missing.is_empty() {
         let (missing, first) = (tally.missing.len(), &tally.missing[0]);
-        return Err(format!("{missing} without an answer, {first}; {failed} calls failed; {}", daemon.log()));
+        return Err(format!("{missing} unanswered, first {first}; {failed} calls failed; {}", daemon.log()));
     }
     if tally.served < least {
-        return Err(format!(
-            "{tally:?}, at least {least} were to be served; {failed} failed; {}",
-            daemon.log()
-        ));
+        return Err(format!("{tally:?}, fewer than {least} served; {failed} calls failed; {}", daemon.log()));
     }
     daemon.terminate()?;
     if failed == 0 && case.buffers == 0 {
@@ -103,12 +99,12 @@
     Ok(())
 }
 
-/// An address at which nothing listens just now.
+/// An address that is not in use.
 fn free_address() -> String {
     TcpListener::bind(LOOPBACK).unwrap().local_addr().unwrap().to_string()
 }
 
-/// An operator's file with a record in a new folder, which is written and synced often.
+/// Writes an operator's file that enables recording to a new folder, with frequent writes and syncs.
 fn operator_file(name: &str) -> PathBuf {
     let (folder, path) = (temporary(&format!("{name}-record")), temporary(&format!("{name}.toml")));
     let _ = std::fs::remove_dir_all(&folder);
@@ -119,7 +115,7 @@
     path
 }
 
-/// Some calls, those of datagrams, are made now and then only: the load goes on until one has failed.
+/// Runs the load until a call has failed: some calls, such as those on UDP sockets, are rare.
 fn load_until_failing(node: SocketAddr, control: &Control) -> Tally {
     let (begun, load) = (Instant::now(), Load::on(node));
     let mut tally = load.run(0);
@@ -132,7 +128,7 @@
     tally
 }
 
-/// What is served without failures: all of it.
+/// Runs the load without failures, and checks that every request is served.
 fn without_failures(group: &str) -> Tally {
     let surroundings = Surroundings::start();
     let mut daemon = Daemon::spawn(surroundings.command(&format!("{group}-plain"), LOOPBACK));
@@ -144,7 +140,7 @@
     tally
 }
 
-/// Plays all rows of a table and names each that does not hold.
+/// Runs all cases, and reports each that fails.
 fn play(group: &str, cases: &[Case]) {
     let expected = without_failures(group);
     let mut wrong = Vec::new();
@@ -153,10 +149,10 @@
             wrong.push(format!("{}: {e}", case.failure.name()));
         }
     }
-    assert!(wrong.is_empty(), "{} of {} rows:\n{}", wrong.len(), cases.len(), wrong.join("\n"));
+    assert!(wrong.is_empty(), "{} of {} cases failed:\n{}", wrong.len(), cases.len(), wrong.join("\n"));
 }
 
-/// At its start the daemon binds three sockets: of its staff, of its peers and of its clients.
+/// At its start the daemon binds three sockets: for the operations endpoint, for peers and for clients.
 #[test]
 fn passing_errors_of_bind_delay_the_start() {
     let mut cases = Vec::new();
@@ -246,14 +242,14 @@
 #[test]
 fn errors_of_connect_are_tried_again() {
     let mut cases = Vec::new();
-    // On this machine's side.
+    // Local errors.
     for error in ["EADDRNOTAVAIL", "ENOBUFS", "ENOMEM", "ENETUNREACH", "EADDRINUSE"] {
         cases.push(under_load("connect", error, 3, Sockets::All, NEARLY_ALL));
     }
     for error in ["EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"] {
         cases.push(under_load("socket", error, 3, Sockets::Tcp, NEARLY_ALL));
     }
-    // On the other side, at once and later.
+    // Errors of the other side, returned by `connect` or later as a socket option.
     for error in ["ECONNREFUSED", "ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET"] {
         cases.push(under_load("connect", error, 3, Sockets::All, OFTEN_REFUSED));
         cases.push(under_load("getsockopt", error, 3, Sockets::Outgoing, OFTEN_REFUSED));
@@ -299,13 +295,13 @@
         }
     }
     cases.push(under_load("recv,send,writev", "SHORT", 3, Sockets::Tcp, ALL));
-    // The least that Linux grants.
+    // Linux raises this to its minimum buffer size.
     let small = Case { buffers: 1, ..under_load("none", "EINTR", 1, Sockets::Tcp, ALL) };
     cases.push(small);
     play("short", &cases);
 }
 
-/// A record is kept in a folder that does not work for a while, or now and then.
+/// The folder of records fails for a while, or now and then.
 #[test]
 fn errors_of_files_cost_no_client_its_answer() {
     let mut cases = Vec::new();
@@ -323,7 +319,7 @@
     play("files", &cases);
 }
 
-/// Starts a daemon that can't start, and checks that it ends with a line that names the address.
+/// Starts a daemon that can't open its address, and checks that it ends with a log line that contains the address.
 fn ends_with_a_line(name: &str, listen: &str, failure: &Failure) {
     let surroundings = Surroundings::start();
     let control = Control::new(name);
@@ -337,9 +333,9 @@
     assert!(begun.elapsed() < BOUND_OF_LASTING, "{name}: {:?}", begun.elapsed());
 }
 
-/// Calls that may fail in a second: one each millisecond is no burden.
+/// Maximum number of failed calls in a second: one every millisecond is a low load.
 const MOST_TRIES: u64 = 1000;
-/// Well within the time that a node has to be ready.
+/// Time within which a daemon that can't start must end: well below the time that a node may take to be ready.
 const BOUND_OF_LASTING: Duration = Duration::from_secs(8);
 
 #[test]
@@ -348,11 +344,11 @@
     ends_with_a_line("denied-all", LOOPBACK, &denied(Sockets::All));
     ends_with_a_line("denied-udp", LOOPBACK, &denied(Sockets::Udp));
     let none = Failure { calls: "none", ..denied(Sockets::All) };
-    // Reserved for documentation: no machine has it.
+    // An address reserved for documentation, which no machine has.
     ends_with_a_line("elsewhere", "192.0.2.1:7000", &none);
 }
 
-/// A receive error that stays must not keep the processor busy.
+/// A permanent receive error must not cause a busy loop.
 #[test]
 fn a_lasting_error_of_receiving_does_not_spin() {
     let surroundings = Surroundings::start();
--- a/crates/mothpier/tests/time_told.rs
+++ b/crates/mothpier/tests/time_told.rs
@@ -1,6 +1,6 @@
-//! The time that an attempt tells its server is at most what is left to the client when the attempt is written. Stand-ins
-//! hold a connection, an answer or a byte for a while; what is written after that must tell so much less. On real sockets,
-//! with the daemon as a process.
+//! The remaining time that an attempt passes on to its server is at most what the client has left when the attempt is
+//! written. Stubs delay a connection, a response or the reading of a command; the time passed on after that must be
+//! shorter by the delay. On real sockets, with the daemon as a process.
 #![allow(missing_docs)]
 
 mod world;
@@ -14,22 +14,22 @@
 
 use world::*;
 
-/// What the client gives a request, in milliseconds: below the class's deadline, and longer than any test takes.
+/// The time that the client gives a request, in milliseconds: below the class's deadline, and longer than any test takes.
 const ASKED_MS: u64 = 18_000;
-/// The least time for which each test holds what a request waits for: eight times the slack.
+/// Minimum delay in each test: eight times the slack.
 const HELD: Duration = Duration::from_millis(400);
-/// By how much the protocol lets a told time be too long.
+/// How much too long the protocol allows the remaining time to be.
 const SLACK: Duration = Duration::from_millis(50);
-/// Aims so long that no hedge goes out while something is held.
+/// Latency targets so long that no hedge is sent during a delay.
 const LONG_AIMS: [(&str, &str); 3] = [
     (r#""goalTimeUs":2000000"#, r#""goalTimeUs":15000000"#),
     (r#""goalTimeUs":1000000"#, r#""goalTimeUs":6000000"#),
     LONG[2],
 ];
-/// Writes go to cache servers where these fetch what they lack by themselves.
+/// Setting for read-through cache servers, to which writes go, too.
 const THROUGH: (&str, &str) = (r#""mode":"aside""#, r#""mode":"through""#);
 
-/// An interval that begins once the node is known to have a request.
+/// A delay that begins when the node is known to have a request.
 struct Hold(Instant);
 
 impl Hold {
@@ -37,19 +37,19 @@
         Hold(Instant::now())
     }
 
-    /// Waits until it has lasted for [`HELD`] at least, and returns how long it has.
+    /// Waits until the delay has lasted for at least [`HELD`], and returns how long it was.
     fn end(self) -> Duration {
         thread::sleep(HELD.saturating_sub(self.0.elapsed()));
         self.0.elapsed()
     }
 }
 
-/// The extras of a command as a cache server got it.
+/// The extras of a command that a cache server received.
 fn extras(command: &[String]) -> String {
     command[3].clone()
 }
 
-/// The extras of a call as the origin got it.
+/// The extras of a call that the origin received.
 fn extras_at_origin(call: &[String]) -> String {
     let header = call.iter().find_map(|line| {
         let (name, value) = line.split_once(':')?;
@@ -58,25 +58,25 @@
     header.expect("no X-Extras")
 }
 
-/// What stands round `d` in all requests: it must stay as it came, in its order.
+/// The extras of all requests. All but `d` must be passed on unchanged and in order.
 fn asked_extras(class: &str) -> String {
     format!("c={class},d={ASKED_MS},t=acme,x=1")
 }
 
-/// An attempt written after `held` of the request's time was over tells no more than the rest, and leaves the other extras
-/// as they came.
+/// Checks that an attempt that was written when `held` of the request's time had passed gives no more than the remaining
+/// time, and leaves the other extras unchanged.
 fn assert_tells_what_is_left(extras: &str, class: &str, held: Duration) {
     let told = extras.split(',').find_map(|part| part.strip_prefix("d=")).expect("no d");
     let around = asked_extras(class).replace(&format!("d={ASKED_MS}"), &format!("d={told}"));
     assert_eq!(extras, around, "another extra has changed");
-    let told = Duration::from_millis(told.parse().expect("d is no whole number"));
+    let told = Duration::from_millis(told.parse().expect("d is not an integer"));
     let most = Duration::from_millis(ASKED_MS) - held + SLACK;
-    assert!(told <= most, "tells {told:?} after {held:?}, {most:?} at most");
-    assert!(!told.is_zero(), "tells that nothing is left");
+    assert!(told <= most, "{told:?} remaining after {held:?}, {most:?} at most");
+    assert!(!told.is_zero(), "no time remaining");
 }
 
-/// An origin that answers its first call when the test lets it, with `first`, and later ones at once: its address, the calls
-/// that have come, and the word to go on.
+/// An origin that answers its first call with `first` when the test signals it, and later calls at once. Returns its
+/// address, the calls it has received, and the sender of the signal.
 fn origin(first: fn() -> Reaction) -> (SocketAddr, Receiver<Vec<String>>, Sender<()>) {
     let (told, calls) = channel();
     let told = report(told);
@@ -108,7 +108,7 @@
     assert_tells_what_is_left(&extras(&asked), "read", held);
 }
 
-/// A node that takes no connections for a while: what clients send waits in the machine's queue.
+/// While the node accepts no connections, requests wait in the kernel.
 #[test]
 fn an_attempt_of_a_request_that_waited_to_be_accepted_tells_what_is_left() {
     let (told, commands) = channel();
@@ -128,19 +128,19 @@
     assert_tells_what_is_left(&extras(&asked), "read", held);
 }
 
-/// A command behind one of which the server does not take the rest.
+/// The server does not read the rest of the command before it.
 #[test]
 fn an_attempt_that_waits_behind_a_half_written_one_tells_what_is_left() {
     let server = TcpListener::bind("127.0.0.1:0").unwrap();
     let discovery = Discovery::start(&member("s-1", server.local_addr().unwrap(), "m", "ready"));
-    // One connection to a server.
+    // With so many nodes, a node makes one connection to each server.
     let one = (r#""balancers":1"#, r#""balancers":32"#);
     let [read_aim, write_aim, connect] = LONG_AIMS;
     let node = node("told-behind", &discovery, &[read_aim, write_aim, connect, THROUGH, one]);
     let mut writes = node.client();
     writes.send(&["CACHE.SET", "k", "large", &asked_extras("once"), &"v".repeat(4 << 20)]);
     let mut stalled = reader(server.accept().unwrap().0);
-    // It has begun, and no more goes than the two machines hold while nothing is read.
+    // The write has begun, and stops once the socket buffers are full.
     let mut begun = [0; 4];
     stalled.read_exact(&mut begun).unwrap();
     assert_eq!(&begun, b"*5\r\n");
@@ -181,7 +181,7 @@
     assert_tells_what_is_left(&extras_at_origin(&asked), "read", held);
 }
 
-/// The origin refuses a write late: it is postponed, and sent again.
+/// The origin refuses a write late, and the node sends it again.
 #[test]
 fn a_postponed_write_at_the_origin_tells_what_is_left() {
     let refused =
--- a/crates/mothpier/tests/turned_away.rs
+++ b/crates/mothpier/tests/turned_away.rs
@@ -1,4 +1,4 @@
-//! Connections that are rejected as they arrive are told so, and end in order.
+//! A connection that is rejected on arrival gets `-BUSY` and an orderly close, never a reset.
 #![allow(missing_docs)]
 
 mod world;
@@ -9,19 +9,19 @@
 
 use world::{Discovery, HUNG, Node, Reaction, command, member, node_command, scratch, serve};
 
-/// One connection is accepted a second.
+/// Operator's file that admits one connection a second.
 const ADMISSION: &str =
     "[storm]\ndetect = true\n[storm.figures]\naccepts_per_s = 1.0\naccepts_at_once = 1.0\n";
-/// Connections that are to be rejected, one after the other.
+/// Number of rejected connections to check.
 const REJECTED: usize = 20;
-/// Connections at most: those for which there happens to be a place show nothing.
+/// Maximum number of connections to try: the ones that happen to be admitted show nothing.
 const COMING: usize = 60;
-/// A rejected connection takes what its client still sends for this long at least (the node: for 200 ms).
+/// The node must go on reading from a rejected connection for at least this long (it does for 200 ms).
 const LINGERS: Duration = Duration::from_millis(150);
-/// No client is told to stay away for longer.
+/// Upper bound of the retry time that a client is given.
 const LONGEST: Duration = Duration::from_secs(30);
 
-/// A node that accepts few connections.
+/// Starts a node that admits few connections.
 fn node(name: &str, discovery: &Discovery) -> Node {
     let mut command = node_command(name, discovery.address, 1024, "");
     let file = scratch(&format!("{name}.toml"));
@@ -30,8 +30,8 @@
     Node::run(command, discovery)
 }
 
-/// Sends a PING and so many requests right with the connection, and gives what comes up to an orderly end;
-/// `None` where the connection is accepted, or the test was held up.
+/// Connects and at once sends a PING and a number of requests. Returns what the node sends up to an orderly close, or
+/// `None` if the connection was admitted or the test was delayed.
 fn ask_at_once(node: &Node, number: usize, requests: usize) -> Option<String> {
     let request = |at| {
         let id = format!("{number:04}-{at:05}");
@@ -52,13 +52,13 @@
     told.push(first[0].into());
     stream
         .read_to_string(&mut told)
-        .unwrap_or_else(|error| panic!("client {number}: {error} behind {told:?}"));
-    // A reset behind the end would make this fail. What is still sent is read for a while, and dropped.
+        .unwrap_or_else(|error| panic!("client {number}: {error} after {told:?}"));
+    // This fails if a reset followed the close. The node reads and drops what the client still sends.
     let more = stream.write_all(b"*1\r\n$4\r\nPING\r\n");
     if begun.elapsed() > LINGERS {
         return None;
     }
-    more.unwrap_or_else(|error| panic!("client {number}: reset behind {told:?}: {error}"));
+    more.unwrap_or_else(|error| panic!("client {number}: reset after {told:?}: {error}"));
     Some(told)
 }
 
@@ -66,7 +66,7 @@
     let server = serve(command, |_| Reaction::Silence);
     let discovery = Discovery::start(&member("s-1", server, "m", "ready"));
     let node = node(name, &discovery);
-    // It takes the first place, and goes on being served.
+    // Admitted, and must go on being served.
     let mut first = node.client();
     assert_eq!(first.ask(&["PING"]), "+PONG");
     let mut rejected = 0;
@@ -76,7 +76,7 @@
         assert!((1..=LONGEST.as_millis()).contains(&after), "{after} ms");
         rejected += 1;
     }
-    assert_eq!(rejected, REJECTED, "the others were accepted, or held up");
+    assert_eq!(rejected, REJECTED, "the other connections were admitted, or the test was delayed");
     assert_eq!(first.ask(&["PING"]), "+PONG");
 }
 
--- a/crates/mothpier/tests/upgrade.rs
+++ b/crates/mothpier/tests/upgrade.rs
@@ -228,7 +228,11 @@
     let new = platform.start(&discovery);
     old.signal("TERM");
     old.logged("stopping");
-    assert_eq!(Client::connect(old.address).ask(&["PING"]), "+PONG", "served by the successor while it lives");
+    assert_eq!(
+        Client::connect(old.address).ask(&["PING"]),
+        "+PONG",
+        "served by the successor while it lives"
+    );
     drop(new);
     let mut late = Client::connect(old.address);
     late.send(&["CACHE.GET", "other", "late", "c=read,t=acme,d=9000"]);
