--- a/crates/mothpier/src/main.rs
+++ b/crates/mothpier/src/main.rs
@@ -10,11 +10,11 @@
 use std::sync::Arc;
 
 use mothpier_host::opening::listen_with_retry;
-use mothpier_host::{Host, Listener, Machine, inherited};
+use mothpier_host::{Host, Listener, SystemHost, inherited};
 use mothpier_node::config::{self, Config, Environment, Precedence};
-use mothpier_node::keys::Keys;
-use mothpier_node::{Control, Start, operator, ops, run};
-use mothpier_ops::Desk;
+use mothpier_node::keys::KeyHasher;
+use mothpier_node::{Control, StartOptions, operator, ops, run};
+use mothpier_ops::OpsEndpoint;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
@@ -24,7 +24,7 @@
 /// Common prefix of all environment variables of the program.
 const VARIABLES_BEGIN: &str = "ROUTER_";
 
-const HOST: Machine = Machine { program: "mothpier" };
+const HOST: SystemHost = SystemHost { program: "mothpier" };
 
 fn main() -> ExitCode {
     // The inherited descriptor is taken before anything is opened, so that its number can't belong to a file of this
@@ -79,12 +79,12 @@
     if let Some(path) = env("ROUTER_OPERATOR") {
         let text = std::fs::read_to_string(&path).map_err(|e| format!("cannot read {path}: {e}"))?;
         config.operator = operator::read(&text).map_err(|e| format!("{path}: {e}"))?;
-        config.operator.fits(&text, &config.site).map_err(|e| format!("{path}: {e}"))?;
+        config.operator.check_against(&text, &config.site).map_err(|e| format!("{path}: {e}"))?;
     }
     if let Some(path) = &config.operator.record.key_file {
         let named = |e: String| format!("{}: {e}", path.display());
         let text = std::fs::read_to_string(path).map_err(|e| named(e.to_string()))?;
-        config.keys = Keys::secret(&text).map_err(named)?;
+        config.key_hasher = KeyHasher::from_hex_secret(&text).map_err(named)?;
     }
     Ok(config)
 }
@@ -93,7 +93,7 @@
 /// node's main thread is saturated.
 fn staff(
     address: SocketAddr,
-    desk: Arc<Desk>,
+    desk: Arc<OpsEndpoint>,
     control: mpsc::Sender<Control>,
     descriptors: usize,
 ) -> Result<(), String> {
@@ -129,11 +129,11 @@
     // Handled before the node starts: the default action of SIGHUP ends the process.
     let mut hangup = signal(SignalKind::hangup()).map_err(|e| e.to_string())?;
     let (control, told) = mpsc::channel(8);
-    config.notes.iter().for_each(|note| HOST.log(format_args!("{note}")));
+    config.warnings.iter().for_each(|note| HOST.log(format_args!("{note}")));
     unknown_variables().iter().for_each(|name| HOST.log(format_args!("unknown environment variable {name}")));
-    let desk = Desk::new(&config.site.classes);
-    if let Some(address) = config.ops {
-        staff(address, desk.clone(), control.clone(), config.sockets)?;
+    let desk = OpsEndpoint::new(&config.site.class_names);
+    if let Some(address) = config.ops_listen {
+        staff(address, desk.clone(), control.clone(), config.max_descriptors)?;
     }
     let listener =
         listener.map(|l| HOST.adopt(l)).transpose().map_err(|e| format!("inherited listener: {e}"))?;
@@ -144,7 +144,7 @@
         Some(folder) => Some(handover::begin(folder, &config.name).await),
         None => None,
     };
-    let start = Start { recorder: recording::recorder(HOST, &config), listener, handover };
+    let start = StartOptions { recorder: recording::recorder(HOST, &config), listener, handover };
     let mut node = std::pin::pin!(run(HOST, config, desk, told, start));
     // `Control::Stop` is sent once, and waits for room in the channel, unlike the commands of a reload.
     let (mut ends, mut said) = (false, false);
@@ -170,8 +170,8 @@
             // keeps its configuration.
             Some(()) = hangup.recv() => match read(Precedence::File) {
                 Ok(config) => {
-                    let _ = control.try_send(Control::Record(config.operator.record.on));
-                    Control::Discovery(config.discovery)
+                    let _ = control.try_send(Control::SetRecording(config.operator.record.on));
+                    Control::SetDiscoveryAddress(config.discovery)
                 }
                 Err(e) => {
                     HOST.log(format_args!("reload failed, configuration unchanged: {e}"));
