--- a/crates/mothpier/src/handover.rs
+++ b/crates/mothpier/src/handover.rs
@@ -17,27 +17,27 @@
 use crate::HOST;
 
 /// File name of the socket in the shared folder.
-const NAME: &str = "mothpier-handover.sock";
+const SOCKET_NAME: &str = "mothpier-handover.sock";
 /// How long a starting process waits for its predecessor's state before it starts without. The whole start may take
 /// 6 s.
-const ANSWER: Duration = Duration::from_secs(1);
+const STATE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Capacity of a link's message queues, in messages.
-const QUEUE: usize = 4;
+const LINK_QUEUE_CAPACITY: usize = 4;
 /// Size of a link's read buffer, in bytes.
-const READ: usize = 64 * 1024;
+const READ_BUFFER_BYTES: usize = 64 * 1024;
 /// A link is closed when its other end does not take a message within this time.
-const TAKEN: Duration = Duration::from_secs(2);
+const SEND_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause after a failed `accept`.
-const PAUSE: Duration = Duration::from_millis(100);
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// Asks the predecessor process, if there is one, for its state, and starts to listen for successor processes.
 pub async fn begin(folder: PathBuf, name: &str) -> Handover {
-    let path = folder.join(NAME);
+    let path = folder.join(SOCKET_NAME);
     let (ended, has_ended) = oneshot::channel();
-    let before = match timeout(ANSWER, ask(&path, name, ended)).await {
-        Ok(Ok(before)) => before,
-        Ok(Err(why)) => {
-            HOST.log(format_args!("handover: {why}; starting without the predecessor's state"));
+    let predecessor = match timeout(STATE_TIMEOUT, request_state(&path, name, ended)).await {
+        Ok(Ok(predecessor)) => predecessor,
+        Ok(Err(reason)) => {
+            HOST.log(format_args!("handover: {reason}; starting without the predecessor's state"));
             None
         }
         Err(_) => {
@@ -45,23 +45,23 @@
             None
         }
     };
-    let (found, successors) = mpsc::channel(1);
-    let alone = before.is_none();
+    let (links, successors) = mpsc::channel(1);
+    let is_alone = predecessor.is_none();
     spawn_local(async move {
-        if !alone {
+        if !is_alone {
             // The socket stays the predecessor's until it ends: if this process dies first, the predecessor must
             // answer the next successor.
             let _ = has_ended.await;
         }
-        if let Err(e) = listen(&path, found).await {
+        if let Err(e) = listen(&path, links).await {
             HOST.log(format_args!("handover: {}: {e}; no successor process can take over", path.display()));
         }
     });
-    Handover { predecessor: before, successors }
+    Handover { predecessor, successors }
 }
 
 /// Asks the process that listens at `path` for its state. `Ok(None)` if no process listens there.
-async fn ask(
+async fn request_state(
     path: &Path,
     name: &str,
     ended: oneshot::Sender<()>,
@@ -71,11 +71,11 @@
         Err(e) if matches!(e.kind(), ErrorKind::NotFound | ErrorKind::ConnectionRefused) => return Ok(None),
         Err(e) => return Err(format!("{}: {e}", path.display())),
     };
-    let mut link = link(stream, Some(ended));
+    let mut link = open_link(stream, Some(ended));
     let _ = link.outbox.send(Message::Hello { node_name: name.into(), state_layout: STATE_VERSION }).await;
     match link.inbox.recv().await {
         Some(Message::State(state)) => Ok(Some((state, link))),
-        Some(Message::Declined(why)) => Err(why),
+        Some(Message::Declined(reason)) => Err(reason),
         Some(_) => Err("unexpected message from the predecessor".into()),
         None => Err("the predecessor closed the connection".into()),
     }
@@ -83,7 +83,7 @@
 
 /// Listens for successor processes until this process ends. Replaces the stale socket of a killed process; fails if a
 /// live process listens at `path`.
-async fn listen(path: &Path, found: mpsc::Sender<Link>) -> std::io::Result<()> {
+async fn listen(path: &Path, links: mpsc::Sender<Link>) -> std::io::Result<()> {
     let listener = match UnixListener::bind(path) {
         Err(e) if e.kind() == ErrorKind::AddrInUse => {
             if UnixStream::connect(path).await.is_ok() {
@@ -98,31 +98,31 @@
         match listener.accept().await {
             // Only one successor at a time: the link of another is dropped, which closes its connection.
             Ok((stream, _)) => {
-                if let Ok(place) = found.try_reserve() {
-                    place.send(link(stream, None));
+                if let Ok(permit) = links.try_reserve() {
+                    permit.send(open_link(stream, None));
                 }
             }
             Err(e) => {
                 HOST.log(format_args!("handover: accepting failed: {e}"));
-                sleep(PAUSE).await;
+                sleep(ACCEPT_RETRY_PAUSE).await;
             }
         }
     }
 }
 
 /// Carries messages over a connection until either side closes it, then notifies `ended`.
-fn link(stream: UnixStream, ended: Option<oneshot::Sender<()>>) -> Link {
+fn open_link(stream: UnixStream, ended: Option<oneshot::Sender<()>>) -> Link {
     let (mut reading, mut writing) = stream.into_split();
-    let (heard, inbox) = mpsc::channel(QUEUE);
-    let (outbox, mut to_say) = mpsc::channel(QUEUE);
-    let reads = async move {
-        let (mut decoder, mut buffer) = (Decoder::default(), vec![0; READ]);
+    let (received, inbox) = mpsc::channel(LINK_QUEUE_CAPACITY);
+    let (outbox, mut outgoing) = mpsc::channel(LINK_QUEUE_CAPACITY);
+    let read_messages = async move {
+        let (mut decoder, mut buffer) = (Decoder::default(), vec![0; READ_BUFFER_BYTES]);
         while let Ok(length @ 1..) = reading.read(&mut buffer).await {
             decoder.push(&buffer[..length]);
             loop {
                 match decoder.next_message() {
                     Ok(Some(message)) => {
-                        if heard.send(message).await.is_err() {
+                        if received.send(message).await.is_err() {
                             return;
                         }
                     }
@@ -132,19 +132,19 @@
             }
         }
     };
-    let writes = async move {
-        while let Some(message) = to_say.recv().await {
+    let write_messages = async move {
+        while let Some(message) = outgoing.recv().await {
             let frame = match encode(&message) {
                 Ok(frame) => frame,
                 Err(e) => return HOST.log(format_args!("handover: {e}")),
             };
-            if !matches!(timeout(TAKEN, writing.write_all(&frame)).await, Ok(Ok(()))) {
+            if !matches!(timeout(SEND_TIMEOUT, writing.write_all(&frame)).await, Ok(Ok(()))) {
                 return;
             }
         }
     };
     spawn_local(async move {
-        tokio::select! { biased; () = reads => {}, () = writes => {} }
+        tokio::select! { biased; () = read_messages => {}, () = write_messages => {} }
         if let Some(ended) = ended {
             let _ = ended.send(());
         }
--- a/crates/mothpier/src/recording.rs
+++ b/crates/mothpier/src/recording.rs
@@ -28,14 +28,14 @@
     let record = &config.operator.record;
     let folder = record.folder.as_ref()?;
     let now = Now { clock: host.unix_time().as_micros() as u64, monotonic: monotonic() };
-    let earlier = look_back(config, folder.clone(), now);
-    let legacy = match earlier.found {
-        Some(Found::Legacy(legacy, line)) => {
+    let earlier = read_earlier_incarnations(config, folder.clone(), now);
+    let inherited = match earlier.found {
+        Some(Found::Legacy(inherited, line)) => {
             host.log(format_args!("{line}"));
-            Some(legacy)
+            Some(inherited)
         }
-        Some(Found::Nothing(why)) => {
-            host.log(format_args!("{why}"));
+        Some(Found::Nothing(reason)) => {
+            host.log(format_args!("{reason}"));
             None
         }
         None => None,
@@ -44,7 +44,7 @@
         .inspect_err(|e| host.log(format_args!("recording disabled: {e}")))
         .ok()?;
     let secret = matches!(config.key_hasher, KeyHasher::Secret(_));
-    let recorder = Recorder::new(record.tuning.clone(), record.on, Box::new(store), legacy)
+    let recorder = Recorder::new(record.tuning.clone(), record.on, Box::new(store), inherited)
         .about(concat!("mothpier ", env!("CARGO_PKG_VERSION")), secret)
         .monotonic(monotonic)
         .recovered_at(now.clock)
@@ -54,50 +54,53 @@
 
 /// What the folder of records shows about earlier incarnations.
 #[derive(Default)]
-struct Earlier {
+struct EarlierIncarnations {
     largest_incarnation: Option<u64>,
     /// `None` if there is no segment, or recovery is switched off.
     found: Option<Found>,
 }
 
 /// Reads the folder on a separate thread, and waits at most [`FOLDER_WAIT`] for it.
-fn look_back(config: &Config, folder: PathBuf, now: Now) -> Earlier {
+fn read_earlier_incarnations(config: &Config, folder: PathBuf, now: Now) -> EarlierIncarnations {
     let record = &config.operator.record;
-    let wanted = record.on && record.recover;
+    let recover = record.on && record.recover;
     let node = config.name.clone();
     // The settings that the node will use, with the operator's overrides.
     let settings =
         Settings { storm_mitigation: config.operator.storm.damping(), ..config.site.policy.clone() };
     let unseen = Unseen { span: (record.tuning.hand_over_ms * 1000.0) as u64 };
-    let (done, result) = mpsc::sync_channel(1);
-    let (its_node, its_settings) = (node.clone(), settings.clone());
-    let reads = move || {
-        let recovery = Recovery { node: &its_node, settings: &its_settings, now, unseen };
+    let (sender, result) = mpsc::sync_channel(1);
+    let (reader_node, reader_settings) = (node.clone(), settings.clone());
+    let read = move || {
+        let recovery = Recovery { node: &reader_node, settings: &reader_settings, now, unseen };
         // Sending fails once the wait has timed out.
-        let _ = done.send(read_folder(&recovery, folder, wanted));
+        let _ = sender.send(read_folder(&recovery, folder, recover));
     };
-    let started = std::thread::Builder::new().name("recover".into()).spawn(reads);
-    let why = match started.map(|_| result.recv_timeout(FOLDER_WAIT)) {
+    let started = std::thread::Builder::new().name("recover".into()).spawn(read);
+    let reason = match started.map(|_| result.recv_timeout(FOLDER_WAIT)) {
         Ok(Ok(earlier)) => return earlier,
         Ok(Err(_)) => "reading its folder timed out".to_string(),
         Err(e) => format!("cannot start a thread to read it: {e}"),
     };
     let recovery = Recovery { node: &node, settings: &settings, now, unseen };
-    Earlier { largest_incarnation: None, found: wanted.then(|| recovery.assume_most(&why)) }
+    EarlierIncarnations { largest_incarnation: None, found: recover.then(|| recovery.assume_most(&reason)) }
 }
 
-fn read_folder(recovery: &Recovery<'_>, folder: PathBuf, wanted: bool) -> Earlier {
+fn read_folder(recovery: &Recovery<'_>, folder: PathBuf, recover: bool) -> EarlierIncarnations {
     let mut folder = Folder(folder);
     let segments = match newest_first(&mut folder, recovery.node) {
         Ok(segments) => segments,
         Err(e) => {
-            let why = format!("cannot read {}: {e}", folder.0.display());
-            return Earlier { found: wanted.then(|| recovery.assume_most(&why)), ..Earlier::default() };
+            let reason = format!("cannot read {}: {e}", folder.0.display());
+            return EarlierIncarnations {
+                found: recover.then(|| recovery.assume_most(&reason)),
+                ..EarlierIncarnations::default()
+            };
         }
     };
     let read = |name: &str| std::fs::read(folder.0.join(name));
-    let found = (wanted && !segments.is_empty()).then(|| recovery.recover_newest(&segments, read));
-    Earlier { largest_incarnation: largest_incarnation(&segments), found }
+    let found = (recover && !segments.is_empty()).then(|| recovery.recover_newest(&segments, read));
+    EarlierIncarnations { largest_incarnation: largest_incarnation(&segments), found }
 }
 
 /// Reads the monotonic clock that `Instant` uses. `None` if the boot can't be identified: readings of different boots
--- a/crates/mothpier/tests/beyond_clients.rs
+++ b/crates/mothpier/tests/client_and_process_faults.rs
@@ -2,8 +2,8 @@
 //! deadlines, and restarts during a drain. On real sockets, with the daemon as a process.
 #![allow(missing_docs)]
 
+mod harness;
 mod load;
-mod world;
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -11,25 +11,25 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use load::{GRACE, Load, Tally};
-use world::*;
+use harness::*;
+use load::{ANSWER_GRACE, Load, Tally};
 
 /// A client that stops in the middle of a command must get an error or a close within this time.
-const OWED: Duration = Duration::from_secs(3);
+const ERROR_BOUND: Duration = Duration::from_secs(3);
 /// Maximum pause of the process.
-const HELD_UP: Duration = Duration::from_millis(150);
-/// Time that sending the signals may add to a pause. It is subtracted, to keep the pause below [`HELD_UP`].
-const SIGNALLING: Duration = Duration::from_millis(10);
+const MAX_PAUSE: Duration = Duration::from_millis(150);
+/// Time that sending the signals may add to a pause. It is subtracted, to keep the pause below [`MAX_PAUSE`].
+const SIGNAL_TIME: Duration = Duration::from_millis(10);
 
 /// The drain grace of the settings: for this long a draining server may still get requests.
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
 
-/// Pauses the process for up to [`HELD_UP`] while `happens` runs. Returns how long the pause was.
-fn hold_up(node: &Node, happens: impl FnOnce()) -> Duration {
+/// Pauses the process for up to [`MAX_PAUSE`] while `events` runs. Returns how long the pause was.
+fn pause_process(node: &Node, events: impl FnOnce()) -> Duration {
     let begun = Instant::now();
     node.signal("STOP");
-    happens();
-    thread::sleep((HELD_UP - SIGNALLING).saturating_sub(begun.elapsed()));
+    events();
+    thread::sleep((MAX_PAUSE - SIGNAL_TIME).saturating_sub(begun.elapsed()));
     node.signal("CONT");
     begun.elapsed()
 }
@@ -37,7 +37,7 @@
 // Incomplete commands.
 
 /// Incomplete commands, with a name for each.
-fn halves() -> Vec<(&'static str, Vec<u8>)> {
+fn incomplete_commands() -> Vec<(&'static str, Vec<u8>)> {
     let write = "*5\r\n$9\r\nCACHE.SET\r\n$1\r\nk\r\n$1\r\ni\r\n$20\r\nc=once,t=acme,d=9000\r\n";
     let large = format!("{write}$60000\r\n{}", "v".repeat(20_000));
     let larger = format!("{write}$1000000\r\n{}", "v".repeat(300_000));
@@ -67,12 +67,12 @@
 
 /// An incomplete command, on a new connection and after a complete command, must get an error or a close in time.
 #[test]
-fn a_command_that_stops_anywhere_ends_within_the_time_that_is_owed() {
+fn an_incomplete_command_gets_an_error_or_close_in_time() {
     let discovery = Discovery::start("");
     let node = Node::start("stops-anywhere", &discovery);
     let mut clients = Vec::new();
     for behind in [false, true] {
-        for (name, bytes) in halves() {
+        for (name, bytes) in incomplete_commands() {
             let mut client = node.client();
             clients.push(thread::spawn(move || {
                 if behind {
@@ -89,19 +89,19 @@
     for client in clients {
         let (name, behind, answer, took) = client.join().unwrap();
         assert!(answer == "end" || answer.starts_with("-ERR"), "{name}, behind {behind}: {answer}");
-        assert!(took < OWED, "{name}, behind {behind}: {answer} after {took:?}");
+        assert!(took < ERROR_BOUND, "{name}, behind {behind}: {answer} after {took:?}");
     }
     assert_eq!(node.client().ask(&["PING"]), "+PONG");
 }
 
 /// An incomplete command after an open request: the client gets the answer to the request, and then an error or a close.
 #[test]
-fn a_command_that_stops_behind_an_answered_request_costs_that_nothing() {
-    let server = serve(command, |asked| array(&asked[2]));
+fn an_incomplete_command_does_not_affect_the_request_before_it() {
+    let server = serve(read_command, |asked| hit(&asked[2]));
     let discovery = Discovery::start(&member("s-1", server, "m", "ready"));
     let node = Node::start("stops-behind", &discovery);
     let mut clients = Vec::new();
-    for (number, (name, bytes)) in halves().into_iter().enumerate() {
+    for (number, (name, bytes)) in incomplete_commands().into_iter().enumerate() {
         let mut client = node.client();
         clients.push(thread::spawn(move || {
             client.send(&["CACHE.GET", "k", &format!("i-{number}"), "c=read,t=acme,d=9000"]);
@@ -115,7 +115,7 @@
         let (name, served, (first, second), took) = client.join().unwrap();
         assert_eq!(first, served, "{name}");
         assert!(second == "end" || second.starts_with("-ERR"), "{name}: {second}");
-        assert!(took < OWED, "{name}: {second} after {took:?}");
+        assert!(took < ERROR_BOUND, "{name}: {second} after {took:?}");
     }
 }
 
@@ -124,7 +124,7 @@
 /// Setting for servers that close connections after this idle time.
 const IDLE_CLOSE: (&str, &str) = (r#""idleCloseUs":60000000"#, r#""idleCloseUs":400000"#);
 /// Many times the idle time after which servers close connections.
-const QUIET: Duration = Duration::from_secs(5);
+const IDLE_TIME: Duration = Duration::from_secs(5);
 
 /// Sends a number of reads concurrently, each on its own connection.
 fn reads(node: &Node, name: &str, count: usize) -> Vec<String> {
@@ -182,9 +182,9 @@
     stream.set_read_timeout(Some(Duration::from_millis(400))).unwrap();
     let mut reader = std::io::BufReader::new(stream.try_clone().unwrap());
     let mut stream = stream;
-    while let Some(words) = command(&mut reader) {
+    while let Some(words) = read_command(&mut reader) {
         asked.fetch_add(1, Ordering::SeqCst);
-        if let Reaction::Answer(bytes) = array(&words[2])
+        if let Reaction::Answer(bytes) = hit(&words[2])
             && std::io::Write::write_all(&mut stream, &bytes).is_err()
         {
             return;
@@ -193,30 +193,30 @@
 }
 
 #[test]
-fn a_server_that_stopped_in_a_quiet_time_costs_the_first_requests_nothing() {
+fn requests_after_an_idle_time_succeed_although_a_server_has_stopped() {
     let servers = [0; 3].map(|_| StoppableServer::start());
     let list = |number: usize| member(&format!("s-{number}"), servers[number].address, "m", "ready");
     let discovery = Discovery::start(&(0..3).map(list).collect::<Vec<_>>().join(","));
-    let node = node("quiet-stopped", &discovery, &[IDLE_CLOSE]);
+    let node = start_node("quiet-stopped", &discovery, &[IDLE_CLOSE]);
     assert_eq!(reads(&node, "before", 30), values("before", 30));
-    thread::sleep(QUIET);
+    thread::sleep(IDLE_TIME);
     servers[0].stop();
     assert_eq!(reads(&node, "after", 30), values("after", 30));
     assert!(servers[1].asked() > 0 && servers[2].asked() > 0, "nothing was asked of two servers");
 }
 
 #[test]
-fn a_list_that_changes_after_a_quiet_time_holds_for_the_first_requests() {
+fn a_list_change_after_an_idle_time_applies_to_the_first_requests() {
     let servers = [0; 4].map(|_| StoppableServer::start());
     let list = |number: usize, phase| member(&format!("s-{number}"), servers[number].address, "m", phase);
     let discovery = Discovery::start(&[list(0, "ready"), list(1, "ready")].join(","));
-    let node = node("quiet-list", &discovery, &[IDLE_CLOSE]);
+    let node = start_node("quiet-list", &discovery, &[IDLE_CLOSE]);
     assert_eq!(reads(&node, "before", 30), values("before", 30));
-    thread::sleep(QUIET);
+    thread::sleep(IDLE_TIME);
     let asked_before = servers[0].asked();
     discovery
         .change(2, &[list(0, "draining"), list(1, "ready"), list(2, "ready"), list(3, "ready")].join(","));
-    discovery.watched_after(2);
+    discovery.wait_for_watch_after(2);
     assert_eq!(reads(&node, "after", 30), values("after", 30));
     assert_eq!(servers[0].asked(), asked_before, "a draining server was asked");
     assert!(servers[2].asked() + servers[3].asked() > 0, "the new servers were not asked");
@@ -229,7 +229,7 @@
     at: Instant,
     server: usize,
     /// The remaining time that the command states, in milliseconds.
-    told_ms: u64,
+    remaining_ms: u64,
     /// When the client sent the request, in milliseconds of Unix time.
     sent_ms: u64,
     /// The time that the client gave the request, in milliseconds.
@@ -248,9 +248,9 @@
 }
 
 /// A cache server that reports the commands that arrive, and fails or delays some, so that there are retries.
-fn reporting(server: usize, arrivals: mpsc::Sender<Arrival>) -> SocketAddr {
+fn reporting_server(server: usize, arrivals: mpsc::Sender<Arrival>) -> SocketAddr {
     let (arrivals, count) = (Mutex::new(arrivals), AtomicUsize::new(0));
-    serve(command, move |asked| {
+    serve(read_command, move |asked| {
         if asked[0] != "CACHE.GET" {
             return Reaction::Answer(b"+OK\r\n".to_vec());
         }
@@ -258,7 +258,7 @@
         let arrival = Arrival {
             at: Instant::now(),
             server,
-            told_ms: extra(extras, "d"),
+            remaining_ms: extra(extras, "d"),
             sent_ms: extra(extras, "sent"),
             given_ms: extra(extras, "given"),
             wall_ms: wall_ms(),
@@ -269,9 +269,9 @@
             3 => Reaction::Answer(b"-ERR failed\r\n".to_vec()),
             5 => {
                 thread::sleep(Duration::from_millis(40));
-                array(&asked[2])
+                hit(&asked[2])
             }
-            _ => array(&asked[2]),
+            _ => hit(&asked[2]),
         }
     })
 }
@@ -289,7 +289,7 @@
                 let extras = format!("c=read,t=acme,d={given},sent={},given={given}", wall_ms());
                 let begun = Instant::now();
                 let answer = connection.ask(&["CACHE.GET", &id, &id, &extras]);
-                let late = begun.elapsed() > Duration::from_millis(given) + GRACE;
+                let late = begun.elapsed() > Duration::from_millis(given) + ANSWER_GRACE;
                 if late || !(answer == format!("${id}") || answer.starts_with('-')) {
                     missing.push(format!("{id} of {given} ms: {answer} after {:?}", begun.elapsed()));
                     connection = Client::connect(node);
@@ -304,7 +304,7 @@
 }
 
 /// Measures, until `stop` is set, the longest delay with which the machine wakes a thread.
-fn late_wakes(stop: &Arc<AtomicBool>) -> thread::JoinHandle<Duration> {
+fn wake_up_delay(stop: &Arc<AtomicBool>) -> thread::JoinHandle<Duration> {
     const STEP: Duration = Duration::from_millis(1);
     let stop = stop.clone();
     thread::spawn(move || {
@@ -319,15 +319,15 @@
 }
 
 #[test]
-fn a_node_that_is_held_up_tells_no_server_too_much_time_and_drains_in_time() {
-    let (told, arrivals) = mpsc::channel();
-    let servers: Vec<_> = (0..3).map(|number| reporting(number, told.clone())).collect();
-    drop(told);
+fn a_paused_node_passes_on_no_excess_time_and_stops_using_draining_servers() {
+    let (sender, arrivals) = mpsc::channel();
+    let servers: Vec<_> = (0..3).map(|number| reporting_server(number, sender.clone())).collect();
+    drop(sender);
     let list = |number: usize, phase| member(&format!("s-{number}"), servers[number], "m", phase);
     let discovery = Discovery::start(&(0..3).map(|n| list(n, "ready")).collect::<Vec<_>>().join(","));
-    let node = node("held-up", &discovery, &[]);
+    let node = start_node("held-up", &discovery, &[]);
     let stop = Arc::new(AtomicBool::new(false));
-    let (clients, late_wakes) = (timed_clients(node.address, &stop), late_wakes(&stop));
+    let (clients, wake_up_delay) = (timed_clients(node.address, &stop), wake_up_delay(&stop));
     let mut longest = Duration::ZERO;
     let mut drained = None;
     for round in 0..12 {
@@ -339,7 +339,7 @@
                 drained = Some(Instant::now());
             }
         };
-        longest = longest.max(hold_up(&node, drain));
+        longest = longest.max(pause_process(&node, drain));
     }
     thread::sleep(DRAIN_GRACE);
     stop.store(true, Ordering::Relaxed);
@@ -351,18 +351,18 @@
     }
     drop(node);
     // After a pause two threads have to wake: the node's, and that of the server which records the time.
-    let busy = late_wakes.join().unwrap() * 2;
-    let slack_ms = (HELD_UP.max(longest) + busy).as_millis() as u64 + 1;
+    let busy = wake_up_delay.join().unwrap() * 2;
+    let slack_ms = (MAX_PAUSE.max(longest) + busy).as_millis() as u64 + 1;
     let drained = drained.unwrap();
     let arrivals: Vec<_> = arrivals.try_iter().collect();
     assert!(arrivals.len() > asked / 2 && asked > 200, "{asked} asked, {} arrived", arrivals.len());
     for arrival in arrivals {
         let left = (arrival.sent_ms + arrival.given_ms + slack_ms).saturating_sub(arrival.wall_ms);
-        let (told, late) = (arrival.told_ms, arrival.wall_ms - arrival.sent_ms);
+        let (remaining, late) = (arrival.remaining_ms, arrival.wall_ms - arrival.sent_ms);
         let given = arrival.given_ms;
         assert!(
-            told <= left,
-            "{told} ms of {given} left after {late} ms, paused {longest:?}, delay {busy:?}"
+            remaining <= left,
+            "{remaining} ms of {given} left after {late} ms, paused {longest:?}, delay {busy:?}"
         );
         let after = arrival.at.saturating_duration_since(drained);
         assert!(arrival.server != 0 || after < DRAIN_GRACE, "asked a draining server after {after:?}");
@@ -373,7 +373,7 @@
 
 /// A cache server that silently drops some requests, after which it answers nothing on their connection, and delays
 /// others.
-fn dropping() -> SocketAddr {
+fn dropping_server() -> SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let count = Arc::new(AtomicUsize::new(0));
@@ -389,14 +389,14 @@
 fn answer_until_one_is_dropped(mut stream: std::net::TcpStream, count: &AtomicUsize) {
     let mut reader = std::io::BufReader::new(stream.try_clone().unwrap());
     let mut dropped = false;
-    while let Some(asked) = command(&mut reader) {
+    while let Some(asked) = read_command(&mut reader) {
         let number = count.fetch_add(1, Ordering::Relaxed);
         dropped |= number % 4 == 1;
         if number % 4 == 2 {
             thread::sleep(Duration::from_millis(8));
         }
         if !dropped
-            && let Reaction::Answer(bytes) = array(&asked[2])
+            && let Reaction::Answer(bytes) = hit(&asked[2])
             && std::io::Write::write_all(&mut stream, &bytes).is_err()
         {
             return;
@@ -405,11 +405,11 @@
 }
 
 #[test]
-fn requests_with_very_little_time_get_their_final_answer() {
+fn requests_with_very_short_deadlines_get_a_final_answer() {
     static LITTLE: [u64; 20] = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20];
-    let servers = [0; 3].map(|_| dropping());
+    let servers = [0; 3].map(|_| dropping_server());
     let members: Vec<_> = (0..3).map(|n| member(&format!("s-{n}"), servers[n], "m", "ready")).collect();
-    let node = node("little-time", &Discovery::start(&members.join(",")), &[]);
+    let node = start_node("little-time", &Discovery::start(&members.join(",")), &[]);
     let load = Load { deadlines_ms: &LITTLE, ..Load::on(node.address) };
     let mut tally = Tally::default();
     for round in 0..3 {
@@ -417,28 +417,29 @@
     }
     assert!(tally.missing.is_empty(), "{tally:?}");
     assert_eq!(tally.served + tally.refused + tally.failed, tally.asked);
-    node.figure_becomes("edge_router_in_flight", 0);
+    node.wait_for_metric("edge_router_in_flight", 0);
 }
 
 /// A cache server that silently drops one in four requests, and answers the ones behind them.
-fn skipping() -> SocketAddr {
+fn skipping_server() -> SocketAddr {
     let count = AtomicUsize::new(0);
-    serve(command, move |asked| match count.fetch_add(1, Ordering::Relaxed) % 4 {
+    serve(read_command, move |asked| match count.fetch_add(1, Ordering::Relaxed) % 4 {
         1 => Reaction::Silence,
         2 => {
             thread::sleep(Duration::from_millis(8));
-            array(&asked[2])
+            hit(&asked[2])
         }
-        _ => array(&asked[2]),
+        _ => hit(&asked[2]),
     })
 }
 
 /// The response to the next request must not be taken for that of the dropped one.
 #[test]
-fn an_answer_behind_a_dropped_request_is_not_taken_for_its_own() {
+fn a_response_behind_a_dropped_request_is_not_taken_for_its_own() {
     static LITTLE: [u64; 20] = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20];
-    let members: Vec<_> = (0..3).map(|n| member(&format!("s-{n}"), skipping(), "m", "ready")).collect();
-    let node = node("skipping", &Discovery::start(&members.join(",")), &[]);
+    let members: Vec<_> =
+        (0..3).map(|n| member(&format!("s-{n}"), skipping_server(), "m", "ready")).collect();
+    let node = start_node("skipping", &Discovery::start(&members.join(",")), &[]);
     let load = Load { deadlines_ms: &LITTLE, ..Load::on(node.address) };
     let mut tally = Tally::default();
     for round in 0..6 {
@@ -450,57 +451,59 @@
 // Clients that disconnect while the process is paused.
 
 /// A cache server that counts the reads it receives.
-fn counting(count: &Arc<AtomicUsize>) -> SocketAddr {
+fn counting_server(count: &Arc<AtomicUsize>) -> SocketAddr {
     let count = count.clone();
-    serve(command, move |asked| {
+    serve(read_command, move |asked| {
         if asked[0] == "CACHE.GET" {
             count.fetch_add(1, Ordering::SeqCst);
         }
-        array(&asked[2])
+        hit(&asked[2])
     })
 }
 
 #[test]
-fn what_a_client_asks_and_leaves_while_the_process_is_held_up_is_not_begun() {
+fn no_attempt_begins_for_a_client_that_sends_and_disconnects_during_a_pause() {
     let count = Arc::new(AtomicUsize::new(0));
-    let members =
-        [member("s-1", counting(&count), "m", "ready"), member("s-2", counting(&count), "m", "ready")];
-    let node = node("left-held-up", &Discovery::start(&members.join(",")), &[]);
+    let members = [
+        member("s-1", counting_server(&count), "m", "ready"),
+        member("s-2", counting_server(&count), "m", "ready"),
+    ];
+    let node = start_node("left-held-up", &Discovery::start(&members.join(",")), &[]);
     for round in 0..5 {
-        let mut resting = node.client();
-        assert_eq!(resting.ask(&["PING"]), "+PONG");
+        let mut idle = node.client();
+        assert_eq!(idle.ask(&["PING"]), "+PONG");
         let mut halfway = node.client();
         halfway.write(format!("*4\r\n$9\r\nCACHE.GET\r\n$1\r\nk\r\n$3\r\nh-{round}\r\n"));
         let mut many = node.client();
         assert_eq!(many.ask(&["PING"]), "+PONG");
-        hold_up(&node, || {
+        pause_process(&node, || {
             let get = |id: &str| ["CACHE.GET", "k", id, "c=read,t=acme,d=9000"].map(str::to_owned);
             let words = |words: [String; 4], client: &mut Client| {
                 client.send(&words.each_ref().map(String::as_str));
             };
-            words(get(&format!("r-{round}")), &mut resting);
+            words(get(&format!("r-{round}")), &mut idle);
             halfway.write("$20\r\nc=read,t=acme,d=9000\r\n");
             (0..20).for_each(|n| words(get(&format!("m-{round}-{n}")), &mut many));
             let mut new = node.client();
             words(get(&format!("n-{round}")), &mut new);
-            drop((resting, halfway, many, new));
+            drop((idle, halfway, many, new));
         });
         // Answered after all of these: any attempt that would begin has begun.
         assert_eq!(node.client().ask(&["PING"]), "+PONG");
-        node.figure_becomes("edge_router_in_flight", 0);
+        node.wait_for_metric("edge_router_in_flight", 0);
     }
     assert_eq!(count.load(Ordering::SeqCst), 0, "attempts for clients that had disconnected");
 }
 
 /// The first attempt fails or misses just as the client disconnects: no further attempt may begin.
 #[test]
-fn no_further_attempt_begins_for_a_client_that_left_while_the_process_was_held_up() {
+fn no_further_attempt_begins_for_a_client_that_disconnected_during_a_pause() {
     let failures: [fn() -> Reaction; 3] =
         [|| Reaction::Reset, || Reaction::Answer(b"-BUSY\r\n".to_vec()), miss];
     for (number, failure) in failures.into_iter().enumerate() {
         for answer_first in [false, true] {
             let (arrived, commands) = mpsc::channel();
-            let (go, wait) = mpsc::channel::<()>();
+            let (release, wait) = mpsc::channel::<()>();
             let (arrived, wait) = (Mutex::new(arrived), Arc::new(Mutex::new(wait)));
             let react = Arc::new(move |asked: &[String]| {
                 arrived.lock().unwrap().send(asked.to_vec()).unwrap_or_default();
@@ -508,29 +511,29 @@
                 failure()
             });
             let [first, second] =
-                [react.clone(), react.clone()].map(|react| serve(command, move |asked| react(asked)));
-            let origin = serve(call, move |asked| react(asked));
+                [react.clone(), react.clone()].map(|react| serve(read_command, move |asked| react(asked)));
+            let origin = serve(read_call, move |asked| react(asked));
             let members = [
                 member("s-1", first, "m", "ready"),
                 member("s-2", second, "m", "ready"),
                 member("o-1", origin, "origin", "ready"),
             ];
             let name = format!("left-further-{number}-{answer_first}");
-            let node = node(&name, &Discovery::start(&members.join(",")), &LONG);
+            let node = start_node(&name, &Discovery::start(&members.join(",")), &LONG_DEADLINES);
             let mut client = node.client();
             client.send(&["CACHE.GET", "k", "i", "c=read,t=acme,d=9000"]);
-            commands.recv_timeout(HUNG).unwrap();
-            hold_up(&node, || {
+            commands.recv_timeout(HANG_TIMEOUT).unwrap();
+            pause_process(&node, || {
                 if answer_first {
-                    go.send(()).unwrap();
+                    release.send(()).unwrap();
                     thread::sleep(Duration::from_millis(20));
                 }
                 drop(client);
                 if !answer_first {
-                    go.send(()).unwrap();
+                    release.send(()).unwrap();
                 }
             });
-            node.figure_becomes("edge_router_in_flight", 0);
+            node.wait_for_metric("edge_router_in_flight", 0);
             let further: Vec<_> = commands.try_iter().collect();
             assert!(further.is_empty(), "{name}: {further:?}");
         }
@@ -540,17 +543,17 @@
 // Restarts during a drain.
 
 #[test]
-fn a_restart_with_a_drain_and_a_server_that_comes_back_costs_no_request() {
+fn a_restart_during_a_drain_loses_no_request() {
     let asked_last = Arc::new(Mutex::new(None));
     let noted = asked_last.clone();
-    let draining = serve(command, move |asked| {
+    let draining = serve(read_command, move |asked| {
         *noted.lock().unwrap() = Some(Instant::now());
-        array(&asked[2])
+        hit(&asked[2])
     });
-    let others = [0; 2].map(|_| serve(command, |asked| array(&asked[2])));
+    let others = [0; 2].map(|_| serve(read_command, |asked| hit(&asked[2])));
     let written = Arc::new(Mutex::new(Vec::new()));
     let ids = written.clone();
-    let origin = serve(call, move |asked| {
+    let origin = serve(read_call, move |asked| {
         let id = asked
             .iter()
             .find_map(|line| line.to_ascii_lowercase().strip_prefix("x-request-id:").map(str::to_owned));
@@ -570,7 +573,7 @@
         .join(",")
     };
     let discovery = Discovery::start(&list("ready"));
-    let mut old = node("restart-old", &discovery, &[]);
+    let mut old = start_node("restart-old", &discovery, &[]);
     let load = Load { resends: true, ..Load::on(old.address) };
     let stop = Arc::new(AtomicBool::new(false));
     let (clients, until) = (load.clone(), stop.clone());
@@ -583,9 +586,9 @@
     let mut command = node_command("restart-new", discovery.address, 1024, "");
     command.env("ROUTER_OPS", "127.0.0.1:0");
     let new = Node::spawn(command);
-    new.ready();
+    new.wait_until_ready();
     *load.node.lock().unwrap() = new.address;
-    assert!(old.ended().success());
+    assert!(old.wait_for_exit().success());
     thread::sleep(DRAIN_GRACE);
     let last = asked_last.lock().unwrap().unwrap();
     let after = last.saturating_duration_since(drained);
--- a/crates/mothpier/tests/client_gone.rs
+++ b/crates/mothpier/tests/client_disconnect.rs
@@ -1,22 +1,24 @@
 //! No attempt begins for a client that has disconnected.
 #![allow(missing_docs)]
 
-mod world;
+mod harness;
 
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
 
-use world::{Discovery, HUNG, Reaction, call, command, http, member, miss, node, serve};
+use harness::{
+    Discovery, HANG_TIMEOUT, Reaction, http, member, miss, read_call, read_command, serve, start_node,
+};
 
 /// Length of a value that the node streams, and of the part of it that the cache server sends, in bytes.
-const LENGTH: usize = 4 << 20;
-const PART: usize = 1 << 20;
+const VALUE_BYTES: usize = 4 << 20;
+const SENT_BYTES: usize = 1 << 20;
 /// For this long after a client has disconnected an attempt may still begin for it.
 const GRACE: Duration = Duration::from_millis(100);
 /// Time from the disconnect until the servers react: longer than [`GRACE`], with a margin for a busy machine.
-const BEFORE_REACTION: Duration = Duration::from_millis(500);
+const REACTION_DELAY: Duration = Duration::from_millis(500);
 /// Deadline of the request behind the large response. The node allows a server to stall in a value for longer (10 s).
 const DEADLINE: Duration = Duration::from_millis(4000);
 /// Settings with a class whose deadline is so long that no attempt times out before the test ends it.
@@ -32,7 +34,7 @@
 }
 
 /// Returns a function that reports when a stub was asked what.
-fn note(seen: &Sender<Seen>) -> impl Fn(&[String]) + Send + Sync + 'static {
+fn recorder(seen: &Sender<Seen>) -> impl Fn(&[String]) + Send + Sync + 'static {
     let seen = Mutex::new(seen.clone());
     move |asked| seen.lock().unwrap().send((Instant::now(), asked.to_vec())).unwrap_or_default()
 }
@@ -46,22 +48,22 @@
 fn cache_server(
     seen: &Sender<Seen>,
     react: fn() -> Reaction,
-    go: Arc<Mutex<Receiver<()>>>,
+    release: Arc<Mutex<Receiver<()>>>,
 ) -> std::net::SocketAddr {
-    let note = note(seen);
-    serve(command, move |asked| {
-        note(asked);
+    let recorder = recorder(seen);
+    serve(read_command, move |asked| {
+        recorder(asked);
         if asked[1] == "large-" {
-            let head = format!("*3\r\n${LENGTH}\r\n");
-            return Reaction::Answer([head.as_bytes(), &[b'v'; PART]].concat());
+            let head = format!("*3\r\n${VALUE_BYTES}\r\n");
+            return Reaction::Answer([head.as_bytes(), &[b'v'; SENT_BYTES]].concat());
         }
-        let _ = go.lock().unwrap().recv();
+        let _ = release.lock().unwrap().recv();
         react()
     })
 }
 
 /// What a client sends after its two requests.
-enum More<'a> {
+enum Following<'a> {
     Nothing,
     /// Together with them.
     AtOnce(&'a str),
@@ -72,19 +74,19 @@
 /// A client disconnects (or stays, for comparison) while a large response to it stalls. Then a server ends the attempt of
 /// the request behind it so that a further attempt would follow. Returns the attempts that began too late: the time after
 /// the disconnect and the words.
-fn attempts_after_close(
+fn attempts_after_disconnect(
     name: &str,
     react: fn() -> Reaction,
     close: bool,
-    more: More<'_>,
+    following: Following<'_>,
 ) -> Vec<(Duration, Vec<String>)> {
     let (seen, asked) = channel();
-    let (go, wait) = channel();
+    let (release, wait) = channel();
     let wait = Arc::new(Mutex::new(wait));
     let servers = [(); 2].map(|()| cache_server(&seen, react, wait.clone()));
-    let noted = note(&seen);
-    let origin = serve(call, move |asked| {
-        noted(asked);
+    let record = recorder(&seen);
+    let origin = serve(read_call, move |asked| {
+        record(asked);
         http("200 OK", "v")
     });
     let members = [
@@ -92,26 +94,30 @@
         member("s-2", servers[1], "m", "ready"),
         member("o-1", origin, "origin", "ready"),
     ];
-    let node = node(name, &Discovery::start(&members.join(",")), &CLASS);
+    let node = start_node(name, &Discovery::start(&members.join(",")), &CLASS);
     let mut client = node.client();
     // Sent together: the node would process a later command only after the large response.
     let begun = Instant::now();
-    let (at_once, later) = match more {
-        More::Nothing => ("", ""),
-        More::AtOnce(more) => (more, ""),
-        More::Later(more) => ("", more),
+    let (at_once, later) = match following {
+        Following::Nothing => ("", ""),
+        Following::AtOnce(following) => (following, ""),
+        Following::Later(following) => ("", following),
     };
     client.write(get("large-") + &get("behind") + at_once);
-    client.take(PART);
+    client.discard(SENT_BYTES);
     // Wait until the first attempt of the request behind has begun.
-    while !asked.recv_timeout(HUNG).expect("no command for the request behind").1.contains(&"behind".into()) {
-    }
+    while !asked
+        .recv_timeout(HANG_TIMEOUT)
+        .expect("no command for the request behind")
+        .1
+        .contains(&"behind".into())
+    {}
     client.write(later);
     let closed = Instant::now();
     let _stays = (!close).then_some(client);
     // The servers react only when no attempt may begin any more.
-    thread::sleep(BEFORE_REACTION);
-    drop(go);
+    thread::sleep(REACTION_DELAY);
+    drop(release);
     let mut late = Vec::new();
     while let Some(left) = DEADLINE.checked_sub(begun.elapsed()) {
         if let Ok((at, words)) = asked.recv_timeout(left)
@@ -125,35 +131,35 @@
 }
 
 #[test]
-fn no_origin_is_asked_after_a_miss_that_comes_when_the_client_has_gone() {
+fn no_origin_call_after_a_miss_for_a_disconnected_client() {
     // For a client that stays, the miss leads to a call.
     assert!(
-        !attempts_after_close("miss-stays", miss, false, More::Nothing).is_empty(),
+        !attempts_after_disconnect("miss-stays", miss, false, Following::Nothing).is_empty(),
         "no call though the client stays"
     );
-    assert_eq!(attempts_after_close("miss-gone", miss, true, More::Nothing), []);
+    assert_eq!(attempts_after_disconnect("miss-gone", miss, true, Following::Nothing), []);
 }
 
 #[test]
-fn no_retry_begins_after_a_reset_that_comes_when_the_client_has_gone() {
+fn no_retry_after_a_reset_for_a_disconnected_client() {
     assert!(
-        !attempts_after_close("reset-stays", reset, false, More::Nothing).is_empty(),
+        !attempts_after_disconnect("reset-stays", reset, false, Following::Nothing).is_empty(),
         "no retry though the client stays"
     );
-    assert_eq!(attempts_after_close("reset-gone", reset, true, More::Nothing), []);
+    assert_eq!(attempts_after_disconnect("reset-gone", reset, true, Following::Nothing), []);
 }
 
 /// The node parses no further commands after a protocol error, and once failed to notice the disconnect of such a client.
 #[test]
-fn no_origin_is_asked_for_a_client_that_has_gone_behind_a_protocol_error() {
-    assert_eq!(attempts_after_close("miss-gone-malformed", miss, true, More::AtOnce("!\r\n")), []);
+fn no_origin_call_for_a_client_that_disconnected_after_a_protocol_error() {
+    assert_eq!(attempts_after_disconnect("miss-gone-malformed", miss, true, Following::AtOnce("!\r\n")), []);
 }
 
 /// While a response stalls the node reads at most 16 KB ahead. A disconnect behind more data than that must be noticed all
 /// the same.
 #[test]
-fn no_origin_is_asked_for_a_client_that_has_gone_behind_more_than_is_read_ahead() {
+fn no_origin_call_for_a_client_that_disconnected_behind_unread_data() {
     let much: String = (0..1000).map(|number| get(&format!("ahead-{number}"))).collect();
     assert!(much.len() > 3 * 16 * 1024);
-    assert_eq!(attempts_after_close("miss-gone-ahead", miss, true, More::Later(&much)), []);
+    assert_eq!(attempts_after_disconnect("miss-gone-ahead", miss, true, Following::Later(&much)), []);
 }
--- a/crates/mothpier/tests/second_answer_orders.rs
+++ b/crates/mothpier/tests/duplicate_response_orders.rs
@@ -1,10 +1,10 @@
 //! Duplicate responses that arrive late, on real sockets with the daemon as a process. A stub sends a duplicate only after
 //! the event that it must follow, so that each order of events is forced and does not depend on timing.
 //!
-//! A node that detects duplicates may never cause that event; then the stub goes on after [`GRACE`].
+//! A node that detects duplicates may never cause that event; then the stub goes on after [`EVENT_TIMEOUT`].
 #![allow(missing_docs)]
 
-mod world;
+mod harness;
 
 use std::collections::VecDeque;
 use std::io::{BufRead, BufReader, ErrorKind, Write};
@@ -15,28 +15,28 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use world::*;
+use harness::*;
 
 /// How long a stub waits for an event that may not happen.
-const GRACE: Duration = Duration::from_secs(2);
+const EVENT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Setting for read-through cache servers, to which writes go, too.
-const THROUGH: (&str, &str) = (r#""mode":"aside""#, r#""mode":"through""#);
+const READ_THROUGH: (&str, &str) = (r#""mode":"aside""#, r#""mode":"through""#);
 
 /// Setting for one of 64 nodes, which makes one connection to each server and pipelines commands on it.
 const ONE_CONNECTION: (&str, &str) = (r#""balancers":1"#, r#""balancers":64"#);
 
 /// Length of a value that the node streams instead of buffering it, in bytes.
-const LARGE: usize = 70_000;
+const STREAMED_BYTES: usize = 70_000;
 
 /// Makes the response of a stub to a request. `None` if it sends no response.
-type Makes = fn(&[String]) -> Option<Vec<u8>>;
+type Respond = fn(&[String]) -> Option<Vec<u8>>;
 
 /// A connection to a stub, with its open requests and the responses sent on it.
-struct Line {
+struct StubConnection {
     stream: BufReader<TcpStream>,
     read: Reader,
-    makes: Makes,
+    respond: Respond,
     seen: Sender<Vec<String>>,
     unanswered: VecDeque<Vec<String>>,
     answers: Vec<Vec<u8>>,
@@ -45,7 +45,7 @@
     ended: bool,
 }
 
-impl Line {
+impl StubConnection {
     /// Reads the next request. Returns false if the connection has ended.
     fn next(&mut self) -> bool {
         loop {
@@ -53,20 +53,20 @@
                 self.ended = true;
                 return false;
             };
-            let is_side = side_answer(&asked).is_some();
+            let is_keyless = keyless_response(&asked).is_some();
             self.fences += usize::from(asked == ["PING"]);
             let _ = self.seen.send(asked.clone());
             self.unanswered.push_back(asked);
-            if !is_side {
+            if !is_keyless {
                 return true;
             }
-            self.answer_sides();
+            self.answer_keyless();
         }
     }
 
-    /// As [`next`](Self::next), but waits at most [`GRACE`], as the node may be right to send nothing.
+    /// As [`next`](Self::next), but waits at most [`EVENT_TIMEOUT`], as the node may be right to send nothing.
     fn next_within(&mut self) -> bool {
-        self.stream.get_ref().set_read_timeout(Some(GRACE)).unwrap();
+        self.stream.get_ref().set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
         let comes = self.stream.fill_buf().map(|bytes| !bytes.is_empty());
         self.stream.get_ref().set_read_timeout(None).unwrap();
         match comes {
@@ -84,8 +84,8 @@
 
     /// Answers the oldest open request.
     fn answer(&mut self) {
-        let made = self.unanswered.front().and_then(|asked| (self.makes)(asked));
-        match made {
+        let response = self.unanswered.front().and_then(|asked| (self.respond)(asked));
+        match response {
             Some(bytes) => self.answer_with(bytes),
             None => drop(self.unanswered.pop_front()),
         }
@@ -96,20 +96,20 @@
         if self.unanswered.pop_front().is_some() {
             self.write(&bytes);
             self.answers.push(bytes);
-            self.answer_sides();
+            self.answer_keyless();
         }
     }
 
     /// Answers commands without a key, as far as all requests before them have been answered.
-    fn answer_sides(&mut self) {
-        while let Some(bytes) = self.unanswered.front().and_then(|asked| side_answer(asked)) {
+    fn answer_keyless(&mut self) {
+        while let Some(bytes) = self.unanswered.front().and_then(|asked| keyless_response(asked)) {
             self.write(&bytes);
             self.unanswered.pop_front();
         }
     }
 
     /// Sends a duplicate of the response at an index, if the connection has carried that many.
-    fn repeat(&mut self, number: usize) {
+    fn send_duplicate(&mut self, number: usize) {
         if let Some(bytes) = self.answers.get(number).cloned() {
             self.write(&bytes);
         }
@@ -134,7 +134,7 @@
 }
 
 /// The response to a request without a key: other commands of a cache server, and probes of the origin.
-fn side_answer(asked: &[String]) -> Option<Vec<u8>> {
+fn keyless_response(asked: &[String]) -> Option<Vec<u8>> {
     match asked[0].as_str() {
         word if word.starts_with("CACHE.") => None,
         line if line.starts_with("GET /-/") => Some(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".to_vec()),
@@ -146,50 +146,62 @@
 }
 
 /// A stub server that runs a script on each connection, and then answers all requests on it.
-struct StandIn {
+struct StubServer {
     address: SocketAddr,
     /// All requests that it has received.
     seen: Receiver<Vec<String>>,
 }
 
-impl StandIn {
+impl StubServer {
     /// Starts a stub. The script gets each connection and its number, from 0 on.
-    fn start(read: Reader, makes: Makes, script: impl Fn(&mut Line, usize) + Send + Sync + 'static) -> Self {
+    fn start(
+        read: Reader,
+        respond: Respond,
+        script: impl Fn(&mut StubConnection, usize) + Send + Sync + 'static,
+    ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (told, seen) = channel();
+        let (sender, seen) = channel();
         let script = Arc::new(script);
         thread::spawn(move || {
             for (number, stream) in listener.incoming().map_while(Result::ok).enumerate() {
                 stream.set_nodelay(true).unwrap();
-                let (script, seen) = (script.clone(), told.clone());
+                let (script, seen) = (script.clone(), sender.clone());
                 thread::spawn(move || {
                     let (unanswered, answers) = (VecDeque::new(), Vec::new());
                     let stream = BufReader::new(stream);
-                    let mut line =
-                        Line { stream, read, makes, seen, unanswered, answers, fences: 0, ended: false };
-                    script(&mut line, number);
-                    line.serve();
+                    let mut connection = StubConnection {
+                        stream,
+                        read,
+                        respond,
+                        seen,
+                        unanswered,
+                        answers,
+                        fences: 0,
+                        ended: false,
+                    };
+                    script(&mut connection, number);
+                    connection.serve();
                 });
             }
         });
-        StandIn { address, seen }
+        StubServer { address, seen }
     }
 
     /// A cache server that runs the script on its first connection.
-    fn cache(script: impl Fn(&mut Line) + Send + Sync + 'static) -> Self {
-        StandIn::start(command, makes_for_key, move |line, number| {
+    fn cache(script: impl Fn(&mut StubConnection) + Send + Sync + 'static) -> Self {
+        StubServer::start(read_command, respond_to_key, move |connection, number| {
             if number == 0 {
-                script(line);
+                script(connection);
             }
         })
     }
 
     /// An origin that runs the script on its first connection.
-    fn origin(script: impl Fn(&mut Line) + Send + Sync + 'static) -> Self {
-        StandIn::start(call, origin_makes, move |line, number| {
+    fn origin(script: impl Fn(&mut StubConnection) + Send + Sync + 'static) -> Self {
+        StubServer::start(read_call, origin_response, move |connection, number| {
             if number == 0 {
-                script(line);
+                script(connection);
             }
         })
     }
@@ -201,9 +213,9 @@
         self.seen.try_iter().filter(|asked| asked.iter().any(names)).count()
     }
 
-    /// Waits up to [`GRACE`] for a request whose first two words contain a text.
-    fn saw(&self, text: &str) -> bool {
-        while let Ok(asked) = self.seen.recv_timeout(GRACE) {
+    /// Waits up to [`EVENT_TIMEOUT`] for a request whose first two words contain a text.
+    fn wait_for_request(&self, text: &str) -> bool {
+        while let Ok(asked) = self.seen.recv_timeout(EVENT_TIMEOUT) {
             if asked.iter().take(2).any(|word| word.contains(text)) {
                 return true;
             }
@@ -213,33 +225,33 @@
 }
 
 /// A cache server's response: the value of the key, or a receipt for a write.
-fn makes_for_key(asked: &[String]) -> Option<Vec<u8>> {
+fn respond_to_key(asked: &[String]) -> Option<Vec<u8>> {
     let value = match asked[0].as_str() {
         "CACHE.SET" => format!("receipt-of-{}", asked[2]),
         _ => value_of(&asked[1]),
     };
-    Some(bytes_of(array(&value)))
+    Some(bytes_of(hit(&value)))
 }
 
 /// The same for a cache server on which keys that begin with `miss` miss.
-fn makes_but_misses(asked: &[String]) -> Option<Vec<u8>> {
+fn respond_to_key_or_miss(asked: &[String]) -> Option<Vec<u8>> {
     match asked[1].starts_with("miss") {
         true => Some(bytes_of(miss())),
-        false => makes_for_key(asked),
+        false => respond_to_key(asked),
     }
 }
 
-/// The value of a key. Keys that begin with `large` have values of the length [`LARGE`].
+/// The value of a key. Keys that begin with `large` have values of the length [`STREAMED_BYTES`].
 fn value_of(key: &str) -> String {
     let value = format!("value-of-{key};");
     match key.starts_with("large") {
-        true => value.chars().cycle().take(LARGE).collect(),
+        true => value.chars().cycle().take(STREAMED_BYTES).collect(),
         false => value,
     }
 }
 
 /// The origin's response: the value of the key, or a receipt for a write.
-fn origin_makes(asked: &[String]) -> Option<Vec<u8>> {
+fn origin_response(asked: &[String]) -> Option<Vec<u8>> {
     let path = asked[0].split(' ').nth(1).unwrap_or_default();
     let id = asked
         .iter()
@@ -260,25 +272,25 @@
 }
 
 /// A node with one cache server.
-fn node_of(name: &str, server: &StandIn, changed: &[(&str, &str)]) -> (Node, Discovery) {
+fn node_of(name: &str, server: &StubServer, changed: &[(&str, &str)]) -> (Node, Discovery) {
     let discovery = Discovery::start(&member("s-1", server.address, "m", "ready"));
-    (node(name, &discovery, changed), discovery)
+    (start_node(name, &discovery, changed), discovery)
 }
 
 /// A node with one cache server, and an origin that has every key.
-fn node_beside_origin(name: &str, server: &StandIn, changed: &[(&str, &str)]) -> (Node, Discovery) {
-    let origin = serve(call, |asked| Reaction::Answer(origin_makes(asked).unwrap()));
+fn node_beside_origin(name: &str, server: &StubServer, changed: &[(&str, &str)]) -> (Node, Discovery) {
+    let origin = serve(read_call, |asked| Reaction::Answer(origin_response(asked).unwrap()));
     let members = [member("s-1", server.address, "m", "ready"), member("o-1", origin, "origin", "ready")];
     let discovery = Discovery::start(&members.join(","));
-    (node(name, &discovery, changed), discovery)
+    (start_node(name, &discovery, changed), discovery)
 }
 
 /// A node with an origin, and a cache server on which all keys miss.
-fn node_of_origin(name: &str, origin: &StandIn) -> (Node, Discovery) {
-    let cache = serve(command, |_| miss());
+fn node_of_origin(name: &str, origin: &StubServer) -> (Node, Discovery) {
+    let cache = serve(read_command, |_| miss());
     let members = [member("s-1", cache, "m", "ready"), member("o-1", origin.address, "origin", "ready")];
     let discovery = Discovery::start(&members.join(","));
-    (node(name, &discovery, &[]), discovery)
+    (start_node(name, &discovery, &[]), discovery)
 }
 
 fn send_read(client: &mut Client, key: &str) {
@@ -295,13 +307,17 @@
 }
 
 /// The first bytes of an answer.
-fn short(answer: &str) -> &str {
+fn first_characters(answer: &str) -> &str {
     &answer[..answer.len().min(40)]
 }
 
 /// Checks that a read got the value of its own key or an error, never the value of another key.
 fn assert_own_or_unserved(answer: &str, key: &str) {
-    assert!(answer == format!("${}", value_of(key)) || answer.starts_with('-'), "{key}: {}", short(answer));
+    assert!(
+        answer == format!("${}", value_of(key)) || answer.starts_with('-'),
+        "{key}: {}",
+        first_characters(answer)
+    );
     if answer.starts_with('-') {
         println!("{key}: not served, {answer}");
     }
@@ -310,13 +326,13 @@
 /// Reads one key after the other, and then checks all answers, so that the output shows a shift as a whole.
 fn assert_each_own_or_unserved(client: &mut Client, keys: &[&str]) {
     let answers: Vec<String> = keys.iter().map(|key| read(client, key)).collect();
-    let told: Vec<&str> = answers.iter().map(|answer| short(answer)).collect();
-    println!("asked {keys:?}, answered {told:?}");
+    let answer_heads: Vec<&str> = answers.iter().map(|answer| first_characters(answer)).collect();
+    println!("asked {keys:?}, answered {answer_heads:?}");
     keys.iter().zip(&answers).for_each(|(key, answer)| assert_own_or_unserved(answer, key));
 }
 
 fn assert_own(answer: &str, key: &str) {
-    assert!(answer == format!("${}", value_of(key)), "{key}: {}", short(answer));
+    assert!(answer == format!("${}", value_of(key)), "{key}: {}", first_characters(answer));
 }
 
 /// Checks that a write got its own receipt or an error. A refusal would mean that it never ran.
@@ -329,17 +345,17 @@
 
 /// The first value is sent again after `others` further responses and one more command, whose own response follows only
 /// after the next command.
-fn repeated_behind(name: &str, others: usize) {
-    let server = StandIn::cache(move |line| {
+fn value_duplicated_behind(name: &str, others: usize) {
+    let server = StubServer::cache(move |connection| {
         for _ in 0..=others {
-            line.next();
-            line.answer();
+            connection.next();
+            connection.answer();
         }
-        line.next();
-        line.repeat(0);
-        line.next_within();
+        connection.next();
+        connection.send_duplicate(0);
+        connection.next_within();
     });
-    let (node, _discovery) = node_of(name, &server, &[THROUGH]);
+    let (node, _discovery) = node_of(name, &server, &[READ_THROUGH]);
     let mut client = node.client();
     let keys = ["k0", "k1", "k2", "k3", "k4", "k5", "k6", "k7", "k8"];
     assert_each_own_or_unserved(&mut client, &keys[..others + 4]);
@@ -348,38 +364,38 @@
 /// Guards against a node that compares with the last response only: a duplicate two responses later is taken for the value
 /// of another key.
 #[test]
-fn a_value_repeated_two_answers_later_reaches_no_other_key() {
-    repeated_behind("repeated-2", 2);
+fn a_value_duplicated_two_responses_later_reaches_no_other_key() {
+    value_duplicated_behind("repeated-2", 2);
 }
 
 /// Guards against the same for a duplicate five responses later.
 #[test]
-fn a_value_repeated_five_answers_later_reaches_no_other_key() {
-    repeated_behind("repeated-5", 5);
+fn a_value_duplicated_five_responses_later_reaches_no_other_key() {
+    value_duplicated_behind("repeated-5", 5);
 }
 
 /// Four commands are pipelined. The duplicate is sent before the response to the command at index `at`.
-fn repeated_amid_a_queue(name: &str, at: usize) {
+fn value_duplicated_amid_a_queue(name: &str, at: usize) {
     const QUEUE: usize = 4;
-    let server = StandIn::cache(move |line| {
-        line.next();
-        line.answer();
-        line.next();
+    let server = StubServer::cache(move |connection| {
+        connection.next();
+        connection.answer();
+        connection.next();
         for _ in 1..QUEUE {
-            line.next_within();
+            connection.next_within();
         }
         for _ in 0..at {
-            line.answer();
+            connection.answer();
         }
-        line.repeat(0);
+        connection.send_duplicate(0);
     });
-    let (node, _discovery) = node_of(name, &server, &[THROUGH, ONE_CONNECTION]);
+    let (node, _discovery) = node_of(name, &server, &[READ_THROUGH, ONE_CONNECTION]);
     assert_own(&read(&mut node.client(), "first"), "first");
     let keys: Vec<String> = (0..QUEUE).map(|number| format!("q{number}")).collect();
     let mut clients: Vec<Client> = keys.iter().map(|_| node.client()).collect();
     for (client, key) in clients.iter_mut().zip(&keys) {
         send_read(client, key);
-        server.saw(key);
+        server.wait_for_request(key);
     }
     let answers: Vec<String> = clients.iter_mut().map(Client::answer).collect();
     println!("{name}: {answers:?}");
@@ -388,27 +404,27 @@
 
 /// Guards against a duplicate before the first response to pipelined commands that shifts all of the responses.
 #[test]
-fn a_repeat_before_pipelined_commands_shifts_none_of_their_answers() {
-    repeated_amid_a_queue("queue-0", 0);
+fn a_duplicate_before_pipelined_commands_shifts_no_response() {
+    value_duplicated_amid_a_queue("queue-0", 0);
 }
 
 /// Guards against a duplicate amid the responses to pipelined commands that shifts the later ones.
 #[test]
-fn a_repeat_amid_pipelined_commands_shifts_none_of_their_answers() {
-    repeated_amid_a_queue("queue-2", 2);
+fn a_duplicate_amid_pipelined_commands_shifts_no_response() {
+    value_duplicated_amid_a_queue("queue-2", 2);
 }
 
 /// The first command gets a response without a value, which is sent again after the second command. Each later response
 /// is delayed until the next command has arrived.
-fn line_repeated(line_bytes: &'static [u8]) -> StandIn {
-    StandIn::cache(move |line| {
-        line.next();
-        line.answer_with(line_bytes.to_vec());
-        line.next();
-        line.repeat(0);
+fn valueless_response_duplicated(response_bytes: &'static [u8]) -> StubServer {
+    StubServer::cache(move |connection| {
+        connection.next();
+        connection.answer_with(response_bytes.to_vec());
+        connection.next();
+        connection.send_duplicate(0);
         for _ in 0..3 {
-            line.next_within();
-            line.answer();
+            connection.next_within();
+            connection.answer();
         }
     })
 }
@@ -416,8 +432,8 @@
 /// Guards against a duplicate miss that is taken for the response to the next command, whose value then goes to the
 /// command after it.
 #[test]
-fn after_a_repeated_miss_no_value_goes_to_the_command_after() {
-    let server = line_repeated(b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n");
+fn after_a_duplicate_miss_no_value_goes_to_the_next_command() {
+    let server = valueless_response_duplicated(b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n");
     let (node, _discovery) = node_beside_origin("repeated-miss", &server, &[]);
     let mut client = node.client();
     assert_each_own_or_unserved(&mut client, &["k0", "k1", "k2", "k3", "k4", "k5"]);
@@ -425,30 +441,30 @@
 
 /// Guards against the same for a duplicate error.
 #[test]
-fn after_a_repeated_error_no_value_goes_to_the_command_after() {
-    let server = line_repeated(b"-ERR failed\r\n");
-    let (node, _discovery) = node_of("repeated-error", &server, &[THROUGH]);
+fn after_a_duplicate_error_no_value_goes_to_the_next_command() {
+    let server = valueless_response_duplicated(b"-ERR failed\r\n");
+    let (node, _discovery) = node_of("repeated-error", &server, &[READ_THROUGH]);
     let mut client = node.client();
     assert_each_own_or_unserved(&mut client, &["k0", "k1", "k2", "k3", "k4", "k5"]);
 }
 
 /// The first command is a read whose response says that nothing ran. A duplicate of it follows a write, which does run.
-fn never_ran_repeated_behind_a_write(name: &str, never_ran: &'static [u8]) {
-    let server = StandIn::cache(move |line| {
-        line.next();
-        line.answer_with(never_ran.to_vec());
-        line.next();
+fn refusal_duplicated_behind_a_write(name: &str, never_ran: &'static [u8]) {
+    let server = StubServer::cache(move |connection| {
+        connection.next();
+        connection.answer_with(never_ran.to_vec());
+        connection.next();
         // The node may have retried the read.
-        while line.word(0) == "CACHE.GET" {
-            line.answer_with(never_ran.to_vec());
-            if !line.next() {
+        while connection.word(0) == "CACHE.GET" {
+            connection.answer_with(never_ran.to_vec());
+            if !connection.next() {
                 return;
             }
         }
-        line.repeat(0);
-        line.next_within();
+        connection.send_duplicate(0);
+        connection.next_within();
     });
-    let (node, _discovery) = node_of(name, &server, &[THROUGH]);
+    let (node, _discovery) = node_of(name, &server, &[READ_THROUGH]);
     let mut client = node.client();
     println!("read: {}", read(&mut client, "k0"));
     let answer = write(&mut client, "k1", "w1");
@@ -461,27 +477,27 @@
 /// Guards against a duplicate `-BUSY` that is taken for the response to a write that ran: the write would run twice, or be
 /// refused as if it had never run.
 #[test]
-fn a_write_behind_which_a_refusal_is_repeated_runs_once_and_is_not_refused() {
-    never_ran_repeated_behind_a_write("repeated-busy", b"-BUSY\r\n");
+fn a_write_followed_by_a_duplicate_refusal_runs_once_and_is_not_refused() {
+    refusal_duplicated_behind_a_write("repeated-busy", b"-BUSY\r\n");
 }
 
 /// Guards against the same for a duplicate miss, which means that nothing ran, too.
 #[test]
-fn a_write_behind_which_a_miss_is_repeated_runs_once_and_is_not_refused() {
-    never_ran_repeated_behind_a_write("miss-for-write", b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n");
+fn a_write_followed_by_a_duplicate_miss_runs_once_and_is_not_refused() {
+    refusal_duplicated_behind_a_write("miss-for-write", b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n");
 }
 
 /// Guards against a write that gets the receipt of the write before it.
 #[test]
-fn a_receipt_repeated_behind_the_next_write_is_not_taken_for_its_own() {
-    let server = StandIn::cache(|line| {
-        line.next();
-        line.answer();
-        line.next();
-        line.repeat(0);
-        line.next_within();
+fn a_duplicate_receipt_is_not_taken_for_that_of_the_next_write() {
+    let server = StubServer::cache(|connection| {
+        connection.next();
+        connection.answer();
+        connection.next();
+        connection.send_duplicate(0);
+        connection.next_within();
     });
-    let (node, _discovery) = node_of("repeated-receipt", &server, &[THROUGH]);
+    let (node, _discovery) = node_of("repeated-receipt", &server, &[READ_THROUGH]);
     let mut client = node.client();
     let answers: Vec<String> =
         (0..4).map(|n| write(&mut client, &format!("k{n}"), &format!("w{n}"))).collect();
@@ -493,26 +509,26 @@
 
 /// Guards against receipts that are shifted among pipelined writes: each must get its own, and run once.
 #[test]
-fn a_receipt_repeated_before_pipelined_writes_shifts_none_of_theirs() {
+fn a_duplicate_receipt_before_pipelined_writes_shifts_no_receipt() {
     // The gate of one of 64 nodes lets at most two writes out at the same time.
     const QUEUE: usize = 2;
-    let server = StandIn::cache(|line| {
-        line.next();
-        line.answer();
-        line.next();
+    let server = StubServer::cache(|connection| {
+        connection.next();
+        connection.answer();
+        connection.next();
         for _ in 1..QUEUE {
-            line.next_within();
+            connection.next_within();
         }
-        line.repeat(0);
+        connection.send_duplicate(0);
     });
-    let (node, _discovery) = node_of("queued-writes", &server, &[THROUGH, ONE_CONNECTION]);
+    let (node, _discovery) = node_of("queued-writes", &server, &[READ_THROUGH, ONE_CONNECTION]);
     assert_eq!(write(&mut node.client(), "k", "w"), "$receipt-of-w");
     let ids = ["w0", "w1"];
     let mut clients: Vec<Client> = ids.iter().map(|_| node.client()).collect();
     let mut runs = Vec::new();
     for (client, id) in clients.iter_mut().zip(ids) {
         client.send(&["CACHE.SET", &format!("key-{id}"), id, "c=once,t=acme,d=9000", "new"]);
-        runs.extend(server.seen.recv_timeout(GRACE));
+        runs.extend(server.seen.recv_timeout(EVENT_TIMEOUT));
     }
     let answers: Vec<String> = clients.iter_mut().map(Client::answer).collect();
     println!("{answers:?}");
@@ -529,15 +545,15 @@
 
 /// Guards against a write that gets the value of the read before it as its receipt.
 #[test]
-fn a_value_repeated_behind_a_write_is_not_taken_for_its_receipt() {
-    let server = StandIn::cache(|line| {
-        line.next();
-        line.answer();
-        line.next();
-        line.repeat(0);
-        line.next_within();
+fn a_duplicate_value_is_not_taken_for_the_receipt_of_a_write() {
+    let server = StubServer::cache(|connection| {
+        connection.next();
+        connection.answer();
+        connection.next();
+        connection.send_duplicate(0);
+        connection.next_within();
     });
-    let (node, _discovery) = node_of("value-for-receipt", &server, &[THROUGH]);
+    let (node, _discovery) = node_of("value-for-receipt", &server, &[READ_THROUGH]);
     let mut client = node.client();
     assert_own(&read(&mut client, "k0"), "k0");
     let answer = write(&mut client, "k1", "w1");
@@ -547,15 +563,15 @@
 }
 
 /// The value of the first key is sent again after the command for the second.
-fn first_repeated_behind_second(name: &str, keys: [&str; 2]) {
-    let server = StandIn::cache(|line| {
-        line.next();
-        line.answer();
-        line.next();
-        line.repeat(0);
-        line.next_within();
+fn first_value_duplicated_behind_second(name: &str, keys: [&str; 2]) {
+    let server = StubServer::cache(|connection| {
+        connection.next();
+        connection.answer();
+        connection.next();
+        connection.send_duplicate(0);
+        connection.next_within();
     });
-    let (node, _discovery) = node_of(name, &server, &[THROUGH]);
+    let (node, _discovery) = node_of(name, &server, &[READ_THROUGH]);
     let mut client = node.client();
     assert_own(&read(&mut client, keys[0]), keys[0]);
     assert_each_own_or_unserved(&mut client, &[keys[1], "k2", "large-3"]);
@@ -563,40 +579,40 @@
 
 /// Guards against a duplicate of a large value that is streamed as the value of another key with the same length.
 #[test]
-fn a_large_value_repeated_is_not_passed_on_for_another_of_its_length() {
-    first_repeated_behind_second("large-for-large", ["large-0", "large-1"]);
+fn a_duplicate_large_value_is_not_streamed_for_another_of_its_length() {
+    first_value_duplicated_behind_second("large-for-large", ["large-0", "large-1"]);
 }
 
 /// Guards against a duplicate of a large value that is streamed instead of a small one.
 #[test]
-fn a_large_value_repeated_is_not_passed_on_for_a_small_one() {
-    first_repeated_behind_second("large-for-small", ["large-0", "k1"]);
+fn a_duplicate_large_value_is_not_streamed_for_a_small_one() {
+    first_value_duplicated_behind_second("large-for-small", ["large-0", "k1"]);
 }
 
 /// Guards against a duplicate of a small value that is taken for a large one, whose parts then go to the next command.
 #[test]
-fn a_small_value_repeated_is_not_taken_for_a_large_one() {
-    first_repeated_behind_second("small-for-large", ["k0", "large-1"]);
+fn a_duplicate_small_value_is_not_taken_for_a_large_one() {
+    first_value_duplicated_behind_second("small-for-large", ["k0", "large-1"]);
 }
 
 /// Guards against the losing attempt of a hedged request that is answered late and twice: the duplicate must not answer
 /// the command behind it.
 #[test]
-fn a_loser_of_a_hedge_that_answers_twice_answers_no_other_command() {
+fn a_duplicate_of_the_losing_attempt_of_a_hedge_answers_no_other_command() {
     let is_held = Arc::new(AtomicBool::new(false));
     let server = || {
         let is_held = is_held.clone();
-        StandIn::cache(move |line| {
-            while line.next() {
-                if line.word(1) == "slow" && !is_held.swap(true, Ordering::SeqCst) {
+        StubServer::cache(move |connection| {
+            while connection.next() {
+                if connection.word(1) == "slow" && !is_held.swap(true, Ordering::SeqCst) {
                     // The other server answers the hedge; then another command is pipelined behind this one.
-                    line.next_within();
-                    line.answer();
-                    line.repeat(line.answers.len() - 1);
-                    line.next_within();
+                    connection.next_within();
+                    connection.answer();
+                    connection.send_duplicate(connection.answers.len() - 1);
+                    connection.next_within();
                     return;
                 }
-                line.answer();
+                connection.answer();
             }
         })
     };
@@ -606,7 +622,7 @@
     let discovery = Discovery::start(&members.join(","));
     // A hedge is sent after two fifths of the latency target.
     let soon = (r#""goalTimeUs":2000000"#, r#""goalTimeUs":500000"#);
-    let node = node("hedge-twice", &discovery, &[THROUGH, ONE_CONNECTION, soon]);
+    let node = start_node("hedge-twice", &discovery, &[READ_THROUGH, ONE_CONNECTION, soon]);
     let mut client = node.client();
     assert_own(&read(&mut client, "slow"), "slow");
     let hedged: usize = servers.iter().map(|server| server.runs("r-slow")).sum();
@@ -618,18 +634,18 @@
 
 /// Guards against a duplicate of the value before a change that is taken for the response to a read after the change.
 #[test]
-fn a_value_from_before_a_change_repeated_behind_the_next_read_is_not_its_answer() {
-    let server = StandIn::cache(|line| {
-        line.next();
-        line.answer_with(bytes_of(array("old")));
-        line.next();
-        line.answer();
-        line.next();
-        line.repeat(0);
-        line.next_within();
-        line.answer_with(bytes_of(array("new")));
+fn a_duplicate_value_from_before_a_change_does_not_answer_the_next_read() {
+    let server = StubServer::cache(|connection| {
+        connection.next();
+        connection.answer_with(bytes_of(hit("old")));
+        connection.next();
+        connection.answer();
+        connection.next();
+        connection.send_duplicate(0);
+        connection.next_within();
+        connection.answer_with(bytes_of(hit("new")));
     });
-    let (node, _discovery) = node_of("stale", &server, &[THROUGH]);
+    let (node, _discovery) = node_of("stale", &server, &[READ_THROUGH]);
     let mut client = node.client();
     let mut read = |id: &str| client.ask(&["CACHE.GET", "k", id, "c=read,t=acme,d=9000"]);
     assert_eq!(read("r1"), "$old");
@@ -643,21 +659,21 @@
 
 /// Different keys have equal responses, read one at a time and concurrently, without duplicates. Returns the requests
 /// that the server received.
-fn all_equal(
+fn read_equal_values(
     name: &str,
-    makes: Makes,
+    respond: Respond,
     origin: Option<SocketAddr>,
     changed: &[(&str, &str)],
 ) -> Vec<Vec<String>> {
     const ALONE: usize = 40;
-    let server = StandIn::start(command, makes, |_, _| {});
+    let server = StubServer::start(read_command, respond, |_, _| {});
     let members = [
         Some(member("s-1", server.address, "m", "ready")),
         origin.map(|origin| member("o-1", origin, "origin", "ready")),
     ];
     let members: Vec<String> = members.into_iter().flatten().collect();
     let discovery = Discovery::start(&members.join(","));
-    let node = node(name, &discovery, changed);
+    let node = start_node(name, &discovery, changed);
     let mut client = node.client();
     for number in 0..ALONE {
         assert_eq!(read(&mut client, &format!("a{number}")), "$equal");
@@ -675,10 +691,10 @@
 /// Guards against equal values of different keys being taken for duplicates: each must be served, with few further
 /// commands.
 #[test]
-fn equal_values_of_different_keys_are_served_with_few_commands_more() {
+fn equal_values_of_different_keys_are_served_with_few_further_commands() {
     const REQUESTS: usize = 80;
-    let makes: Makes = |_| Some(bytes_of(array("equal")));
-    let seen = all_equal("equal-values", makes, None, &[THROUGH, ONE_CONNECTION]);
+    let respond: Respond = |_| Some(bytes_of(hit("equal")));
+    let seen = read_equal_values("equal-values", respond, None, &[READ_THROUGH, ONE_CONNECTION]);
     let reads = seen.iter().filter(|asked| asked[0] == "CACHE.GET").count();
     println!("{REQUESTS} requests: {reads} reads and {} other commands at the server", seen.len() - reads);
     assert!(reads <= 2 * REQUESTS, "{reads} reads for {REQUESTS} requests");
@@ -687,16 +703,16 @@
 /// Guards against the same for misses, which are all equal, and for their values at the origin: at most one origin call in
 /// fifty may be repeated to check equal values.
 #[test]
-fn equal_misses_of_different_keys_are_fetched_with_few_commands_more() {
+fn equal_misses_of_different_keys_are_fetched_with_few_further_commands() {
     const REQUESTS: usize = 80;
     let calls = Arc::new(AtomicUsize::new(0));
     let count = calls.clone();
-    let origin = serve(call, move |_| {
+    let origin = serve(read_call, move |_| {
         count.fetch_add(1, Ordering::SeqCst);
         http("200 OK", "equal")
     });
-    let makes: Makes = |_| Some(bytes_of(miss()));
-    let seen = all_equal("equal-misses", makes, Some(origin), &[]);
+    let respond: Respond = |_| Some(bytes_of(miss()));
+    let seen = read_equal_values("equal-misses", respond, Some(origin), &[]);
     let reads = seen.iter().filter(|asked| asked[0] == "CACHE.GET").count();
     let (other, calls) = (seen.len() - reads, calls.load(Ordering::SeqCst));
     println!("{REQUESTS} requests: {reads} reads, {other} other commands, {calls} calls at the origin");
@@ -705,82 +721,82 @@
 }
 
 /// The node is paused while a duplicate and the next request arrive, so that it sees both at once.
-fn found_with_the_next_request(name: &str, kind: Kind) {
-    let (go, wait) = channel::<()>();
-    let (has_repeated, repeated) = channel::<()>();
-    let shared = Mutex::new((wait, has_repeated));
-    let script = move |line: &mut Line, _: usize| {
-        if !line.next() {
+fn duplicate_seen_with_the_next_request(name: &str, source: DuplicateSource) {
+    let (release, wait) = channel::<()>();
+    let (has_duplicated, duplicated) = channel::<()>();
+    let shared = Mutex::new((wait, has_duplicated));
+    let script = move |connection: &mut StubConnection, _: usize| {
+        if !connection.next() {
             return;
         }
-        line.answer();
+        connection.answer();
         let shared = shared.lock().unwrap();
         if shared.0.recv().is_ok() {
-            line.repeat(0);
+            connection.send_duplicate(0);
             let _ = shared.1.send(());
         }
     };
-    let stand_in = match kind {
-        Kind::Cache => StandIn::start(command, makes_for_key, script),
-        Kind::Origin => StandIn::start(call, origin_makes, script),
+    let stub = match source {
+        DuplicateSource::Cache => StubServer::start(read_command, respond_to_key, script),
+        DuplicateSource::Origin => StubServer::start(read_call, origin_response, script),
     };
-    let (node, _discovery) = match kind {
-        Kind::Cache => node_of(name, &stand_in, &[THROUGH]),
-        Kind::Origin => node_of_origin(name, &stand_in),
+    let (node, _discovery) = match source {
+        DuplicateSource::Cache => node_of(name, &stub, &[READ_THROUGH]),
+        DuplicateSource::Origin => node_of_origin(name, &stub),
     };
     let mut client = node.client();
     for number in 0..10 {
         let (key, id) = (format!("k{number}"), format!("w{number}"));
         if number > 0 {
             node.signal("STOP");
-            go.send(()).unwrap();
-            repeated.recv_timeout(HUNG).unwrap();
+            release.send(()).unwrap();
+            duplicated.recv_timeout(HANG_TIMEOUT).unwrap();
         }
         client.send(&["CACHE.SET", &key, &id, "c=once,t=acme,d=9000", "new"]);
         node.signal("CONT");
         assert_eq!(client.answer(), format!("$receipt-of-{id}"));
-        assert_eq!(stand_in.runs(&id), 1);
+        assert_eq!(stub.runs(&id), 1);
     }
 }
 
 /// Which stub sends the duplicate.
 #[derive(Clone, Copy)]
-enum Kind {
+enum DuplicateSource {
     Cache,
     Origin,
 }
 
 /// Guards against a write to a cache server on a connection on which a duplicate has arrived already.
 #[test]
-fn a_second_answer_found_together_with_the_next_write_costs_it_nothing() {
-    found_with_the_next_request("found-with-write", Kind::Cache);
+fn a_duplicate_seen_together_with_the_next_write_does_not_fail_it() {
+    duplicate_seen_with_the_next_request("found-with-write", DuplicateSource::Cache);
 }
 
 /// Guards against the same at the origin.
 #[test]
-fn a_second_response_found_together_with_the_next_write_costs_it_nothing() {
-    found_with_the_next_request("found-with-put", Kind::Origin);
+fn an_origin_duplicate_seen_together_with_the_next_write_does_not_fail_it() {
+    duplicate_seen_with_the_next_request("found-with-put", DuplicateSource::Origin);
 }
 
 /// The origin sends an unasked response on an idle connection. The next write is sent once the node has closed that
 /// connection.
-fn unasked_while_idle(name: &str, unasked: Option<&'static [u8]>) {
-    let (told, ended) = channel::<bool>();
-    let told = Mutex::new(told);
-    let origin = StandIn::origin(move |line| {
-        line.next();
-        line.answer();
+fn unasked_response_while_idle(name: &str, unasked: Option<&'static [u8]>) {
+    let (sender, ended) = channel::<bool>();
+    let sender = Mutex::new(sender);
+    let origin = StubServer::origin(move |connection| {
+        connection.next();
+        connection.answer();
         match unasked {
-            Some(bytes) => line.write(bytes),
-            None => line.repeat(0),
+            Some(bytes) => connection.write(bytes),
+            None => connection.send_duplicate(0),
         }
-        line.next_within();
-        let _ = told.lock().unwrap().send(line.ended);
+        connection.next_within();
+        let _ = sender.lock().unwrap().send(connection.ended);
     });
     let (node, _discovery) = node_of_origin(name, &origin);
     let mut client = node.client();
     assert_eq!(write(&mut client, "k0", "w0"), "$receipt-of-w0");
-    assert!(ended.recv_timeout(HUNG).unwrap(), "the connection stayed open");
+    assert!(ended.recv_timeout(HANG_TIMEOUT).unwrap(), "the connection stayed open");
     for number in 1..4 {
         let (key, id) = (format!("k{number}"), format!("w{number}"));
         assert_eq!(write(&mut client, &key, &id), format!("$receipt-of-{id}"));
@@ -790,23 +806,23 @@
 
 /// Guards against a duplicate of the origin on an idle connection that is kept for the next call.
 #[test]
-fn a_second_response_on_an_idle_connection_of_the_origin_ends_it() {
-    unasked_while_idle("origin-idle", None);
+fn an_origin_duplicate_on_an_idle_connection_closes_it() {
+    unasked_response_while_idle("origin-idle", None);
 }
 
 /// Guards against an interim response on an idle connection that is kept for the next call.
 #[test]
-fn an_interim_response_on_an_idle_connection_of_the_origin_costs_no_call() {
-    unasked_while_idle("interim-idle", Some(b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"));
+fn an_interim_response_on_an_idle_origin_connection_fails_no_call() {
+    unasked_response_while_idle("interim-idle", Some(b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"));
 }
 
 /// Guards against a duplicate that arrives in one piece with the first response and is kept for the next call.
 #[test]
-fn a_second_response_of_the_origin_together_with_the_first_costs_no_call() {
-    let origin = StandIn::start(call, origin_makes, |line, _| {
-        if line.next() {
-            let bytes = origin_makes(&line.unanswered[0]).unwrap();
-            line.answer_with(bytes.repeat(2));
+fn an_origin_duplicate_together_with_the_first_response_fails_no_call() {
+    let origin = StubServer::start(read_call, origin_response, |connection, _| {
+        if connection.next() {
+            let bytes = origin_response(&connection.unanswered[0]).unwrap();
+            connection.answer_with(bytes.repeat(2));
         }
     });
     let (node, _discovery) = node_of_origin("origin-together", &origin);
@@ -820,13 +836,13 @@
 
 /// Guards against a duplicate of the origin that is taken for the receipt of the next write.
 #[test]
-fn a_second_response_of_the_origin_behind_the_next_write_is_not_its_receipt() {
-    let origin = StandIn::origin(|line| {
-        line.next();
-        line.answer();
-        line.next();
-        line.repeat(0);
-        line.next_within();
+fn an_origin_duplicate_is_not_taken_for_the_receipt_of_the_next_write() {
+    let origin = StubServer::origin(|connection| {
+        connection.next();
+        connection.answer();
+        connection.next();
+        connection.send_duplicate(0);
+        connection.next_within();
     });
     let (node, _discovery) = node_of_origin("origin-behind-write", &origin);
     let mut client = node.client();
@@ -840,15 +856,15 @@
 /// Guards against a duplicate 503 of the origin (the call never ran) that is taken for the response to a write that ran: the
 /// write would run twice, or be refused as if it had never run.
 #[test]
-fn a_write_of_the_origin_behind_which_a_refusal_is_repeated_runs_once_and_is_not_refused() {
-    let origin = StandIn::origin(|line| {
-        line.next();
-        line.answer_with(b"HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n".to_vec());
-        line.next();
-        line.answer();
-        line.next();
-        line.repeat(0);
-        line.next_within();
+fn an_origin_write_followed_by_a_duplicate_refusal_runs_once_and_is_not_refused() {
+    let origin = StubServer::origin(|connection| {
+        connection.next();
+        connection.answer_with(b"HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n".to_vec());
+        connection.next();
+        connection.answer();
+        connection.next();
+        connection.send_duplicate(0);
+        connection.next_within();
     });
     let (node, _discovery) = node_of_origin("origin-refusal", &origin);
     let mut client = node.client();
@@ -864,13 +880,13 @@
 
 /// Guards against a duplicate of the origin that is taken for the value of the next key.
 #[test]
-fn a_second_response_of_the_origin_behind_the_next_fetch_is_not_its_value() {
-    let origin = StandIn::origin(|line| {
-        line.next();
-        line.answer();
-        line.next();
-        line.repeat(0);
-        line.next_within();
+fn an_origin_duplicate_is_not_taken_for_the_value_of_the_next_fetch() {
+    let origin = StubServer::origin(|connection| {
+        connection.next();
+        connection.answer();
+        connection.next();
+        connection.send_duplicate(0);
+        connection.next_within();
     });
     let (node, _discovery) = node_of_origin("origin-behind-fetch", &origin);
     let mut client = node.client();
@@ -879,14 +895,14 @@
 
 /// Guards against an interim response that is taken for the final response to its call.
 #[test]
-fn interim_responses_behind_the_next_call_of_the_origin_are_no_answers() {
-    let origin = StandIn::origin(|line| {
+fn interim_origin_responses_are_not_taken_for_final_ones() {
+    let origin = StubServer::origin(|connection| {
         for interim in ["100 Continue", "103 Early Hints"] {
-            line.next();
-            line.answer();
-            line.next();
-            line.write(format!("HTTP/1.1 {interim}\r\nLink: </a>\r\n\r\n").as_bytes());
-            line.answer();
+            connection.next();
+            connection.answer();
+            connection.next();
+            connection.write(format!("HTTP/1.1 {interim}\r\nLink: </a>\r\n\r\n").as_bytes());
+            connection.answer();
         }
     });
     let (node, _discovery) = node_of_origin("interim-behind", &origin);
@@ -906,100 +922,106 @@
 
 /// A discovery that sends four lists, one for each call, and a duplicate of the second after the call for the fourth. The
 /// fourth is delayed until the test signals it, and sent as a whole list on another connection.
-fn repeats_second_list(lists: [Vec<u8>; 4], fourth_whole: Vec<u8>) -> (StandIn, Receiver<()>, Sender<()>) {
-    let (told, repeated) = channel::<()>();
-    let (go, wait) = channel::<()>();
-    let shared = Mutex::new((told, wait));
-    let discovery = StandIn::start(
-        call,
+fn duplicates_second_list(
+    lists: [Vec<u8>; 4],
+    fourth_whole: Vec<u8>,
+) -> (StubServer, Receiver<()>, Sender<()>) {
+    let (sender, duplicated) = channel::<()>();
+    let (release, wait) = channel::<()>();
+    let shared = Mutex::new((sender, wait));
+    let discovery = StubServer::start(
+        read_call,
         |_| None,
-        move |line, number| {
+        move |connection, number| {
             if number > 0 {
-                while line.next() {
-                    if !line.word(0).contains("after=4&") {
-                        line.answer_with(fourth_whole.clone());
+                while connection.next() {
+                    if !connection.word(0).contains("after=4&") {
+                        connection.answer_with(fourth_whole.clone());
                     }
                 }
                 return;
             }
             for list in &lists[..3] {
-                line.next();
-                line.answer_with(list.clone());
+                connection.next();
+                connection.answer_with(list.clone());
             }
-            line.next();
-            line.repeat(1);
-            line.next_within();
-            let (told, wait) = &*shared.lock().unwrap();
-            let _ = told.send(());
-            let _ = wait.recv_timeout(HUNG);
-            line.answer_with(lists[3].clone());
-            while line.next() {}
+            connection.next();
+            connection.send_duplicate(1);
+            connection.next_within();
+            let (sender, wait) = &*shared.lock().unwrap();
+            let _ = sender.send(());
+            let _ = wait.recv_timeout(HANG_TIMEOUT);
+            connection.answer_with(lists[3].clone());
+            while connection.next() {}
         },
     );
-    (discovery, repeated, go)
+    (discovery, duplicated, release)
 }
 
 /// Guards against a list that is lost behind one that arrives twice in one piece: each must be applied.
 #[test]
-fn a_list_that_comes_twice_in_one_piece_costs_no_later_one() {
+fn a_list_that_arrives_twice_in_one_piece_does_not_lose_later_ones() {
     const LISTS: u64 = 6;
     let servers: Vec<String> = (0..=LISTS)
-        .map(|number| member("s-1", serve(command, move |_| array(&format!("list-{number}"))), "m", "ready"))
+        .map(|number| {
+            member("s-1", serve(read_command, move |_| hit(&format!("list-{number}"))), "m", "ready")
+        })
         .collect();
-    let discovery = StandIn::start(
-        call,
+    let discovery = StubServer::start(
+        read_call,
         |_| None,
-        move |line, _| {
-            while line.next() {
-                let after = line.word(0).split("after=").nth(1).and_then(|rest| rest.split('&').next());
+        move |connection, _| {
+            while connection.next() {
+                let after = connection.word(0).split("after=").nth(1).and_then(|rest| rest.split('&').next());
                 let revision = after.map_or(1, |after| after.parse::<u64>().unwrap() + 1);
                 if revision <= LISTS {
                     let bytes = list(revision, true, &servers[revision as usize]);
-                    line.answer_with(bytes.repeat(2));
+                    connection.answer_with(bytes.repeat(2));
                 }
             }
         },
     );
     let node = Node::spawn(node_command("list-twice", discovery.address, 1024, ""));
-    assert!(discovery.saw(&format!("after={LISTS}&")), "the newest list was not applied");
+    assert!(discovery.wait_for_request(&format!("after={LISTS}&")), "the newest list was not applied");
     assert_eq!(read(&mut node.client(), "k"), format!("$list-{LISTS}"));
 }
 
 /// Guards against a duplicate of an older whole list that replaces a newer one, and against the loss of the list that
 /// follows.
 #[test]
-fn a_list_repeated_behind_the_next_watch_replaces_no_newer_one() {
-    let server = |name: &'static str| serve(command, move |_| array(name));
+fn a_duplicate_list_replaces_no_newer_one() {
+    let server = |name: &'static str| serve(read_command, move |_| hit(name));
     let members = ["one", "two", "three", "four"].map(|name| member(name, server(name), "m", "ready"));
     let whole = |number: usize| list(number as u64, true, &members[number - 1]);
-    let (discovery, repeated, go) = repeats_second_list([whole(1), whole(2), whole(3), whole(4)], whole(4));
+    let (discovery, duplicated, release) =
+        duplicates_second_list([whole(1), whole(2), whole(3), whole(4)], whole(4));
     let node = Node::spawn(node_command("list-repeated", discovery.address, 1024, ""));
-    repeated.recv_timeout(HUNG).unwrap();
+    duplicated.recv_timeout(HANG_TIMEOUT).unwrap();
     let mut client = node.client();
     let answer = read(&mut client, "k0");
     println!("with the older list repeated: {answer}");
-    go.send(()).unwrap();
-    assert!(discovery.saw("after=4&"), "the newest list was not applied");
+    release.send(()).unwrap();
+    assert!(discovery.wait_for_request("after=4&"), "the newest list was not applied");
     assert_eq!(read(&mut client, "k1"), "$four");
     assert!(answer == "$three" || answer == "$four", "served by the older list: {answer}");
 }
 
 /// Guards against a duplicate of an older change that undoes a newer one: a draining server would get requests again.
 #[test]
-fn a_change_repeated_behind_the_next_watch_undoes_no_newer_one() {
-    let server = |name: &'static str| serve(command, move |_| array(name));
+fn a_duplicate_change_undoes_no_newer_one() {
+    let server = |name: &'static str| serve(read_command, move |_| hit(name));
     let (one, two, four) = (server("one"), server("two"), server("four"));
     let first = member("one", one, "m", "ready");
     let (ready, draining) = (member("two", two, "m", "ready"), member("two", two, "m", "draining"));
     let last = member("four", four, "m", "ready");
     let lists =
         [list(1, true, &first), list(2, false, &ready), list(3, false, &draining), list(4, false, &last)];
-    let (discovery, repeated, go) =
-        repeats_second_list(lists, list(4, true, &[first, draining, last].join(",")));
+    let (discovery, duplicated, release) =
+        duplicates_second_list(lists, list(4, true, &[first, draining, last].join(",")));
     let node = Node::spawn(node_command("change-repeated", discovery.address, 1024, ""));
-    repeated.recv_timeout(HUNG).unwrap();
-    go.send(()).unwrap();
-    assert!(discovery.saw("after=4&"), "the newest list was not applied");
+    duplicated.recv_timeout(HANG_TIMEOUT).unwrap();
+    release.send(()).unwrap();
+    assert!(discovery.wait_for_request("after=4&"), "the newest list was not applied");
     let mut client = node.client();
     let answers: Vec<String> = (0..30).map(|number| read(&mut client, &format!("k{number}"))).collect();
     let drained = answers.iter().filter(|answer| *answer == "$two").count();
@@ -1010,21 +1032,21 @@
 /// Guards against a duplicate `-BUSY` that is taken for the response to a read whose class may not run twice: that is
 /// decided by the settings, not by the name of the command.
 #[test]
-fn a_read_that_may_not_run_twice_behind_a_repeated_refusal_runs_once() {
-    let server = StandIn::cache(|line| {
-        line.next();
-        line.answer_with(b"-BUSY\r\n".to_vec());
-        line.next();
-        while line.word(2) == "r-k0" {
-            line.answer_with(b"-BUSY\r\n".to_vec());
-            if !line.next() {
+fn a_read_that_may_not_run_twice_runs_once_after_a_duplicate_refusal() {
+    let server = StubServer::cache(|connection| {
+        connection.next();
+        connection.answer_with(b"-BUSY\r\n".to_vec());
+        connection.next();
+        while connection.word(2) == "r-k0" {
+            connection.answer_with(b"-BUSY\r\n".to_vec());
+            if !connection.next() {
                 return;
             }
         }
-        line.repeat(0);
-        line.next_within();
+        connection.send_duplicate(0);
+        connection.next_within();
     });
-    let (node, _discovery) = node_of("busy-once-read", &server, &[THROUGH]);
+    let (node, _discovery) = node_of("busy-once-read", &server, &[READ_THROUGH]);
     let mut client = node.client();
     println!("read: {}", read(&mut client, "k0"));
     let answer = client.ask(&["CACHE.GET", "k1", "once-1", "c=once,t=acme,d=9000"]);
@@ -1036,25 +1058,25 @@
 
 /// Guards against a duplicate refusal that is compared with the last refusal only, which had another load.
 #[test]
-fn a_write_behind_which_the_refusal_before_the_last_is_repeated_runs_once_and_is_not_refused() {
+fn a_write_followed_by_a_duplicate_of_an_earlier_refusal_runs_once_and_is_not_refused() {
     const FIRST: &[u8] = b"-BUSY lat_ms=5,busy=0.1\r\n";
-    let makes: Makes = |asked| match asked[1].as_str() {
+    let respond: Respond = |asked| match asked[1].as_str() {
         "busy1" => Some(FIRST.to_vec()),
         "busy2" => Some(b"-BUSY lat_ms=5,busy=0.2\r\n".to_vec()),
-        _ => makes_for_key(asked),
+        _ => respond_to_key(asked),
     };
-    let server = StandIn::start(command, makes, |line, _| {
-        while line.next() {
-            let first = line.answers.iter().position(|answer| answer == FIRST);
-            if let Some(number) = first.filter(|_| line.word(0) == "CACHE.SET") {
-                line.repeat(number);
-                line.next_within();
+    let server = StubServer::start(read_command, respond, |connection, _| {
+        while connection.next() {
+            let first = connection.answers.iter().position(|answer| answer == FIRST);
+            if let Some(number) = first.filter(|_| connection.word(0) == "CACHE.SET") {
+                connection.send_duplicate(number);
+                connection.next_within();
                 return;
             }
-            line.answer();
+            connection.answer();
         }
     });
-    let (node, _discovery) = node_of("busy-before-last", &server, &[THROUGH]);
+    let (node, _discovery) = node_of("busy-before-last", &server, &[READ_THROUGH]);
     let mut client = node.client();
     // These receipts differ, so the next write may use any connection.
     for id in ["w0", "w1"] {
@@ -1070,20 +1092,20 @@
 
 /// Guards against more attempts than the settings allow: an attempt that is sent again must count as a further one.
 #[test]
-fn an_attempt_that_is_sent_again_counts_among_the_attempts_of_its_request() {
-    let makes: Makes = |asked| match asked[1].as_str() {
+fn an_attempt_that_is_sent_again_counts_as_a_further_attempt() {
+    let respond: Respond = |asked| match asked[1].as_str() {
         "hot" => Some(b"-ERR failed\r\n".to_vec()),
-        _ => makes_for_key(asked),
+        _ => respond_to_key(asked),
     };
-    let servers: Vec<StandIn> = (0..3)
+    let servers: Vec<StubServer> = (0..3)
         .map(|_| {
-            StandIn::start(command, makes, |line, _| {
-                while line.next() {
-                    if line.word(1) == "hot" && !line.answers.is_empty() {
-                        line.repeat(0);
+            StubServer::start(read_command, respond, |connection, _| {
+                while connection.next() {
+                    if connection.word(1) == "hot" && !connection.answers.is_empty() {
+                        connection.send_duplicate(0);
                         return;
                     }
-                    line.answer();
+                    connection.answer();
                 }
             })
         })
@@ -1094,7 +1116,7 @@
         .map(|(number, server)| member(&format!("s-{number}"), server.address, "m", "ready"))
         .collect();
     let discovery = Discovery::start(&members.join(","));
-    let node = node("sent-again-counts", &discovery, &[THROUGH, ONE_CONNECTION]);
+    let node = start_node("sent-again-counts", &discovery, &[READ_THROUGH, ONE_CONNECTION]);
     let mut client = node.client();
     for number in 0..24 {
         let key = format!("k{number}");
@@ -1107,10 +1129,10 @@
 }
 
 /// A cache server that counts its connections.
-fn counting(makes: Makes) -> (StandIn, Arc<AtomicUsize>) {
+fn counting_server(respond: Respond) -> (StubServer, Arc<AtomicUsize>) {
     let connections = Arc::new(AtomicUsize::new(0));
     let count = connections.clone();
-    let server = StandIn::start(command, makes, move |_, _| {
+    let server = StubServer::start(read_command, respond, move |_, _| {
         count.fetch_add(1, Ordering::SeqCst);
     });
     (server, connections)
@@ -1118,9 +1140,9 @@
 
 /// Guards against a new connection for each write of one key, which costs the server work.
 #[test]
-fn writes_of_one_key_do_not_each_cost_a_connection() {
-    let (server, connections) = counting(makes_for_key);
-    let (node, _discovery) = node_of("hot-write", &server, &[THROUGH]);
+fn writes_of_one_key_do_not_each_need_a_new_connection() {
+    let (server, connections) = counting_server(respond_to_key);
+    let (node, _discovery) = node_of("hot-write", &server, &[READ_THROUGH]);
     let mut client = node.client();
     for number in 0..50 {
         let id = format!("w{number}");
@@ -1133,9 +1155,9 @@
 
 /// Guards against a new connection for each write to a server that refuses writes because it is overloaded.
 #[test]
-fn writes_that_are_turned_away_do_not_each_cost_a_connection() {
-    let (server, connections) = counting(|_| Some(b"-BUSY\r\n".to_vec()));
-    let (node, _discovery) = node_of("busy-writes", &server, &[THROUGH]);
+fn refused_writes_do_not_each_need_a_new_connection() {
+    let (server, connections) = counting_server(|_| Some(b"-BUSY\r\n".to_vec()));
+    let (node, _discovery) = node_of("busy-writes", &server, &[READ_THROUGH]);
     let mut client = node.client();
     for number in 0..50 {
         let answer = write(&mut client, &format!("k{number}"), &format!("w{number}"));
@@ -1150,20 +1172,20 @@
 /// Guards against writes that are reported as failed, and connections that are closed, where a server refuses all writes and
 /// sends no duplicates.
 #[test]
-fn writes_of_a_server_that_turns_all_away_are_refused_and_not_failed() {
+fn writes_that_a_server_refuses_are_refused_and_not_failed() {
     let busy = Arc::new(AtomicBool::new(false));
     let connections = Arc::new(AtomicUsize::new(0));
     let (is_busy, count) = (busy.clone(), connections.clone());
-    let server = StandIn::start(command, makes_for_key, move |line, _| {
+    let server = StubServer::start(read_command, respond_to_key, move |connection, _| {
         count.fetch_add(1, Ordering::SeqCst);
-        while line.next() {
+        while connection.next() {
             match is_busy.load(Ordering::SeqCst) {
-                true => line.answer_with(b"-BUSY\r\n".to_vec()),
-                false => line.answer(),
+                true => connection.answer_with(b"-BUSY\r\n".to_vec()),
+                false => connection.answer(),
             }
         }
     });
-    let (node, _discovery) = node_of("all-busy", &server, &[THROUGH]);
+    let (node, _discovery) = node_of("all-busy", &server, &[READ_THROUGH]);
     let mut client = node.client();
     for number in 0..4 {
         let id = format!("first{number}");
@@ -1181,8 +1203,8 @@
 
 /// Guards against a new connection for every few misses of a cold server that sends no duplicates.
 #[test]
-fn misses_of_a_cold_server_cost_few_connections() {
-    let (server, connections) = counting(|_| Some(bytes_of(miss())));
+fn misses_of_a_cold_server_need_few_connections() {
+    let (server, connections) = counting_server(|_| Some(bytes_of(miss())));
     let (node, _discovery) = node_beside_origin("cold-misses", &server, &[]);
     let mut client = node.client();
     for number in 0..100 {
@@ -1196,20 +1218,20 @@
 
 /// Guards against values that are accepted unchecked because misses have exhausted the budget for checks.
 #[test]
-fn a_repeat_behind_many_misses_reaches_no_other_key() {
-    let server = StandIn::start(command, makes_but_misses, |line, _| {
-        while line.next() {
-            if line.word(1) == "last" && !line.answers.is_empty() {
-                line.repeat(line.answers.len() - 1);
-                line.next_within();
+fn a_duplicate_after_many_misses_reaches_no_other_key() {
+    let server = StubServer::start(read_command, respond_to_key_or_miss, |connection, _| {
+        while connection.next() {
+            if connection.word(1) == "last" && !connection.answers.is_empty() {
+                connection.send_duplicate(connection.answers.len() - 1);
+                connection.next_within();
                 return;
             }
-            line.answer();
+            connection.answer();
         }
     });
     let (node, _discovery) = node_beside_origin("misses-use-up", &server, &[ONE_CONNECTION]);
     let mut clients: Vec<Client> = (0..3).map(|_| node.client()).collect();
-    use_up_checks_behind_misses(&mut clients);
+    exhaust_checks_with_misses(&mut clients);
     thread::sleep(Duration::from_millis(400));
     assert_own(&read(&mut clients[0], "before"), "before");
     let answer = read(&mut clients[0], "last");
@@ -1218,7 +1240,7 @@
 
 /// Reads two keys that miss and one with a value, repeatedly on one connection without duplicates. Each value might be the
 /// response to the command before it, and is checked until the budget for checks is exhausted.
-fn use_up_checks_behind_misses(clients: &mut [Client]) {
+fn exhaust_checks_with_misses(clients: &mut [Client]) {
     const ROUNDS: usize = 60;
     for round in 0..ROUNDS {
         let keys = [format!("miss-a{round}"), format!("miss-b{round}"), format!("value{round}")];
@@ -1230,28 +1252,28 @@
 /// Guards against a duplicate miss that is accepted because the budget for checks is exhausted, while the true response
 /// follows after the next command.
 #[test]
-fn a_value_behind_a_repeated_miss_reaches_no_other_key_where_all_checks_are_used_up() {
-    let server = StandIn::start(command, makes_but_misses, |line, _| {
-        while line.next() {
-            if line.word(1) != "miss-last" {
-                line.answer();
+fn a_value_behind_a_duplicate_miss_reaches_no_other_key_without_checks_left() {
+    let server = StubServer::start(read_command, respond_to_key_or_miss, |connection, _| {
+        while connection.next() {
+            if connection.word(1) != "miss-last" {
+                connection.answer();
                 continue;
             }
             // Both arrive in one piece, so that no time passes between the miss and its duplicate.
-            line.next();
-            line.answer_with(bytes_of(miss()).repeat(2));
+            connection.next();
+            connection.answer_with(bytes_of(miss()).repeat(2));
             // The true response to the second command follows after the third command.
-            line.next_within();
+            connection.next_within();
             return;
         }
     });
     let (node, _discovery) = node_beside_origin("checks-used-up", &server, &[ONE_CONNECTION]);
     let mut clients: Vec<Client> = (0..3).map(|_| node.client()).collect();
-    use_up_checks_behind_misses(&mut clients);
+    exhaust_checks_with_misses(&mut clients);
     let keys = ["miss-last", "value-x", "value-y"];
     for (client, key) in clients.iter_mut().zip(keys).take(2) {
         send_read(client, key);
-        server.saw(key);
+        server.wait_for_request(key);
     }
     assert_own(&clients[1].answer(), "value-x");
     send_read(&mut clients[2], "value-y");
@@ -1263,10 +1285,10 @@
 /// Guards against a request that gets no connection because a response is held back on the only one.
 #[test]
 fn while_a_value_is_held_back_another_request_is_served() {
-    let server = StandIn::start(command, makes_but_misses, |_, _| {});
+    let server = StubServer::start(read_command, respond_to_key_or_miss, |_, _| {});
     let (node, _discovery) = node_beside_origin("held-back-beside", &server, &[ONE_CONNECTION]);
     let mut clients: Vec<Client> = (0..3).map(|_| node.client()).collect();
-    use_up_checks_behind_misses(&mut clients);
+    exhaust_checks_with_misses(&mut clients);
     for round in 0..5 {
         let keys = [format!("miss-c{round}"), format!("miss-d{round}"), format!("held{round}")];
         clients.iter_mut().zip(&keys).for_each(|(client, key)| send_read(client, key));
@@ -1282,23 +1304,23 @@
 /// Guards against changing values of several keys being taken for duplicates: a different value on a second read proves
 /// nothing.
 #[test]
-fn values_that_several_keys_share_for_a_while_are_served_with_few_commands_more() {
+fn values_that_several_keys_share_for_a_while_are_served_with_few_further_commands() {
     const REQUESTS: usize = 300;
     let connections = Arc::new(AtomicUsize::new(0));
     let (count, asked) = (connections.clone(), AtomicUsize::new(0));
-    let server = StandIn::start(
-        command,
+    let server = StubServer::start(
+        read_command,
         |_| None,
-        move |line, _| {
+        move |connection, _| {
             count.fetch_add(1, Ordering::SeqCst);
-            while line.next() {
+            while connection.next() {
                 // The value changes with every fourth command.
                 let value = format!("tick-{}", asked.fetch_add(1, Ordering::SeqCst) / 4);
-                line.answer_with(bytes_of(array(&value)));
+                connection.answer_with(bytes_of(hit(&value)));
             }
         },
     );
-    let (node, _discovery) = node_of("ticks", &server, &[THROUGH]);
+    let (node, _discovery) = node_of("ticks", &server, &[READ_THROUGH]);
     let mut client = node.client();
     for number in 0..REQUESTS {
         let answer = read(&mut client, &format!("k{number}"));
@@ -1312,13 +1334,13 @@
 
 /// Guards against a duplicate of a large origin response that is streamed as the value of another key.
 #[test]
-fn a_large_response_of_the_origin_repeated_behind_the_next_fetch_is_not_its_value() {
-    let origin = StandIn::origin(|line| {
-        line.next();
-        line.answer();
-        line.next();
-        line.repeat(0);
-        line.next_within();
+fn a_duplicate_large_origin_response_is_not_the_value_of_the_next_fetch() {
+    let origin = StubServer::origin(|connection| {
+        connection.next();
+        connection.answer();
+        connection.next();
+        connection.send_duplicate(0);
+        connection.next_within();
     });
     let (node, _discovery) = node_of_origin("large-origin-repeat", &origin);
     let mut client = node.client();
@@ -1328,15 +1350,15 @@
 /// Guards against a duplicate error of the origin that is taken for the response to the next call, whose value then goes to
 /// the call after it.
 #[test]
-fn after_a_repeated_failure_of_the_origin_no_value_goes_to_the_call_after() {
-    let origin = StandIn::origin(|line| {
-        line.next();
-        line.answer_with(bytes_of(http("500 Internal Server Error", "")));
-        line.next();
-        line.repeat(0);
+fn after_a_duplicate_origin_error_no_value_goes_to_the_next_call() {
+    let origin = StubServer::origin(|connection| {
+        connection.next();
+        connection.answer_with(bytes_of(http("500 Internal Server Error", "")));
+        connection.next();
+        connection.send_duplicate(0);
         for _ in 0..3 {
-            line.next_within();
-            line.answer();
+            connection.next_within();
+            connection.answer();
         }
     });
     let (node, _discovery) = node_of_origin("failure-origin-repeat", &origin);
@@ -1346,16 +1368,16 @@
 
 /// Guards against the late response of a slow server, long after a duplicate was taken for it, that goes to another key.
 #[test]
-fn an_answer_that_comes_long_after_a_repeat_was_taken_for_it_goes_to_no_other_key() {
-    let server = StandIn::cache(|line| {
-        line.next();
-        line.answer_with(bytes_of(miss()));
-        line.next();
-        line.repeat(0);
+fn a_response_long_after_its_command_was_answered_by_a_duplicate_reaches_no_other_key() {
+    let server = StubServer::cache(|connection| {
+        connection.next();
+        connection.answer_with(bytes_of(miss()));
+        connection.next();
+        connection.send_duplicate(0);
         // The response is delayed until the next command arrives.
-        line.next_within();
-        line.answer();
-        line.next_within();
+        connection.next_within();
+        connection.answer();
+        connection.next_within();
     });
     let (node, _discovery) = node_beside_origin("slow-behind-repeat", &server, &[]);
     let mut client = node.client();
@@ -1367,15 +1389,15 @@
 
 /// Guards against writes that are reported as failed where the origin refuses all and sends no duplicates.
 #[test]
-fn writes_of_an_origin_that_turns_all_away_are_refused_and_not_failed() {
+fn writes_that_the_origin_refuses_are_refused_and_not_failed() {
     let busy = Arc::new(AtomicBool::new(false));
     let is_busy = busy.clone();
-    let origin = StandIn::start(call, origin_makes, move |line, _| {
-        while line.next() {
+    let origin = StubServer::start(read_call, origin_response, move |connection, _| {
+        while connection.next() {
             let bytes = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
             match is_busy.load(Ordering::SeqCst) {
-                true => line.answer_with(bytes.to_vec()),
-                false => line.answer(),
+                true => connection.answer_with(bytes.to_vec()),
+                false => connection.answer(),
             }
         }
     });
@@ -1396,16 +1418,16 @@
 
 /// Guards against a node that makes more connections to a server than its share of the server's limit.
 #[test]
-fn writes_of_one_client_leave_no_more_connections_than_the_part_of_the_node() {
+fn writes_of_one_client_open_no_more_connections_than_the_nodes_share() {
     let open = Arc::new(AtomicUsize::new(0));
     let count = open.clone();
-    let server = StandIn::start(command, makes_for_key, move |line, _| {
+    let server = StubServer::start(read_command, respond_to_key, move |connection, _| {
         count.fetch_add(1, Ordering::SeqCst);
-        line.serve();
+        connection.serve();
         count.fetch_sub(1, Ordering::SeqCst);
     });
     let (node, _discovery) =
-        node_of("writes-open", &server, &[THROUGH, (r#""balancers":1"#, r#""balancers":8"#)]);
+        node_of("writes-open", &server, &[READ_THROUGH, (r#""balancers":1"#, r#""balancers":8"#)]);
     let mut client = node.client();
     for number in 0..30 {
         let id = format!("w{number}");
@@ -1419,28 +1441,28 @@
 
 /// A cache server that has one value for all keys that begin with `same`, and sends a duplicate of its last response after
 /// the command for `k1`.
-fn repeats_common_value() -> StandIn {
-    let makes: Makes = |asked| match asked[1].as_str() {
-        key if key.starts_with("same") => Some(bytes_of(array("equal"))),
-        _ => makes_for_key(asked),
+fn duplicates_common_value() -> StubServer {
+    let respond: Respond = |asked| match asked[1].as_str() {
+        key if key.starts_with("same") => Some(bytes_of(hit("equal"))),
+        _ => respond_to_key(asked),
     };
-    StandIn::start(command, makes, |line, _| {
-        while line.next() {
-            if line.word(1) == "k1" && !line.answers.is_empty() {
-                line.repeat(line.answers.len() - 1);
-                line.next_within();
+    StubServer::start(read_command, respond, |connection, _| {
+        while connection.next() {
+            if connection.word(1) == "k1" && !connection.answers.is_empty() {
+                connection.send_duplicate(connection.answers.len() - 1);
+                connection.next_within();
                 return;
             }
-            line.answer();
+            connection.answer();
         }
     })
 }
 
 /// Guards against a duplicate of a value that several keys have, at a server that has sent no duplicate before.
 #[test]
-fn a_common_value_that_is_repeated_for_the_first_time_reaches_no_key_with_another() {
-    let server = repeats_common_value();
-    let (node, _discovery) = node_of("common-repeated", &server, &[THROUGH]);
+fn a_first_duplicate_of_a_common_value_reaches_no_key_with_another_value() {
+    let server = duplicates_common_value();
+    let (node, _discovery) = node_of("common-repeated", &server, &[READ_THROUGH]);
     let mut client = node.client();
     for number in 0..6 {
         assert_eq!(read(&mut client, &format!("same{number}")), "$equal");
@@ -1451,25 +1473,25 @@
 /// Guards against a duplicate of a key's old value after the next read of that key, on a connection where another key has
 /// kept its value: the true response would go to the next command.
 #[test]
-fn after_a_repeat_for_its_own_key_the_true_answer_goes_to_no_other_key() {
-    let server = StandIn::start(command, makes_for_key, |line, _| {
-        while line.next() {
-            if line.word(1) == "changes" && !line.answers.is_empty() {
-                line.answer_with(bytes_of(array("old")));
-                if !line.next() {
+fn after_a_duplicate_for_the_same_key_the_true_response_reaches_no_other_key() {
+    let server = StubServer::start(read_command, respond_to_key, |connection, _| {
+        while connection.next() {
+            if connection.word(1) == "changes" && !connection.answers.is_empty() {
+                connection.answer_with(bytes_of(hit("old")));
+                if !connection.next() {
                     return;
                 }
                 // After the second read of the key the old value is sent again, and the new one only after the next command.
-                let last = line.answers.len() - 1;
-                line.repeat(last);
-                line.next_within();
-                line.answer_with(bytes_of(array("new")));
+                let last = connection.answers.len() - 1;
+                connection.send_duplicate(last);
+                connection.next_within();
+                connection.answer_with(bytes_of(hit("new")));
                 return;
             }
-            line.answer();
+            connection.answer();
         }
     });
-    let (node, _discovery) = node_of("old-repeated", &server, &[THROUGH]);
+    let (node, _discovery) = node_of("old-repeated", &server, &[READ_THROUGH]);
     let mut client = node.client();
     // This key is read often and keeps its value.
     for _ in 0..4 {
@@ -1486,7 +1508,7 @@
 }
 
 /// Counts the reads and the fences that a server received.
-fn reads_and_fences(server: &StandIn) -> (usize, usize) {
+fn reads_and_fences(server: &StubServer) -> (usize, usize) {
     let seen: Vec<Vec<String>> = server.seen.try_iter().collect();
     let count = |name: &str| seen.iter().filter(|asked| asked[0] == name).count();
     (count("CACHE.GET"), count("PING"))
@@ -1495,10 +1517,10 @@
 /// Guards against further attempts and connections for a key that is read often and keeps its value: a fence behind the
 /// command shows whether a response is a duplicate.
 #[test]
-fn a_key_that_is_read_often_and_keeps_its_value_costs_no_further_attempt_or_connection() {
+fn a_hot_key_with_a_constant_value_needs_no_further_attempt_or_connection() {
     const REQUESTS: usize = 100;
-    let (server, connections) = counting(makes_for_key);
-    let (node, _discovery) = node_of("read-often", &server, &[THROUGH]);
+    let (server, connections) = counting_server(respond_to_key);
+    let (node, _discovery) = node_of("read-often", &server, &[READ_THROUGH]);
     let mut client = node.client();
     for _ in 0..REQUESTS {
         assert_own(&read(&mut client, "hot"), "hot");
@@ -1513,34 +1535,34 @@
 
 /// Guards against a duplicate of a fence's response, sent as an error, that is taken for the response to the next read.
 #[test]
-fn an_answer_to_a_fence_that_is_repeated_is_not_taken_for_the_next_commands() {
-    let repeated = Arc::new(AtomicUsize::new(0));
-    let count = repeated.clone();
-    let server = StandIn::start(command, makes_for_key, move |line, _| {
-        while line.next() {
-            if line.word(1).starts_with('k') && line.fences > 0 {
-                line.write(b"-ERR unknown command\r\n");
+fn a_duplicate_response_to_a_fence_is_not_taken_for_that_of_the_next_command() {
+    let duplicated = Arc::new(AtomicUsize::new(0));
+    let count = duplicated.clone();
+    let server = StubServer::start(read_command, respond_to_key, move |connection, _| {
+        while connection.next() {
+            if connection.word(1).starts_with('k') && connection.fences > 0 {
+                connection.write(b"-ERR unknown command\r\n");
                 count.fetch_add(1, Ordering::SeqCst);
             }
-            line.answer();
+            connection.answer();
         }
     });
-    let (node, _discovery) = node_of("fence-repeated", &server, &[THROUGH, ONE_CONNECTION]);
+    let (node, _discovery) = node_of("fence-repeated", &server, &[READ_THROUGH, ONE_CONNECTION]);
     let mut client = node.client();
     for round in 0..10 {
         assert_own(&read(&mut client, "stays"), "stays");
         let key = format!("k{round}");
         assert_own(&read(&mut client, &key), &key);
     }
-    assert!(repeated.load(Ordering::SeqCst) > 0, "no duplicate was sent");
+    assert!(duplicated.load(Ordering::SeqCst) > 0, "no duplicate was sent");
 }
 
 /// Guards against a value of several keys that is accepted for any key once the budget for checks is exhausted.
 #[test]
-fn a_common_value_that_is_repeated_reaches_no_key_with_another_where_all_checks_are_used_up() {
+fn a_duplicate_common_value_reaches_no_key_with_another_value_without_checks_left() {
     const NEW_KEYS: usize = 60;
-    let server = repeats_common_value();
-    let (node, _discovery) = node_of("common-used-up", &server, &[THROUGH]);
+    let server = duplicates_common_value();
+    let (node, _discovery) = node_of("common-used-up", &server, &[READ_THROUGH]);
     let mut client = node.client();
     for number in 0..NEW_KEYS {
         assert_eq!(read(&mut client, &format!("same{number}")), "$equal");
@@ -1553,14 +1575,14 @@
 /// Guards against late responses at a server with Nagle's algorithm, which delays a small write (the response to a fence)
 /// until the one before is acknowledged.
 #[test]
-fn answers_that_await_a_fence_are_not_late_at_a_server_that_delays_small_writes() {
+fn responses_that_await_a_fence_are_not_delayed_by_nagles_algorithm() {
     const REQUESTS: usize = 100;
     /// Bound of the mean response time. Delayed acknowledgements take at least 40 ms.
-    const IN_THE_MEAN: Duration = Duration::from_millis(10);
+    const MEAN_RESPONSE_BOUND: Duration = Duration::from_millis(10);
     // The stub's sockets use Nagle's algorithm, and it writes each response separately.
-    let server = serve(command, |_| array("equal"));
+    let server = serve(read_command, |_| hit("equal"));
     let discovery = Discovery::start(&member("s-1", server, "m", "ready"));
-    let node = node("delayed-writes", &discovery, &[THROUGH, ONE_CONNECTION]);
+    let node = start_node("delayed-writes", &discovery, &[READ_THROUGH, ONE_CONNECTION]);
     let mut client = node.client();
     let begun = Instant::now();
     for number in 0..REQUESTS {
@@ -1569,39 +1591,39 @@
     }
     let took = begun.elapsed();
     println!("{REQUESTS} reads in {took:?}");
-    assert!(took < REQUESTS as u32 * IN_THE_MEAN, "{REQUESTS} reads took {took:?}");
+    assert!(took < REQUESTS as u32 * MEAN_RESPONSE_BOUND, "{REQUESTS} reads took {took:?}");
 }
 
 /// Guards against a write that is reported as failed because its receipt equals others, and slow commands precede the fence
 /// that confirms it.
 #[test]
-fn a_write_with_a_common_receipt_before_slow_commands_is_not_told_as_failed() {
+fn a_write_with_a_common_receipt_before_slow_commands_is_not_reported_as_failed() {
     /// Longer than the node waits for a response without hearing from the server.
     const SLOW: Duration = Duration::from_millis(600);
-    let makes: Makes = |asked| match asked[0].as_str() {
-        "CACHE.SET" => Some(bytes_of(array("OK"))),
-        _ => makes_for_key(asked),
+    let respond: Respond = |asked| match asked[0].as_str() {
+        "CACHE.SET" => Some(bytes_of(hit("OK"))),
+        _ => respond_to_key(asked),
     };
-    let server = StandIn::start(command, makes, |line, _| {
-        while line.next() {
-            if line.word(1) == "last" {
+    let server = StubServer::start(read_command, respond, |connection, _| {
+        while connection.next() {
+            if connection.word(1) == "last" {
                 // The read is pipelined behind the write before the write is answered.
-                line.next();
-                line.answer();
+                connection.next();
+                connection.answer();
                 thread::sleep(SLOW);
             }
-            while !line.unanswered.is_empty() {
-                line.answer();
+            while !connection.unanswered.is_empty() {
+                connection.answer();
             }
         }
     });
-    let (node, _discovery) = node_of("slow-behind-write", &server, &[THROUGH, ONE_CONNECTION]);
+    let (node, _discovery) = node_of("slow-behind-write", &server, &[READ_THROUGH, ONE_CONNECTION]);
     let mut clients: Vec<Client> = (0..2).map(|_| node.client()).collect();
     for id in ["w0", "w1", "w2", "w3"] {
         assert_eq!(write(&mut clients[0], id, id), "$OK");
     }
     clients[0].send(&["CACHE.SET", "last", "w4", "c=once,t=acme,d=9000", "new"]);
-    assert!(server.saw("last"));
+    assert!(server.wait_for_request("last"));
     send_read(&mut clients[1], "behind");
     assert_eq!(clients[0].answer(), "$OK");
     assert_own(&clients[1].answer(), "behind");
--- a/crates/mothpier/tests/repeating/mod.rs
+++ b/crates/mothpier/tests/duplicating_server/mod.rs
@@ -13,14 +13,14 @@
 use std::time::{Duration, Instant};
 
 use self::trace::{Record, Trace};
-use crate::world::{Reaction, array, command, miss};
+use crate::harness::{Reaction, hit, miss, read_command};
 
 /// First letter of keys that have their own value.
 pub const UNIQUE: char = 'u';
 /// First letter of keys that all have the same value.
 pub const SAME: char = 's';
 /// First letter of keys that the cache server does not have, and the origin does.
-pub const LACKED: char = 'l';
+pub const MISSING: char = 'l';
 
 /// The value of a key: the key itself, or the value that all [`SAME`] keys have.
 pub fn value_of(key: &str) -> &str {
@@ -32,25 +32,25 @@
 
 /// How a cache server delays and duplicates its responses.
 #[derive(Clone, Copy, Debug)]
-pub struct Habits {
+pub struct Behaviour {
     pub seed: u64,
     /// Share of the commands with a duplicate response.
-    pub repeated: f64,
+    pub duplicated_share: f64,
     /// Maximum delay of a duplicate after the first response.
-    pub latest_repeat: Duration,
+    pub max_duplicate_delay: Duration,
     /// Maximum time of a first response.
-    pub slowest_answer: Duration,
+    pub max_response_time: Duration,
 }
 
 /// Pseudo-random numbers (SplitMix64).
-pub struct Draws(u64);
+pub struct SeededRandom(u64);
 
-impl Draws {
+impl SeededRandom {
     /// Numbers that are determined by a seed and a name.
     pub fn new(seed: u64, name: &str) -> Self {
         // FNV-1a.
         let hash = |h: u64, byte: u8| (h ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
-        Draws(name.bytes().fold(seed ^ 0xcbf2_9ce4_8422_2325, hash))
+        SeededRandom(name.bytes().fold(seed ^ 0xcbf2_9ce4_8422_2325, hash))
     }
 
     /// Uniform in [0, 1).
@@ -68,7 +68,7 @@
 }
 
 /// A cache server on a loopback address.
-pub struct Repeater {
+pub struct DuplicatingServer {
     pub address: SocketAddr,
     pub trace: Arc<Trace>,
     /// Number of commands received per request id.
@@ -82,31 +82,31 @@
     bytes: Vec<u8>,
     due: Instant,
     /// Delay of the duplicate after the first response.
-    repeat_after: Option<Duration>,
+    duplicate_after: Option<Duration>,
 }
 
 /// A duplicate response to send. The earliest orders as the greatest, for the max-heap.
 #[derive(PartialEq, Eq)]
-struct Repeat {
+struct Duplicate {
     due: Instant,
     number: usize,
     bytes: Vec<u8>,
 }
 
-impl Ord for Repeat {
+impl Ord for Duplicate {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (other.due, other.number).cmp(&(self.due, self.number))
     }
 }
 
-impl PartialOrd for Repeat {
+impl PartialOrd for Duplicate {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Repeater {
-    pub fn start(habits: Habits) -> Self {
+impl DuplicatingServer {
+    pub fn start(behaviour: Behaviour) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let trace = Arc::new(Trace::new());
@@ -115,10 +115,10 @@
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 let (record, counted, begun) = (kept.connection(), counted.clone(), kept.begun);
-                thread::spawn(move || read_commands(stream, habits, &record, begun, &counted));
+                thread::spawn(move || read_commands(stream, behaviour, &record, begun, &counted));
             }
         });
-        Repeater { address, trace, attempts }
+        DuplicatingServer { address, trace, attempts }
     }
 
     /// Number of commands received for some request ids.
@@ -131,7 +131,7 @@
 /// Reads the commands of a connection, which another thread answers.
 fn read_commands(
     stream: TcpStream,
-    habits: Habits,
+    behaviour: Behaviour,
     record: &Arc<Mutex<Record>>,
     begun: Instant,
     attempts: &Mutex<HashMap<String, u32>>,
@@ -141,8 +141,8 @@
     let (to, pending) = channel();
     let (answers_to, kept) = (stream.try_clone().unwrap(), record.clone());
     let writer = thread::spawn(move || answer(answers_to, &pending, &kept, begun));
-    while let Some(asked) = command(&mut reader) {
-        take(&asked, habits, record, begun, attempts, &to);
+    while let Some(asked) = read_command(&mut reader) {
+        take(&asked, behaviour, record, begun, attempts, &to);
     }
     record.lock().unwrap().closed = Some(begun.elapsed());
     drop(to);
@@ -153,7 +153,7 @@
 /// Records a command, determines its responses and passes it to the thread that answers.
 fn take(
     asked: &[String],
-    habits: Habits,
+    behaviour: Behaviour,
     record: &Mutex<Record>,
     begun: Instant,
     attempts: &Mutex<HashMap<String, u32>>,
@@ -174,21 +174,26 @@
                 *count += 1;
                 *count
             };
-            let mut draws = Draws::new(habits.seed, &format!("{} {earlier}", asked[2]));
-            let due = Instant::now() + draws.up_to(habits.slowest_answer);
-            let repeated = draws.next() < habits.repeated;
-            let after = draws.up_to(habits.latest_repeat);
-            Pending { number, bytes: bytes_for(&asked[1]), due, repeat_after: repeated.then_some(after) }
+            let mut random = SeededRandom::new(behaviour.seed, &format!("{} {earlier}", asked[2]));
+            let due = Instant::now() + random.up_to(behaviour.max_response_time);
+            let is_duplicated = random.next() < behaviour.duplicated_share;
+            let after = random.up_to(behaviour.max_duplicate_delay);
+            Pending {
+                number,
+                bytes: bytes_for(&asked[1]),
+                due,
+                duplicate_after: is_duplicated.then_some(after),
+            }
         }
         "PING" => {
-            let mut draws = Draws::new(habits.seed, &format!("PING {number} behind {behind}"));
-            let repeated = draws.next() < habits.repeated;
-            let after = draws.up_to(habits.latest_repeat);
+            let mut random = SeededRandom::new(behaviour.seed, &format!("PING {number} behind {behind}"));
+            let is_duplicated = random.next() < behaviour.duplicated_share;
+            let after = random.up_to(behaviour.max_duplicate_delay);
             Pending {
                 number,
                 bytes: b"+PONG\r\n".to_vec(),
                 due: Instant::now(),
-                repeat_after: repeated.then_some(after),
+                duplicate_after: is_duplicated.then_some(after),
             }
         }
         // A probe is answered with the load only.
@@ -196,7 +201,7 @@
             number,
             bytes: b"$9\r\nbusy=0.10\r\n".to_vec(),
             due: Instant::now(),
-            repeat_after: None,
+            duplicate_after: None,
         },
     };
     // The answering thread may have ended with the connection.
@@ -205,9 +210,9 @@
 
 /// The bytes of the response to a read.
 fn bytes_for(key: &str) -> Vec<u8> {
-    let reaction = match key.starts_with(LACKED) {
+    let reaction = match key.starts_with(MISSING) {
         true => miss(),
-        false => array(value_of(key)),
+        false => hit(value_of(key)),
     };
     match reaction {
         Reaction::Answer(bytes) => bytes,
@@ -219,11 +224,11 @@
 /// other thread writes to the connection, so each response is whole.
 fn answer(mut stream: TcpStream, commands: &Receiver<Pending>, record: &Mutex<Record>, begun: Instant) {
     let mut firsts = VecDeque::<Pending>::new();
-    let mut repeats = BinaryHeap::<Repeat>::new();
+    let mut duplicates = BinaryHeap::<Duplicate>::new();
     loop {
         let first_due = firsts.front().map(|f| f.due);
-        let repeat_due = repeats.peek().map(|r| r.due);
-        let next = first_due.into_iter().chain(repeat_due).min();
+        let duplicate_due = duplicates.peek().map(|r| r.due);
+        let next = first_due.into_iter().chain(duplicate_due).min();
         let command = match next {
             None => commands.recv().map_err(|_| RecvTimeoutError::Disconnected),
             Some(due) => commands.recv_timeout(due.saturating_duration_since(Instant::now())),
@@ -237,21 +242,21 @@
             Err(RecvTimeoutError::Timeout) => {}
         }
         let first = firsts.pop_front_if(|f| Some(f.due) == next);
-        let (number, bytes, is_repeat) = match first {
+        let (number, bytes, is_duplicate) = match first {
             Some(first) => {
-                if let Some(after) = first.repeat_after {
+                if let Some(after) = first.duplicate_after {
                     let (due, bytes) = (Instant::now() + after, first.bytes.clone());
-                    repeats.push(Repeat { due, number: first.number, bytes });
+                    duplicates.push(Duplicate { due, number: first.number, bytes });
                 }
                 (first.number, first.bytes, false)
             }
-            None => match repeats.pop() {
-                Some(repeat) => (repeat.number, repeat.bytes, true),
+            None => match duplicates.pop() {
+                Some(duplicate) => (duplicate.number, duplicate.bytes, true),
                 None => continue,
             },
         };
         // Recorded before the node can receive it.
-        record.lock().unwrap().frame(begun.elapsed(), number, is_repeat);
+        record.lock().unwrap().frame(begun.elapsed(), number, is_duplicate);
         if stream.write_all(&bytes).is_err() {
             return;
         }
--- a/crates/mothpier/tests/repeating/trace.rs
+++ b/crates/mothpier/tests/duplicating_server/trace.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use super::{LACKED, value_of};
+use super::{MISSING, value_of};
 
 /// A response that was sent.
 #[derive(Clone, Debug)]
@@ -17,9 +17,9 @@
     /// Index of the command that it answers.
     pub answers: usize,
     /// Whether it is a duplicate.
-    pub is_repeat: bool,
+    pub is_duplicate: bool,
     /// Number of commands received and not yet answered.
-    pub out: usize,
+    pub open: usize,
 }
 
 /// Trace of a connection. Times are relative to the start of the server.
@@ -42,33 +42,34 @@
     }
 
     /// Records a response.
-    pub fn frame(&mut self, at: Duration, answers: usize, is_repeat: bool) {
-        let out = self.commands.len() - self.answered;
-        self.answered += usize::from(!is_repeat);
-        self.frames.push(Frame { at, answers, is_repeat, out });
+    pub fn frame(&mut self, at: Duration, answers: usize, is_duplicate: bool) {
+        let open = self.commands.len() - self.answered;
+        self.answered += usize::from(!is_duplicate);
+        self.frames.push(Frame { at, answers, is_duplicate, open });
     }
 
     /// Number of first responses that were sent between the frame at this index and the first response to its command.
     fn answers_before(&self, frame: usize) -> usize {
         let answers = self.frames[frame].answers;
-        let between = self.frames[..frame].iter().filter(|f| !f.is_repeat && f.answers > answers);
+        let between = self.frames[..frame].iter().filter(|f| !f.is_duplicate && f.answers > answers);
         between.count()
     }
 
     /// Delay of the frame at this index after the first response to its command.
     fn lateness(&self, frame: usize) -> Duration {
-        let repeat = &self.frames[frame];
-        let first = self.frames.iter().find(|f| f.answers == repeat.answers).map_or(repeat.at, |f| f.at);
-        repeat.at.saturating_sub(first)
+        let duplicate = &self.frames[frame];
+        let first =
+            self.frames.iter().find(|f| f.answers == duplicate.answers).map_or(duplicate.at, |f| f.at);
+        duplicate.at.saturating_sub(first)
     }
 
     /// Index of a command for `key` whose position among the responses holds one with `value`.
-    fn taken(&self, key: &str, value: &str) -> Option<usize> {
+    fn mismatched_command(&self, key: &str, value: &str) -> Option<usize> {
         let places = self.commands.iter().zip(&self.frames).enumerate();
         places
             .filter(|(_, ((_, asked), _))| asked == key)
             .map(|(number, (_, frame))| (number, &self.commands[frame.answers].1))
-            .find(|(_, answered)| !answered.starts_with(LACKED) && value_of(answered) == value)
+            .find(|(_, answered)| !answered.starts_with(MISSING) && value_of(answered) == value)
             .map(|(number, _)| number)
     }
 }
@@ -84,10 +85,10 @@
 pub struct Counts {
     pub connections: usize,
     pub commands: usize,
-    pub repeats: usize,
-    pub repeats_while_idle: usize,
-    pub repeats_with_one_out: usize,
-    pub repeats_with_several_out: usize,
+    pub duplicates: usize,
+    pub duplicates_while_idle: usize,
+    pub duplicates_with_one_open: usize,
+    pub duplicates_with_several_open: usize,
 }
 
 /// A wrong value that a client received.
@@ -101,7 +102,7 @@
 #[derive(Debug, Default)]
 pub struct Causes {
     /// Wrong values that were the value of a duplicate.
-    repeats: usize,
+    duplicates: usize,
     /// Wrong values that were the first response to another command: by how many positions it was shifted, and how often.
     shifted: Vec<(usize, usize)>,
     /// Wrong values that no connection's trace explains.
@@ -138,12 +139,12 @@
             let record = record.lock().unwrap();
             counts.connections += 1;
             counts.commands += record.commands.len();
-            for repeat in record.frames.iter().filter(|f| f.is_repeat) {
-                counts.repeats += 1;
-                match repeat.out {
-                    0 => counts.repeats_while_idle += 1,
-                    1 => counts.repeats_with_one_out += 1,
-                    _ => counts.repeats_with_several_out += 1,
+            for duplicate in record.frames.iter().filter(|f| f.is_duplicate) {
+                counts.duplicates += 1;
+                match duplicate.open {
+                    0 => counts.duplicates_while_idle += 1,
+                    1 => counts.duplicates_with_one_open += 1,
+                    _ => counts.duplicates_with_several_open += 1,
                 }
             }
         }
@@ -158,7 +159,7 @@
             let record = record.lock().unwrap();
             let mut here = 0;
             unexplained.retain(|w| {
-                let Some(number) = record.taken(&w.key, &w.got) else { return true };
+                let Some(number) = record.mismatched_command(&w.key, &w.got) else { return true };
                 here += 1;
                 causes.explain(&record, number);
                 false
@@ -181,9 +182,9 @@
                 .enumerate()
                 .map(|(number, (at, key))| (at.as_micros(), 0, format!("command {number} {key}")));
             let frames = record.frames.iter().enumerate().map(|(place, f)| {
-                let kind = if f.is_repeat { "repeat" } else { "answer" };
+                let kind = if f.is_duplicate { "repeat" } else { "answer" };
                 let key = &record.commands[f.answers].1;
-                (f.at.as_micros(), 1, format!("{kind} {} {key} in place {place}, {} out", f.answers, f.out))
+                (f.at.as_micros(), 1, format!("{kind} {} {key} in place {place}, {} out", f.answers, f.open))
             });
             let closed = record.closed.map(|at| (at.as_micros(), 2, "closed".to_owned()));
             let mut lines: Vec<_> = commands.chain(frames).chain(closed).collect();
@@ -213,12 +214,12 @@
     /// Records why the command at this index got the response at its position.
     fn explain(&mut self, record: &Record, number: usize) {
         let frame = &record.frames[number];
-        if frame.is_repeat {
-            self.repeats += 1;
+        if frame.is_duplicate {
+            self.duplicates += 1;
             self.lateness.push(record.lateness(number).as_micros());
             self.between.push(record.answers_before(number));
             self.waited.push(frame.at.saturating_sub(record.commands[number].0).as_micros());
-            self.crossed += usize::from(frame.out == 0);
+            self.crossed += usize::from(frame.open == 0);
             return;
         }
         let by = number - frame.answers;
@@ -242,7 +243,7 @@
 
 impl fmt::Display for Causes {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "  a duplicate: {}", self.repeats)?;
+        writeln!(f, "  a duplicate: {}", self.duplicates)?;
         for (places, count) in &self.shifted {
             writeln!(f, "  a first response, shifted by {places}: {count}")?;
         }
--- a/crates/mothpier/tests/world/mod.rs
+++ b/crates/mothpier/tests/harness/mod.rs
@@ -12,7 +12,7 @@
 use socket2::{Domain, Socket, Type};
 
 /// Time-out after which a test counts as hung. It bounds nothing else.
-pub const HUNG: Duration = Duration::from_secs(30);
+pub const HANG_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub const SETTINGS: &str = r#"{"balancers":1,"me":0,"classes":[
  {"name":"read","deadlineUs":20000000,"goalTimeUs":2000000,"lateValue":1.0,"gain":1.0,
@@ -26,7 +26,7 @@
  "guarantees":{"coldUs":10000000,"drainGraceUs":500000},"periodUs":1000}"#;
 
 /// Path for a file or folder of a test. It contains the process id, because the same tests may run in parallel.
-pub fn scratch(name: &str) -> String {
+pub fn scratch_path(name: &str) -> String {
     let folder = format!("{}/process-{}", env!("CARGO_TARGET_TMPDIR"), std::process::id());
     std::fs::create_dir_all(&folder).unwrap();
     format!("{folder}/{name}")
@@ -41,7 +41,7 @@
     Silence,
 }
 
-pub fn array(value: &str) -> Reaction {
+pub fn hit(value: &str) -> Reaction {
     Reaction::Answer(
         format!("*3\r\n${}\r\n{value}\r\n$3\r\nhit\r\n$17\r\nlat_ms=5,busy=0.1\r\n", value.len())
             .into_bytes(),
@@ -63,14 +63,14 @@
 }
 
 /// Reads a command; `None` at the end of the connection.
-pub fn command(from: &mut impl BufRead) -> Option<Vec<String>> {
+pub fn read_command(from: &mut impl BufRead) -> Option<Vec<String>> {
     let mut line = String::new();
     from.read_line(&mut line).ok().filter(|n| *n > 0)?;
     let count: usize = line.strip_prefix('*')?.trim_end().parse().ok()?;
-    (0..count).map(|_| bulk(from)).collect()
+    (0..count).map(|_| read_bulk(from)).collect()
 }
 
-fn bulk(from: &mut impl BufRead) -> Option<String> {
+fn read_bulk(from: &mut impl BufRead) -> Option<String> {
     let mut line = String::new();
     from.read_line(&mut line).ok().filter(|n| *n > 0)?;
     let length: usize = line.strip_prefix('$')?.trim_end().parse().ok()?;
@@ -81,7 +81,7 @@
 }
 
 /// Reads an HTTP request: its request line, its headers in their order, and its body.
-pub fn call(from: &mut impl BufRead) -> Option<Vec<String>> {
+pub fn read_call(from: &mut impl BufRead) -> Option<Vec<String>> {
     let (mut lines, mut length) = (Vec::new(), 0);
     loop {
         let mut line = String::new();
@@ -144,25 +144,25 @@
 }
 
 /// Returns a function that forwards the commands and calls of a server to the test.
-pub fn report(to: Sender<Vec<String>>) -> impl Fn(&[String]) + Send + Sync {
+pub fn forward_to(to: Sender<Vec<String>>) -> impl Fn(&[String]) + Send + Sync {
     let to = Mutex::new(to);
     move |asked| to.lock().unwrap().send(asked.to_vec()).unwrap_or_default()
 }
 
 /// A cache server that answers each command only when the test signals it. Returns its address, the commands it has
 /// received, and the sender of the signal.
-pub fn held(
+pub fn held_server(
     value: impl Fn(&[String]) -> String + Send + Sync + 'static,
 ) -> (SocketAddr, Receiver<Vec<String>>, Sender<()>) {
     let (arrived, commands) = channel();
-    let (go, wait) = channel::<()>();
-    let (arrived, wait) = (report(arrived), Mutex::new(wait));
-    let server = serve(command, move |asked| {
+    let (release, wait) = channel::<()>();
+    let (arrived, wait) = (forward_to(arrived), Mutex::new(wait));
+    let server = serve(read_command, move |asked| {
         arrived(asked);
         let _ = wait.lock().unwrap().recv();
-        array(&value(asked))
+        hit(&value(asked))
     });
-    (server, commands, go)
+    (server, commands, release)
 }
 
 /// A stub of discovery with a server list that can be changed. It records the calls that the node makes.
@@ -175,14 +175,14 @@
 impl Discovery {
     pub fn start(members: &str) -> Self {
         let state = Arc::new((Mutex::new((1, members.to_owned())), Condvar::new()));
-        let (told, calls) = channel();
-        let (held, told) = (state.clone(), Mutex::new(told));
-        let address = serve(call, move |asked| {
-            let told: Sender<String> = told.lock().unwrap().clone();
-            let _ = told.send(asked[0].clone());
+        let (sender, calls) = channel();
+        let (list_state, sender) = (state.clone(), Mutex::new(sender));
+        let address = serve(read_call, move |asked| {
+            let sender: Sender<String> = sender.lock().unwrap().clone();
+            let _ = sender.send(asked[0].clone());
             let after =
                 asked[0].split("after=").nth(1).and_then(|a| a.split('&').next()).map(|a| a.parse().unwrap());
-            let (lock, changed) = &*held;
+            let (lock, changed) = &*list_state;
             let mut list = lock.lock().unwrap();
             // A watch waits, however long, for a newer revision.
             while after.is_some_and(|after: u64| after >= list.0) {
@@ -194,9 +194,9 @@
     }
 
     /// Waits until the node watches for changes after `revision`, which shows that it has received that revision.
-    pub fn watched_after(&self, revision: u64) {
+    pub fn wait_for_watch_after(&self, revision: u64) {
         let wanted = format!("after={revision}&");
-        while !self.calls.recv_timeout(HUNG).expect("no call to discovery").contains(&wanted) {}
+        while !self.calls.recv_timeout(HANG_TIMEOUT).expect("no call to discovery").contains(&wanted) {}
     }
 
     pub fn change(&self, revision: u64, members: &str) {
@@ -217,7 +217,7 @@
     pub child: Child,
     pub address: SocketAddr,
     /// Address of the operations endpoint.
-    pub staff: Option<SocketAddr>,
+    pub ops_address: Option<SocketAddr>,
     /// Log lines after the start.
     log: Receiver<String>,
 }
@@ -237,11 +237,11 @@
 }
 
 /// Writes a configuration file, and returns a command that starts a node with it.
-pub fn node_command(name: &str, discovery: SocketAddr, sockets: usize, before: &str) -> Command {
-    let path = scratch(&format!("{name}.json"));
+pub fn node_command(name: &str, discovery: SocketAddr, sockets: usize, shell_prefix: &str) -> Command {
+    let path = scratch_path(&format!("{name}.json"));
     std::fs::write(&path, config(name, discovery, sockets)).unwrap();
     let mut command = Command::new("/bin/sh");
-    command.arg("-c").arg(format!("{before} exec \"$0\"")).arg(env!("CARGO_BIN_EXE_mothpier"));
+    command.arg("-c").arg(format!("{shell_prefix} exec \"$0\"")).arg(env!("CARGO_BIN_EXE_mothpier"));
     command.env("ROUTER_CONFIG", path).env_remove("ROUTER_LISTEN").env_remove("ROUTER_DISCOVERY");
     command
 }
@@ -252,13 +252,13 @@
     }
 
     /// Starts a node and waits until it has received the first server list.
-    pub fn start_with(name: &str, discovery: &Discovery, sockets: usize, before: &str) -> Self {
-        Node::run(node_command(name, discovery.address, sockets, before), discovery)
+    pub fn start_with(name: &str, discovery: &Discovery, sockets: usize, shell_prefix: &str) -> Self {
+        Node::run(node_command(name, discovery.address, sockets, shell_prefix), discovery)
     }
 
     pub fn run(command: Command, discovery: &Discovery) -> Self {
         let node = Node::spawn(command);
-        discovery.watched_after(1);
+        discovery.wait_for_watch_after(1);
         node
     }
 
@@ -266,12 +266,12 @@
     pub fn spawn(mut command: Command) -> Self {
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
         let mut log = BufReader::new(child.stderr.take().unwrap());
-        let mut staff = None;
+        let mut ops_address = None;
         let address = loop {
             let mut line = String::new();
             assert!(log.read_line(&mut line).unwrap() > 0, "the node ended during its start");
             if let Some((_, address)) = line.trim_end().split_once("serving the operations endpoint on ") {
-                staff = Some(address.parse().unwrap());
+                ops_address = Some(address.parse().unwrap());
             }
             if let Some((_, address)) = line.trim_end().split_once(" listens on ") {
                 break address.parse().unwrap();
@@ -279,7 +279,7 @@
         };
         let (logged, lines) = channel();
         thread::spawn(move || log.lines().map_while(Result::ok).try_for_each(|line| logged.send(line)));
-        Node { child, address, staff, log: lines }
+        Node { child, address, ops_address, log: lines }
     }
 
     /// Sends the process a signal, by name.
@@ -289,9 +289,10 @@
     }
 
     /// Waits for a log line that contains a text.
-    pub fn logged(&self, text: &str) -> String {
+    pub fn wait_for_log(&self, text: &str) -> String {
         loop {
-            let line = self.log.recv_timeout(HUNG).unwrap_or_else(|_| panic!("no log line with {text:?}"));
+            let line =
+                self.log.recv_timeout(HANG_TIMEOUT).unwrap_or_else(|_| panic!("no log line with {text:?}"));
             if line.contains(text) {
                 return line;
             }
@@ -299,16 +300,16 @@
     }
 
     /// CPU time that the process has used, in clock ticks of 10 ms.
-    pub fn processor_ticks(&self) -> u64 {
+    pub fn cpu_ticks(&self) -> u64 {
         let text = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
         let fields: Vec<&str> = text.rsplit(") ").next().unwrap().split(' ').collect();
         fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap()
     }
 
     /// The remaining log lines, up to the end of the process.
-    pub fn rest_of_log(&self) -> Vec<String> {
+    pub fn remaining_log(&self) -> Vec<String> {
         let mut lines = Vec::new();
-        while let Ok(line) = self.log.recv_timeout(HUNG) {
+        while let Ok(line) = self.log.recv_timeout(HANG_TIMEOUT) {
             lines.push(line);
         }
         lines
@@ -316,8 +317,8 @@
 
     /// Makes a call to the operations endpoint, and returns the whole response.
     pub fn call(&self, line: &str) -> String {
-        let mut stream = TcpStream::connect(self.staff.expect("no operations endpoint")).unwrap();
-        stream.set_read_timeout(Some(HUNG)).unwrap();
+        let mut stream = TcpStream::connect(self.ops_address.expect("no operations endpoint")).unwrap();
+        stream.set_read_timeout(Some(HANG_TIMEOUT)).unwrap();
         stream.write_all(format!("{line} HTTP/1.1\r\nHost: node\r\n\r\n").as_bytes()).unwrap();
         let mut answer = String::new();
         stream.read_to_string(&mut answer).unwrap();
@@ -330,31 +331,31 @@
     }
 
     /// Waits until the node reports ready.
-    pub fn ready(&self) {
+    pub fn wait_until_ready(&self) {
         let begun = std::time::Instant::now();
         while self.status("GET /ready") != 200 {
-            assert!(begun.elapsed() < HUNG, "never ready");
+            assert!(begun.elapsed() < HANG_TIMEOUT, "never ready");
             thread::sleep(Duration::from_millis(10));
         }
     }
 
     /// The value of a metric, by its name with labels.
-    pub fn figure(&self, name: &str) -> Option<u64> {
+    pub fn metric(&self, name: &str) -> Option<u64> {
         let text = self.call("GET /metrics");
         let line = text.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix(' '));
         line.and_then(|value| value.parse().ok())
     }
 
     /// Waits until a metric has a value.
-    pub fn figure_becomes(&self, name: &str, value: u64) {
+    pub fn wait_for_metric(&self, name: &str, value: u64) {
         let begun = std::time::Instant::now();
-        while self.figure(name) != Some(value) {
-            assert!(begun.elapsed() < HUNG, "{name} is {:?}, not {value}", self.figure(name));
+        while self.metric(name) != Some(value) {
+            assert!(begun.elapsed() < HANG_TIMEOUT, "{name} is {:?}, not {value}", self.metric(name));
             thread::sleep(Duration::from_millis(20));
         }
     }
 
-    pub fn ended(&mut self) -> ExitStatus {
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         self.child.wait().unwrap()
     }
 
@@ -368,7 +369,7 @@
 impl Client {
     pub fn connect(to: SocketAddr) -> Self {
         let stream = TcpStream::connect(to).unwrap();
-        stream.set_read_timeout(Some(HUNG)).unwrap();
+        stream.set_read_timeout(Some(HANG_TIMEOUT)).unwrap();
         Client(BufReader::new(stream))
     }
 
@@ -403,17 +404,17 @@
     }
 
     /// Reads and drops a number of bytes.
-    pub fn take(&mut self, bytes: usize) {
+    pub fn discard(&mut self, bytes: usize) {
         self.0.read_exact(&mut vec![0; bytes]).unwrap();
     }
 
     /// Shuts down the sending side of the connection.
-    pub fn ends_sending(&self) {
+    pub fn shutdown_sending(&self) {
         self.0.get_ref().shutdown(std::net::Shutdown::Write).unwrap();
     }
 
     /// The sending side, for use by another thread.
-    pub fn sending(&self) -> TcpStream {
+    pub fn sending_side(&self) -> TcpStream {
         self.0.get_ref().try_clone().unwrap()
     }
 
@@ -437,10 +438,10 @@
 }
 
 /// Starts a node with an operations endpoint and some replacements in the text of its settings.
-pub fn node(name: &str, discovery: &Discovery, changed: &[(&str, &str)]) -> Node {
-    let path = scratch(&format!("{name}-crossing.json"));
+pub fn start_node(name: &str, discovery: &Discovery, replacements: &[(&str, &str)]) -> Node {
+    let path = scratch_path(&format!("{name}-crossing.json"));
     let mut text = config(name, discovery.address, 1024);
-    for (from, to) in changed {
+    for (from, to) in replacements {
         assert!(text.contains(from), "{from} is not in the settings");
         text = text.replace(from, to);
     }
@@ -448,24 +449,24 @@
     let mut command = node_command(name, discovery.address, 1024, "");
     command.env("ROUTER_CONFIG", path).env("ROUTER_OPS", "127.0.0.1:0");
     let node = Node::run(command, discovery);
-    node.ready();
+    node.wait_until_ready();
     node
 }
 
 /// Deadlines and time-outs so long that none is reached in a test.
-pub const LONG: [(&str, &str); 3] = [
+pub const LONG_DEADLINES: [(&str, &str); 3] = [
     (r#""deadlineUs":20000000,"goalTimeUs":2000000,"#, r#""deadlineUs":600000000,"goalTimeUs":600000000,"#),
     (r#""deadlineUs":20000000,"goalTimeUs":1000000,"#, r#""deadlineUs":600000000,"goalTimeUs":600000000,"#),
     (r#""connectTimeoutUs":5000000"#, r#""connectTimeoutUs":600000000"#),
 ];
 
 /// A listener whose accept queue is full, so that connections to it are not established.
-pub struct Shut {
+pub struct FullListener {
     listener: TcpListener,
     filler: TcpStream,
 }
 
-impl Shut {
+impl FullListener {
     pub fn new() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into()).unwrap();
@@ -473,7 +474,7 @@
         socket.listen(0).unwrap();
         let listener = TcpListener::from(socket);
         let filler = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-        Shut { listener, filler }
+        FullListener { listener, filler }
     }
 
     pub fn address(&self) -> SocketAddr {
@@ -489,21 +490,21 @@
 }
 
 pub fn reader(stream: TcpStream) -> BufReader<TcpStream> {
-    stream.set_read_timeout(Some(HUNG)).unwrap();
+    stream.set_read_timeout(Some(HANG_TIMEOUT)).unwrap();
     BufReader::new(stream)
 }
 
 /// The first command or call that arrives on any connection.
-pub fn first(
+pub fn first_request(
     listener: TcpListener,
     read: fn(&mut BufReader<TcpStream>) -> Option<Vec<String>>,
 ) -> Vec<String> {
-    let (told, commands) = channel();
+    let (sender, commands) = channel();
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            let told = told.clone();
-            thread::spawn(move || read(&mut reader(stream)).map(|asked| told.send(asked)));
+            let sender = sender.clone();
+            thread::spawn(move || read(&mut reader(stream)).map(|asked| sender.send(asked)));
         }
     });
-    commands.recv_timeout(HUNG).unwrap()
+    commands.recv_timeout(HANG_TIMEOUT).unwrap()
 }
--- a/crates/mothpier/tests/interpose/daemon.rs
+++ b/crates/mothpier/tests/interpose/daemon.rs
@@ -12,14 +12,14 @@
 use std::time::{Duration, Instant};
 
 use super::{Control, Failure, temporary};
-use crate::world::{Discovery, Reaction, array, call, command, config, http, member, miss, serve};
+use crate::harness::{Discovery, Reaction, config, hit, http, member, miss, read_call, read_command, serve};
 
 /// A restarted node must be ready within this time.
-pub const READY: Duration = Duration::from_secs(6);
+pub const READY_BOUND: Duration = Duration::from_secs(6);
 /// Minimum time from SIGTERM to SIGKILL: the longest deadline, of which 3 s count at most, plus 0.7 s.
-const END: Duration = Duration::from_millis(3700);
+const EARLIEST_KILL: Duration = Duration::from_millis(3700);
 /// Polling interval when waiting for a process to end.
-const LOOK: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A cache server closes the connection after one in this many answers, so that new connections are made all the time.
 const ANSWERS_PER_CLOSE: usize = 10;
@@ -27,25 +27,25 @@
 const ECHOES: usize = 3;
 
 /// The test environment of the daemon.
-pub struct Surroundings {
+pub struct DaemonEnvironment {
     pub discovery: Discovery,
     /// Address at which the other node receives messages.
     peer: SocketAddr,
 }
 
-impl Surroundings {
+impl DaemonEnvironment {
     pub fn start() -> Self {
         let [first, second] = [0; 2].map(|_| {
             let answers = AtomicUsize::new(0);
-            serve(command, move |asked| cache(asked, answers.fetch_add(1, Ordering::Relaxed)))
+            serve(read_command, move |asked| cache(asked, answers.fetch_add(1, Ordering::Relaxed)))
         });
-        let origin = serve(call, origin);
+        let origin = serve(read_call, origin);
         let members = [
             member("s-1", first, "m", "ready"),
             member("s-2", second, "m", "ready"),
             member("s-0", origin, "origin", "ready"),
         ];
-        Surroundings { discovery: Discovery::start(&members.join(",")), peer: other_node() }
+        DaemonEnvironment { discovery: Discovery::start(&members.join(",")), peer: other_node() }
     }
 
     /// Writes a configuration file with peers and an address for clients.
@@ -89,7 +89,7 @@
 /// A cache server's reaction. The value is the id of the request, so that a client can recognize its own.
 fn cache(asked: &[String], number: usize) -> Reaction {
     let answer = match asked {
-        [name, key, id, ..] if name == "CACHE.GET" && key.starts_with("hit") => array(id),
+        [name, key, id, ..] if name == "CACHE.GET" && key.starts_with("hit") => hit(id),
         [name, ..] if name.starts_with("CACHE.") => miss(),
         _ => Reaction::Answer(b"+OK\r\n".to_vec()),
     };
@@ -139,13 +139,13 @@
         Daemon::spawn(command)
     }
 
-    /// Waits, for up to [`READY`], until the daemon listens for clients.
+    /// Waits, for up to [`READY_BOUND`], until the daemon listens for clients.
     pub fn address(&self) -> Result<SocketAddr, String> {
-        let until = Instant::now() + READY;
+        let until = Instant::now() + READY_BOUND;
         loop {
             let left = until.saturating_duration_since(Instant::now());
             let line = self.lines.recv_timeout(left).map_err(|e| match e {
-                RecvTimeoutError::Timeout => format!("not ready in {READY:?}: {}", self.log()),
+                RecvTimeoutError::Timeout => format!("not ready in {READY_BOUND:?}: {}", self.log()),
                 RecvTimeoutError::Disconnected => format!("ended during its start: {}", self.log()),
             })?;
             self.logged.lock().unwrap().push(line.clone());
@@ -187,7 +187,7 @@
                 None if begun.elapsed() > bound => {
                     return Err(format!("not ended in {bound:?}: {}", self.log()));
                 }
-                None => thread::sleep(LOOK),
+                None => thread::sleep(POLL_INTERVAL),
             }
         }
     }
@@ -195,7 +195,7 @@
     /// Ends the process with SIGTERM, and checks that it exits with success before SIGKILL would follow.
     pub fn terminate(&mut self) -> Result<(), String> {
         self.signal("TERM");
-        let status = self.ended_within(END)?;
+        let status = self.ended_within(EARLIEST_KILL)?;
         if status.success() { Ok(()) } else { Err(format!("SIGTERM ended it with {status}: {}", self.log())) }
     }
 }
--- a/crates/mothpier/tests/large.rs
+++ b/crates/mothpier/tests/large.rs
@@ -1,7 +1,7 @@
 //! Large values are passed on unchanged and as a stream, and a slow reader delays nobody else.
 #![allow(missing_docs)]
 
-mod world;
+mod harness;
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -10,9 +10,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use world::*;
+use harness::*;
 
-const LARGE: usize = 4 << 20;
+const LARGE_BYTES: usize = 4 << 20;
 
 /// Pseudo-random bytes from a seed, so that a misplaced part of any size shows.
 fn bytes(seed: u64, length: usize) -> Vec<u8> {
@@ -46,7 +46,7 @@
             let answer = answer.clone();
             thread::spawn(move || {
                 let mut reader = BufReader::new(stream.try_clone().unwrap());
-                while let Some(asked) = command(&mut reader) {
+                while let Some(asked) = read_command(&mut reader) {
                     answer(&asked, &mut stream);
                 }
             });
@@ -55,13 +55,13 @@
     address
 }
 
-fn whole(value: &[u8]) -> Vec<u8> {
+fn hit_response(value: &[u8]) -> Vec<u8> {
     [format!("*3\r\n${}\r\n", value.len()).as_bytes(), value, b"\r\n$3\r\nhit\r\n$-1\r\n"].concat()
 }
 
 fn get(node: &Node, key: &str, id: &str) -> BufReader<TcpStream> {
     let mut stream = TcpStream::connect(node.address).unwrap();
-    stream.set_read_timeout(Some(HUNG)).unwrap();
+    stream.set_read_timeout(Some(HANG_TIMEOUT)).unwrap();
     ask(&mut stream, key, id);
     BufReader::new(stream)
 }
@@ -73,24 +73,24 @@
 }
 
 /// Peak memory of a process, KiB.
-fn peak(node: &Node) -> u64 {
+fn peak_memory_kib(node: &Node) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{}/status", node.child.id())).unwrap();
     let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).unwrap();
     line.trim().trim_end_matches(" kB").trim().parse().unwrap()
 }
 
 #[test]
-fn large_values_come_byte_for_byte_from_server_and_origin_and_the_connection_goes_on() {
+fn large_values_arrive_unchanged_and_the_connection_stays_usable() {
     let cached = server(|asked, stream| {
         let bytes = match asked[1].as_str() {
             "missing" => b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n".to_vec(),
-            key => whole(&bytes(7, key.parse().unwrap())),
+            key => hit_response(&bytes(7, key.parse().unwrap())),
         };
         // Split at arbitrary places, as on a network.
         bytes.chunks(9973).for_each(|part| stream.write_all(part).unwrap_or_default());
     });
-    let origin = serve(call, |asked| {
-        let body = bytes(9, LARGE);
+    let origin = serve(read_call, |asked| {
+        let body = bytes(9, LARGE_BYTES);
         let mut answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len()).into_bytes();
         assert!(asked[0].starts_with("GET /missing"));
         answer.extend(body);
@@ -100,23 +100,23 @@
     let node = Node::start("large", &Discovery::start(&members));
     let mut client = get(&node, "70000", "a0");
     assert_eq!(value(&mut client), bytes(7, 70_000));
-    for (i, length) in [65_535, 65_536, 65_537, 65_536 + 16 * 1024, LARGE, 5].into_iter().enumerate() {
+    for (i, length) in [65_535, 65_536, 65_537, 65_536 + 16 * 1024, LARGE_BYTES, 5].into_iter().enumerate() {
         ask(client.get_mut(), &length.to_string(), &format!("a{}", i + 1));
         assert!(value(&mut client) == bytes(7, length), "{length} bytes");
     }
     ask(client.get_mut(), "missing", "b1");
     ask(client.get_mut(), "missing", "b2");
-    assert!(value(&mut client) == bytes(9, LARGE), "from the origin");
-    assert!(value(&mut client) == bytes(9, LARGE), "the next value on the connection");
-    assert!(peak(&node) < 24 * 1024, "{} KiB at the most", peak(&node));
+    assert!(value(&mut client) == bytes(9, LARGE_BYTES), "from the origin");
+    assert!(value(&mut client) == bytes(9, LARGE_BYTES), "the next value on the connection");
+    assert!(peak_memory_kib(&node) < 24 * 1024, "{} KiB at the most", peak_memory_kib(&node));
 }
 
 #[test]
-fn the_first_bytes_go_on_while_the_server_still_writes_and_pauses_are_borne() {
-    let (go, wait) = channel::<()>();
+fn values_are_streamed_and_pauses_of_the_server_tolerated() {
+    let (release, wait) = channel::<()>();
     let wait = Mutex::new(wait);
     let slow = server(move |_, stream| {
-        let answer = whole(&bytes(3, 100_000));
+        let answer = hit_response(&bytes(3, 100_000));
         stream.write_all(&answer[..50]).unwrap();
         wait.lock().unwrap().recv().unwrap();
         stream.write_all(&answer[50..60_000]).unwrap();
@@ -133,7 +133,7 @@
     let mut first = [0; 30];
     client.read_exact(&mut first).unwrap();
     assert!(first.starts_with(b"$100000\r\n"), "held back");
-    go.send(()).unwrap();
+    release.send(()).unwrap();
     let mut rest = vec![0; 100_000 + 9 + 2 - first.len()];
     client.read_exact(&mut rest).unwrap();
     let all = [&first[9..], &rest[..rest.len() - 2]].concat();
@@ -141,38 +141,38 @@
 }
 
 #[test]
-fn a_value_that_its_server_cuts_ends_the_connection_and_counts_as_failed() {
+fn a_truncated_value_closes_the_connection_and_counts_as_failed() {
     let cut = server(|asked, stream| {
-        let answer = whole(&bytes(3, 100_000));
+        let answer = hit_response(&bytes(3, 100_000));
         match asked[1].as_str() {
             "cut" => {
                 stream.write_all(&answer[..80_000]).unwrap();
                 stream.shutdown(Shutdown::Both).unwrap();
             }
-            _ => stream.write_all(&whole(b"v")).unwrap(),
+            _ => stream.write_all(&hit_response(b"v")).unwrap(),
         }
     });
     let discovery = Discovery::start(&member("s-1", cut, "m", "ready"));
     let mut command = node_command("cut", discovery.address, 1024, "");
     command.env("ROUTER_OPS", "127.0.0.1:0");
     let node = Node::run(command, &discovery);
-    node.ready();
+    node.wait_until_ready();
     let mut client = get(&node, "cut", "a1");
     let mut all = Vec::new();
     // A reset or a close: in either case fewer bytes than the header announced.
     let _ = client.read_to_end(&mut all);
     assert!(all.starts_with(b"$100000\r\n") && all.len() < 100_000, "{} bytes", all.len());
-    node.figure_becomes("edge_router_failed_total{class=\"read\"}", 1);
+    node.wait_for_metric("edge_router_failed_total{class=\"read\"}", 1);
     assert_eq!(value(&mut get(&node, "k", "a2")), b"v");
-    node.figure_becomes("edge_router_served_total{class=\"read\"}", 1);
-    node.figure_becomes("edge_router_in_flight", 0);
+    node.wait_for_metric("edge_router_served_total{class=\"read\"}", 1);
+    node.wait_for_metric("edge_router_in_flight", 0);
 }
 
 #[test]
-fn many_slow_readers_cost_little_memory_and_no_one_else() {
+fn many_slow_readers_use_little_memory_and_delay_nobody_else() {
     let large = server(|asked, stream| {
-        let value = if asked[1].starts_with("large") { bytes(5, LARGE) } else { b"v".to_vec() };
-        let _ = stream.write_all(&whole(&value));
+        let value = if asked[1].starts_with("large") { bytes(5, LARGE_BYTES) } else { b"v".to_vec() };
+        let _ = stream.write_all(&hit_response(&value));
     });
     let node = Node::start("readers", &Discovery::start(&member("s-1", large, "m", "ready")));
     // Each stops reading after the first line. A node that has just started refuses some at first.
@@ -194,12 +194,12 @@
     assert_eq!(value(&mut get(&node, "small", "b1")), b"v");
     // As fast as without the slow readers.
     assert!(asked.elapsed() < Duration::from_secs(2), "{:?}", asked.elapsed());
-    assert!(peak(&node) < 24 * 1024, "{} KiB at the most", peak(&node));
+    assert!(peak_memory_kib(&node) < 24 * 1024, "{} KiB at the most", peak_memory_kib(&node));
 }
 
 fn set(node: &Node, id: &str, length: usize) -> TcpStream {
     let mut stream = TcpStream::connect(node.address).unwrap();
-    stream.set_read_timeout(Some(HUNG)).unwrap();
+    stream.set_read_timeout(Some(HANG_TIMEOUT)).unwrap();
     let words = ["CACHE.SET", "k", id, "c=once,t=acme,d=19000"];
     let head: String = words.iter().map(|w| format!("${}\r\n{w}\r\n", w.len())).collect();
     stream.write_all(format!("*5\r\n{head}${length}\r\n").as_bytes()).unwrap();
@@ -208,12 +208,12 @@
 
 /// An origin that reports each write: the length of its body, and whether the bytes are correct.
 fn writes() -> (SocketAddr, Receiver<(usize, bool)>) {
-    let (told, seen): (Sender<(usize, bool)>, _) = channel();
+    let (sender, seen): (Sender<(usize, bool)>, _) = channel();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            let told = told.clone();
+            let sender = sender.clone();
             thread::spawn(move || {
                 let mut reader = BufReader::new(stream);
                 loop {
@@ -228,7 +228,7 @@
                     if length == 0 || reader.read_exact(&mut body).is_err() {
                         return;
                     }
-                    told.send((length, body == bytes(11, length))).unwrap();
+                    sender.send((length, body == bytes(11, length))).unwrap();
                     reader.get_mut().write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").unwrap();
                 }
             });
@@ -238,42 +238,42 @@
 }
 
 #[test]
-fn large_writes_reach_the_origin_whole_and_those_without_room_are_refused() {
+fn large_writes_arrive_unchanged_and_are_refused_beyond_the_memory_limit() {
     let (origin, seen) = writes();
     let node = Node::start("writes", &Discovery::start(&member("o-1", origin, "origin", "ready")));
-    let mut stream = set(&node, "w1", LARGE);
-    for part in bytes(11, LARGE).chunks(70_001) {
+    let mut stream = set(&node, "w1", LARGE_BYTES);
+    for part in bytes(11, LARGE_BYTES).chunks(70_001) {
         stream.write_all(part).unwrap();
     }
     stream.write_all(b"\r\n").unwrap();
     let mut reader = BufReader::new(stream);
     assert_eq!(value(&mut reader), b"ok");
-    assert_eq!(seen.recv_timeout(HUNG).unwrap(), (LARGE, true));
+    assert_eq!(seen.recv_timeout(HANG_TIMEOUT).unwrap(), (LARGE_BYTES, true));
     // Requests may use half of the 192 MB: 23 values of this size and no more. These 23 never end.
-    let held: Vec<TcpStream> = (0..23).map(|i| set(&node, &format!("h{i}"), LARGE)).collect();
+    let held: Vec<TcpStream> = (0..23).map(|i| set(&node, &format!("h{i}"), LARGE_BYTES)).collect();
     thread::sleep(Duration::from_millis(300));
-    let mut refused = set(&node, "w2", LARGE);
-    let mut told = BufReader::new(refused.try_clone().unwrap());
-    bytes(11, LARGE).chunks(70_001).for_each(|part| refused.write_all(part).unwrap());
+    let mut refused = set(&node, "w2", LARGE_BYTES);
+    let mut replies = BufReader::new(refused.try_clone().unwrap());
+    bytes(11, LARGE_BYTES).chunks(70_001).for_each(|part| refused.write_all(part).unwrap());
     refused.write_all(b"\r\n*1\r\n$4\r\nPING\r\n").unwrap();
     let mut line = String::new();
-    told.read_line(&mut line).unwrap();
+    replies.read_line(&mut line).unwrap();
     assert!(line.starts_with("-BUSY"), "{line:?}");
     line.clear();
-    told.read_line(&mut line).unwrap();
+    replies.read_line(&mut line).unwrap();
     assert_eq!(line, "+PONG\r\n", "the command behind a dropped value");
     drop(held);
-    let mut again = set(&node, "w3", LARGE);
-    again.write_all(&bytes(11, LARGE)).unwrap();
+    let mut again = set(&node, "w3", LARGE_BYTES);
+    again.write_all(&bytes(11, LARGE_BYTES)).unwrap();
     again.write_all(b"\r\n").unwrap();
     assert_eq!(value(&mut BufReader::new(again)), b"ok");
-    assert_eq!(seen.recv_timeout(HUNG).unwrap(), (LARGE, true));
+    assert_eq!(seen.recv_timeout(HANG_TIMEOUT).unwrap(), (LARGE_BYTES, true));
     assert!(seen.try_recv().is_err(), "a refused write reached the origin");
 }
 
 #[test]
-fn a_command_byte_by_byte_and_a_head_of_two_seconds_are_served() {
-    let small = server(|_, stream| stream.write_all(&whole(b"v")).unwrap());
+fn a_command_sent_byte_by_byte_over_two_seconds_is_served() {
+    let small = server(|_, stream| stream.write_all(&hit_response(b"v")).unwrap());
     let node = Node::start("pieces", &Discovery::start(&member("s-1", small, "m", "ready")));
     let words = ["CACHE.GET", "k", "slow", "c=read,t=acme,d=19000"];
     let command: String = words.iter().map(|w| format!("${}\r\n{w}\r\n", w.len())).collect();
@@ -281,7 +281,7 @@
     let pause = Duration::from_secs(2) / command.len() as u32;
     let mut stream = TcpStream::connect(node.address).unwrap();
     stream.set_nodelay(true).unwrap();
-    stream.set_read_timeout(Some(HUNG)).unwrap();
+    stream.set_read_timeout(Some(HANG_TIMEOUT)).unwrap();
     for byte in command.as_bytes() {
         stream.write_all(&[*byte]).unwrap();
         thread::sleep(pause);
--- a/crates/mothpier/tests/load/mod.rs
+++ b/crates/mothpier/tests/load/mod.rs
@@ -16,11 +16,11 @@
 /// A client opens a new connection after this many requests.
 const REQUESTS_PER_CONNECTION: usize = 8;
 /// Deadline longer than any delay that a test injects, in milliseconds.
-const PATIENT_MS: u64 = 3000;
+const LONG_DEADLINE_MS: u64 = 3000;
 /// A final answer may come this long after its deadline.
-pub const GRACE: Duration = Duration::from_millis(500);
+pub const ANSWER_GRACE: Duration = Duration::from_millis(500);
 /// Of this many requests, one is a read that misses at the cache servers, and one is a write.
-const ONE_IN: usize = 10;
+const REQUEST_CYCLE: usize = 10;
 
 /// The outcomes of requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -70,7 +70,7 @@
 impl Load {
     /// Clients with long deadlines that do not resend.
     pub fn on(node: SocketAddr) -> Self {
-        Load { node: Arc::new(Mutex::new(node)), deadlines_ms: &[PATIENT_MS], resends: false }
+        Load { node: Arc::new(Mutex::new(node)), deadlines_ms: &[LONG_DEADLINE_MS], resends: false }
     }
 
     /// Sends all requests of a round and waits for their answers. `round` makes the ids unique.
@@ -106,9 +106,9 @@
             }
             let id = format!("request-{round}-{client}-{number}");
             let deadline_ms = self.deadlines_ms[number % self.deadlines_ms.len()];
-            let rested = connection.is_some();
+            let reused = connection.is_some();
             let mut answer = self.ask(&mut connection, number, &id, deadline_ms);
-            if self.resends && rested && answer.as_ref().is_err_and(has_ended) {
+            if self.resends && reused && answer.as_ref().is_err_and(has_ended) {
                 connection = None;
                 answer = self.ask(&mut connection, number, &id, deadline_ms);
             }
@@ -133,7 +133,7 @@
             *connection = Some(BufReader::new(stream));
         }
         let Some(reader) = connection else { return Err(io::ErrorKind::NotConnected.into()) };
-        reader.get_ref().set_read_timeout(Some(Duration::from_millis(deadline_ms) + GRACE))?;
+        reader.get_ref().set_read_timeout(Some(Duration::from_millis(deadline_ms) + ANSWER_GRACE))?;
         reader.get_mut().write_all(&request(number, id, deadline_ms))?;
         answer(reader)
     }
@@ -147,7 +147,7 @@
 /// A read that hits, or now and then a read that misses or a write.
 fn request(number: usize, id: &str, deadline_ms: u64) -> Vec<u8> {
     let extras = |class: &str| format!("c={class},t=acme,d={deadline_ms}");
-    let words = match number % ONE_IN {
+    let words = match number % REQUEST_CYCLE {
         3 => vec!["CACHE.GET".into(), format!("lacking-{id}"), id.into(), extras("read")],
         7 => vec!["CACHE.SET".into(), format!("written-{id}"), id.into(), extras("once"), "value".into()],
         _ => vec!["CACHE.GET".into(), format!("hit-{id}"), id.into(), extras("read")],
