--- a/crates/mothpier/tests/node.rs
+++ b/crates/mothpier/tests/node.rs
@@ -1,7 +1,7 @@
 //! The node as a process, over loopback sockets: faults that could lose a request, repeat a write or stop the node.
 #![allow(missing_docs)]
 
-mod world;
+mod harness;
 
 use std::io::{BufReader, Read, Write};
 use std::net::{TcpListener, UdpSocket};
@@ -10,18 +10,18 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::Duration;
 
-use world::*;
+use harness::*;
 
 #[test]
-fn a_miss_is_fetched_and_the_command_goes_on_unchanged_but_for_the_wait() {
+fn a_miss_is_fetched_and_commands_are_forwarded_unchanged_but_for_the_time_left() {
     let (seen, commands) = channel();
     let (called, calls) = channel();
-    let (seen, called) = (report(seen), report(called));
-    let server = serve(command, move |asked| {
+    let (seen, called) = (forward_to(seen), forward_to(called));
+    let server = serve(read_command, move |asked| {
         seen(asked);
         miss()
     });
-    let origin = serve(call, move |asked| {
+    let origin = serve(read_call, move |asked| {
         called(asked);
         http("200 OK", "value")
     });
@@ -29,13 +29,13 @@
     let node = Node::start("miss", &Discovery::start(&members));
     let mut client = node.client();
     assert_eq!(client.ask(&["CACHE.GET", "7f3a9c21e0b4d655", "9b1f", "c=read,t=acme,d=9000,x=y"]), "$value");
-    let asked = commands.recv_timeout(HUNG).unwrap();
+    let asked = commands.recv_timeout(HANG_TIMEOUT).unwrap();
     assert_eq!(asked[..3], ["CACHE.GET", "7f3a9c21e0b4d655", "9b1f"]);
     let (wait, rest) = asked[3].strip_prefix("c=read,t=acme,d=").unwrap().split_once(',').unwrap();
     let wait: u32 = wait.parse().unwrap();
     assert!((1..=9000).contains(&wait), "{wait}");
     assert_eq!(rest, "x=y");
-    let fetch = calls.recv_timeout(HUNG).unwrap();
+    let fetch = calls.recv_timeout(HANG_TIMEOUT).unwrap();
     assert_eq!(fetch[0], "GET /7f3a9c21e0b4d655 HTTP/1.1");
     assert!(fetch.contains(&"x-request-id: 9b1f".to_owned()), "{fetch:?}");
     // Unchanged but for the time left, which is no more than what the cache server was given before.
@@ -44,14 +44,14 @@
     assert!((1..=wait).contains(&left.parse::<u32>().unwrap()), "{left}, and {wait} before");
     assert_eq!(rest, "x=y");
     assert_eq!(client.ask(&["CACHE.SET", "k1", "a2", "c=once,t=acme,d=9000,k=77", "new"]), "$value");
-    let write = calls.recv_timeout(HUNG).unwrap();
+    let write = calls.recv_timeout(HANG_TIMEOUT).unwrap();
     assert_eq!((write[0].as_str(), write.last().unwrap().as_str()), ("PUT /k1 HTTP/1.1", "new"));
     assert!(commands.try_recv().is_err(), "a write went to a cache server");
 }
 
 #[test]
 fn pipelined_commands_get_one_answer_each_in_their_order() {
-    let server = serve(command, |asked| array(&asked[2]));
+    let server = serve(read_command, |asked| hit(&asked[2]));
     let node = Node::start("pipeline", &Discovery::start(&member("s-1", server, "m", "ready")));
     let mut client = node.client();
     // As many at once as the decision module sends before it has seen the server answer.
@@ -75,12 +75,12 @@
 #[test]
 fn a_write_is_not_sent_again_after_a_reset() {
     let (called, calls) = channel();
-    let called = report(called);
-    let origin = serve(call, move |asked| {
+    let called = forward_to(called);
+    let origin = serve(read_call, move |asked| {
         called(asked);
         if asked[0].starts_with("GET /warm") { http("200 OK", "v") } else { Reaction::Reset }
     });
-    let server = serve(command, |_| miss());
+    let server = serve(read_command, |_| miss());
     let members = [member("s-1", server, "m", "ready"), member("o-1", origin, "origin", "ready")].join(",");
     let node = Node::start("reset", &Discovery::start(&members));
     let mut client = node.client();
@@ -95,8 +95,8 @@
 }
 
 #[test]
-fn what_never_ran_is_refused_with_a_time_to_come_back() {
-    let origin = serve(call, |_| {
+fn a_write_that_never_ran_is_refused_with_a_retry_time() {
+    let origin = serve(read_call, |_| {
         Reaction::Answer(b"HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n".to_vec())
     });
     let node = Node::start("refused", &Discovery::start(&member("o-1", origin, "origin", "ready")));
@@ -106,14 +106,14 @@
 }
 
 #[test]
-fn a_server_told_to_drain_gets_nothing_new() {
+fn a_draining_server_gets_no_new_requests() {
     let (drained, commands) = channel();
-    let drained = report(drained);
-    let one = serve(command, move |asked| {
+    let drained = forward_to(drained);
+    let one = serve(read_command, move |asked| {
         drained(asked);
-        array("one")
+        hit("one")
     });
-    let two = serve(command, |_| array("two"));
+    let two = serve(read_command, |_| hit("two"));
     let members = |phase| [member("s-1", one, "m", phase), member("s-2", two, "m", "ready")].join(",");
     let discovery = Discovery::start(&members("ready"));
     let node = Node::start("drain", &discovery);
@@ -122,7 +122,7 @@
         |i: u32| client.ask(&["CACHE.GET", &format!("k{i}"), &format!("i{i}"), "c=read,t=acme,d=9000"]);
     assert!((0..50).map(&mut ask).any(|a| a == "$one"), "no key belongs to the first server");
     discovery.change(2, &members("draining"));
-    discovery.watched_after(2);
+    discovery.wait_for_watch_after(2);
     let before = commands.try_iter().count();
     assert!(before > 0);
     assert!((50..100).map(&mut ask).all(|a| a == "$two"));
@@ -130,9 +130,9 @@
 }
 
 #[test]
-fn an_attempt_given_up_does_not_break_others_and_a_hung_server_costs_a_refusal() {
+fn a_timed_out_attempt_does_not_affect_others() {
     let server =
-        serve(command, |asked| if asked[1] == "hung" { Reaction::Silence } else { array(&asked[2]) });
+        serve(read_command, |asked| if asked[1] == "hung" { Reaction::Silence } else { hit(&asked[2]) });
     let node = Node::start("hung", &Discovery::start(&member("s-1", server, "m", "ready")));
     let mut client = node.client();
     client.send(&["CACHE.GET", "hung", "i1", "c=brief,t=acme,d=300"]);
@@ -143,8 +143,8 @@
 }
 
 #[test]
-fn garbage_from_a_server_ends_its_connection_only() {
-    let bad = serve(command, |_| Reaction::Answer(b"HTTP/1.1 400 what\r\n\r\n".to_vec()));
+fn invalid_data_from_a_server_closes_only_its_connection() {
+    let bad = serve(read_command, |_| Reaction::Answer(b"HTTP/1.1 400 what\r\n\r\n".to_vec()));
     let node = Node::start("garbage", &Discovery::start(&member("s-1", bad, "m", "ready")));
     let mut client = node.client();
     for i in ["1", "2"] {
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn bad_input_is_answered_and_ends_at_most_its_connection() {
+fn invalid_input_gets_an_error_and_closes_at_most_its_connection() {
     let node = Node::start("input", &Discovery::start(""));
     let mut client = node.client();
     for words in [
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn bad_configuration_is_one_plain_line() {
+fn an_invalid_configuration_is_reported_in_one_line() {
     let nowhere = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let mut command = node_command("config", nowhere, 3, "");
     let ended = command.stderr(Stdio::piped()).spawn().unwrap().wait_with_output().unwrap();
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn idle_clients_give_way_at_the_limit_and_when_descriptors_run_out() {
+fn idle_clients_are_evicted_at_the_limit_and_without_descriptors() {
     for (name, sockets, before) in [("limit", 64, ""), ("emfile", 1024, "ulimit -n 40;")] {
         let mut node = Node::start_with(name, &Discovery::start(""), sockets, before);
         let mut clients: Vec<Client> = Vec::new();
@@ -212,25 +212,25 @@
 }
 
 #[test]
-fn sigterm_lets_it_finish_what_it_took() {
-    let (server, commands, go) = held(|_| "late".into());
+fn sigterm_lets_open_requests_finish() {
+    let (server, commands, release) = held_server(|_| "late".into());
     let mut node = Node::start("sigterm", &Discovery::start(&member("s-1", server, "m", "ready")));
     let (mut idle, mut client) = (node.client(), node.client());
     assert_eq!(idle.ask(&["PING"]), "+PONG");
     client.send(&["CACHE.GET", "k", "i1", "c=read,t=acme,d=9000"]);
-    commands.recv_timeout(HUNG).unwrap();
+    commands.recv_timeout(HANG_TIMEOUT).unwrap();
     node.signal("TERM");
     // New clients are accepted for a while.
     assert_eq!(node.client().ask(&["PING"]), "+PONG");
     assert_eq!(idle.answer(), "end", "closed between requests");
-    go.send(()).unwrap();
+    release.send(()).unwrap();
     assert_eq!(client.answer(), "$late");
     assert_eq!(client.answer(), "end");
-    assert!(node.ended().success());
+    assert!(node.wait_for_exit().success());
 }
 
 #[test]
-fn a_silent_agent_does_not_hang_the_watch() {
+fn a_silent_discovery_does_not_block_the_watch() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let mut child = node_command("silent", address, 1024, "").stderr(Stdio::null()).spawn().unwrap();
@@ -245,8 +245,8 @@
 }
 
 /// Starts a node that must ask discovery for changes of the server list, with a list of revision 7 in its configuration.
-fn asking(name: &str, discovery: std::net::SocketAddr, known: &str) -> Node {
-    let path = scratch(&format!("{name}-asks.json"));
+fn start_asking_node(name: &str, discovery: std::net::SocketAddr, known: &str) -> Node {
+    let path = scratch_path(&format!("{name}-asks.json"));
     let list = format!(r#""known":{{"revision":7,"complete":true,"members":[{known}]}},"settings""#);
     let config = config(name, discovery, 1024)
         .replace(r#""settings""#, &list)
@@ -260,30 +260,30 @@
 
 /// Until discovery answers, the node serves from the list in its configuration.
 #[test]
-fn a_node_with_a_list_from_before_serves_from_its_start() {
-    let server = serve(command, |asked| array(&asked[2]));
-    let silent = serve(call, |_| Reaction::Silence);
-    let node = asking("from-before", silent, &member("s-1", server, "m", "ready"));
+fn a_node_with_a_configured_list_serves_from_its_start() {
+    let server = serve(read_command, |asked| hit(&asked[2]));
+    let silent = serve(read_call, |_| Reaction::Silence);
+    let node = start_asking_node("from-before", silent, &member("s-1", server, "m", "ready"));
     assert_eq!(node.client().ask(&["PING"]), "+PONG");
     assert_eq!(node.client().ask(&["CACHE.GET", "k", "i", "c=read,t=acme,d=9000"]), "$i");
     // Without a list, or with no cache server in it that is ready, the node can't serve yet.
     for known in
         [String::new(), member("s-1", server, "m", "draining"), member("s-1", server, "origin", "ready")]
     {
-        let node = asking("none-before", silent, &known);
+        let node = start_asking_node("none-before", silent, &known);
         assert_eq!(node.client().ask(&["PING"]), "-ERR not ready: no list of servers yet");
     }
 }
 
 /// A malformed list in the configuration must not keep the node from starting.
 #[test]
-fn a_list_from_before_that_cannot_be_read_is_said_and_not_used() {
-    let server = serve(command, |asked| array(&asked[2]));
+fn a_malformed_configured_list_is_ignored() {
+    let server = serve(read_command, |asked| hit(&asked[2]));
     let discovery = Discovery::start(&member("s-1", server, "m", "ready"));
     for (number, known) in
         ["{}", "[]", "7", r#"{"revision":-1,"complete":true,"members":[]}"#].iter().enumerate()
     {
-        let path = scratch(&format!("unreadable-{number}.json"));
+        let path = scratch_path(&format!("unreadable-{number}.json"));
         let text = config("unreadable", discovery.address, 1024);
         std::fs::write(&path, text.replace(r#""settings""#, &format!(r#""known":{known},"settings""#)))
             .unwrap();
@@ -295,12 +295,12 @@
 }
 
 /// A discovery that answers each call only shortly before the call's time-out. Returns its address and the calls made.
-fn answers_in_turn(revision: u64, members: &str) -> (std::net::SocketAddr, Receiver<Vec<String>>) {
-    let (told, calls) = channel();
-    let told = report(told);
+fn slow_discovery(revision: u64, members: &str) -> (std::net::SocketAddr, Receiver<Vec<String>>) {
+    let (sender, calls) = channel();
+    let forward = forward_to(sender);
     let list = format!(r#"{{"revision":{revision},"complete":true,"members":[{members}]}}"#);
-    let discovery = serve(call, move |asked| {
-        told(asked);
+    let discovery = serve(read_call, move |asked| {
+        forward(asked);
         std::thread::sleep(Duration::from_millis(1900));
         http("200 OK", &list)
     });
@@ -309,34 +309,40 @@
 
 /// A busy discovery answers calls in turn. A node that gave up early would have made it do the work for nothing.
 #[test]
-fn a_call_that_discovery_takes_in_turn_is_waited_for_and_asks_for_changes_only() {
-    let server = serve(command, |asked| array(&asked[2]));
-    let (discovery, calls) = answers_in_turn(8, &member("s-1", server, "m", "ready"));
-    let node = asking("in-turn", discovery, "");
-    assert!(calls.recv_timeout(HUNG).unwrap()[0].contains("after=7&"), "the whole list was asked for again");
+fn a_slow_discovery_call_is_waited_for_and_asks_for_changes_only() {
+    let server = serve(read_command, |asked| hit(&asked[2]));
+    let (discovery, calls) = slow_discovery(8, &member("s-1", server, "m", "ready"));
+    let node = start_asking_node("in-turn", discovery, "");
+    assert!(
+        calls.recv_timeout(HANG_TIMEOUT).unwrap()[0].contains("after=7&"),
+        "the whole list was asked for again"
+    );
     // The next call follows the answer to the first, with none in between.
-    assert!(calls.recv_timeout(HUNG).unwrap()[0].contains("after=8&"));
+    assert!(calls.recv_timeout(HANG_TIMEOUT).unwrap()[0].contains("after=8&"));
     assert_eq!(node.client().ask(&["CACHE.GET", "k", "i", "c=read,t=acme,d=9000"]), "$i");
 }
 
 /// After a change of the discovery address the node asks for the whole list, and waits as long for it.
 #[test]
-fn a_whole_list_that_comes_in_its_turn_is_waited_for_after_a_move() {
-    let server = serve(command, |asked| array(&asked[2]));
-    let (busy, calls) = answers_in_turn(3, &member("s-1", server, "m", "ready"));
-    let first = serve(call, |_| Reaction::Silence);
-    let node = asking("moved-in-turn", first, "");
-    let path = scratch("moved-in-turn-asks.json");
+fn a_slow_whole_list_is_waited_for_after_a_change_of_discovery() {
+    let server = serve(read_command, |asked| hit(&asked[2]));
+    let (busy, calls) = slow_discovery(3, &member("s-1", server, "m", "ready"));
+    let first = serve(read_call, |_| Reaction::Silence);
+    let node = start_asking_node("moved-in-turn", first, "");
+    let path = scratch_path("moved-in-turn-asks.json");
     let config = std::fs::read_to_string(&path).unwrap();
     std::fs::write(&path, config.replace(&first.to_string(), &busy.to_string())).unwrap();
     node.signal("HUP");
-    assert_eq!(calls.recv_timeout(HUNG).unwrap()[0], "GET /api/targets HTTP/1.1");
-    assert!(calls.recv_timeout(HUNG).unwrap()[0].contains("after=3&"), "the first call was waited for");
+    assert_eq!(calls.recv_timeout(HANG_TIMEOUT).unwrap()[0], "GET /api/targets HTTP/1.1");
+    assert!(
+        calls.recv_timeout(HANG_TIMEOUT).unwrap()[0].contains("after=3&"),
+        "the first call was waited for"
+    );
     assert_eq!(node.client().ask(&["CACHE.GET", "k", "i", "c=read,t=acme,d=9000"]), "$i");
 }
 
 #[test]
-fn clients_that_never_end_a_command_do_not_keep_others_out() {
+fn clients_with_incomplete_commands_do_not_block_others() {
     let node = Node::start_with("partial", &Discovery::start(""), 64, "");
     let mut held = Vec::new();
     for _ in 0..60 {
@@ -351,7 +357,7 @@
 
 /// A client that sends its command in pieces, with the longest pause before the last, must keep its connection.
 #[test]
-fn a_head_that_goes_on_outlives_a_crowd_that_shows_nothing() {
+fn a_slowly_sent_command_survives_connection_pressure() {
     let node = Node::start_with("slow-head", &Discovery::start(""), 64, "");
     let mut slow = node.client();
     for piece in ["*1\r\n", "$4\r\n", "PI", "NG"] {
@@ -370,15 +376,15 @@
 }
 
 #[test]
-fn peers_are_told_and_garbage_from_them_is_harmless() {
+fn peers_get_messages_and_invalid_messages_from_them_are_harmless() {
     let peer = UdpSocket::bind("127.0.0.1:0").unwrap();
-    peer.set_read_timeout(Some(HUNG)).unwrap();
+    peer.set_read_timeout(Some(HANG_TIMEOUT)).unwrap();
     let discovery = Discovery::start("");
     let mut command = node_command("peers", discovery.address, 1024, "");
     let text = config("peers", discovery.address, 1024).replace("\"balancers\":1", "\"balancers\":2");
     let own =
         format!(r#""peer_listen":"127.0.0.1:0","peers":["127.0.0.1:1","{}"],"#, peer.local_addr().unwrap());
-    let path = scratch("peers.json");
+    let path = scratch_path("peers.json");
     std::fs::write(path, text.replacen('{', &format!("{{{own}"), 1)).unwrap();
     command.stdin(Stdio::null());
     let node = Node::run(command, &discovery);
@@ -396,10 +402,10 @@
 }
 
 #[test]
-fn a_connection_that_the_origin_has_closed_is_not_used_again() {
+fn a_connection_that_the_origin_has_closed_is_not_reused() {
     let (closed, ended) = channel();
     let closed = Mutex::new(closed);
-    let origin = serve(call, move |_| {
+    let origin = serve(read_call, move |_| {
         let Reaction::Answer(bytes) = http("200 OK", "done") else { unreachable!() };
         Reaction::AnswerAndClose(bytes, Mutex::new(closed.lock().unwrap().clone()))
     });
@@ -408,38 +414,38 @@
     for i in 0..20 {
         let id = format!("w{i}");
         assert_eq!(client.ask(&["CACHE.SET", "k", &id, "c=once,t=acme,d=9000,k=5", "v"]), "$done", "{id}");
-        ended.recv_timeout(HUNG).unwrap();
+        ended.recv_timeout(HANG_TIMEOUT).unwrap();
     }
 }
 
 #[test]
-fn at_sighup_it_goes_over_to_the_discovery_of_the_file_and_a_bad_file_changes_nothing() {
+fn sighup_changes_the_discovery_and_an_invalid_file_changes_nothing() {
     let names = ["old", "second", "third"];
-    let [old, second, third] = names.map(|n| serve(command, move |_| array(n)));
+    let [old, second, third] = names.map(|n| serve(read_command, move |_| hit(n)));
     let list = |server| member("s-1", server, "m", "ready");
     // The first discovery answers once and leaves the watch open: the node must abandon that watch.
-    let agent = TcpListener::bind("127.0.0.1:0").unwrap();
-    let first = agent.local_addr().unwrap();
+    let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
+    let first = discovery.local_addr().unwrap();
     let mut started = node_command("reload", first, 1024, "");
     started.env("ROUTER_DISCOVERY", first.to_string());
     let node = Node::spawn(started);
-    let mut watch = BufReader::new(agent.accept().unwrap().0);
-    call(&mut watch).unwrap();
+    let mut watch = BufReader::new(discovery.accept().unwrap().0);
+    read_call(&mut watch).unwrap();
     let Reaction::Answer(answer) =
         http("200 OK", &format!(r#"{{"revision":900,"complete":true,"members":[{}]}}"#, list(old)))
     else {
         unreachable!()
     };
     watch.get_mut().write_all(&answer).unwrap();
-    assert!(call(&mut watch).unwrap()[0].contains("after=900&"));
+    assert!(read_call(&mut watch).unwrap()[0].contains("after=900&"));
     let mut client = node.client();
     let mut ask = |id: &str| client.ask(&["CACHE.GET", "k", id, "c=read,t=acme,d=9000"]);
     assert_eq!(ask("i1"), "$old");
 
-    let path = scratch("reload.json");
+    let path = scratch_path("reload.json");
     std::fs::write(&path, "{\"discovery\":").unwrap();
     node.signal("HUP");
-    node.logged("configuration unchanged");
+    node.wait_for_log("configuration unchanged");
     assert_eq!(ask("i2"), "$old");
 
     // Two reloads, each to a discovery whose revisions start again at 1.
@@ -448,8 +454,8 @@
         let next = Discovery::start(&list(server));
         std::fs::write(&path, config("reload", next.address, 1024)).unwrap();
         node.signal("HUP");
-        node.logged(&next.address.to_string());
-        next.watched_after(1);
+        node.wait_for_log(&next.address.to_string());
+        next.wait_for_watch_after(1);
         assert_eq!(ask(&format!("r{i}")), format!("${}", names[i + 1]));
         if i == 0 {
             watch.read_to_end(&mut left).unwrap();
@@ -459,28 +465,28 @@
 }
 
 #[test]
-fn an_id_that_is_open_is_an_error_and_leaves_the_first_request_unharmed() {
-    let (server, commands, go) = held(|asked| asked[1].clone());
+fn a_duplicate_request_id_is_an_error_and_does_not_affect_the_first_request() {
+    let (server, commands, release) = held_server(|asked| asked[1].clone());
     let node = Node::start("ids", &Discovery::start(&member("s-1", server, "m", "ready")));
     let (mut first, mut second) = (node.client(), node.client());
     first.send(&["CACHE.GET", "mine", "i1", "c=read,t=acme,d=9000"]);
-    commands.recv_timeout(HUNG).unwrap();
+    commands.recv_timeout(HANG_TIMEOUT).unwrap();
     assert!(second.ask(&["CACHE.GET", "other", "i1", "c=read,t=acme,d=9000"]).starts_with("-ERR"));
-    go.send(()).unwrap();
+    release.send(()).unwrap();
     assert_eq!(first.answer(), "$mine");
     // An id can be used again once its request is over.
-    go.send(()).unwrap();
+    release.send(()).unwrap();
     assert_eq!(second.ask(&["CACHE.GET", "other", "i1", "c=read,t=acme,d=9000"]), "$other");
     assert_eq!(commands.try_iter().count(), 1, "the id in use went on to a server");
 }
 
 #[test]
-fn what_a_cache_server_cannot_read_does_not_reach_it() {
+fn commands_that_a_cache_server_cannot_parse_are_not_forwarded() {
     let (seen, commands) = channel();
-    let seen = report(seen);
-    let server = serve(command, move |asked| {
+    let seen = forward_to(seen);
+    let server = serve(read_command, move |asked| {
         seen(asked);
-        array("v")
+        hit("v")
     });
     let node = Node::start("form", &Discovery::start(&member("s-1", server, "m", "ready")));
     let mut client = node.client();
@@ -514,31 +520,31 @@
 }
 
 #[test]
-fn silence_and_half_commands_end_but_not_requests_behind_which_a_client_waits() {
-    let (server, commands, go) = held(|_| "late".into());
+fn silent_clients_and_incomplete_commands_time_out_but_open_requests_do_not() {
+    let (server, commands, release) = held_server(|_| "late".into());
     let node = Node::start("silence", &Discovery::start(&member("s-1", server, "m", "ready")));
     let [mut silent, mut half, mut behind, mut once] = [0; 4].map(|_| node.client());
     half.write("*4\r\n$9\r\nCACHE");
     behind.send(&["CACHE.GET", "k", "i1", "c=read,t=acme,d=19000"]);
     behind.write("*4\r\n$9\r\nCACHE");
     assert_eq!(once.ask(&["PING"]), "+PONG");
-    commands.recv_timeout(HUNG).unwrap();
+    commands.recv_timeout(HANG_TIMEOUT).unwrap();
     assert_eq!(silent.answer(), "end");
     assert!(half.answer().starts_with("-ERR"));
     assert_eq!(half.answer(), "end");
     // A client that asked once and keeps its connection.
     assert_eq!(once.answer(), "end");
-    go.send(()).unwrap();
+    release.send(()).unwrap();
     assert_eq!(behind.answer(), "$late");
     assert!(behind.answer().starts_with("-ERR"));
     assert_eq!(behind.answer(), "end");
 }
 
 #[test]
-fn of_too_many_commands_at_once_those_beyond_are_refused_and_then_the_client_is_cut_off() {
+fn too_many_pipelined_commands_are_refused_and_far_too_many_close_the_connection() {
     let node = Node::start(
         "many",
-        &Discovery::start(&member("s-1", serve(command, |_| Reaction::Silence), "m", "ready")),
+        &Discovery::start(&member("s-1", serve(read_command, |_| Reaction::Silence), "m", "ready")),
     );
     let ask = |count: u32| {
         let mut client = node.client();
@@ -564,11 +570,11 @@
 }
 
 #[test]
-fn a_spoilt_answer_fails_its_attempt_and_ends_its_connection() {
+fn a_malformed_response_fails_its_attempt_and_closes_its_connection() {
     let server = TcpListener::bind("127.0.0.1:0").unwrap();
     let (called, calls) = channel();
-    let called = report(called);
-    let origin = serve(call, move |asked| {
+    let called = forward_to(called);
+    let origin = serve(read_call, move |asked| {
         called(asked);
         http("200 OK", "fetched")
     });
@@ -594,9 +600,9 @@
     {
         client.send(&["CACHE.GET", "k", &format!("i{i}"), "c=read,t=acme,d=19000"]);
         let mut connection = accept(&server);
-        command(&mut connection).unwrap();
+        read_command(&mut connection).unwrap();
         connection.get_mut().write_all(spoilt.as_bytes()).unwrap();
-        assert_eq!(command(&mut connection), None, "the connection goes on after {spoilt:?}");
+        assert_eq!(read_command(&mut connection), None, "the connection goes on after {spoilt:?}");
         let answer = client.answer();
         assert!(answer.starts_with("-BUSY"), "{spoilt:?}: {answer}");
     }
@@ -604,9 +610,9 @@
 }
 
 #[test]
-fn what_stands_behind_a_good_answer_does_not_spoil_the_next() {
+fn data_behind_a_valid_response_does_not_corrupt_the_next() {
     let good = |id: &str| format!("*3\r\n${}\r\n{id}\r\n$3\r\nhit\r\n$17\r\nlat_ms=5,busy=0.1\r\n", id.len());
-    let server = serve(command, move |asked| {
+    let server = serve(read_command, move |asked| {
         let more = match asked[1].as_str() {
             "copy" => good(&asked[2]),
             "half" => "*3\r\n$2\r\n".into(),
@@ -630,24 +636,24 @@
 }
 
 #[test]
-fn a_server_that_has_moved_gets_nothing_new_at_its_old_address() {
-    let (old, commands, go) = held(|_| "old".into());
-    let new = serve(command, |_| array("new"));
+fn a_moved_server_gets_no_new_requests_at_its_old_address() {
+    let (old, commands, release) = held_server(|_| "old".into());
+    let new = serve(read_command, |_| hit("new"));
     let discovery = Discovery::start(&member("s-1", old, "m", "ready"));
     let node = Node::start("moved", &discovery);
     let mut client = node.client();
     client.send(&["CACHE.GET", "k", "i0", "c=read,t=acme,d=9000"]);
-    commands.recv_timeout(HUNG).unwrap();
+    commands.recv_timeout(HANG_TIMEOUT).unwrap();
     discovery.change(2, &member("s-1", new, "m", "ready"));
-    discovery.watched_after(2);
-    go.send(()).unwrap();
+    discovery.wait_for_watch_after(2);
+    release.send(()).unwrap();
     assert_eq!(client.answer(), "$old");
     assert_eq!(client.ask(&["CACHE.GET", "k", "i1", "c=read,t=acme,d=9000"]), "$new");
 }
 
 /// Idle connections must not keep new clients out once the node's connections are nearly all in use.
 #[test]
-fn kept_connections_are_closed_sooner_where_many_are_open() {
+fn idle_connections_are_closed_sooner_if_many_are_open() {
     let node = Node::start_with("kept", &Discovery::start(""), 64, "");
     let since = std::time::Instant::now();
     let (ended, ends) = channel();
@@ -660,7 +666,7 @@
     // Connections are closed until fewer than half of the 30 are open. Which ones is undefined: all have been idle
     // equally long, and their timers fire in the same tick of the runtime, in no order.
     for _ in 0..11 {
-        assert_eq!(ends.recv_timeout(HUNG).unwrap(), "end");
+        assert_eq!(ends.recv_timeout(HANG_TIMEOUT).unwrap(), "end");
     }
     // The usual idle time-out is 10 s.
     assert!(since.elapsed().as_secs() < 8, "{:?}", since.elapsed());
--- a/crates/mothpier/tests/opening.rs
+++ b/crates/mothpier/tests/opening.rs
@@ -1,7 +1,7 @@
 //! A node retries to open its addresses while that fails, and reports an error if it fails permanently.
 #![allow(missing_docs)]
 
-mod world;
+mod harness;
 
 #[path = "../../host/tests/interposed/mod.rs"]
 mod interposed;
@@ -11,13 +11,13 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+use harness::{Discovery, Node, config, hit, member, node_command, read_command, scratch_path, serve};
 use interposed::let_calls_fail;
-use world::{Discovery, Node, array, command, config, member, node_command, scratch, serve};
 
 /// Nine of ten starts must be ready within this time.
-const READY: Duration = Duration::from_secs(6);
+const READY_BOUND: Duration = Duration::from_secs(6);
 /// A start that can't succeed must end within this time, the longest that any node may take to be ready.
-const ENDED: Duration = Duration::from_secs(30);
+const FAILED_START_BOUND: Duration = Duration::from_secs(30);
 
 /// A TCP address that is not in use.
 fn free_address() -> SocketAddr {
@@ -30,14 +30,14 @@
 
 /// A command that starts a node which opens all four addresses: for clients, for the operations endpoint, for peers and
 /// for the agreement.
-fn start_of_four_addresses(name: &str, discovery: &Discovery, listen: SocketAddr) -> Command {
+fn command_with_four_addresses(name: &str, discovery: &Discovery, listen: SocketAddr) -> Command {
     let (peers, agreement) = (free_datagram_address(), free_datagram_address());
-    let operator = scratch(&format!("{name}-opening.toml"));
+    let operator = scratch_path(&format!("{name}-opening.toml"));
     let text = format!(
         "[places]\non = true\n[accord]\non = true\nvoters = [0]\nlisten = \"{agreement}\"\nmembers = [\"{agreement}\"]\n"
     );
     std::fs::write(&operator, text).unwrap();
-    let path = scratch(&format!("{name}-opening.json"));
+    let path = scratch_path(&format!("{name}-opening.json"));
     let addresses = format!(r#""peer_listen":"{peers}","peers":["{peers}"],"limits""#);
     let text = config(name, discovery.address, 1024);
     let text = text.replacen(r#""limits""#, &addresses, 1).replace("127.0.0.1:0", &listen.to_string());
@@ -53,12 +53,12 @@
 }
 
 fn discovery() -> Discovery {
-    let server = serve(command, |_| array("v"));
+    let server = serve(read_command, |_| hit("v"));
     Discovery::start(&member("s-1", server, "m", "ready"))
 }
 
 /// Runs a start that must fail, and returns its log and how long it took.
-fn failed(mut command: Command) -> (String, Duration) {
+fn run_failing_start(mut command: Command) -> (String, Duration) {
     let began = Instant::now();
     let Output { status, stderr, .. } = command.stderr(Stdio::piped()).output().unwrap();
     let log = String::from_utf8(stderr).unwrap();
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_failure_that_passes_at_any_address_is_outlived() {
+fn transient_failures_at_any_address_are_retried() {
     let discovery = discovery();
     let rules = [
         // With `:1:3` the first three calls fail; with `:2` every second call does, so one for each address.
@@ -87,22 +87,22 @@
     for (call, number, when) in rules {
         let rule = format!("{call}:{number}{when}");
         let listen = free_address();
-        let mut command = start_of_four_addresses("passing", &discovery, listen);
+        let mut command = command_with_four_addresses("passing", &discovery, listen);
         let_calls_fail(&mut command, &rule);
         let began = Instant::now();
         let node = Node::spawn(command);
-        node.ready();
-        assert!(began.elapsed() < READY, "{rule}: ready after {:?}", began.elapsed());
+        node.wait_until_ready();
+        assert!(began.elapsed() < READY_BOUND, "{rule}: ready after {:?}", began.elapsed());
         assert_eq!(node.address, listen, "{rule}");
     }
 }
 
 #[test]
-fn an_address_that_another_process_lets_go_of_is_taken_then() {
+fn an_address_is_taken_once_another_process_releases_it() {
     let discovery = discovery();
     let before = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let listen = before.local_addr().unwrap();
-    let command = start_of_four_addresses("restart", &discovery, listen);
+    let command = command_with_four_addresses("restart", &discovery, listen);
     let ends = thread::spawn(move || {
         thread::sleep(Duration::from_millis(700));
         drop(before);
@@ -113,13 +113,13 @@
 }
 
 #[test]
-fn an_address_that_another_process_keeps_ends_the_start_with_a_clear_line() {
+fn an_address_in_use_ends_the_start_with_a_clear_line() {
     let discovery = discovery();
     let taken = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let listen = taken.local_addr().unwrap();
-    let (log, took) = failed(start_of_four_addresses("kept", &discovery, listen));
+    let (log, took) = run_failing_start(command_with_four_addresses("kept", &discovery, listen));
     assert!(log.contains(&format!("cannot listen on {listen}: Address already in use")), "{log}");
-    assert!(took < ENDED, "{took:?}");
+    assert!(took < FAILED_START_BOUND, "{took:?}");
 }
 
 #[test]
@@ -127,19 +127,19 @@
     let discovery = discovery();
     // An address reserved for documentation (TEST-NET-1), which no machine has.
     let listen = SocketAddr::from((Ipv4Addr::new(192, 0, 2, 1), 6379));
-    let (log, took) = failed(start_of_four_addresses("elsewhere", &discovery, listen));
+    let (log, took) = run_failing_start(command_with_four_addresses("elsewhere", &discovery, listen));
     assert!(log.contains(&format!("cannot listen on {listen}: Cannot assign requested address")), "{log}");
-    assert!(took < READY, "{took:?}");
+    assert!(took < READY_BOUND, "{took:?}");
 }
 
 #[test]
-fn an_address_that_is_not_allowed_ends_the_start_at_once() {
+fn a_forbidden_address_ends_the_start_at_once() {
     let discovery = discovery();
     let listen = free_address();
-    let mut command = start_of_four_addresses("forbidden", &discovery, listen);
+    let mut command = command_with_four_addresses("forbidden", &discovery, listen);
     let_calls_fail(&mut command, &format!("bind:{}:1", libc::EACCES));
-    let (log, took) = failed(command);
+    let (log, took) = run_failing_start(command);
     assert!(log.contains("for the operations endpoint: Permission denied"), "{log}");
     assert!(!log.contains("yet"), "retried: {log}");
-    assert!(took < READY, "{took:?}");
+    assert!(took < READY_BOUND, "{took:?}");
 }
--- a/crates/mothpier/tests/staff.rs
+++ b/crates/mothpier/tests/operations_endpoint.rs
@@ -1,7 +1,7 @@
 //! The operations endpoint of a node: metrics compared with the requests that were made, drains, and callers that hang.
 #![allow(missing_docs)]
 
-mod world;
+mod harness;
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -10,17 +10,17 @@
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
-use world::*;
+use harness::*;
 
 /// Starts a node with an operations endpoint.
-fn staffed(name: &str, discovery: &Discovery) -> Node {
-    let node = Node::run(staffed_command(name, discovery, "127.0.0.1:0"), discovery);
+fn node_with_ops(name: &str, discovery: &Discovery) -> Node {
+    let node = Node::run(command_with_ops(name, discovery, "127.0.0.1:0"), discovery);
     // The node has asked for the next revision of the list, and may not have applied this one yet.
-    node.ready();
+    node.wait_until_ready();
     node
 }
 
-fn staffed_command(name: &str, discovery: &Discovery, ops: &str) -> std::process::Command {
+fn command_with_ops(name: &str, discovery: &Discovery, ops: &str) -> std::process::Command {
     let mut command = node_command(name, discovery.address, 1024, "");
     command.env("ROUTER_OPS", ops);
     command
@@ -31,29 +31,29 @@
     let (arrived, commands) = channel();
     let arrived = Mutex::new(arrived);
     // The key decides the outcome: served, failing, silent, or missing at the server with a busy origin.
-    let server = serve(command, move |asked| {
+    let server = serve(read_command, move |asked| {
         let _ = arrived.lock().unwrap().send(asked[1].clone());
         match asked[1].as_str() {
             "fails" => Reaction::Answer(b"-ERR failed\r\n".to_vec()),
             "silent" => Reaction::Silence,
             "missing" => miss(),
-            _ => array("value"),
+            _ => hit("value"),
         }
     });
-    let origin = serve(call, |asked| match asked[0].starts_with("PUT /reset") {
+    let origin = serve(read_call, |asked| match asked[0].starts_with("PUT /reset") {
         true => Reaction::Reset,
         false => Reaction::Answer(b"HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n".to_vec()),
     });
     let members = [member("s-1", server, "m", "ready"), member("o-1", origin, "origin", "ready")].join(",");
-    let node = staffed("ends", &Discovery::start(&members));
+    let node = node_with_ops("ends", &Discovery::start(&members));
     for class in ["read", "once", "brief"] {
         for end in ["served", "refused", "failed"] {
             let name = format!("edge_router_{end}_total{{class=\"{class}\"}}");
-            assert_eq!(node.figure(&name), Some(0), "{name} at the start");
+            assert_eq!(node.metric(&name), Some(0), "{name} at the start");
         }
     }
-    node.figure_becomes("edge_router_cache_servers_known", 1);
-    assert_eq!(node.figure("edge_router_cache_servers_excluded"), Some(0));
+    node.wait_for_metric("edge_router_cache_servers_known", 1);
+    assert_eq!(node.metric("edge_router_cache_servers_excluded"), Some(0));
     let mut client = node.client();
     let mut account = [0u64; 3];
     let mut ask = |key: &str, id: &str, extras: &str, write: bool| {
@@ -78,73 +78,73 @@
     let sum = |end: &str| -> u64 {
         let classes = ["read", "once", "brief"];
         let names = classes.map(|class| format!("edge_router_{end}_total{{class=\"{class}\"}}"));
-        names.iter().filter_map(|name| node.figure(name)).sum()
+        names.iter().filter_map(|name| node.metric(name)).sum()
     };
-    node.figure_becomes("edge_router_in_flight", 0);
+    node.wait_for_metric("edge_router_in_flight", 0);
     assert_eq!(["served", "refused", "failed"].map(sum), account);
-    assert_eq!(node.figure("edge_router_served_total{class=\"read\"}"), Some(2));
-    assert_eq!(node.figure("edge_router_failed_total{class=\"read\"}"), Some(1));
+    assert_eq!(node.metric("edge_router_served_total{class=\"read\"}"), Some(2));
+    assert_eq!(node.metric("edge_router_failed_total{class=\"read\"}"), Some(1));
     // A request that its client abandons is in flight until then, and counts as none of the three.
     while commands.try_recv().is_ok() {}
     let mut gone = node.client();
     gone.send(&["CACHE.GET", "silent", "e1", "c=read,t=acme,d=9000"]);
-    assert_eq!(commands.recv_timeout(HUNG).unwrap(), "silent");
-    assert_eq!(node.figure("edge_router_in_flight"), Some(1));
+    assert_eq!(commands.recv_timeout(HANG_TIMEOUT).unwrap(), "silent");
+    assert_eq!(node.metric("edge_router_in_flight"), Some(1));
     drop(gone);
-    node.figure_becomes("edge_router_in_flight", 0);
+    node.wait_for_metric("edge_router_in_flight", 0);
     assert_eq!(["served", "refused", "failed"].map(sum), account);
-    assert!(node.figure("edge_router_attempts_total").unwrap() >= 6);
-    assert!(node.figure("edge_router_connects_total").unwrap() >= 1);
-    node.figure_becomes("edge_router_origin_calls_out", 0);
-    assert!(node.figure("edge_router_origin_calls_limit").unwrap() >= 1);
-    assert_eq!(node.figure("edge_router_list_calls_failed_total"), Some(0));
+    assert!(node.metric("edge_router_attempts_total").unwrap() >= 6);
+    assert!(node.metric("edge_router_connects_total").unwrap() >= 1);
+    node.wait_for_metric("edge_router_origin_calls_out", 0);
+    assert!(node.metric("edge_router_origin_calls_limit").unwrap() >= 1);
+    assert_eq!(node.metric("edge_router_list_calls_failed_total"), Some(0));
 }
 
 #[test]
-fn a_drained_node_answers_what_it_took_lets_go_of_its_clients_and_comes_back() {
-    let (server, commands, go) = held(|asked| asked[2].clone());
+fn a_drained_node_answers_open_requests_closes_connections_and_can_be_undrained() {
+    let (server, commands, release) = held_server(|asked| asked[2].clone());
     let discovery = Discovery::start(&member("s-1", server, "m", "ready"));
-    let node = staffed("drain", &discovery);
+    let node = node_with_ops("drain", &discovery);
     assert_eq!(node.status("GET /ready"), 200);
-    let (mut busy, mut resting, mut pings) = (node.client(), node.client(), node.client());
-    assert_eq!(resting.ask(&["PING"]), "+PONG");
+    let (mut busy, mut idle, mut pings) = (node.client(), node.client(), node.client());
+    assert_eq!(idle.ask(&["PING"]), "+PONG");
     busy.send(&["CACHE.GET", "k", "id1", "c=read,t=acme,d=9000"]);
-    commands.recv_timeout(HUNG).unwrap();
+    commands.recv_timeout(HANG_TIMEOUT).unwrap();
     assert_eq!(node.status("PUT /drain"), 200);
     assert_eq!(node.status("PUT /drain"), 200, "a second time");
     assert_eq!(node.status("GET /ready"), 503);
     assert_eq!(pings.ask(&["PING"]), "-ERR drained");
     // Idle connections are closed well before 4 s; one with an open request stays until it is answered.
     let begun = Instant::now();
-    assert_eq!(resting.answer(), "end");
+    assert_eq!(idle.answer(), "end");
     assert!(begun.elapsed() < Duration::from_secs(2), "{:?}", begun.elapsed());
     assert_eq!(node.client().ask(&["PING"]), "-ERR drained", "a drained node still accepts connections");
     // A reload does not undo a drain.
     node.signal("HUP");
-    node.logged("configuration read again");
+    node.wait_for_log("configuration read again");
     assert_eq!(node.client().ask(&["PING"]), "-ERR drained");
-    go.send(()).unwrap();
+    release.send(()).unwrap();
     assert_eq!(busy.answer(), "$id1");
     assert_eq!(busy.answer(), "end");
     assert_eq!(node.status("PUT /undrain"), 200);
     assert_eq!(node.client().ask(&["PING"]), "+PONG");
     let mut again = node.client();
-    go.send(()).unwrap();
+    release.send(()).unwrap();
     assert_eq!(again.ask(&["CACHE.GET", "k", "id2", "c=read,t=acme,d=9000"]), "$id2");
     assert_eq!(again.ask(&["PING"]), "+PONG", "closed after the undrain");
     // A drained node shuts down in order, and can't be undrained while it does.
     assert_eq!(node.status("PUT /drain"), 200);
     node.signal("TERM");
-    node.logged("stopping");
+    node.wait_for_log("stopping");
     assert_eq!(node.status("PUT /undrain"), 409);
     let mut node = node;
-    assert!(node.ended().success());
+    assert!(node.wait_for_exit().success());
 }
 
 #[test]
-fn an_undrain_in_the_middle_of_a_drain_keeps_connections() {
-    let server = serve(command, |asked| array(&asked[2]));
-    let node = staffed("undrain", &Discovery::start(&member("s-1", server, "m", "ready")));
+fn an_undrain_during_a_drain_keeps_connections() {
+    let server = serve(read_command, |asked| hit(&asked[2]));
+    let node = node_with_ops("undrain", &Discovery::start(&member("s-1", server, "m", "ready")));
     let mut client = node.client();
     assert_eq!(client.ask(&["PING"]), "+PONG");
     assert_eq!(node.status("PUT /drain"), 200);
@@ -155,11 +155,11 @@
 }
 
 #[test]
-fn a_request_that_crosses_a_drains_close_meets_the_end_and_no_reset() {
-    let server = serve(command, |asked| array(&asked[2]));
-    let node = staffed("crossing", &Discovery::start(&member("s-1", server, "m", "ready")));
+fn a_request_that_crosses_the_close_of_a_drain_gets_no_reset() {
+    let server = serve(read_command, |asked| hit(&asked[2]));
+    let node = node_with_ops("crossing", &Discovery::start(&member("s-1", server, "m", "ready")));
     let mut stream = TcpStream::connect(node.address).unwrap();
-    stream.set_read_timeout(Some(HUNG)).unwrap();
+    stream.set_read_timeout(Some(HANG_TIMEOUT)).unwrap();
     stream.write_all(b"*1\r\n$4\r\nPING\r\n").unwrap();
     let mut buffer = [0; 64];
     assert_eq!(stream.read(&mut buffer).unwrap(), 7);
@@ -172,16 +172,16 @@
 }
 
 #[test]
-fn callers_that_never_finish_keep_nobody_out() {
-    let server = serve(command, |_| array("v"));
-    let node = staffed("hangers", &Discovery::start(&member("s-1", server, "m", "ready")));
-    let staff = node.staff.unwrap();
-    let hang = |_| {
-        let mut stream = TcpStream::connect(staff).unwrap();
+fn callers_that_hang_do_not_block_others() {
+    let server = serve(read_command, |_| hit("v"));
+    let node = node_with_ops("hangers", &Discovery::start(&member("s-1", server, "m", "ready")));
+    let ops_address = node.ops_address.unwrap();
+    let hanging_call = |_| {
+        let mut stream = TcpStream::connect(ops_address).unwrap();
         stream.write_all(b"GET /ready HTT").unwrap();
         stream
     };
-    let mut held: Vec<TcpStream> = (0..200).map(hang).collect();
+    let mut held: Vec<TcpStream> = (0..200).map(hanging_call).collect();
     for _ in 0..5 {
         let begun = Instant::now();
         assert_eq!(node.status("GET /ready"), 200);
@@ -189,16 +189,16 @@
     }
     // The last connection was accepted, and gets a request time-out.
     let mut last = held.pop().unwrap();
-    last.set_read_timeout(Some(HUNG)).unwrap();
-    let mut told = String::new();
-    last.read_to_string(&mut told).unwrap();
-    assert!(told.starts_with("HTTP/1.1 408 "), "{told:?}");
+    last.set_read_timeout(Some(HANG_TIMEOUT)).unwrap();
+    let mut response = String::new();
+    last.read_to_string(&mut response).unwrap();
+    assert!(response.starts_with("HTTP/1.1 408 "), "{response:?}");
 }
 
 #[test]
-fn a_node_with_more_to_do_than_it_can_answers_staff_in_time() {
-    let server = serve(command, |_| array("v"));
-    let node = staffed("saturated", &Discovery::start(&member("s-1", server, "m", "ready")));
+fn a_saturated_node_answers_operators_in_time() {
+    let server = serve(read_command, |_| hit("v"));
+    let node = node_with_ops("saturated", &Discovery::start(&member("s-1", server, "m", "ready")));
     let flood: Vec<_> = (0..3)
         .map(|_| {
             let stream = TcpStream::connect(node.address).unwrap();
@@ -213,20 +213,20 @@
     for _ in 0..20 {
         let begun = Instant::now();
         assert_eq!(node.status("GET /ready"), 200);
-        assert!(node.figure("edge_router_in_flight").is_some());
+        assert!(node.metric("edge_router_in_flight").is_some());
         assert!(begun.elapsed() < Duration::from_secs(2), "two calls took {:?}", begun.elapsed());
     }
     flood.iter().for_each(|stream| drop(stream.shutdown(std::net::Shutdown::Both)));
 }
 
 #[test]
-fn without_a_second_address_nothing_listens_and_one_that_is_taken_ends_the_start() {
-    let server = serve(command, |_| array("v"));
+fn the_operations_endpoint_is_optional_and_an_address_in_use_ends_the_start() {
+    let server = serve(read_command, |_| hit("v"));
     let discovery = Discovery::start(&member("s-1", server, "m", "ready"));
-    assert_eq!(Node::start("unstaffed", &discovery).staff, None);
+    assert_eq!(Node::start("unstaffed", &discovery).ops_address, None);
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = taken.local_addr().unwrap().to_string();
-    let mut command = staffed_command("taken", &discovery, &address);
+    let mut command = command_with_ops("taken", &discovery, &address);
     let ended = command.stderr(Stdio::piped()).output().unwrap();
     let log = String::from_utf8(ended.stderr).unwrap();
     assert!(
--- a/crates/mothpier/tests/process_end.rs
+++ b/crates/mothpier/tests/process_end.rs
@@ -1,7 +1,7 @@
 //! A node that is shut down answers every request that it has read.
 #![allow(missing_docs)]
 
-mod world;
+mod harness;
 
 use std::collections::VecDeque;
 use std::io::Write;
@@ -10,25 +10,27 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use world::{Discovery, HUNG, LONG, Node, Reaction, array, command, member, node, serve};
+use harness::{
+    Discovery, HANG_TIMEOUT, LONG_DEADLINES, Node, Reaction, hit, member, read_command, serve, start_node,
+};
 
 /// Delay after SIGTERM, at which the node forwards no more requests (from 3.35 s on) and has not yet failed the open ones
 /// (3.5 s). A shutdown counts at most 3 s of the longest deadline.
-const NEAR_THE_END: Duration = Duration::from_millis(3380);
+const LATE_REQUEST_DELAY: Duration = Duration::from_millis(3380);
 /// Maximum number of runs. A run in which the test was delayed past that time proves nothing.
-const RUNS: usize = 5;
+const MAX_RUNS: usize = 5;
 
 #[test]
-fn a_request_behind_one_that_is_open_at_the_end_is_refused_and_not_left_unread() {
-    for run in 0..RUNS {
-        let silent = serve(command, |_| Reaction::Silence);
+fn a_request_behind_one_that_is_open_at_the_end_is_refused() {
+    for run in 0..MAX_RUNS {
+        let silent = serve(read_command, |_| Reaction::Silence);
         let discovery = Discovery::start(&member("s-1", silent, "m", "ready"));
-        let mut node = node(&format!("end-{run}"), &discovery, &LONG);
+        let mut node = start_node(&format!("end-{run}"), &discovery, &LONG_DEADLINES);
         let mut client = node.client();
         client.send(&["CACHE.GET", "k", "open", "c=read,t=acme,d=600000"]);
-        node.figure_becomes("edge_router_in_flight", 1);
+        node.wait_for_metric("edge_router_in_flight", 1);
         node.signal("TERM");
-        thread::sleep(NEAR_THE_END);
+        thread::sleep(LATE_REQUEST_DELAY);
         client.send(&["CACHE.GET", "k", "behind", "c=read,t=acme,d=600000"]);
         if client.has_ended() {
             continue;
@@ -38,36 +40,36 @@
         assert_eq!(client.answer(), "end");
         drop(client);
         let _ = node.child.kill();
-        node.ended();
+        node.wait_for_exit();
         return;
     }
-    panic!("the test was delayed in each of {RUNS} runs");
+    panic!("the test was delayed in each of {MAX_RUNS} runs");
 }
 
-/// Deadline of all classes in [`SHORT`].
+/// Deadline of all classes in [`SHORT_DEADLINES`].
 const SHORT_DEADLINE: Duration = Duration::from_millis(50);
-const SHORT: [(&str, &str); 3] = [
+const SHORT_DEADLINES: [(&str, &str); 3] = [
     (r#""deadlineUs":20000000,"goalTimeUs":2000000,"#, r#""deadlineUs":50000,"goalTimeUs":50000,"#),
     (r#""deadlineUs":20000000,"goalTimeUs":1000000,"#, r#""deadlineUs":50000,"goalTimeUs":50000,"#),
     (r#""deadlineUs":400000,"goalTimeUs":400000,"#, r#""deadlineUs":50000,"goalTimeUs":50000,"#),
 ];
 /// Response time of the cache server for "slow" keys.
-const SLOW: Duration = Duration::from_millis(25);
+const SLOW_RESPONSE_TIME: Duration = Duration::from_millis(25);
 /// Response time for "late" keys: longer than the deadline.
-const LATE: Duration = Duration::from_millis(60);
+const LATE_RESPONSE_TIME: Duration = Duration::from_millis(60);
 /// Time from the longest deadline, counted from SIGTERM, to SIGKILL.
 const BEYOND_DEADLINE: Duration = Duration::from_millis(700);
 /// From this time after SIGTERM on, connections that are idle for a moment are closed. Some must stay in use for longer.
 const LAST_USE: Duration = Duration::from_millis(300);
 /// A request that was sent this long before the client saw its connection closed counts as read by the node.
-const CROSSING: Duration = Duration::from_millis(20);
+const CLOSE_CROSSING: Duration = Duration::from_millis(20);
 /// A scheduling delay of this length, of the test or of the node, makes a run inconclusive.
-const HELD_UP: Duration = Duration::from_millis(10);
+const MAX_SCHEDULING_DELAY: Duration = Duration::from_millis(10);
 /// Maximum number of runs with [`SHORT_DEADLINE`]: see `end_with_short_deadlines`.
-const SHORT_RUNS: usize = 12;
+const MAX_SHORT_RUNS: usize = 12;
 
 /// The outcome of the requests on a connection that a client uses until the node closes it.
-struct Used {
+struct ConnectionUse {
     /// Ids of the requests without an answer and when each was sent, in order.
     unanswered: VecDeque<(String, Instant)>,
     /// When each answered request was sent.
@@ -77,9 +79,14 @@
 }
 
 /// Sends a request after each pause, whether or not the last one is answered, until the node closes the connection.
-fn use_to_the_end(node: &Node, number: usize, kind: &'static str, pause: Duration) -> JoinHandle<Used> {
+fn use_until_closed(
+    node: &Node,
+    number: usize,
+    kind: &'static str,
+    pause: Duration,
+) -> JoinHandle<ConnectionUse> {
     let mut client = node.client();
-    let mut sending = client.sending();
+    let mut sending = client.sending_side();
     // With Nagle's algorithm a request could wait in this machine for the acknowledgement of the one before it.
     sending.set_nodelay(true).unwrap();
     let open = Arc::new(Mutex::new(VecDeque::new()));
@@ -109,7 +116,11 @@
             let answer = client.answer();
             if answer == "end" {
                 let ended = Instant::now();
-                return Used { unanswered: std::mem::take(&mut *open.lock().unwrap()), answered, ended };
+                return ConnectionUse {
+                    unanswered: std::mem::take(&mut *open.lock().unwrap()),
+                    answered,
+                    ended,
+                };
             }
             let (id, at) = open.lock().unwrap().pop_front().expect("an answer without a request");
             let refused = answer.starts_with("-BUSY") || answer.starts_with("-ERR failed");
@@ -120,21 +131,21 @@
 }
 
 /// Time since its start for which a process was runnable and did not run. `None` once it has ended.
-fn time_not_run(process: u32) -> Option<Duration> {
+fn run_queue_wait(process: u32) -> Option<Duration> {
     let text = std::fs::read_to_string(format!("/proc/{process}/schedstat")).ok()?;
     Some(Duration::from_nanos(text.split(' ').nth(1)?.parse().ok()?))
 }
 
 /// Measures, until `stop` is set, the longest scheduling delay of the test or of a process.
-fn watch_machine(process: u32, stop: Arc<AtomicBool>) -> JoinHandle<Duration> {
+fn measure_scheduling_delay(process: u32, stop: Arc<AtomicBool>) -> JoinHandle<Duration> {
     const STEP: Duration = Duration::from_millis(2);
     thread::spawn(move || {
         let mut most = Duration::ZERO;
-        let mut before = time_not_run(process).expect("no scheduler statistics of the process");
+        let mut before = run_queue_wait(process).expect("no scheduler statistics of the process");
         while !stop.load(Ordering::Relaxed) {
             let begun = Instant::now();
             thread::sleep(STEP);
-            let now = time_not_run(process).unwrap_or(before);
+            let now = run_queue_wait(process).unwrap_or(before);
             most = most.max(begun.elapsed().saturating_sub(STEP)).max(now.saturating_sub(before));
             before = now;
         }
@@ -143,14 +154,14 @@
 }
 
 /// Waits for the node's process to exit, and returns when that was.
-fn ended_by_itself(node: &mut Node) -> Instant {
+fn wait_for_own_exit(node: &mut Node) -> Instant {
     let begun = Instant::now();
     loop {
         if let Some(status) = node.child.try_wait().unwrap() {
             assert!(status.success(), "{status}");
             return Instant::now();
         }
-        assert!(begun.elapsed() < HUNG, "the process does not exit");
+        assert!(begun.elapsed() < HANG_TIMEOUT, "the process does not exit");
         thread::sleep(Duration::from_millis(1));
     }
 }
@@ -158,55 +169,55 @@
 /// Shuts a node down under load with short deadlines. `None` if the machine delayed the run, or no connection stayed in
 /// use until the node closed the last ones.
 fn end_with_short_deadlines(run: usize) -> Option<()> {
-    let server = serve(command, |asked| {
+    let server = serve(read_command, |asked| {
         match asked[1].split('-').next() {
-            Some("late") => thread::sleep(LATE),
-            Some("slow") => thread::sleep(SLOW),
+            Some("late") => thread::sleep(LATE_RESPONSE_TIME),
+            Some("slow") => thread::sleep(SLOW_RESPONSE_TIME),
             _ => {}
         }
-        array(&asked[2])
+        hit(&asked[2])
     });
     let discovery = Discovery::start(&member("s-1", server, "m", "ready"));
-    let mut node = node(&format!("short-{run}"), &discovery, &SHORT);
+    let mut node = start_node(&format!("short-{run}"), &discovery, &SHORT_DEADLINES);
     // Some clients always have a request open, as an answer takes longer than the pause; others are idle at times.
-    let uses = [("slow", 8), ("slow", 12), ("late", 30), ("quick", 5), ("quick", 70), ("late", 110)];
+    let patterns = [("slow", 8), ("slow", 12), ("late", 30), ("quick", 5), ("quick", 70), ("late", 110)];
     let used: Vec<_> = (0..12)
         .map(|number| {
-            let (kind, pause) = uses[number % uses.len()];
-            use_to_the_end(&node, number, kind, Duration::from_millis(pause))
+            let (kind, pause) = patterns[number % patterns.len()];
+            use_until_closed(&node, number, kind, Duration::from_millis(pause))
         })
         .collect();
     let stop = Arc::new(AtomicBool::new(false));
-    let watch = watch_machine(node.child.id(), stop.clone());
+    let watch = measure_scheduling_delay(node.child.id(), stop.clone());
     thread::sleep(Duration::from_millis(300));
-    let told = Instant::now();
+    let terminated = Instant::now();
     node.signal("TERM");
-    let ended = ended_by_itself(&mut node);
-    let used: Vec<Used> = used.into_iter().map(|client| client.join().unwrap()).collect();
+    let ended = wait_for_own_exit(&mut node);
+    let used: Vec<ConnectionUse> = used.into_iter().map(|client| client.join().unwrap()).collect();
     stop.store(true, Ordering::Relaxed);
-    if watch.join().unwrap() > HELD_UP {
+    if watch.join().unwrap() > MAX_SCHEDULING_DELAY {
         return None;
     }
-    let lasted = ended - told;
+    let lasted = ended - terminated;
     assert!(lasted < SHORT_DEADLINE + BEYOND_DEADLINE, "ended {lasted:?} after SIGTERM");
     for (number, used) in used.iter().enumerate() {
         let lost: Vec<_> = used
             .unanswered
             .iter()
-            .filter(|(_, sent)| *sent + CROSSING < used.ended)
+            .filter(|(_, sent)| *sent + CLOSE_CROSSING < used.ended)
             .map(|(id, _)| id)
             .collect();
         assert!(
             lost.is_empty(),
             "client {number}: read and not answered: {lost:?}, connection closed at {:?}, process ended at {lasted:?}",
-            used.ended - told
+            used.ended - terminated
         );
     }
     let after: usize =
-        used.iter().map(|used| used.answered.iter().filter(|sent| **sent > told).count()).sum();
+        used.iter().map(|used| used.answered.iter().filter(|sent| **sent > terminated).count()).sum();
     assert!(after > 0, "no request was sent after SIGTERM");
     // If every connection was closed early because it happened to be idle, the run shows nothing about the end.
-    if used.iter().all(|used| used.ended < told + LAST_USE) {
+    if used.iter().all(|used| used.ended < terminated + LAST_USE) {
         return None;
     }
     println!("run {run}: ended after {lasted:?}, {after} requests answered that were sent after SIGTERM");
@@ -214,6 +225,6 @@
 }
 
 #[test]
-fn with_short_deadlines_all_that_was_read_is_answered_and_the_process_ends_in_time() {
-    assert!((0..SHORT_RUNS).any(|run| end_with_short_deadlines(run).is_some()), "no run was conclusive");
+fn with_short_deadlines_every_request_read_is_answered_and_the_process_ends_in_time() {
+    assert!((0..MAX_SHORT_RUNS).any(|run| end_with_short_deadlines(run).is_some()), "no run was conclusive");
 }
--- a/crates/mothpier/tests/second_answers.rs
+++ b/crates/mothpier/tests/second_answers.rs
@@ -16,8 +16,8 @@
 //! of each run, and the cause of each wrong value.
 #![allow(missing_docs)]
 
-mod repeating;
-mod world;
+mod duplicating_server;
+mod harness;
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -26,18 +26,18 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use repeating::trace::{Counts, Wrong};
-use repeating::{Draws, Habits, LACKED, Repeater, SAME, UNIQUE, value_of};
-use world::*;
+use duplicating_server::trace::{Counts, Wrong};
+use duplicating_server::{Behaviour, DuplicatingServer, MISSING, SAME, SeededRandom, UNIQUE, value_of};
+use harness::*;
 
 /// The key that all clients ask for repeatedly.
-const OFTEN: &str = "often";
+const HOT_KEY: &str = "often";
 /// Requests within this time from the start are not counted in attempts per request.
 const WARM_UP: Duration = Duration::from_secs(1);
 /// Maximum attempts per request at the cache server where there are no duplicate responses.
-const MOST_ATTEMPTS: f64 = 1.02;
+const MAX_ATTEMPTS_PER_REQUEST: f64 = 1.02;
 /// Maximum time of a first response, long enough for commands to overlap.
-const SLOWEST_ANSWER: Duration = Duration::from_millis(6);
+const MAX_RESPONSE_TIME: Duration = Duration::from_millis(6);
 /// With so many nodes, a node makes few connections to a cache server and pipelines commands.
 const MANY_NODES: (&str, &str) = (r#""balancers":1,"#, r#""balancers":8,"#);
 /// A quota that is never reached.
@@ -49,14 +49,14 @@
     seconds: u64,
     clients: usize,
     seed: u64,
-    repeated: f64,
-    latest_repeat: Duration,
+    duplicated_share: f64,
+    max_duplicate_delay: Duration,
     /// Share of the requests for keys that have the same value.
     same: f64,
     /// Share of the requests for keys that the cache server does not have.
-    lacked: f64,
+    missing: f64,
     /// Share of the requests for the one key that all clients ask for.
-    often: f64,
+    hot: f64,
     few_connections: bool,
 }
 
@@ -68,22 +68,22 @@
             seconds: from_environment("SECONDS", 2),
             clients: from_environment("CLIENTS", 16),
             seed: from_environment("SEED", 1),
-            repeated: from_environment("SHARE", 0.3),
-            latest_repeat: Duration::from_millis(from_environment("LATEST_MS", 30)),
+            duplicated_share: from_environment("SHARE", 0.3),
+            max_duplicate_delay: Duration::from_millis(from_environment("LATEST_MS", 30)),
             same: 0.0,
-            lacked: 0.0,
-            often: 0.0,
+            missing: 0.0,
+            hot: 0.0,
             few_connections: false,
         }
     }
 
     /// The key of a client's next request.
-    fn key(&self, client: usize, number: usize, draws: &mut Draws) -> String {
-        let drawn = draws.next();
+    fn key(&self, client: usize, number: usize, random: &mut SeededRandom) -> String {
+        let drawn = random.next();
         let kind = match drawn {
-            _ if drawn < self.often => return OFTEN.to_owned(),
-            _ if drawn < self.often + self.same => SAME,
-            _ if drawn < self.often + self.same + self.lacked => LACKED,
+            _ if drawn < self.hot => return HOT_KEY.to_owned(),
+            _ if drawn < self.hot + self.same => SAME,
+            _ if drawn < self.hot + self.same + self.missing => MISSING,
             _ => UNIQUE,
         };
         format!("{kind}-{client}-{number}")
@@ -99,7 +99,7 @@
 }
 
 /// Makes the tests of this file run one at a time: each has as many clients as the processor can handle.
-fn alone() -> MutexGuard<'static, ()> {
+fn run_alone() -> MutexGuard<'static, ()> {
     static ONE: Mutex<()> = Mutex::new(());
     ONE.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -115,7 +115,7 @@
     refused: usize,
     failed: usize,
     /// The ids of requests that were sent after the warm-up.
-    warm: Vec<String>,
+    after_warm_up: Vec<String>,
     slowest: Duration,
 }
 
@@ -125,7 +125,7 @@
         match answer.strip_prefix('$') {
             Some(value) if value == value_of(key) => {
                 self.right += 1;
-                self.fetched += usize::from(key.starts_with(LACKED));
+                self.fetched += usize::from(key.starts_with(MISSING));
             }
             Some(value) => self.wrong.push(Wrong { key: key.to_owned(), got: value.to_owned() }),
             None if answer.starts_with("-BUSY") => self.refused += 1,
@@ -140,7 +140,7 @@
         self.wrong.extend(other.wrong);
         self.refused += other.refused;
         self.failed += other.failed;
-        self.warm.extend(other.warm);
+        self.after_warm_up.extend(other.after_warm_up);
         self.slowest = self.slowest.max(other.slowest);
     }
 }
@@ -159,12 +159,12 @@
 impl Report {
     /// Attempts at the cache server per request after the warm-up.
     fn attempts_per_request(&self) -> f64 {
-        f64::from(self.warm_attempts) / self.outcomes.warm.len() as f64
+        f64::from(self.warm_attempts) / self.outcomes.after_warm_up.len() as f64
     }
 
     fn assert_no_wrong_value(&self) {
         assert!(
-            self.outcomes.right > 0 && self.counts.repeats > 0,
+            self.outcomes.right > 0 && self.counts.duplicates > 0,
             "no right value or no duplicate response"
         );
         let (wrong, requests) = (self.outcomes.wrong.len(), self.outcomes.requests);
@@ -191,12 +191,12 @@
         writeln!(
             f,
             "  duplicate responses {}: {} while idle, {} with one command open, {} with several",
-            c.repeats, c.repeats_while_idle, c.repeats_with_one_out, c.repeats_with_several_out
+            c.duplicates, c.duplicates_while_idle, c.duplicates_with_one_open, c.duplicates_with_several_open
         )?;
         writeln!(
             f,
             "  after the warm-up {} requests, {:.4} attempts per request; origin calls {}, {} served",
-            o.warm.len(),
+            o.after_warm_up.len(),
             self.attempts_per_request(),
             self.origin_calls,
             o.fetched
@@ -208,16 +208,16 @@
 /// Runs a client that sends one read after another on a connection, and opens a new one when the node has closed it.
 fn ask(run: &Run, client: usize, to: SocketAddr, begun: Instant) -> Outcomes {
     let mut outcomes = Outcomes::default();
-    let mut draws = Draws::new(run.seed, &format!("client {client}"));
+    let mut random = SeededRandom::new(run.seed, &format!("client {client}"));
     let mut connection = Client::connect(to);
     for number in 0.. {
         if begun.elapsed() >= Duration::from_secs(run.seconds) {
             break;
         }
-        let (key, id) = (run.key(client, number, &mut draws), format!("i-{client}-{number}"));
+        let (key, id) = (run.key(client, number, &mut random), format!("i-{client}-{number}"));
         let asked = Instant::now();
         if begun.elapsed() >= WARM_UP {
-            outcomes.warm.push(id.clone());
+            outcomes.after_warm_up.push(id.clone());
         }
         let answer = connection.ask(&["CACHE.GET", &key, &id, "c=read,t=acme,d=20000"]);
         outcomes.slowest = outcomes.slowest.max(asked.elapsed());
@@ -230,17 +230,17 @@
 }
 
 /// Executes a run and prints its result.
-fn play(run: &Run) -> Report {
-    let _alone = alone();
-    let server = Repeater::start(Habits {
+fn execute(run: &Run) -> Report {
+    let _alone = run_alone();
+    let server = DuplicatingServer::start(Behaviour {
         seed: run.seed,
-        repeated: run.repeated,
-        latest_repeat: run.latest_repeat,
-        slowest_answer: SLOWEST_ANSWER,
+        duplicated_share: run.duplicated_share,
+        max_duplicate_delay: run.max_duplicate_delay,
+        max_response_time: MAX_RESPONSE_TIME,
     });
     let calls = Arc::new(Mutex::new(0));
     let counted = calls.clone();
-    let origin = serve(call, move |asked| {
+    let origin = serve(read_call, move |asked| {
         *counted.lock().unwrap() += 1;
         let key = asked[0].split(' ').nth(1).unwrap().trim_start_matches('/');
         http("200 OK", value_of(key))
@@ -250,7 +250,7 @@
     let discovery = Discovery::start(&members);
     let mut settings = vec![NO_QUOTA];
     settings.extend(run.few_connections.then_some(MANY_NODES));
-    let node = node(run.name, &discovery, &settings);
+    let node = start_node(run.name, &discovery, &settings);
     let (address, begun) = (node.address, Instant::now());
     let mut outcomes = Outcomes::default();
     thread::scope(|scope| {
@@ -263,7 +263,7 @@
         name: run.name,
         counts: server.trace.counts(),
         origin_calls,
-        warm_attempts: server.attempts_of(outcomes.warm.iter()),
+        warm_attempts: server.attempts_of(outcomes.after_warm_up.iter()),
         causes: server.trace.causes(&outcomes.wrong, server.trace.begun.elapsed()).to_string(),
         outcomes,
     };
@@ -277,46 +277,46 @@
 
 /// Every key is new, and the value is the key.
 #[test]
-fn no_second_answer_is_taken_for_another_keys() {
-    play(&Run::new("unique")).assert_no_wrong_value();
+fn no_duplicate_is_taken_for_the_value_of_another_key() {
+    execute(&Run::new("unique")).assert_no_wrong_value();
 }
 
 /// The same with few connections, on which commands are pipelined.
 #[test]
-fn no_second_answer_is_taken_for_another_keys_on_connections_that_commands_share() {
-    play(&Run { few_connections: true, ..Run::new("shared") }).assert_no_wrong_value();
+fn no_duplicate_is_taken_for_another_keys_value_on_pipelined_connections() {
+    execute(&Run { few_connections: true, ..Run::new("shared") }).assert_no_wrong_value();
 }
 
 /// All keys have the same value and there are no duplicate responses: equal responses must not cause further attempts.
 #[test]
-fn equal_values_that_are_answered_once_cost_no_further_attempts() {
+fn equal_values_without_duplicates_cause_no_further_attempts() {
     for few_connections in [false, true] {
-        let run = Run { same: 1.0, repeated: 0.0, few_connections, ..Run::new("equal-once") };
-        let report = play(&run);
+        let run = Run { same: 1.0, duplicated_share: 0.0, few_connections, ..Run::new("equal-once") };
+        let report = execute(&run);
         let o = &report.outcomes;
-        assert!(o.warm.len() > run.clients, "too few requests after the warm-up");
+        assert!(o.after_warm_up.len() > run.clients, "too few requests after the warm-up");
         assert_eq!((o.wrong.len(), o.refused, o.failed), (0, 0, 0), "wrong, refused, failed");
         let attempts = report.attempts_per_request();
-        assert!(attempts <= MOST_ATTEMPTS, "{attempts} attempts for each request");
+        assert!(attempts <= MAX_ATTEMPTS_PER_REQUEST, "{attempts} attempts for each request");
     }
 }
 
 /// Some keys miss: a miss is sent twice, too, and must not be taken for the response to another key.
 #[test]
-fn no_second_answer_is_taken_for_another_keys_beside_misses() {
-    let report = play(&Run { lacked: 0.05, ..Run::new("lacked") });
+fn no_duplicate_is_taken_for_another_keys_value_among_misses() {
+    let report = execute(&Run { missing: 0.05, ..Run::new("lacked") });
     assert!(report.outcomes.fetched > 0, "nothing was fetched from the origin");
     report.assert_no_wrong_value();
 }
 
 /// Three in ten keys have the same value.
 #[test]
-fn no_second_answer_is_taken_for_another_keys_where_values_are_often_equal() {
-    play(&Run { same: 0.3, ..Run::new("often-equal") }).assert_no_wrong_value();
+fn no_duplicate_is_taken_for_another_keys_value_among_equal_values() {
+    execute(&Run { same: 0.3, ..Run::new("often-equal") }).assert_no_wrong_value();
 }
 
 /// Half of the requests are for one key, whose value does not change.
 #[test]
-fn no_second_answer_is_taken_for_another_keys_beside_a_key_that_is_asked_often() {
-    play(&Run { often: 0.5, ..Run::new("one-key") }).assert_no_wrong_value();
+fn no_duplicate_is_taken_for_another_keys_value_beside_a_hot_key() {
+    execute(&Run { hot: 0.5, ..Run::new("one-key") }).assert_no_wrong_value();
 }
--- a/crates/mothpier/tests/habits/mod.rs
+++ b/crates/mothpier/tests/usage_patterns/mod.rs
@@ -9,26 +9,26 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use crate::world::{self, Discovery, Node, Reaction, array, member, node, serve};
+use crate::harness::{self, Discovery, Node, Reaction, hit, member, serve, start_node};
 
 /// So long after the start of a drain no client connection may still be open that is idle, or has a request younger than
-/// [`RECENT`].
-pub const HELD_AT_MOST: Duration = Duration::from_secs(4);
-/// See [`HELD_AT_MOST`].
-pub const RECENT: Duration = Duration::from_secs(2);
+/// [`RECENT_REQUEST`].
+pub const MAX_HOLD: Duration = Duration::from_secs(4);
+/// See [`MAX_HOLD`].
+pub const RECENT_REQUEST: Duration = Duration::from_secs(2);
 /// A request that reached no server may have crossed the node's close if it was sent this shortly before the client saw the
 /// close. The time allows for scheduling delays on a busy machine.
-pub const CROSSING: Duration = Duration::from_millis(250);
+pub const CLOSE_CROSSING: Duration = Duration::from_millis(250);
 /// Length of the value that a slow upload sends, in bytes.
-const UPLOAD: usize = 2 * 1024 * 1024;
+const UPLOAD_BYTES: usize = 2 * 1024 * 1024;
 /// Minimum time from SIGTERM to SIGKILL: the longest deadline, of which 3 s count at most, plus 0.7 s.
 pub const EARLIEST_KILL: Duration = Duration::from_millis(3700);
 /// Response time of the cache server for "slow" keys.
-const SLOW: Duration = Duration::from_millis(250);
+const SLOW_RESPONSE_TIME: Duration = Duration::from_millis(250);
 /// Response time for "usual" keys.
-const USUAL: Duration = Duration::from_millis(20);
+const USUAL_RESPONSE_TIME: Duration = Duration::from_millis(20);
 /// Polling interval of a client that waits.
-const LOOK: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The ids of the requests that have reached a cache server.
 pub type Forwarded = Arc<Mutex<HashSet<String>>>;
@@ -38,109 +38,110 @@
 pub fn server() -> (SocketAddr, Forwarded) {
     let forwarded = Forwarded::default();
     let reached = forwarded.clone();
-    let address = serve(world::command, move |asked| {
+    let address = serve(harness::read_command, move |asked| {
         reached.lock().unwrap().insert(asked[2].clone());
         match asked[1].split('-').next() {
-            Some("slow") => thread::sleep(SLOW),
-            Some("usual") => thread::sleep(USUAL),
+            Some("slow") => thread::sleep(SLOW_RESPONSE_TIME),
+            Some("usual") => thread::sleep(USUAL_RESPONSE_TIME),
             Some("silent") => return Reaction::Silence,
             _ => {}
         }
-        array(&asked[2])
+        hit(&asked[2])
     });
     (address, forwarded)
 }
 
 /// Waits until `age` has passed since `began`.
-pub fn wait_until(began: Instant, age: Duration) {
+pub fn sleep_until(began: Instant, age: Duration) {
     thread::sleep((began + age).saturating_duration_since(Instant::now()));
 }
 
 /// A node and clients that use it.
-pub struct Scene {
+pub struct LoadedNode {
     pub node: Node,
     pub clients: Vec<Client>,
     pub forwarded: Forwarded,
     _discovery: Discovery,
     /// When the node was first asked to drain or to end.
-    pub told: Arc<Mutex<Option<Instant>>>,
+    pub start_of_drain: Arc<Mutex<Option<Instant>>>,
 }
 
-impl Scene {
+impl LoadedNode {
     /// Starts a node and clients with these usage patterns, each with a kind of keys, and lets them run for a moment.
-    pub fn new(name: &str, habits: &[(Habit, &'static str)]) -> Scene {
+    pub fn new(name: &str, patterns: &[(UsagePattern, &'static str)]) -> LoadedNode {
         let (server, forwarded) = server();
         let discovery = Discovery::start(&member("s-1", server, "m", "ready"));
-        let node = node(name, &discovery, &[]);
-        let told = Arc::new(Mutex::new(None));
-        let mut scene = Scene { node, clients: Vec::new(), forwarded, _discovery: discovery, told };
-        scene.start(habits);
+        let node = start_node(name, &discovery, &[]);
+        let start_of_drain = Arc::new(Mutex::new(None));
+        let mut loaded_node =
+            LoadedNode { node, clients: Vec::new(), forwarded, _discovery: discovery, start_of_drain };
+        loaded_node.start(patterns);
         thread::sleep(Duration::from_millis(300));
-        scene
+        loaded_node
     }
 
     /// Starts more clients.
-    pub fn start(&mut self, habits: &[(Habit, &'static str)]) {
+    pub fn start(&mut self, patterns: &[(UsagePattern, &'static str)]) {
         let first = self.clients.len();
-        let start = |(number, (habit, kind)): (usize, &(Habit, &'static str))| {
-            Client::start(self.node.address, first + number, *habit, kind, self.told.clone())
+        let start = |(number, (pattern, kind)): (usize, &(UsagePattern, &'static str))| {
+            Client::start(self.node.address, first + number, *pattern, kind, self.start_of_drain.clone())
         };
-        let started: Vec<Client> = habits.iter().enumerate().map(start).collect();
+        let started: Vec<Client> = patterns.iter().enumerate().map(start).collect();
         self.clients.extend(started);
     }
 
     /// Records that the node is asked to drain or to end now, and returns the time.
-    pub fn begin(&self) -> Instant {
+    pub fn mark_start(&self) -> Instant {
         let began = Instant::now();
-        self.told.lock().unwrap().get_or_insert(began);
+        self.start_of_drain.lock().unwrap().get_or_insert(began);
         began
     }
 
     /// Drains the node, and returns when the drain began.
     pub fn drain(&self) -> Instant {
-        let began = self.begin();
+        let began = self.mark_start();
         assert_eq!(self.node.status("PUT /drain"), 200);
         began
     }
 
-    /// Waits until [`HELD_AT_MOST`] after the start of a drain, and returns the violations on all connections.
-    pub fn held(&self, began: Instant) -> Vec<String> {
-        wait_until(began, HELD_AT_MOST);
-        let held = self.clients.iter().filter_map(|client| client.held(began));
-        held.map(|held| format!("held: {held}")).chain(self.ended_wrongly()).collect()
+    /// Waits until [`MAX_HOLD`] after the start of a drain, and returns the violations on all connections.
+    pub fn violations_after_drain(&self, began: Instant) -> Vec<String> {
+        sleep_until(began, MAX_HOLD);
+        let held = self.clients.iter().filter_map(|client| client.violation_after_drain(began));
+        held.map(|held| format!("held: {held}")).chain(self.close_violations()).collect()
     }
 
     /// Kills the process at the earliest time after the SIGTERM at `terminated`, and returns the violations.
-    pub fn ended(&mut self, name: &str, terminated: Instant) -> Vec<String> {
-        wait_until(terminated, EARLIEST_KILL);
+    pub fn violations_after_kill(&mut self, name: &str, terminated: Instant) -> Vec<String> {
+        sleep_until(terminated, EARLIEST_KILL);
         let status = self.node.child.try_wait().unwrap();
         let _ = self.node.child.kill();
-        self.node.ended();
+        self.node.wait_for_exit();
         // Time for all clients to see their connections closed.
-        wait_until(terminated, EARLIEST_KILL + Duration::from_millis(200));
-        let mut wrong: Vec<String> = self.ended_wrongly().collect();
+        sleep_until(terminated, EARLIEST_KILL + Duration::from_millis(200));
+        let mut violations: Vec<String> = self.close_violations().collect();
         if !status.is_some_and(|status| status.success()) {
-            wrong.push(format!("{name}: the process has not exited by itself with success: {status:?}"));
+            violations.push(format!("{name}: the process has not exited by itself with success: {status:?}"));
         }
-        wrong
+        violations
     }
 
-    fn ended_wrongly(&self) -> impl Iterator<Item = String> {
-        let wrong = self.clients.iter().filter_map(|client| client.ended_wrongly(&self.forwarded));
-        wrong.map(|wrong| format!("ended wrongly: {wrong}"))
+    fn close_violations(&self) -> impl Iterator<Item = String> {
+        let violations = self.clients.iter().filter_map(|client| client.close_violation(&self.forwarded));
+        violations.map(|violations| format!("ended wrongly: {violations}"))
     }
 
     /// Prints a summary of each client.
     pub fn print(&self, began: Instant) {
-        self.clients.iter().for_each(|client| println!("{}", client.told(began)));
+        self.clients.iter().for_each(|client| println!("{}", client.summary(began)));
     }
 }
 
 /// The usage pattern of a client on its connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Habit {
+pub enum UsagePattern {
     /// Sends one request, and is idle afterwards.
-    Rests,
+    IdleAfterRequest,
     /// Sends nothing.
     Silent,
     /// Sends the next request as soon as the last is answered.
@@ -150,7 +151,7 @@
     /// Writes this many commands at once, and again once all are answered.
     Bursts(usize),
     /// Begins its first command this long after the start of the drain, and writes a byte every 50 ms.
-    BeginsLate(Duration),
+    StartsLate(Duration),
     /// Writes one command after the other, a byte every 5 ms.
     ByteByByte,
     /// Writes a large value in pieces, and never completes it.
@@ -177,13 +178,13 @@
     pub refused: usize,
     pub failed: usize,
     /// Answers that match no open request.
-    pub strange: Vec<String>,
+    pub unmatched: Vec<String>,
     pub ended: Option<(Instant, End)>,
 }
 
 /// A running client.
 pub struct Client {
-    pub habit: Habit,
+    pub pattern: UsagePattern,
     /// The kind of its keys, which decides the server's response time.
     pub kind: &'static str,
     account: Arc<Mutex<Account>>,
@@ -191,27 +192,34 @@
 }
 
 impl Client {
-    /// Connects and begins. `told` holds the start of the drain, for usage patterns that wait for it.
+    /// Connects and begins. `start_of_drain` holds the start of the drain, for usage patterns that wait for it.
     pub fn start(
         node: SocketAddr,
         number: usize,
-        habit: Habit,
+        pattern: UsagePattern,
         kind: &'static str,
-        told: Arc<Mutex<Option<Instant>>>,
+        start_of_drain: Arc<Mutex<Option<Instant>>>,
     ) -> Client {
         let account = Arc::new(Mutex::new(Account::default()));
         let stop = Arc::new(AtomicBool::new(false));
         let stream = TcpStream::connect(node).unwrap();
         stream.set_nodelay(true).unwrap();
         let reading = stream.try_clone().unwrap();
-        let writer =
-            Writer { stream, number, kind, account: account.clone(), stop: stop.clone(), told, asked: 0 };
-        thread::spawn(move || writer.run(habit));
-        if habit != Habit::NeverReads {
+        let writer = Writer {
+            stream,
+            number,
+            kind,
+            account: account.clone(),
+            stop: stop.clone(),
+            start_of_drain,
+            asked: 0,
+        };
+        thread::spawn(move || writer.run(pattern));
+        if pattern != UsagePattern::NeverReads {
             let (account, stop) = (account.clone(), stop.clone());
             thread::spawn(move || read_answers(reading, &account, &stop));
         }
-        Client { habit, kind, account, stop }
+        Client { pattern, kind, account, stop }
     }
 
     /// The outcomes of its requests so far.
@@ -219,29 +227,30 @@
         self.account.lock().unwrap()
     }
 
-    /// How its connection violates the rule of [`HELD_AT_MOST`], at that time after the start of a drain.
-    pub fn held(&self, told: Instant) -> Option<String> {
+    /// How its connection violates the rule of [`MAX_HOLD`], at that time after the start of a drain.
+    pub fn violation_after_drain(&self, began: Instant) -> Option<String> {
         let account = self.account();
         if account.ended.is_some() {
             return None;
         }
-        let recent = account.open.iter().filter(|(_, sent)| *sent > told + HELD_AT_MOST - RECENT).count();
+        let recent =
+            account.open.iter().filter(|(_, sent)| *sent > began + MAX_HOLD - RECENT_REQUEST).count();
         let state = match (account.open.len(), recent) {
             (0, _) => "idle".to_owned(),
             // Older requests may take their time.
             (_, 0) => return None,
             (open, recent) => format!("{open} open, {recent} of them recent"),
         };
-        Some(format!("{:?} of {} keys: {state}, {} served", self.habit, self.kind, account.served))
+        Some(format!("{:?} of {} keys: {state}, {} served", self.pattern, self.kind, account.served))
     }
 
     /// A summary of the client in one line.
-    pub fn told(&self, began: Instant) -> String {
+    pub fn summary(&self, began: Instant) -> String {
         let Account { open, served, refused, failed, ended, .. } = &*self.account();
         let ended = ended.map(|(at, end)| (at.saturating_duration_since(began), end));
         format!(
             "{:?} of {} keys: {served} served, {refused} refused, {failed} failed, {} open, ended {ended:?}",
-            self.habit,
+            self.pattern,
             self.kind,
             open.len()
         )
@@ -249,21 +258,22 @@
 
     /// How the end of its connection violates the rules: a reset, an unmatched answer, or requests that were read and not
     /// answered.
-    pub fn ended_wrongly(&self, forwarded: &Forwarded) -> Option<String> {
-        if self.habit == Habit::NeverReads {
+    pub fn close_violation(&self, forwarded: &Forwarded) -> Option<String> {
+        if self.pattern == UsagePattern::NeverReads {
             // It does not see its answers.
             return None;
         }
         let account = self.account();
         let (ended, end) = account.ended?;
         let forwarded = forwarded.lock().unwrap();
-        let is_lost = |(id, sent): &&(String, Instant)| forwarded.contains(id) || *sent + CROSSING < ended;
+        let is_lost =
+            |(id, sent): &&(String, Instant)| forwarded.contains(id) || *sent + CLOSE_CROSSING < ended;
         let lost: Vec<_> = account.open.iter().filter(is_lost).collect();
-        let wrong = end == End::Reset || !lost.is_empty() || !account.strange.is_empty();
-        wrong.then(|| {
+        let is_violation = end == End::Reset || !lost.is_empty() || !account.unmatched.is_empty();
+        is_violation.then(|| {
             format!(
                 "{:?} of {} keys: {end:?}, without an answer {lost:?}, unmatched answers {:?}",
-                self.habit, self.kind, account.strange
+                self.pattern, self.kind, account.unmatched
             )
         })
     }
@@ -282,27 +292,27 @@
     kind: &'static str,
     account: Arc<Mutex<Account>>,
     stop: Arc<AtomicBool>,
-    told: Arc<Mutex<Option<Instant>>>,
+    start_of_drain: Arc<Mutex<Option<Instant>>>,
     asked: usize,
 }
 
 impl Writer {
-    fn run(mut self, habit: Habit) {
+    fn run(mut self, pattern: UsagePattern) {
         // Writing fails once the node has closed the connection.
-        let _ = match habit {
-            Habit::Silent => Ok(()),
-            Habit::Rests => self.ask(1),
-            Habit::ClosedLoop => self.keep_open(1),
-            Habit::Overlaps(depth) => self.keep_open(depth),
-            Habit::Bursts(count) => self.burst(count),
-            Habit::BeginsLate(after) => self.begin_late(after),
-            Habit::ByteByByte => self.byte_by_byte(),
-            Habit::Uploads => self.upload(),
-            Habit::NeverReads => self.never_read(),
+        let _ = match pattern {
+            UsagePattern::Silent => Ok(()),
+            UsagePattern::IdleAfterRequest => self.ask(1),
+            UsagePattern::ClosedLoop => self.keep_open(1),
+            UsagePattern::Overlaps(depth) => self.keep_open(depth),
+            UsagePattern::Bursts(count) => self.burst(count),
+            UsagePattern::StartsLate(after) => self.start_late(after),
+            UsagePattern::ByteByByte => self.byte_by_byte(),
+            UsagePattern::Uploads => self.upload(),
+            UsagePattern::NeverReads => self.never_read(),
         };
         // The client's side stays open until the test ends.
         while !self.is_over() {
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
@@ -375,16 +385,16 @@
         Ok(())
     }
 
-    fn begin_late(&mut self, after: Duration) -> io::Result<()> {
-        let told = loop {
-            let told = *self.told.lock().unwrap();
-            match told {
-                Some(told) => break told,
+    fn start_late(&mut self, after: Duration) -> io::Result<()> {
+        let start_of_drain = loop {
+            let start_of_drain = *self.start_of_drain.lock().unwrap();
+            match start_of_drain {
+                Some(start_of_drain) => break start_of_drain,
                 None if self.has_ended() => return Ok(()),
-                None => thread::sleep(LOOK),
+                None => thread::sleep(POLL_INTERVAL),
             }
         };
-        thread::sleep((told + after).saturating_duration_since(Instant::now()));
+        thread::sleep((start_of_drain + after).saturating_duration_since(Instant::now()));
         let id = format!("late-{}", self.number);
         let bytes = command(&["CACHE.GET", &format!("{}-{id}", self.kind), &id, "c=read,t=acme,d=20000"]);
         let (last, first) = bytes.split_last().expect("a command has bytes");
@@ -411,10 +421,10 @@
 
     fn upload(&mut self) -> io::Result<()> {
         let head = format!(
-            "*5\r\n$9\r\nCACHE.SET\r\n$6\r\nupload\r\n$2\r\nu1\r\n$21\r\nc=once,t=acme,d=20000\r\n${UPLOAD}\r\n"
+            "*5\r\n$9\r\nCACHE.SET\r\n$6\r\nupload\r\n$2\r\nu1\r\n$21\r\nc=once,t=acme,d=20000\r\n${UPLOAD_BYTES}\r\n"
         );
         self.stream.write_all(head.as_bytes())?;
-        let mut left = UPLOAD;
+        let mut left = UPLOAD_BYTES;
         while left > 1 && !self.has_ended() {
             let piece = left.min(4096) - 1;
             self.stream.write_all(&vec![b'v'; piece])?;
@@ -477,13 +487,13 @@
             return;
         }
         let Some((id, _)) = self.open.pop_front() else {
-            return self.strange.push(answer.to_owned());
+            return self.unmatched.push(answer.to_owned());
         };
         match answer {
             _ if answer == format!("${id}") => self.served += 1,
             _ if answer.starts_with("-BUSY") => self.refused += 1,
             _ if answer.starts_with("-ERR") => self.failed += 1,
-            _ => self.strange.push(format!("{id}: {answer}")),
+            _ => self.unmatched.push(format!("{id}: {answer}")),
         }
     }
 }
