--- a/crates/mothpier/tests/client_and_process_faults.rs
+++ b/crates/mothpier/tests/client_and_process_faults.rs
@@ -202,7 +202,7 @@
     thread::sleep(IDLE_TIME);
     servers[0].stop();
     assert_eq!(reads(&node, "after", 30), values("after", 30));
-    assert!(servers[1].asked() > 0 && servers[2].asked() > 0, "nothing was asked of two servers");
+    assert!(servers[1].asked() > 0 && servers[2].asked() > 0, "a remaining server got no request");
 }
 
 #[test]
--- a/crates/mothpier/tests/duplicate_response_orders.rs
+++ b/crates/mothpier/tests/duplicate_response_orders.rs
@@ -67,9 +67,9 @@
     /// As [`next`](Self::next), but waits at most [`EVENT_TIMEOUT`], as the node may be right to send nothing.
     fn next_within(&mut self) -> bool {
         self.stream.get_ref().set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
-        let comes = self.stream.fill_buf().map(|bytes| !bytes.is_empty());
+        let has_more = self.stream.fill_buf().map(|bytes| !bytes.is_empty());
         self.stream.get_ref().set_read_timeout(None).unwrap();
-        match comes {
+        match has_more {
             Ok(true) => return self.next(),
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
             Ok(false) | Err(_) => self.ended = true,
@@ -272,17 +272,17 @@
 }
 
 /// A node with one cache server.
-fn node_of(name: &str, server: &StubServer, changed: &[(&str, &str)]) -> (Node, Discovery) {
+fn node_of(name: &str, server: &StubServer, replacements: &[(&str, &str)]) -> (Node, Discovery) {
     let discovery = Discovery::start(&member("s-1", server.address, "m", "ready"));
-    (start_node(name, &discovery, changed), discovery)
+    (start_node(name, &discovery, replacements), discovery)
 }
 
 /// A node with one cache server, and an origin that has every key.
-fn node_beside_origin(name: &str, server: &StubServer, changed: &[(&str, &str)]) -> (Node, Discovery) {
+fn node_beside_origin(name: &str, server: &StubServer, replacements: &[(&str, &str)]) -> (Node, Discovery) {
     let origin = serve(read_call, |asked| Reaction::Answer(origin_response(asked).unwrap()));
     let members = [member("s-1", server.address, "m", "ready"), member("o-1", origin, "origin", "ready")];
     let discovery = Discovery::start(&members.join(","));
-    (start_node(name, &discovery, changed), discovery)
+    (start_node(name, &discovery, replacements), discovery)
 }
 
 /// A node with an origin, and a cache server on which all keys miss.
@@ -663,7 +663,7 @@
     name: &str,
     respond: Respond,
     origin: Option<SocketAddr>,
-    changed: &[(&str, &str)],
+    replacements: &[(&str, &str)],
 ) -> Vec<Vec<String>> {
     const ALONE: usize = 40;
     let server = StubServer::start(read_command, respond, |_, _| {});
@@ -673,7 +673,7 @@
     ];
     let members: Vec<String> = members.into_iter().flatten().collect();
     let discovery = Discovery::start(&members.join(","));
-    let node = start_node(name, &discovery, changed);
+    let node = start_node(name, &discovery, replacements);
     let mut client = node.client();
     for number in 0..ALONE {
         assert_eq!(read(&mut client, &format!("a{number}")), "$equal");
--- a/crates/mothpier/tests/duplicating_server/mod.rs
+++ b/crates/mothpier/tests/duplicating_server/mod.rs
@@ -12,7 +12,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use self::trace::{Record, Trace};
+use self::trace::{ConnectionTrace, Trace};
 use crate::harness::{Reaction, hit, miss, read_command};
 
 /// First letter of keys that have their own value.
@@ -111,10 +111,11 @@
         let address = listener.local_addr().unwrap();
         let trace = Arc::new(Trace::new());
         let attempts = Arc::<Mutex<HashMap<String, u32>>>::default();
-        let (kept, counted) = (trace.clone(), attempts.clone());
+        let (server_trace, counted) = (trace.clone(), attempts.clone());
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let (record, counted, begun) = (kept.connection(), counted.clone(), kept.begun);
+                let (record, counted, begun) =
+                    (server_trace.connection(), counted.clone(), server_trace.begun);
                 thread::spawn(move || read_commands(stream, behaviour, &record, begun, &counted));
             }
         });
@@ -132,17 +133,17 @@
 fn read_commands(
     stream: TcpStream,
     behaviour: Behaviour,
-    record: &Arc<Mutex<Record>>,
+    record: &Arc<Mutex<ConnectionTrace>>,
     begun: Instant,
     attempts: &Mutex<HashMap<String, u32>>,
 ) {
     stream.set_nodelay(true).unwrap();
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     let (to, pending) = channel();
-    let (answers_to, kept) = (stream.try_clone().unwrap(), record.clone());
-    let writer = thread::spawn(move || answer(answers_to, &pending, &kept, begun));
+    let (answers_to, connection_trace) = (stream.try_clone().unwrap(), record.clone());
+    let writer = thread::spawn(move || answer(answers_to, &pending, &connection_trace, begun));
     while let Some(asked) = read_command(&mut reader) {
-        take(&asked, behaviour, record, begun, attempts, &to);
+        accept_command(&asked, behaviour, record, begun, attempts, &to);
     }
     record.lock().unwrap().closed = Some(begun.elapsed());
     drop(to);
@@ -151,10 +152,10 @@
 }
 
 /// Records a command, determines its responses and passes it to the thread that answers.
-fn take(
+fn accept_command(
     asked: &[String],
     behaviour: Behaviour,
-    record: &Mutex<Record>,
+    record: &Mutex<ConnectionTrace>,
     begun: Instant,
     attempts: &Mutex<HashMap<String, u32>>,
     to: &Sender<Pending>,
@@ -164,7 +165,7 @@
     let (number, behind) = {
         let mut record = record.lock().unwrap();
         let behind = record.commands.last().map(|(_, key)| key.clone()).unwrap_or_default();
-        (record.command(begun.elapsed(), subject), behind)
+        (record.record_command(begun.elapsed(), subject), behind)
     };
     let pending = match asked[0].as_str() {
         "CACHE.GET" => {
@@ -222,11 +223,16 @@
 
 /// Sends first responses in the order of the commands, and duplicates when they are due, at any place in between. No
 /// other thread writes to the connection, so each response is whole.
-fn answer(mut stream: TcpStream, commands: &Receiver<Pending>, record: &Mutex<Record>, begun: Instant) {
-    let mut firsts = VecDeque::<Pending>::new();
+fn answer(
+    mut stream: TcpStream,
+    commands: &Receiver<Pending>,
+    record: &Mutex<ConnectionTrace>,
+    begun: Instant,
+) {
+    let mut first_responses = VecDeque::<Pending>::new();
     let mut duplicates = BinaryHeap::<Duplicate>::new();
     loop {
-        let first_due = firsts.front().map(|f| f.due);
+        let first_due = first_responses.front().map(|f| f.due);
         let duplicate_due = duplicates.peek().map(|r| r.due);
         let next = first_due.into_iter().chain(duplicate_due).min();
         let command = match next {
@@ -235,13 +241,13 @@
         };
         match command {
             Ok(command) => {
-                firsts.push_back(command);
+                first_responses.push_back(command);
                 continue;
             }
             Err(RecvTimeoutError::Disconnected) => return,
             Err(RecvTimeoutError::Timeout) => {}
         }
-        let first = firsts.pop_front_if(|f| Some(f.due) == next);
+        let first = first_responses.pop_front_if(|f| Some(f.due) == next);
         let (number, bytes, is_duplicate) = match first {
             Some(first) => {
                 if let Some(after) = first.duplicate_after {
@@ -256,7 +262,7 @@
             },
         };
         // Recorded before the node can receive it.
-        record.lock().unwrap().frame(begun.elapsed(), number, is_duplicate);
+        record.lock().unwrap().record_response(begun.elapsed(), number, is_duplicate);
         if stream.write_all(&bytes).is_err() {
             return;
         }
--- a/crates/mothpier/tests/duplicating_server/trace.rs
+++ b/crates/mothpier/tests/duplicating_server/trace.rs
@@ -12,7 +12,7 @@
 
 /// A response that was sent.
 #[derive(Clone, Debug)]
-pub struct Frame {
+pub struct SentResponse {
     pub at: Duration,
     /// Index of the command that it answers.
     pub answers: usize,
@@ -24,51 +24,51 @@
 
 /// Trace of a connection. Times are relative to the start of the server.
 #[derive(Debug, Default)]
-pub struct Record {
+pub struct ConnectionTrace {
     /// Arrival time and key of each command.
     pub commands: Vec<(Duration, String)>,
-    pub frames: Vec<Frame>,
+    pub responses: Vec<SentResponse>,
     /// Number of answered commands.
     answered: usize,
     /// When the node closed the connection.
     pub closed: Option<Duration>,
 }
 
-impl Record {
+impl ConnectionTrace {
     /// Records a command and returns its index.
-    pub fn command(&mut self, at: Duration, key: &str) -> usize {
+    pub fn record_command(&mut self, at: Duration, key: &str) -> usize {
         self.commands.push((at, key.to_owned()));
         self.commands.len() - 1
     }
 
     /// Records a response.
-    pub fn frame(&mut self, at: Duration, answers: usize, is_duplicate: bool) {
+    pub fn record_response(&mut self, at: Duration, answers: usize, is_duplicate: bool) {
         let open = self.commands.len() - self.answered;
         self.answered += usize::from(!is_duplicate);
-        self.frames.push(Frame { at, answers, is_duplicate, open });
+        self.responses.push(SentResponse { at, answers, is_duplicate, open });
     }
 
-    /// Number of first responses that were sent between the frame at this index and the first response to its command.
-    fn answers_before(&self, frame: usize) -> usize {
-        let answers = self.frames[frame].answers;
-        let between = self.frames[..frame].iter().filter(|f| !f.is_duplicate && f.answers > answers);
+    /// Number of first responses that were sent between the response at this index and the first response to its command.
+    fn answers_before(&self, response: usize) -> usize {
+        let answers = self.responses[response].answers;
+        let between = self.responses[..response].iter().filter(|f| !f.is_duplicate && f.answers > answers);
         between.count()
     }
 
-    /// Delay of the frame at this index after the first response to its command.
-    fn lateness(&self, frame: usize) -> Duration {
-        let duplicate = &self.frames[frame];
+    /// Delay of the response at this index after the first response to its command.
+    fn lateness(&self, response: usize) -> Duration {
+        let duplicate = &self.responses[response];
         let first =
-            self.frames.iter().find(|f| f.answers == duplicate.answers).map_or(duplicate.at, |f| f.at);
+            self.responses.iter().find(|f| f.answers == duplicate.answers).map_or(duplicate.at, |f| f.at);
         duplicate.at.saturating_sub(first)
     }
 
     /// Index of a command for `key` whose position among the responses holds one with `value`.
     fn mismatched_command(&self, key: &str, value: &str) -> Option<usize> {
-        let places = self.commands.iter().zip(&self.frames).enumerate();
+        let places = self.commands.iter().zip(&self.responses).enumerate();
         places
             .filter(|(_, ((_, asked), _))| asked == key)
-            .map(|(number, (_, frame))| (number, &self.commands[frame.answers].1))
+            .map(|(number, (_, response))| (number, &self.commands[response.answers].1))
             .find(|(_, answered)| !answered.starts_with(MISSING) && value_of(answered) == value)
             .map(|(number, _)| number)
     }
@@ -77,7 +77,7 @@
 /// All connections of a cache server.
 pub struct Trace {
     pub begun: Instant,
-    connections: Mutex<Vec<Arc<Mutex<Record>>>>,
+    connections: Mutex<Vec<Arc<Mutex<ConnectionTrace>>>>,
 }
 
 /// Counts over all connections.
@@ -127,8 +127,8 @@
     }
 
     /// Adds the trace of a new connection.
-    pub fn connection(&self) -> Arc<Mutex<Record>> {
-        let record = Arc::<Mutex<Record>>::default();
+    pub fn connection(&self) -> Arc<Mutex<ConnectionTrace>> {
+        let record = Arc::<Mutex<ConnectionTrace>>::default();
         self.connections.lock().unwrap().push(record.clone());
         record
     }
@@ -139,7 +139,7 @@
             let record = record.lock().unwrap();
             counts.connections += 1;
             counts.commands += record.commands.len();
-            for duplicate in record.frames.iter().filter(|f| f.is_duplicate) {
+            for duplicate in record.responses.iter().filter(|f| f.is_duplicate) {
                 counts.duplicates += 1;
                 match duplicate.open {
                     0 => counts.duplicates_while_idle += 1,
@@ -181,13 +181,13 @@
                 .iter()
                 .enumerate()
                 .map(|(number, (at, key))| (at.as_micros(), 0, format!("command {number} {key}")));
-            let frames = record.frames.iter().enumerate().map(|(place, f)| {
+            let responses = record.responses.iter().enumerate().map(|(place, f)| {
                 let kind = if f.is_duplicate { "repeat" } else { "answer" };
                 let key = &record.commands[f.answers].1;
                 (f.at.as_micros(), 1, format!("{kind} {} {key} in place {place}, {} out", f.answers, f.open))
             });
             let closed = record.closed.map(|at| (at.as_micros(), 2, "closed".to_owned()));
-            let mut lines: Vec<_> = commands.chain(frames).chain(closed).collect();
+            let mut lines: Vec<_> = commands.chain(responses).chain(closed).collect();
             lines.sort();
             for (at, _, what) in lines {
                 writeln!(to, "{connection} {at} {what}").unwrap();
@@ -197,11 +197,11 @@
 }
 
 /// The shift on a connection with this many wrong values.
-fn shift(record: &Record, wrong: usize, end: Duration) -> (usize, Duration, &'static str) {
-    let places = record.commands.iter().zip(&record.frames).enumerate();
+fn shift(record: &ConnectionTrace, wrong: usize, end: Duration) -> (usize, Duration, &'static str) {
+    let places = record.commands.iter().zip(&record.responses).enumerate();
     let first = places.filter(|(number, (_, f))| f.answers != *number).map(|(_, (_, f))| f.at).next();
     // A response that was in flight when the node closed the connection may be recorded a moment later.
-    let surplus = record.frames.len() > record.commands.len();
+    let surplus = record.responses.len() > record.commands.len();
     let how = match record.closed {
         Some(_) if surplus => "closed because of a surplus response",
         Some(_) => "closed for another reason",
@@ -212,17 +212,17 @@
 
 impl Causes {
     /// Records why the command at this index got the response at its position.
-    fn explain(&mut self, record: &Record, number: usize) {
-        let frame = &record.frames[number];
-        if frame.is_duplicate {
+    fn explain(&mut self, record: &ConnectionTrace, number: usize) {
+        let response = &record.responses[number];
+        if response.is_duplicate {
             self.duplicates += 1;
             self.lateness.push(record.lateness(number).as_micros());
             self.between.push(record.answers_before(number));
-            self.waited.push(frame.at.saturating_sub(record.commands[number].0).as_micros());
-            self.crossed += usize::from(frame.open == 0);
+            self.waited.push(response.at.saturating_sub(record.commands[number].0).as_micros());
+            self.crossed += usize::from(response.open == 0);
             return;
         }
-        let by = number - frame.answers;
+        let by = number - response.answers;
         match self.shifted.iter_mut().find(|(places, _)| *places == by) {
             Some((_, count)) => *count += 1,
             None => self.shifted.push((by, 1)),
--- a/crates/mothpier/tests/further_races.rs
+++ b/crates/mothpier/tests/further_races.rs
@@ -23,10 +23,10 @@
 
 /// Starts a node with an operations endpoint and some replacements in the text of its settings, without waiting for its
 /// server list. Returns the path of the configuration file, too.
-fn spawn_configured_node(name: &str, discovery: SocketAddr, changed: &[(&str, &str)]) -> (Node, String) {
+fn spawn_configured_node(name: &str, discovery: SocketAddr, replacements: &[(&str, &str)]) -> (Node, String) {
     let path = scratch_path(&format!("{name}-more.json"));
     let mut text = config(name, discovery, 1024);
-    for (from, to) in changed {
+    for (from, to) in replacements {
         assert!(text.contains(from), "{from} is not in the settings");
         text = text.replace(from, to);
     }
@@ -306,7 +306,7 @@
 fn a_response_as_the_watch_times_out_replaces_no_newer_list() {
     let [old, late, new] = ["old", "late", "new"].map(|name| serve(read_command, move |_| hit(name)));
     let one = |server| member("s-1", server, "m", "ready");
-    for in_that_moment in [true, false] {
+    for at_timeout in [true, false] {
         let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
         let (node, _) = spawn_configured_node("silent-watch", discovery.local_addr().unwrap(), &[]);
         let mut watch = BufReader::new(discovery.accept().unwrap().0);
@@ -316,7 +316,7 @@
         let silent_since = Instant::now();
         let mut client = node.client();
         assert_eq!(client.ask(&["CACHE.GET", "k", "before", "c=read,t=acme,d=9000"]), "$old");
-        if in_that_moment {
+        if at_timeout {
             while_paused(&node, || {
                 // A little longer than the time-out: the node sees the time-out and the response at once.
                 let over = WATCH_TIMEOUT + Duration::from_millis(200);
@@ -325,7 +325,7 @@
             });
         }
         // Either the response was accepted and the watch goes on from it, or the watch timed out and is reopened.
-        let taken = in_that_moment.then(|| read_call(&mut watch)).flatten();
+        let taken = at_timeout.then(|| read_call(&mut watch)).flatten();
         let mut watch_now = if let Some(asked) = taken {
             assert!(asked[0].contains("after=901&"), "{}", asked[0]);
             watch
@@ -333,7 +333,7 @@
             let mut opened = BufReader::new(discovery.accept().unwrap().0);
             let asked = read_call(&mut opened).unwrap();
             assert!(asked[0].contains("after=900&"), "{}", asked[0]);
-            if !in_that_moment {
+            if !at_timeout {
                 // The node may have closed the connection already.
                 let _ = watch.get_mut().write_all(&list(901, &one(late)));
             }
--- a/crates/mothpier/tests/interpose/failing_calls.c
+++ b/crates/mothpier/tests/interpose/failing_calls.c
@@ -31,7 +31,7 @@
 #include <unistd.h>
 
 /* For descriptors above this, neither the direction nor the epoll registration is tracked. */
-#define MOST_DESCRIPTORS 4096
+#define MAX_DESCRIPTORS 4096
 
 /* Not an errno: the call is made, but transfers one byte. */
 #define SHORT (-1)
@@ -56,8 +56,8 @@
 static int error;
 static unsigned long skip, first, every, buffers;
 static _Atomic unsigned long matched;
-static _Atomic char outgoing[MOST_DESCRIPTORS];
-static struct watch watches[MOST_DESCRIPTORS];
+static _Atomic char outgoing[MAX_DESCRIPTORS];
+static struct watch watches[MAX_DESCRIPTORS];
 
 static const struct {
     const char *name;
@@ -129,18 +129,18 @@
 }
 
 /* Whether failures apply to a socket of this domain and type. */
-static int is_chosen(int domain, int type, int fd) {
+static int is_affected(int domain, int type, int fd) {
     if (domain != AF_INET && domain != AF_INET6) return 0;
     int tcp = type == SOCK_STREAM;
     if (!*sockets) return 1;
     if (!strcmp(sockets, "tcp")) return tcp;
     if (!strcmp(sockets, "udp")) return !tcp;
-    if (fd < 0 || fd >= MOST_DESCRIPTORS || !tcp) return 0;
+    if (fd < 0 || fd >= MAX_DESCRIPTORS || !tcp) return 0;
     return outgoing[fd] == !strcmp(sockets, "outgoing");
 }
 
 /* Whether this call fails, by its number among the matching calls. */
-static int is_due(void) {
+static int is_selected(void) {
     unsigned long number = atomic_fetch_add(&matched, 1);
     if (number < skip) return 0;
     number -= skip;
@@ -149,51 +149,51 @@
     return 1;
 }
 
-static int is_on(const char *call) {
+static int is_enabled(const char *call) {
     return control && control->enabled && is_named(call);
 }
 
 /* The failure to inject into a call on a socket: 0, an errno, or SHORT. */
-static int fate_on_socket(const char *call, int fd) {
-    if (!is_on(call) || !is_chosen(option(fd, SO_DOMAIN), option(fd, SO_TYPE), fd)) return 0;
-    return is_due() ? error : 0;
+static int failure_on_socket(const char *call, int fd) {
+    if (!is_enabled(call) || !is_affected(option(fd, SO_DOMAIN), option(fd, SO_TYPE), fd)) return 0;
+    return is_selected() ? error : 0;
 }
 
-static int fate_on_file(const char *call, int fd) {
-    struct stat about;
-    if (!is_on(call) || fstat(fd, &about)) return 0;
+static int failure_on_file(const char *call, int fd) {
+    struct stat info;
+    if (!is_enabled(call) || fstat(fd, &info)) return 0;
     /* Folders are synced, too. */
-    if (!S_ISREG(about.st_mode) && !S_ISDIR(about.st_mode)) return 0;
-    return is_due() ? error : 0;
+    if (!S_ISREG(info.st_mode) && !S_ISDIR(info.st_mode)) return 0;
+    return is_selected() ? error : 0;
 }
 
 /* The same for a call on a socket or a file, for reading and writing. */
-static int fate_on_any(const char *call, int fd) {
-    return option(fd, SO_DOMAIN) == -1 ? fate_on_file(call, fd) : fate_on_socket(call, fd);
+static int failure_on_any(const char *call, int fd) {
+    return option(fd, SO_DOMAIN) == -1 ? failure_on_file(call, fd) : failure_on_socket(call, fd);
 }
 
-static int fails(int fate) {
-    if (fate <= 0) return 0;
-    errno = fate;
+static int fails(int injected) {
+    if (injected <= 0) return 0;
+    errno = injected;
     return 1;
 }
 
 /* On Linux a socket is not ready after a short transfer until a new event, and edge-triggered readers rely on that.
  * After an injected short transfer the descriptor is registered again, which causes the event. */
-static void ready_again(int fate, int fd) {
-    if (fate != SHORT || fd < 0 || fd >= MOST_DESCRIPTORS || !watches[fd].event.events) return;
+static void rearm(int injected, int fd) {
+    if (injected != SHORT || fd < 0 || fd >= MAX_DESCRIPTORS || !watches[fd].event.events) return;
     int before = errno;
     struct epoll_event event = watches[fd].event;
     REAL(epoll_ctl)(watches[fd].epoll, EPOLL_CTL_MOD, fd, &event);
     errno = before;
 }
 
-static size_t shortened(int fate, size_t length) {
-    return fate == SHORT && length > 1 ? 1 : length;
+static size_t shortened(int injected, size_t length) {
+    return injected == SHORT && length > 1 ? 1 : length;
 }
 
-static void is_opened(int fd, int type) {
-    if (!control || fd < 0 || fd >= MOST_DESCRIPTORS) return;
+static void track_socket(int fd, int type) {
+    if (!control || fd < 0 || fd >= MAX_DESCRIPTORS) return;
     outgoing[fd] = 0;
     watches[fd].event.events = 0;
     if (!buffers || type != SOCK_STREAM) return;
@@ -204,110 +204,110 @@
 
 int socket(int domain, int type, int protocol) {
     int kind = type & ~(SOCK_NONBLOCK | SOCK_CLOEXEC);
-    if (is_on("socket") && is_chosen(domain, kind, -1) && is_due()) {
+    if (is_enabled("socket") && is_affected(domain, kind, -1) && is_selected()) {
         errno = error;
         return -1;
     }
     int fd = REAL(socket)(domain, type, protocol);
-    if (domain == AF_INET) is_opened(fd, kind);
+    if (domain == AF_INET) track_socket(fd, kind);
     return fd;
 }
 
 int bind(int fd, const struct sockaddr *address, socklen_t length) {
-    return fails(fate_on_socket("bind", fd)) ? -1 : REAL(bind)(fd, address, length);
+    return fails(failure_on_socket("bind", fd)) ? -1 : REAL(bind)(fd, address, length);
 }
 
 int listen(int fd, int backlog) {
-    return fails(fate_on_socket("listen", fd)) ? -1 : REAL(listen)(fd, backlog);
+    return fails(failure_on_socket("listen", fd)) ? -1 : REAL(listen)(fd, backlog);
 }
 
 int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags) {
-    if (fails(fate_on_socket("accept4", fd))) return -1;
+    if (fails(failure_on_socket("accept4", fd))) return -1;
     int accepted = REAL(accept4)(fd, address, length, flags);
-    is_opened(accepted, SOCK_STREAM);
+    track_socket(accepted, SOCK_STREAM);
     return accepted;
 }
 
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
-    if (fd >= 0 && fd < MOST_DESCRIPTORS) outgoing[fd] = 1;
-    int fate = fate_on_socket("connect", fd);
+    if (fd >= 0 && fd < MAX_DESCRIPTORS) outgoing[fd] = 1;
+    int injected = failure_on_socket("connect", fd);
     /* An interrupted connect goes on in the background. */
-    if (fate == EINTR) REAL(connect)(fd, address, length);
-    return fails(fate) ? -1 : REAL(connect)(fd, address, length);
+    if (injected == EINTR) REAL(connect)(fd, address, length);
+    return fails(injected) ? -1 : REAL(connect)(fd, address, length);
 }
 
 /* The error of a failed connect is read as a socket option. */
 int getsockopt(int fd, int level, int name, void *value, socklen_t *length) {
     int result = REAL(getsockopt)(fd, level, name, value, length);
     if (result || level != SOL_SOCKET || name != SO_ERROR) return result;
-    int fate = fate_on_socket("getsockopt", fd);
-    if (fate > 0) *(int *)value = fate;
+    int injected = failure_on_socket("getsockopt", fd);
+    if (injected > 0) *(int *)value = injected;
     return result;
 }
 
 int setsockopt(int fd, int level, int name, const void *value, socklen_t length) {
-    return fails(fate_on_socket("setsockopt", fd)) ? -1 : REAL(setsockopt)(fd, level, name, value, length);
+    return fails(failure_on_socket("setsockopt", fd)) ? -1 : REAL(setsockopt)(fd, level, name, value, length);
 }
 
 int getsockname(int fd, struct sockaddr *address, socklen_t *length) {
-    return fails(fate_on_socket("getsockname", fd)) ? -1 : REAL(getsockname)(fd, address, length);
+    return fails(failure_on_socket("getsockname", fd)) ? -1 : REAL(getsockname)(fd, address, length);
 }
 
 int shutdown(int fd, int how) {
-    return fails(fate_on_socket("shutdown", fd)) ? -1 : REAL(shutdown)(fd, how);
+    return fails(failure_on_socket("shutdown", fd)) ? -1 : REAL(shutdown)(fd, how);
 }
 
 ssize_t recv(int fd, void *buffer, size_t length, int flags) {
-    int fate = fate_on_socket("recv", fd);
-    if (fails(fate)) return -1;
-    ssize_t read = REAL(recv)(fd, buffer, shortened(fate, length), flags);
-    ready_again(fate, fd);
+    int injected = failure_on_socket("recv", fd);
+    if (fails(injected)) return -1;
+    ssize_t read = REAL(recv)(fd, buffer, shortened(injected, length), flags);
+    rearm(injected, fd);
     return read;
 }
 
 ssize_t recvfrom(int fd, void *buffer, size_t length, int flags, struct sockaddr *from, socklen_t *size) {
-    int fate = fate_on_socket("recvfrom", fd);
-    return fails(fate) ? -1 : REAL(recvfrom)(fd, buffer, length, flags, from, size);
+    int injected = failure_on_socket("recvfrom", fd);
+    return fails(injected) ? -1 : REAL(recvfrom)(fd, buffer, length, flags, from, size);
 }
 
 ssize_t read(int fd, void *buffer, size_t length) {
-    int fate = fate_on_any("read", fd);
-    return fails(fate) ? -1 : REAL(read)(fd, buffer, shortened(fate, length));
+    int injected = failure_on_any("read", fd);
+    return fails(injected) ? -1 : REAL(read)(fd, buffer, shortened(injected, length));
 }
 
 ssize_t send(int fd, const void *buffer, size_t length, int flags) {
-    int fate = fate_on_socket("send", fd);
-    if (fails(fate)) return -1;
-    ssize_t written = REAL(send)(fd, buffer, shortened(fate, length), flags);
-    ready_again(fate, fd);
+    int injected = failure_on_socket("send", fd);
+    if (fails(injected)) return -1;
+    ssize_t written = REAL(send)(fd, buffer, shortened(injected, length), flags);
+    rearm(injected, fd);
     return written;
 }
 
 ssize_t sendto(int fd, const void *buffer, size_t length, int flags, const struct sockaddr *to,
                socklen_t size) {
-    int fate = fate_on_socket("sendto", fd);
-    return fails(fate) ? -1 : REAL(sendto)(fd, buffer, length, flags, to, size);
+    int injected = failure_on_socket("sendto", fd);
+    return fails(injected) ? -1 : REAL(sendto)(fd, buffer, length, flags, to, size);
 }
 
 ssize_t write(int fd, const void *buffer, size_t length) {
-    int fate = fate_on_any("write", fd);
-    return fails(fate) ? -1 : REAL(write)(fd, buffer, shortened(fate, length));
+    int injected = failure_on_any("write", fd);
+    return fails(injected) ? -1 : REAL(write)(fd, buffer, shortened(injected, length));
 }
 
 ssize_t writev(int fd, const struct iovec *pieces, int count) {
-    int fate = fate_on_any("writev", fd);
-    if (fails(fate)) return -1;
+    int injected = failure_on_any("writev", fd);
+    if (fails(injected)) return -1;
     int full = 0;
-    while (fate == SHORT && full + 1 < count && !pieces[full].iov_len) full++;
-    if (fate != SHORT || !count) return REAL(writev)(fd, pieces, count);
-    size_t length = shortened(fate, pieces[full].iov_len);
+    while (injected == SHORT && full + 1 < count && !pieces[full].iov_len) full++;
+    if (injected != SHORT || !count) return REAL(writev)(fd, pieces, count);
+    size_t length = shortened(injected, pieces[full].iov_len);
     ssize_t written = REAL(send)(fd, pieces[full].iov_base, length, MSG_NOSIGNAL);
-    ready_again(fate, fd);
+    rearm(injected, fd);
     return written;
 }
 
 int epoll_wait(int epoll, struct epoll_event *events, int most, int timeout) {
-    if (is_on("epoll_wait") && is_due()) {
+    if (is_enabled("epoll_wait") && is_selected()) {
         errno = error;
         return -1;
     }
@@ -316,9 +316,9 @@
 
 int epoll_ctl(int epoll, int operation, int fd, struct epoll_event *event) {
     /* Only new registrations need memory. */
-    if (operation == EPOLL_CTL_ADD && fails(fate_on_socket("epoll_ctl", fd))) return -1;
+    if (operation == EPOLL_CTL_ADD && fails(failure_on_socket("epoll_ctl", fd))) return -1;
     int result = REAL(epoll_ctl)(epoll, operation, fd, event);
-    if (!result && operation == EPOLL_CTL_ADD && fd < MOST_DESCRIPTORS) {
+    if (!result && operation == EPOLL_CTL_ADD && fd < MAX_DESCRIPTORS) {
         watches[fd].epoll = epoll;
         watches[fd].event = *event;
     }
@@ -326,11 +326,11 @@
 }
 
 int fsync(int fd) {
-    return fails(fate_on_file("fsync", fd)) ? -1 : REAL(fsync)(fd);
+    return fails(failure_on_file("fsync", fd)) ? -1 : REAL(fsync)(fd);
 }
 
 int fdatasync(int fd) {
-    return fails(fate_on_file("fdatasync", fd)) ? -1 : REAL(fdatasync)(fd);
+    return fails(failure_on_file("fdatasync", fd)) ? -1 : REAL(fdatasync)(fd);
 }
 
 int open64(const char *path, int flags, ...) {
@@ -338,7 +338,7 @@
     __builtin_va_start(arguments, flags);
     mode_t mode = flags & (O_CREAT | __O_TMPFILE) ? __builtin_va_arg(arguments, mode_t) : 0;
     __builtin_va_end(arguments);
-    if ((flags & O_CREAT) && is_on("open64") && is_due()) {
+    if ((flags & O_CREAT) && is_enabled("open64") && is_selected()) {
         errno = error;
         return -1;
     }
--- a/crates/mothpier/tests/large.rs
+++ b/crates/mothpier/tests/large.rs
@@ -132,7 +132,7 @@
     let mut client = get(&node, "k", "a1");
     let mut first = [0; 30];
     client.read_exact(&mut first).unwrap();
-    assert!(first.starts_with(b"$100000\r\n"), "held back");
+    assert!(first.starts_with(b"$100000\r\n"), "the first bytes are not those of the value");
     release.send(()).unwrap();
     let mut rest = vec![0; 100_000 + 9 + 2 - first.len()];
     client.read_exact(&mut rest).unwrap();
--- a/crates/mothpier/tests/node.rs
+++ b/crates/mothpier/tests/node.rs
@@ -477,7 +477,7 @@
     // An id can be used again once its request is over.
     release.send(()).unwrap();
     assert_eq!(second.ask(&["CACHE.GET", "other", "i1", "c=read,t=acme,d=9000"]), "$other");
-    assert_eq!(commands.try_iter().count(), 1, "the id in use went on to a server");
+    assert_eq!(commands.try_iter().count(), 1, "the request with the duplicate id was forwarded");
 }
 
 #[test]
@@ -582,7 +582,7 @@
     let members = [member("s-1", address, "m", "ready"), member("o-1", origin, "origin", "ready")].join(",");
     let node = Node::start("spoilt", &Discovery::start(&members));
     let mut client = node.client();
-    for (i, spoilt) in [
+    for (i, malformed) in [
         "+OK\r\n",
         ":1\r\n",
         "$1\r\nv\r\n",
@@ -601,10 +601,10 @@
         client.send(&["CACHE.GET", "k", &format!("i{i}"), "c=read,t=acme,d=19000"]);
         let mut connection = accept(&server);
         read_command(&mut connection).unwrap();
-        connection.get_mut().write_all(spoilt.as_bytes()).unwrap();
-        assert_eq!(read_command(&mut connection), None, "the connection goes on after {spoilt:?}");
+        connection.get_mut().write_all(malformed.as_bytes()).unwrap();
+        assert_eq!(read_command(&mut connection), None, "the connection goes on after {malformed:?}");
         let answer = client.answer();
-        assert!(answer.starts_with("-BUSY"), "{spoilt:?}: {answer}");
+        assert!(answer.starts_with("-BUSY"), "{malformed:?}: {answer}");
     }
     assert_eq!(calls.try_iter().count(), 0, "a malformed response was taken for a miss");
 }
--- a/crates/mothpier/tests/operations_endpoint.rs
+++ b/crates/mothpier/tests/operations_endpoint.rs
@@ -168,7 +168,7 @@
     std::thread::sleep(Duration::from_millis(1300));
     stream.write_all(b"*1\r\n$4\r\nPING\r\n").unwrap();
     std::thread::sleep(Duration::from_millis(50));
-    assert_eq!(stream.read(&mut buffer).expect("a reset"), 0);
+    assert_eq!(stream.read(&mut buffer).expect("the connection was reset"), 0);
 }
 
 #[test]
--- a/crates/mothpier/tests/races.rs
+++ b/crates/mothpier/tests/races.rs
@@ -387,8 +387,8 @@
     let get = ["CACHE.GET", "k", "i", "c=read,t=acme,d=9000"];
     for term_first in [false, true] {
         let mut node = start_node("crosses-term", &discovery, &[]);
-        let mut rests = node.client();
-        assert_eq!(rests.ask(&["PING"]), "+PONG");
+        let mut idle = node.client();
+        assert_eq!(idle.ask(&["PING"]), "+PONG");
         let mut halfway = node.client();
         halfway.write("*4\r\n$9\r\nCACHE.GET\r\n$1\r\nk\r\n$1\r\nh\r\n");
         let mut new = None;
@@ -396,7 +396,7 @@
             if term_first {
                 node.signal("TERM");
             }
-            rests.send(&get);
+            idle.send(&get);
             halfway.write("$20\r\nc=read,t=acme,d=9000\r\n");
             let mut client = node.client();
             client.send(&["CACHE.GET", "k", "n", "c=read,t=acme,d=9000"]);
@@ -405,7 +405,7 @@
                 node.signal("TERM");
             }
         });
-        for (client, answer) in [(&mut rests, "$i"), (&mut halfway, "$h"), (&mut new.unwrap(), "$n")] {
+        for (client, answer) in [(&mut idle, "$i"), (&mut halfway, "$h"), (&mut new.unwrap(), "$n")] {
             assert_eq!((client.answer().as_str(), client.answer().as_str()), (answer, "end"));
         }
         assert!(node.wait_for_exit().success());
@@ -491,20 +491,20 @@
     let discovery = Discovery::start(&member("s-1", server, "m", "ready"));
     let node = Node::run(node_command("evicts", discovery.address, 64, ""), &discovery);
     let get = |client: &mut Client, id: &str| client.send(&["CACHE.GET", "k", id, "c=read,t=acme,d=9000"]);
-    let mut resting = Vec::new();
+    let mut idle_clients = Vec::new();
     // Connect until the node is full: the first connection is evicted for the last.
     loop {
         let mut client = node.client();
         get(&mut client, "rests");
         assert_eq!(client.answer(), "$rests");
-        resting.push(client);
-        assert!(resting.len() < 64, "no connection was evicted");
-        let first: &mut Client = &mut resting[0];
+        idle_clients.push(client);
+        assert!(idle_clients.len() < 64, "no connection was evicted");
+        let first: &mut Client = &mut idle_clients[0];
         if first.has_ended() {
             break;
         }
     }
-    resting.remove(0);
+    idle_clients.remove(0);
     let mut new: Vec<Client> = Vec::new();
     while_paused(&node, || {
         for number in 0..4 {
@@ -512,14 +512,14 @@
             get(&mut client, &format!("new-{number}"));
             new.push(client);
         }
-        for (number, client) in resting.iter_mut().enumerate() {
+        for (number, client) in idle_clients.iter_mut().enumerate() {
             get(client, &format!("{number}"));
         }
     });
     for (number, client) in new.iter_mut().enumerate() {
         assert_eq!(client.answer(), format!("$new-{number}"));
     }
-    for (number, client) in resting.iter_mut().enumerate() {
+    for (number, client) in idle_clients.iter_mut().enumerate() {
         // A connection that was evicted before the pause is closed, and its client would ask another node.
         let answer = client.answer();
         assert!(answer == format!("${number}") || answer == "end", "{answer}");
--- a/crates/mothpier/tests/remaining_time.rs
+++ b/crates/mothpier/tests/remaining_time.rs
@@ -15,7 +15,7 @@
 use harness::*;
 
 /// The time that the client gives a request, in milliseconds: below the class's deadline, and longer than any test takes.
-const ASKED_MS: u64 = 18_000;
+const CLIENT_TIMEOUT_MS: u64 = 18_000;
 /// Minimum delay in each test: eight times the slack.
 const MIN_DELAY: Duration = Duration::from_millis(400);
 /// How much too long the protocol allows the remaining time to be.
@@ -60,17 +60,17 @@
 
 /// The extras of all requests. All but `d` must be passed on unchanged and in order.
 fn asked_extras(class: &str) -> String {
-    format!("c={class},d={ASKED_MS},t=acme,x=1")
+    format!("c={class},d={CLIENT_TIMEOUT_MS},t=acme,x=1")
 }
 
 /// Checks that an attempt that was written when `delay` of the request's time had passed gives no more than the remaining
 /// time, and leaves the other extras unchanged.
 fn assert_passes_remaining_time(extras: &str, class: &str, delay: Duration) {
     let remaining = extras.split(',').find_map(|part| part.strip_prefix("d=")).expect("no d");
-    let around = asked_extras(class).replace(&format!("d={ASKED_MS}"), &format!("d={remaining}"));
+    let around = asked_extras(class).replace(&format!("d={CLIENT_TIMEOUT_MS}"), &format!("d={remaining}"));
     assert_eq!(extras, around, "another extra has changed");
     let remaining = Duration::from_millis(remaining.parse().expect("d is not an integer"));
-    let most = Duration::from_millis(ASKED_MS) - delay + SLACK;
+    let most = Duration::from_millis(CLIENT_TIMEOUT_MS) - delay + SLACK;
     assert!(remaining <= most, "{remaining:?} remaining after {delay:?}, {most:?} at most");
     assert!(!remaining.is_zero(), "no time remaining");
 }
--- a/crates/mothpier/tests/upgrade.rs
+++ b/crates/mothpier/tests/upgrade.rs
@@ -327,7 +327,7 @@
     let (sender, calls) = channel();
     let forward = forward_to(sender);
     // No call ends before the test does: all calls that were begun are concurrent.
-    let (_over, test_end) = channel::<()>();
+    let (_test_running, test_end) = channel::<()>();
     let test_end = std::sync::Mutex::new(test_end);
     let origin = serve(read_call, move |asked| {
         forward(asked);
