--- a/crates/mothpier/src/recording.rs
+++ b/crates/mothpier/src/recording.rs
@@ -1,6 +1,7 @@
-//! The recorder that the operator's file asks for, and what the record of an earlier incarnation left to count.
+//! Starts the recorder that the operator's file configures, and recovers state from the records of earlier
+//! incarnations.
 //!
-//! What fails here costs the record, never the node: each failure is a line of the log.
+//! A failure here disables recording or recovery and is logged; the node starts all the same.
 
 use std::path::PathBuf;
 use std::sync::mpsc;
@@ -16,34 +17,34 @@
 use mothpier_record::store::{Folder, Store, largest_incarnation, newest_first};
 use nix::time::ClockId;
 
-/// A number that the kernel draws at each boot.
+/// File with the random UUID that the kernel generates at each boot.
 const BOOT_ID: &str = "/proc/sys/kernel/random/boot_id";
 
-/// A start waits no longer for the folder: a disk that hangs costs the record.
+/// How long the start waits for the folder of records to be read. A hanging disk must not delay the node.
 const FOLDER_WAIT: Duration = Duration::from_secs(1);
 
-/// The recorder, where the operator's file names a folder.
+/// Creates the recorder if the operator's file names a folder.
 pub fn recorder(host: SystemHost, config: &Config) -> Option<Recorder> {
     let record = &config.operator.record;
     let folder = record.folder.as_ref()?;
     let now = Now { clock: host.unix_time().as_micros() as u64, monotonic: monotonic() };
-    let earlier = look_back(config, folder.clone(), now);
-    let legacy = match earlier.found {
-        Some(Found::Legacy(legacy, line)) => {
+    let earlier = read_earlier_incarnations(config, folder.clone(), now);
+    let inherited = match earlier.found {
+        Some(Found::Legacy(inherited, line)) => {
             host.log(format_args!("{line}"));
-            Some(legacy)
+            Some(inherited)
         }
-        Some(Found::Nothing(why)) => {
-            host.log(format_args!("{why}"));
+        Some(Found::Nothing(reason)) => {
+            host.log(format_args!("{reason}"));
             None
         }
         None => None,
     };
     let store = Store::start(Folder(folder.clone()), &record.tuning)
-        .inspect_err(|e| host.log(format_args!("nothing is recorded: {e}")))
+        .inspect_err(|e| host.log(format_args!("recording disabled: {e}")))
         .ok()?;
     let secret = matches!(config.key_hasher, KeyHasher::Secret(_));
-    let recorder = Recorder::new(record.tuning.clone(), record.on, Box::new(store), legacy)
+    let recorder = Recorder::new(record.tuning.clone(), record.on, Box::new(store), inherited)
         .about(concat!("mothpier ", env!("CARGO_PKG_VERSION")), secret)
         .monotonic(monotonic)
         .recovered_at(now.clock)
@@ -51,55 +52,59 @@
     Some(recorder)
 }
 
-/// What the folder says of earlier incarnations.
+/// What the folder of records shows about earlier incarnations.
 #[derive(Default)]
-struct Earlier {
+struct EarlierIncarnations {
     largest_incarnation: Option<u64>,
-    /// `None` where there is no segment, or the operator does not want to know.
+    /// `None` if there is no segment, or recovery is switched off.
     found: Option<Found>,
 }
 
-/// Reads the folder on a thread of its own, and waits for that with a bound.
-fn look_back(config: &Config, folder: PathBuf, now: Now) -> Earlier {
+/// Reads the folder on a separate thread, and waits at most [`FOLDER_WAIT`] for it.
+fn read_earlier_incarnations(config: &Config, folder: PathBuf, now: Now) -> EarlierIncarnations {
     let record = &config.operator.record;
-    let wanted = record.on && record.recover;
+    let recover = record.on && record.recover;
     let node = config.name.clone();
-    // As the node will act on them.
+    // The settings that the node will use, with the operator's overrides.
     let settings =
         Settings { storm_mitigation: config.operator.storm.damping(), ..config.site.policy.clone() };
     let unseen = Unseen { span: (record.tuning.hand_over_ms * 1000.0) as u64 };
-    let (done, result) = mpsc::sync_channel(1);
-    let (its_node, its_settings) = (node.clone(), settings.clone());
-    let reads = move || {
-        let recovery = Recovery { node: &its_node, settings: &its_settings, now, unseen };
-        // Nobody waits any longer where this fails.
-        let _ = done.send(read_folder(&recovery, folder, wanted));
+    let (sender, result) = mpsc::sync_channel(1);
+    let (reader_node, reader_settings) = (node.clone(), settings.clone());
+    let read = move || {
+        let recovery = Recovery { node: &reader_node, settings: &reader_settings, now, unseen };
+        // Sending fails once the wait has timed out.
+        let _ = sender.send(read_folder(&recovery, folder, recover));
     };
-    let started = std::thread::Builder::new().name("recover".into()).spawn(reads);
-    let why = match started.map(|_| result.recv_timeout(FOLDER_WAIT)) {
+    let started = std::thread::Builder::new().name("recover".into()).spawn(read);
+    let reason = match started.map(|_| result.recv_timeout(FOLDER_WAIT)) {
         Ok(Ok(earlier)) => return earlier,
-        Ok(Err(_)) => "its folder did not answer in time".to_string(),
-        Err(e) => format!("it was not read: {e}"),
+        Ok(Err(_)) => "reading its folder timed out".to_string(),
+        Err(e) => format!("cannot start a thread to read it: {e}"),
     };
     let recovery = Recovery { node: &node, settings: &settings, now, unseen };
-    Earlier { largest_incarnation: None, found: wanted.then(|| recovery.assume_most(&why)) }
+    EarlierIncarnations { largest_incarnation: None, found: recover.then(|| recovery.assume_most(&reason)) }
 }
 
-fn read_folder(recovery: &Recovery<'_>, folder: PathBuf, wanted: bool) -> Earlier {
+fn read_folder(recovery: &Recovery<'_>, folder: PathBuf, recover: bool) -> EarlierIncarnations {
     let mut folder = Folder(folder);
     let segments = match newest_first(&mut folder, recovery.node) {
         Ok(segments) => segments,
         Err(e) => {
-            let why = format!("cannot read {}: {e}", folder.0.display());
-            return Earlier { found: wanted.then(|| recovery.assume_most(&why)), ..Earlier::default() };
+            let reason = format!("cannot read {}: {e}", folder.0.display());
+            return EarlierIncarnations {
+                found: recover.then(|| recovery.assume_most(&reason)),
+                ..EarlierIncarnations::default()
+            };
         }
     };
     let read = |name: &str| std::fs::read(folder.0.join(name));
-    let found = (wanted && !segments.is_empty()).then(|| recovery.recover_newest(&segments, read));
-    Earlier { largest_incarnation: largest_incarnation(&segments), found }
+    let found = (recover && !segments.is_empty()).then(|| recovery.recover_newest(&segments, read));
+    EarlierIncarnations { largest_incarnation: largest_incarnation(&segments), found }
 }
 
-/// The machine's monotonic clock, that of `Instant`; `None` where it can't be told from that of another boot.
+/// Reads the monotonic clock that `Instant` uses. `None` if the boot can't be identified: readings of different boots
+/// can't be compared.
 fn monotonic() -> Option<Reading> {
     let boot_id = std::fs::read_to_string(BOOT_ID).ok()?;
     let digits: String = boot_id.chars().filter(char::is_ascii_hexdigit).collect();
--- a/crates/mothpier/tests/habits/mod.rs
+++ b/crates/mothpier/tests/usage_patterns/mod.rs
@@ -1,4 +1,4 @@
-//! Clients that use one connection each, in the ways that the platform's pages leave them, until the node ends it.
+//! Clients with various usage patterns, each on one connection, which they use until the node closes it.
 #![allow(dead_code)]
 
 use std::collections::{HashSet, VecDeque};
@@ -9,259 +9,271 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use crate::world::{self, Discovery, Node, Reaction, array, member, node, serve};
-
-/// After a drain was told, a client's connection must not be held idle from here on, nor with a request that came less than
-/// [`RECENT`] ago.
-pub const HELD_AT_MOST: Duration = Duration::from_secs(4);
-/// See [`HELD_AT_MOST`].
-pub const RECENT: Duration = Duration::from_secs(2);
-/// A request that reached no server, and was sent so short a time before its client saw the end of the connection, crossed
-/// that end: on a busy machine either side may be held up for a while.
-pub const CROSSING: Duration = Duration::from_millis(250);
-/// The value that a slow upload sends.
-const UPLOAD: usize = 2 * 1024 * 1024;
-/// SIGKILL comes no sooner after SIGTERM: the longest deadline, of which 3 s count at most, and 0.7 s.
+use crate::harness::{self, Discovery, Node, Reaction, hit, member, serve, start_node};
+
+/// So long after the start of a drain no client connection may still be open that is idle, or has a request younger than
+/// [`RECENT_REQUEST`].
+pub const MAX_HOLD: Duration = Duration::from_secs(4);
+/// See [`MAX_HOLD`].
+pub const RECENT_REQUEST: Duration = Duration::from_secs(2);
+/// A request that reached no server may have crossed the node's close if it was sent this shortly before the client saw the
+/// close. The time allows for scheduling delays on a busy machine.
+pub const CLOSE_CROSSING: Duration = Duration::from_millis(250);
+/// Length of the value that a slow upload sends, in bytes.
+const UPLOAD_BYTES: usize = 2 * 1024 * 1024;
+/// Minimum time from SIGTERM to SIGKILL: the longest deadline, of which 3 s count at most, plus 0.7 s.
 pub const EARLIEST_KILL: Duration = Duration::from_millis(3700);
-/// A slow answer takes this long.
-const SLOW: Duration = Duration::from_millis(250);
-/// A usual one takes this long.
-const USUAL: Duration = Duration::from_millis(20);
-/// How often a client that waits for its time looks whether its connection has ended.
-const LOOK: Duration = Duration::from_millis(5);
+/// Response time of the cache server for "slow" keys.
+const SLOW_RESPONSE_TIME: Duration = Duration::from_millis(250);
+/// Response time for "usual" keys.
+const USUAL_RESPONSE_TIME: Duration = Duration::from_millis(20);
+/// Polling interval of a client that waits.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The ids of the requests that have reached a cache server.
 pub type Forwarded = Arc<Mutex<HashSet<String>>>;
 
-/// A cache server that answers by the kind of the key, and what has reached it.
+/// A cache server whose response time depends on the kind of the key. Returns its address and the ids that have reached
+/// it.
 pub fn server() -> (SocketAddr, Forwarded) {
     let forwarded = Forwarded::default();
     let reached = forwarded.clone();
-    let address = serve(world::command, move |asked| {
+    let address = serve(harness::read_command, move |asked| {
         reached.lock().unwrap().insert(asked[2].clone());
         match asked[1].split('-').next() {
-            Some("slow") => thread::sleep(SLOW),
-            Some("usual") => thread::sleep(USUAL),
+            Some("slow") => thread::sleep(SLOW_RESPONSE_TIME),
+            Some("usual") => thread::sleep(USUAL_RESPONSE_TIME),
             Some("silent") => return Reaction::Silence,
             _ => {}
         }
-        array(&asked[2])
+        hit(&asked[2])
     });
     (address, forwarded)
 }
 
-/// Waits until something is so old.
-pub fn wait_until(began: Instant, age: Duration) {
+/// Waits until `age` has passed since `began`.
+pub fn sleep_until(began: Instant, age: Duration) {
     thread::sleep((began + age).saturating_duration_since(Instant::now()));
 }
 
-/// A node with clients at work.
-pub struct Scene {
+/// A node and clients that use it.
+pub struct LoadedNode {
     pub node: Node,
     pub clients: Vec<Client>,
     pub forwarded: Forwarded,
     _discovery: Discovery,
-    /// When it was first told to drain or to end.
-    pub told: Arc<Mutex<Option<Instant>>>,
+    /// When the node was first asked to drain or to end.
+    pub start_of_drain: Arc<Mutex<Option<Instant>>>,
 }
 
-impl Scene {
-    /// Starts a node and clients of these habits, each with the kind of its keys, and lets them work for a moment.
-    pub fn new(name: &str, habits: &[(Habit, &'static str)]) -> Scene {
+impl LoadedNode {
+    /// Starts a node and clients with these usage patterns, each with a kind of keys, and lets them run for a moment.
+    pub fn new(name: &str, patterns: &[(UsagePattern, &'static str)]) -> LoadedNode {
         let (server, forwarded) = server();
         let discovery = Discovery::start(&member("s-1", server, "m", "ready"));
-        let node = node(name, &discovery, &[]);
-        let told = Arc::new(Mutex::new(None));
-        let mut scene = Scene { node, clients: Vec::new(), forwarded, _discovery: discovery, told };
-        scene.start(habits);
+        let node = start_node(name, &discovery, &[]);
+        let start_of_drain = Arc::new(Mutex::new(None));
+        let mut loaded_node =
+            LoadedNode { node, clients: Vec::new(), forwarded, _discovery: discovery, start_of_drain };
+        loaded_node.start(patterns);
         thread::sleep(Duration::from_millis(300));
-        scene
+        loaded_node
     }
 
     /// Starts more clients.
-    pub fn start(&mut self, habits: &[(Habit, &'static str)]) {
+    pub fn start(&mut self, patterns: &[(UsagePattern, &'static str)]) {
         let first = self.clients.len();
-        let start = |(number, (habit, kind)): (usize, &(Habit, &'static str))| {
-            Client::start(self.node.address, first + number, *habit, kind, self.told.clone())
+        let start = |(number, (pattern, kind)): (usize, &(UsagePattern, &'static str))| {
+            Client::start(self.node.address, first + number, *pattern, kind, self.start_of_drain.clone())
         };
-        let started: Vec<Client> = habits.iter().enumerate().map(start).collect();
+        let started: Vec<Client> = patterns.iter().enumerate().map(start).collect();
         self.clients.extend(started);
     }
 
-    /// Notes that the node is told to drain or to end now, and gives when that is.
-    pub fn begin(&self) -> Instant {
+    /// Records that the node is asked to drain or to end now, and returns the time.
+    pub fn mark_start(&self) -> Instant {
         let began = Instant::now();
-        self.told.lock().unwrap().get_or_insert(began);
+        self.start_of_drain.lock().unwrap().get_or_insert(began);
         began
     }
 
-    /// Tells the node to drain, and gives when that was.
+    /// Drains the node, and returns when the drain began.
     pub fn drain(&self) -> Instant {
-        let began = self.begin();
+        let began = self.mark_start();
         assert_eq!(self.node.status("PUT /drain"), 200);
         began
     }
 
-    /// What is wrong with the connections once the drain is four seconds old.
-    pub fn held(&self, began: Instant) -> Vec<String> {
-        wait_until(began, HELD_AT_MOST);
-        let held = self.clients.iter().filter_map(|client| client.held(began));
-        held.map(|held| format!("held: {held}")).chain(self.ended_wrongly()).collect()
+    /// Waits until [`MAX_HOLD`] after the start of a drain, and returns the violations on all connections.
+    pub fn violations_after_drain(&self, began: Instant) -> Vec<String> {
+        sleep_until(began, MAX_HOLD);
+        let held = self.clients.iter().filter_map(|client| client.violation_after_drain(began));
+        held.map(|held| format!("held: {held}")).chain(self.close_violations()).collect()
     }
 
-    /// What is wrong once the process may be killed that was told to end at a time.
-    pub fn ended(&mut self, name: &str, terminated: Instant) -> Vec<String> {
-        wait_until(terminated, EARLIEST_KILL);
+    /// Kills the process at the earliest time after the SIGTERM at `terminated`, and returns the violations.
+    pub fn violations_after_kill(&mut self, name: &str, terminated: Instant) -> Vec<String> {
+        sleep_until(terminated, EARLIEST_KILL);
         let status = self.node.child.try_wait().unwrap();
         let _ = self.node.child.kill();
-        self.node.ended();
-        // All see the end of their connections now.
-        wait_until(terminated, EARLIEST_KILL + Duration::from_millis(200));
-        let mut wrong: Vec<String> = self.ended_wrongly().collect();
+        self.node.wait_for_exit();
+        // Time for all clients to see their connections closed.
+        sleep_until(terminated, EARLIEST_KILL + Duration::from_millis(200));
+        let mut violations: Vec<String> = self.close_violations().collect();
         if !status.is_some_and(|status| status.success()) {
-            wrong.push(format!("{name}: the process has not ended in order by itself: {status:?}"));
+            violations.push(format!("{name}: the process has not exited by itself with success: {status:?}"));
         }
-        wrong
+        violations
     }
 
-    fn ended_wrongly(&self) -> impl Iterator<Item = String> {
-        let wrong = self.clients.iter().filter_map(|client| client.ended_wrongly(&self.forwarded));
-        wrong.map(|wrong| format!("ended wrongly: {wrong}"))
+    fn close_violations(&self) -> impl Iterator<Item = String> {
+        let violations = self.clients.iter().filter_map(|client| client.close_violation(&self.forwarded));
+        violations.map(|violations| format!("ended wrongly: {violations}"))
     }
 
-    /// Prints what became of each client.
+    /// Prints a summary of each client.
     pub fn print(&self, began: Instant) {
-        self.clients.iter().for_each(|client| println!("{}", client.told(began)));
+        self.clients.iter().for_each(|client| println!("{}", client.summary(began)));
     }
 }
 
-/// What a client does on its connection.
+/// The usage pattern of a client on its connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Habit {
-    /// Asks once, and then nothing more.
-    Rests,
-    /// Asks nothing.
+pub enum UsagePattern {
+    /// Sends one request, and is idle afterwards.
+    IdleAfterRequest,
+    /// Sends nothing.
     Silent,
-    /// Asks again as soon as it has its answer.
+    /// Sends the next request as soon as the last is answered.
     ClosedLoop,
-    /// Keeps so many requests open at all times.
+    /// Keeps this many requests open at all times.
     Overlaps(usize),
-    /// Writes so many commands at once, and again once all are answered.
+    /// Writes this many commands at once, and again once all are answered.
     Bursts(usize),
-    /// Begins its first command so long after the drain was told, and writes a byte each 50 ms.
-    BeginsLate(Duration),
-    /// Writes one command after the other, a byte each 5 ms.
+    /// Begins its first command this long after the start of the drain, and writes a byte every 50 ms.
+    StartsLate(Duration),
+    /// Writes one command after the other, a byte every 5 ms.
     ByteByByte,
-    /// Writes a large value in pieces, without end.
+    /// Writes a large value in pieces, and never completes it.
     Uploads,
-    /// Asks again and again and takes no answers.
+    /// Sends requests and never reads the answers.
     NeverReads,
 }
 
 /// How a connection ended, as its client saw it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum End {
-    /// With the end of the stream.
+    /// By an orderly close.
     Closed,
-    /// With a reset.
+    /// By a reset.
     Reset,
 }
 
-/// What became of the requests of one client.
+/// The outcomes of the requests of one client.
 #[derive(Debug, Default)]
 pub struct Account {
-    /// Requests that have no answer, by their ids, and when their last byte was written.
+    /// Ids of the requests without an answer, and when the last byte of each was written.
     pub open: VecDeque<(String, Instant)>,
     pub served: usize,
     pub refused: usize,
     pub failed: usize,
-    /// Answers that belong to no open request.
-    pub strange: Vec<String>,
+    /// Answers that match no open request.
+    pub unmatched: Vec<String>,
     pub ended: Option<(Instant, End)>,
 }
 
-/// A client that is at work.
+/// A running client.
 pub struct Client {
-    pub habit: Habit,
-    /// The kind of its keys, which tells a server how to answer.
+    pub pattern: UsagePattern,
+    /// The kind of its keys, which decides the server's response time.
     pub kind: &'static str,
     account: Arc<Mutex<Account>>,
     stop: Arc<AtomicBool>,
 }
 
 impl Client {
-    /// Connects and begins. `told` is when the drain is told, for habits that wait for it.
+    /// Connects and begins. `start_of_drain` holds the start of the drain, for usage patterns that wait for it.
     pub fn start(
         node: SocketAddr,
         number: usize,
-        habit: Habit,
+        pattern: UsagePattern,
         kind: &'static str,
-        told: Arc<Mutex<Option<Instant>>>,
+        start_of_drain: Arc<Mutex<Option<Instant>>>,
     ) -> Client {
         let account = Arc::new(Mutex::new(Account::default()));
         let stop = Arc::new(AtomicBool::new(false));
         let stream = TcpStream::connect(node).unwrap();
         stream.set_nodelay(true).unwrap();
         let reading = stream.try_clone().unwrap();
-        let writer =
-            Writer { stream, number, kind, account: account.clone(), stop: stop.clone(), told, asked: 0 };
-        thread::spawn(move || writer.run(habit));
-        if habit != Habit::NeverReads {
+        let writer = Writer {
+            stream,
+            number,
+            kind,
+            account: account.clone(),
+            stop: stop.clone(),
+            start_of_drain,
+            asked: 0,
+        };
+        thread::spawn(move || writer.run(pattern));
+        if pattern != UsagePattern::NeverReads {
             let (account, stop) = (account.clone(), stop.clone());
             thread::spawn(move || read_answers(reading, &account, &stop));
         }
-        Client { habit, kind, account, stop }
+        Client { pattern, kind, account, stop }
     }
 
-    /// What became of its requests by now.
+    /// The outcomes of its requests so far.
     pub fn account(&self) -> MutexGuard<'_, Account> {
         self.account.lock().unwrap()
     }
 
-    /// Why its connection breaks the rule, at a time at which the drain is [`HELD_AT_MOST`] old; `None` where it does not.
-    pub fn held(&self, told: Instant) -> Option<String> {
+    /// How its connection violates the rule of [`MAX_HOLD`], at that time after the start of a drain.
+    pub fn violation_after_drain(&self, began: Instant) -> Option<String> {
         let account = self.account();
         if account.ended.is_some() {
             return None;
         }
-        let recent = account.open.iter().filter(|(_, sent)| *sent > told + HELD_AT_MOST - RECENT).count();
+        let recent =
+            account.open.iter().filter(|(_, sent)| *sent > began + MAX_HOLD - RECENT_REQUEST).count();
         let state = match (account.open.len(), recent) {
             (0, _) => "idle".to_owned(),
-            // What came before may take its time.
+            // Older requests may take their time.
             (_, 0) => return None,
             (open, recent) => format!("{open} open, {recent} of them recent"),
         };
-        Some(format!("{:?} of {} keys: {state}, {} served", self.habit, self.kind, account.served))
+        Some(format!("{:?} of {} keys: {state}, {} served", self.pattern, self.kind, account.served))
     }
 
-    /// What it did, in a line.
-    pub fn told(&self, began: Instant) -> String {
+    /// A summary of the client in one line.
+    pub fn summary(&self, began: Instant) -> String {
         let Account { open, served, refused, failed, ended, .. } = &*self.account();
         let ended = ended.map(|(at, end)| (at.saturating_duration_since(began), end));
         format!(
             "{:?} of {} keys: {served} served, {refused} refused, {failed} failed, {} open, ended {ended:?}",
-            self.habit,
+            self.pattern,
             self.kind,
             open.len()
         )
     }
 
-    /// What is wrong with the end of its connection: a reset, or requests that were read and not answered.
-    pub fn ended_wrongly(&self, forwarded: &Forwarded) -> Option<String> {
-        if self.habit == Habit::NeverReads {
-            // It can't tell.
+    /// How the end of its connection violates the rules: a reset, an unmatched answer, or requests that were read and not
+    /// answered.
+    pub fn close_violation(&self, forwarded: &Forwarded) -> Option<String> {
+        if self.pattern == UsagePattern::NeverReads {
+            // It does not see its answers.
             return None;
         }
         let account = self.account();
         let (ended, end) = account.ended?;
         let forwarded = forwarded.lock().unwrap();
-        let is_lost = |(id, sent): &&(String, Instant)| forwarded.contains(id) || *sent + CROSSING < ended;
+        let is_lost =
+            |(id, sent): &&(String, Instant)| forwarded.contains(id) || *sent + CLOSE_CROSSING < ended;
         let lost: Vec<_> = account.open.iter().filter(is_lost).collect();
-        let wrong = end == End::Reset || !lost.is_empty() || !account.strange.is_empty();
-        wrong.then(|| {
+        let is_violation = end == End::Reset || !lost.is_empty() || !account.unmatched.is_empty();
+        is_violation.then(|| {
             format!(
-                "{:?} of {} keys: {end:?}, without an answer {lost:?}, strange answers {:?}",
-                self.habit, self.kind, account.strange
+                "{:?} of {} keys: {end:?}, without an answer {lost:?}, unmatched answers {:?}",
+                self.pattern, self.kind, account.unmatched
             )
         })
     }
@@ -273,34 +285,34 @@
     }
 }
 
-/// The side of a client that writes.
+/// The writing side of a client.
 struct Writer {
     stream: TcpStream,
     number: usize,
     kind: &'static str,
     account: Arc<Mutex<Account>>,
     stop: Arc<AtomicBool>,
-    told: Arc<Mutex<Option<Instant>>>,
+    start_of_drain: Arc<Mutex<Option<Instant>>>,
     asked: usize,
 }
 
 impl Writer {
-    fn run(mut self, habit: Habit) {
-        // A connection that the node has ended takes nothing more.
-        let _ = match habit {
-            Habit::Silent => Ok(()),
-            Habit::Rests => self.ask(1),
-            Habit::ClosedLoop => self.keep_open(1),
-            Habit::Overlaps(depth) => self.keep_open(depth),
-            Habit::Bursts(count) => self.burst(count),
-            Habit::BeginsLate(after) => self.begin_late(after),
-            Habit::ByteByByte => self.byte_by_byte(),
-            Habit::Uploads => self.upload(),
-            Habit::NeverReads => self.never_read(),
+    fn run(mut self, pattern: UsagePattern) {
+        // Writing fails once the node has closed the connection.
+        let _ = match pattern {
+            UsagePattern::Silent => Ok(()),
+            UsagePattern::IdleAfterRequest => self.ask(1),
+            UsagePattern::ClosedLoop => self.keep_open(1),
+            UsagePattern::Overlaps(depth) => self.keep_open(depth),
+            UsagePattern::Bursts(count) => self.burst(count),
+            UsagePattern::StartsLate(after) => self.start_late(after),
+            UsagePattern::ByteByByte => self.byte_by_byte(),
+            UsagePattern::Uploads => self.upload(),
+            UsagePattern::NeverReads => self.never_read(),
         };
-        // Its side stays open until the test ends.
+        // The client's side stays open until the test ends.
         while !self.is_over() {
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
@@ -316,17 +328,17 @@
         self.account.lock().unwrap().open.len()
     }
 
-    /// The next request, which is on its way from now on.
+    /// The next request, which counts as open from now on.
     fn next(&mut self) -> Vec<u8> {
         self.asked += 1;
         let id = format!("{}-{}", self.number, self.asked);
-        // Reads of one key may share an answer.
+        // The node may merge concurrent reads of one key.
         let key = format!("{}-{id}", self.kind);
         self.account.lock().unwrap().open.push_back((id.clone(), Instant::now()));
         command(&["CACHE.GET", &key, &id, "c=read,t=acme,d=20000"])
     }
 
-    /// The requests that are on their way were written whole just now.
+    /// Records that the last requests have just been written completely.
     fn written(&self, count: usize) {
         let now = Instant::now();
         let mut account = self.account.lock().unwrap();
@@ -373,16 +385,16 @@
         Ok(())
     }
 
-    fn begin_late(&mut self, after: Duration) -> io::Result<()> {
-        let told = loop {
-            let told = *self.told.lock().unwrap();
-            match told {
-                Some(told) => break told,
+    fn start_late(&mut self, after: Duration) -> io::Result<()> {
+        let start_of_drain = loop {
+            let start_of_drain = *self.start_of_drain.lock().unwrap();
+            match start_of_drain {
+                Some(start_of_drain) => break start_of_drain,
                 None if self.has_ended() => return Ok(()),
-                None => thread::sleep(LOOK),
+                None => thread::sleep(POLL_INTERVAL),
             }
         };
-        thread::sleep((told + after).saturating_duration_since(Instant::now()));
+        thread::sleep((start_of_drain + after).saturating_duration_since(Instant::now()));
         let id = format!("late-{}", self.number);
         let bytes = command(&["CACHE.GET", &format!("{}-{id}", self.kind), &id, "c=read,t=acme,d=20000"]);
         let (last, first) = bytes.split_last().expect("a command has bytes");
@@ -409,10 +421,10 @@
 
     fn upload(&mut self) -> io::Result<()> {
         let head = format!(
-            "*5\r\n$9\r\nCACHE.SET\r\n$6\r\nupload\r\n$2\r\nu1\r\n$21\r\nc=once,t=acme,d=20000\r\n${UPLOAD}\r\n"
+            "*5\r\n$9\r\nCACHE.SET\r\n$6\r\nupload\r\n$2\r\nu1\r\n$21\r\nc=once,t=acme,d=20000\r\n${UPLOAD_BYTES}\r\n"
         );
         self.stream.write_all(head.as_bytes())?;
-        let mut left = UPLOAD;
+        let mut left = UPLOAD_BYTES;
         while left > 1 && !self.has_ended() {
             let piece = left.min(4096) - 1;
             self.stream.write_all(&vec![b'v'; piece])?;
@@ -470,23 +482,23 @@
 
 impl Account {
     fn take(&mut self, answer: &str) {
-        // What is said of a command that has not come whole belongs to no request.
+        // An error about an incomplete command belongs to no request.
         if answer.starts_with("-ERR protocol") {
             return;
         }
         let Some((id, _)) = self.open.pop_front() else {
-            return self.strange.push(answer.to_owned());
+            return self.unmatched.push(answer.to_owned());
         };
         match answer {
             _ if answer == format!("${id}") => self.served += 1,
             _ if answer.starts_with("-BUSY") => self.refused += 1,
             _ if answer.starts_with("-ERR") => self.failed += 1,
-            _ => self.strange.push(format!("{id}: {answer}")),
+            _ => self.unmatched.push(format!("{id}: {answer}")),
         }
     }
 }
 
-/// A line, or a value behind `$`; `None` at the end.
+/// Reads a line, or a bulk string with a leading `$`. `None` at the end of the connection.
 fn read_answer(reader: &mut BufReader<TcpStream>) -> io::Result<Option<String>> {
     let mut line = String::new();
     if reader.read_line(&mut line)? == 0 {
