--- a/crates/accord/src/member.rs
+++ b/crates/accord/src/member.rs
@@ -1,31 +1,31 @@
-//! One member: voter, decider and follower in one machine.
+//! The state machine of one member: voter, leader and follower.
 
 use std::collections::BTreeSet;
 
-use crate::message::{Ballot, Message, PlanNumber, Question};
-use crate::succession::Succession;
+use crate::message::{Ballot, Message, PlanNumber, Query};
+use crate::succession::PlanRecovery;
 use crate::{MemberId, Millis};
 
-/// So many questions in a row without an answer may be bad luck.
-const UNANSWERED: u8 = 2;
-/// Rounds from which on a ballot is nonsense.
-const MOST_ROUNDS: u32 = u32::MAX / 2;
+/// This many unanswered queries in a row are not taken for a failure yet.
+const TOLERATED_UNANSWERED: u8 = 2;
+/// Rounds from here on are invalid.
+const MAX_ROUND: u32 = u32::MAX / 2;
 
-/// Spans of the accord, in milliseconds.
+/// The time constants of the agreement, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Timing {
-    /// A decider's lease, from before it asks for it.
+    /// The duration of a leader's lease, from before it is requested.
     pub lease: Millis,
-    /// For how long a voter keeps to a grant; longer than the lease by more than two clocks can differ over it.
+    /// How long a voter keeps to a grant; longer than the lease by more than two clocks can differ over it.
     pub grant: Millis,
-    /// A follower acts on a plan for this long after the question that was last answered.
+    /// How long a follower acts on a plan after the query that was last answered.
     pub plan_validity: Millis,
-    /// Between two questions of a follower.
+    /// The interval between queries of a follower.
     pub query_interval: Millis,
-    /// A campaign asks voters that have not answered again after this long.
+    /// After this long a campaign asks voters again that have not answered.
     pub retry_interval: Millis,
-    /// The part of a lease, in thousandths, by which a follower's clock may run slower than the decider's.
-    pub drift: u64,
+    /// By how many thousandths of a lease a follower's clock may run slower than the leader's.
+    pub drift_per_mille: u64,
 }
 
 impl Default for Timing {
@@ -36,197 +36,197 @@
             plan_validity: 8_000,
             query_interval: 500,
             retry_interval: 120,
-            drift: 20,
+            drift_per_mille: 20,
         }
     }
 }
 
-/// Who takes part, and how.
+/// The configuration of a member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Config {
-    /// This member.
+    /// The number of this member.
     pub me: MemberId,
     /// The voters, the same at every member.
     pub voters: Vec<MemberId>,
-    /// Spans, the same at every member.
+    /// The time constants, the same at every member.
     pub timing: Timing,
 }
 
-/// Something that the machine wants done, or tells its node.
+/// An action that the state machine requests, or a change that it reports to its node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Effect {
     /// Send a message to a member.
     Send(MemberId, Message),
-    /// From now on act on this plan.
+    /// Act on this plan from now on.
     ApplyPlan(PlanNumber, Vec<u8>),
-    /// From now on act on no plan: nothing was heard for too long.
+    /// Act on no plan from now on: nothing was received for too long.
     DropPlan,
-    /// This member decides from now on.
+    /// This member is the leader from now on.
     BecameLeader(Ballot),
-    /// It no longer does.
+    /// This member is no longer the leader.
     SteppedDown,
-    /// What another member sees; told to a decider only.
+    /// Evidence of another member; reported to a leader only.
     Evidence(MemberId, Vec<u8>),
-    /// Another member has acted on this decider's plan of this sequence number, or on a later one.
+    /// Another member has acted on this leader's plan of this sequence number, or on a later one.
     PlanApplied(MemberId, u32),
-    /// An earlier decider's plan, newer than any that this decider knew; told while it may choose nothing of its own yet.
+    /// A former leader's plan, newer than any that this leader knew; reported while it must not choose a plan of its own yet.
     RecoveredPlan(Vec<u8>),
 }
 
-/// A guard that is left out: for tests, which must catch each.
+/// A safeguard that is left out: for tests, which must detect each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Mutant {
-    /// A voter that starts takes part at once.
+    /// A voter votes at once after its start.
     VotesAtOnce,
-    /// A voter forgets a grant when its lease would be over by the decider's clock.
+    /// A voter forgets a grant when its lease expires by the leader's clock.
     HoldsTooShort,
-    /// A voter that holds a grant does not tell.
+    /// A voter does not report its grant.
     HidesGrant,
     /// A voter grants to a lower ballot than it has promised.
     BreaksPromise,
-    /// A decider's lease begins when it is granted.
+    /// A leader's lease begins when it is granted.
     LeaseFromGrant,
-    /// A decider's lease begins when it is asked for, as published, and not when the campaign begins.
+    /// A leader's lease begins when it is requested, as published, and not when the campaign begins.
     LeaseFromPropose,
-    /// A decider does not look whether its lease is over before it answers.
+    /// A leader does not check whether its lease has expired before it replies.
     AnswersLate,
-    /// A follower takes an answer however late it comes.
-    TakesLate,
-    /// A follower takes an answer that was meant for its earlier life.
-    TakesForeign,
-    /// A follower takes a lower number than it has acted on.
+    /// A follower accepts a reply however late it arrives.
+    AcceptsLateReply,
+    /// A follower accepts a reply to a query of its former incarnation.
+    AcceptsForeignReply,
+    /// A follower accepts a lower plan number than it has acted on.
     GoesBack,
-    /// A follower never falls back.
-    NeverFallsBack,
-    /// A new decider begins its tenure with the number of another life of its own.
-    ReusesLife,
-    /// A campaign counts answers of members that are no voters.
-    CountsAnybody,
+    /// A follower acts on a plan for ever.
+    NeverDropsPlan,
+    /// A new leader begins its term with the number of a former incarnation.
+    ReusesIncarnation,
+    /// A campaign counts answers of members that are not voters.
+    CountsNonVoters,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Campaign {
     ballot: Ballot,
-    /// Voters that have promised, or granted once it has proposed.
+    /// Voters that have promised, or that have granted once the ballot is proposed.
     voters: BTreeSet<MemberId>,
     /// When the lease would end.
-    until: Millis,
+    lease_ends: Millis,
     proposed: bool,
-    /// When those that have not answered are asked again.
-    again: Millis,
+    /// When voters that have not answered are asked again.
+    retry_at: Millis,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Tenure {
-    began: Ballot,
-    until: Millis,
+struct Term {
+    ballot: Ballot,
+    lease_ends: Millis,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Known {
+struct AppliedPlan {
     number: PlanNumber,
     plan: Vec<u8>,
-    /// The question that was last answered with it.
-    confirmed: Millis,
+    /// The time of the query that was last answered with it.
+    confirmed_at: Millis,
 }
 
-/// One member's machine.
+/// The state machine of one member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
     config: Config,
-    life: u32,
+    incarnation: u32,
     now: Millis,
     mutant: Option<Mutant>,
-    // As a voter.
+    // State of a voter.
     abstains_until: Millis,
     promised: Ballot,
     granted: Option<(Ballot, Millis)>,
-    // As one that would decide.
-    seen: u32,
+    // State of a candidate or leader.
+    highest_round: u32,
     campaign: Option<Campaign>,
     campaign_at: Millis,
-    tenure: Option<Tenure>,
+    term: Option<Term>,
     plan: (u32, Vec<u8>),
-    succession: Succession,
-    // As a follower.
-    known: Option<Known>,
-    highest: PlanNumber,
-    guess: usize,
-    /// The voter that is asked next to pass a question on.
+    recovery: PlanRecovery,
+    // State of a follower.
+    applied: Option<AppliedPlan>,
+    highest_number: PlanNumber,
+    likely_leader: usize,
+    /// The voter that relays the next query.
     relay: usize,
-    ask_at: Millis,
+    query_at: Millis,
     unanswered: u8,
     evidence: Vec<u8>,
-    hurries: bool,
+    urgent: bool,
 }
 
 impl Member {
-    /// A member that starts from nothing; `life` is a number that no other life of it has had.
-    pub fn start(config: Config, life: u32, now: Millis) -> Member {
+    /// A member that starts without state; `incarnation` must be a number that no former start of it has had.
+    pub fn start(config: Config, incarnation: u32, now: Millis) -> Member {
         let hold = config.timing.grant;
-        // Each voter waits otherwise before it campaigns: by its place, and by a draw that follows from its life.
-        let place = config.voters.iter().position(|v| *v == config.me).unwrap_or(0) as u64;
-        let wait = hold
-            + (place * config.timing.query_interval)
-            + u64::from(life).wrapping_mul(0x9e37_79b9) % config.timing.query_interval.max(1);
+        // Voters campaign after different delays, by their position and by a draw from their incarnation.
+        let position = config.voters.iter().position(|v| *v == config.me).unwrap_or(0) as u64;
+        let delay = hold
+            + (position * config.timing.query_interval)
+            + u64::from(incarnation).wrapping_mul(0x9e37_79b9) % config.timing.query_interval.max(1);
         Member {
-            life,
+            incarnation,
             now,
             mutant: None,
             abstains_until: now + hold,
             promised: Ballot::default(),
             granted: None,
-            seen: 0,
+            highest_round: 0,
             campaign: None,
-            campaign_at: now + wait,
-            tenure: None,
+            campaign_at: now + delay,
+            term: None,
             plan: (0, Vec::new()),
-            succession: Succession::default(),
-            known: None,
-            highest: PlanNumber::default(),
-            guess: 0,
+            recovery: PlanRecovery::default(),
+            applied: None,
+            highest_number: PlanNumber::default(),
+            likely_leader: 0,
             relay: 0,
-            ask_at: now,
+            query_at: now,
             unanswered: 0,
             evidence: Vec::new(),
-            hurries: false,
+            urgent: false,
             config,
         }
     }
 
-    /// The same member, from nothing, in another life: for a process that had no way to others before. It abstains from now on.
+    /// The same member without state, for a process that could not reach others before. It abstains from now on.
     pub fn restarted(&self, now: Millis) -> Member {
-        Member::start(self.config.clone(), self.life, now)
+        Member::start(self.config.clone(), self.incarnation, now)
     }
 
-    /// The same with a guard left out: for tests.
+    /// The same member with a safeguard left out: for tests.
     pub fn with_mutant(mut self, mutant: Mutant) -> Member {
         self.mutant = Some(mutant);
         if mutant == Mutant::VotesAtOnce {
             self.abstains_until = self.now;
         }
-        if mutant == Mutant::ReusesLife {
-            self.life = 0;
+        if mutant == Mutant::ReusesIncarnation {
+            self.incarnation = 0;
         }
         self
     }
 
-    /// For explorations: forgets what only says when it acts by itself, and takes a clock value. What it would do with the next
-    /// message is the same.
+    /// For explorations: resets what only affects when the member acts by itself, and sets its clock. Its reaction to the next
+    /// message stays the same.
     #[doc(hidden)]
-    pub fn settled(mut self, now: Millis) -> Member {
+    pub fn normalized(mut self, now: Millis) -> Member {
         self.advance(now, &mut Vec::new());
-        (self.campaign_at, self.ask_at, self.unanswered) = (0, 0, 0);
-        (self.guess, self.relay) = (0, 0);
+        (self.campaign_at, self.query_at, self.unanswered) = (0, 0, 0);
+        (self.likely_leader, self.relay) = (0, 0);
         if let Some(campaign) = &mut self.campaign {
-            campaign.again = 0;
+            campaign.retry_at = 0;
         }
         self
     }
 
-    /// For explorations: whether an answer to a campaign can still mean anything to it; ballots are never used again.
+    /// For explorations: whether an answer to a campaign can still have an effect; ballots are never reused.
     #[doc(hidden)]
-    pub fn awaits(&self, message: &Message) -> bool {
+    pub fn can_affect(&self, message: &Message) -> bool {
         let campaign = self.campaign.as_ref();
         match message {
             Message::Promise { ballot, .. } => campaign.is_some_and(|c| c.ballot == *ballot && !c.proposed),
@@ -235,73 +235,73 @@
         }
     }
 
-    fn lacks(&self, mutant: Mutant) -> bool {
+    fn has_mutant(&self, mutant: Mutant) -> bool {
         self.mutant == Some(mutant)
     }
 
-    /// Whether it holds a lease, and with which ballot its tenure began.
+    /// The ballot with which the present term began, where this member holds a lease.
     pub fn leader_ballot(&self) -> Option<Ballot> {
-        self.tenure.filter(|t| self.now < t.until).map(|t| t.began)
+        self.term.filter(|t| self.now < t.lease_ends).map(|t| t.ballot)
     }
 
-    /// When its lease ends by its own clock, where it has one.
-    pub fn lease_until(&self) -> Option<Millis> {
-        self.tenure.map(|t| t.until)
+    /// When the lease ends by this member's clock, where it has one.
+    pub fn lease_ends(&self) -> Option<Millis> {
+        self.term.map(|t| t.lease_ends)
     }
 
-    /// Until when it learns its predecessor's plan, where it decides: it should choose nothing of its own before.
+    /// When recovery of the predecessor's plan ends, where this member leads: it should choose no plan of its own before.
     pub fn recovery_ends(&self) -> Option<Millis> {
-        self.tenure.map(|_| self.succession.until())
+        self.term.map(|_| self.recovery.ends())
     }
 
-    /// The plan that it acts on.
+    /// The plan that this member acts on.
     pub fn applied_plan(&self) -> Option<(PlanNumber, &[u8])> {
-        self.known.as_ref().map(|k| (k.number, k.plan.as_slice()))
+        self.applied.as_ref().map(|k| (k.number, k.plan.as_slice()))
     }
 
-    /// When the question was asked whose answer last confirmed that plan.
+    /// The time of the query whose reply last confirmed that plan.
     pub fn confirmed_at(&self) -> Option<Millis> {
-        self.known.as_ref().map(|k| k.confirmed)
+        self.applied.as_ref().map(|k| k.confirmed_at)
     }
 
-    /// The highest number that it has acted on in this life.
-    pub fn highest(&self) -> PlanNumber {
-        self.highest
+    /// The highest plan number that this incarnation has acted on.
+    pub fn highest_number(&self) -> PlanNumber {
+        self.highest_number
     }
 
-    /// What it tells the decider that it sees, from now on.
+    /// Sets the evidence that is reported to the leader from now on.
     pub fn set_evidence(&mut self, evidence: Vec<u8>) {
         self.evidence = evidence;
     }
 
-    /// Something is the matter, or a plan is moving: until told otherwise it asks three times as often.
-    pub fn set_urgent(&mut self, hurries: bool) {
+    /// Sets whether queries are three times as frequent: for times of trouble, or while a plan moves.
+    pub fn set_urgent(&mut self, urgent: bool) {
         let ask = self.config.timing.query_interval;
-        if hurries && !self.hurries {
-            self.ask_at = self.ask_at.min(self.now + ask / 3);
+        if urgent && !self.urgent {
+            self.query_at = self.query_at.min(self.now + ask / 3);
         }
-        self.hurries = hurries;
+        self.urgent = urgent;
     }
 
-    /// When it next has something to do by itself.
+    /// When this member next has to act by itself.
     pub fn next_due(&self) -> Millis {
-        let mut due = self.ask_at;
-        if self.votes() {
+        let mut due = self.query_at;
+        if self.may_campaign() {
             due = due.min(self.campaign_at);
         }
-        if let Some(tenure) = self.tenure {
-            due = due.min(tenure.until);
+        if let Some(tenure) = self.term {
+            due = due.min(tenure.lease_ends);
         }
         if let Some(campaign) = &self.campaign {
-            due = due.min(campaign.again);
+            due = due.min(campaign.retry_at);
         }
-        if let Some(known) = &self.known {
-            due = due.min(known.confirmed + self.config.timing.plan_validity);
+        if let Some(known) = &self.applied {
+            due = due.min(known.confirmed_at + self.config.timing.plan_validity);
         }
         due.max(self.now + 1)
     }
 
-    fn votes(&self) -> bool {
+    fn may_campaign(&self) -> bool {
         self.config.voters.contains(&self.config.me)
     }
 
@@ -309,37 +309,37 @@
         self.config.voters.len() / 2 + 1
     }
 
-    fn ask_voters(&mut self, message: Message, out: &mut Vec<Effect>) {
+    fn send_to_voters(&mut self, message: Message, out: &mut Vec<Effect>) {
         for voter in self.config.voters.clone() {
             self.send(voter, message.clone(), out);
         }
     }
 
-    /// A message to itself takes no way.
+    /// A message to itself is handled directly.
     fn send(&mut self, to: MemberId, message: Message, out: &mut Vec<Effect>) {
         if to == self.config.me {
-            self.message(to, message, out);
+            self.dispatch(to, message, out);
         } else {
             out.push(Effect::Send(to, message));
         }
     }
 
-    /// Time has come to a value: whatever has run out ends, and what is due is done.
+    /// Advances the clock: handles expirations and does what is due.
     pub fn tick(&mut self, now: Millis, out: &mut Vec<Effect>) {
         self.advance(now, out);
-        if self.votes() && now >= self.campaign_at && now >= self.abstains_until {
+        if self.may_campaign() && now >= self.campaign_at && now >= self.abstains_until {
             self.campaign(out);
         }
-        if now >= self.ask_at {
-            self.ask(out);
+        if now >= self.query_at {
+            self.query_leader(out);
         }
-        self.campaign_again(out);
+        self.retry_campaign(out);
     }
 
-    /// Of a majority that is just one every answer counts: what was lost is asked for again.
-    fn campaign_again(&mut self, out: &mut Vec<Effect>) {
-        let Some(campaign) = self.campaign.as_mut().filter(|c| self.now >= c.again) else { return };
-        campaign.again = self.now + self.config.timing.retry_interval;
+    /// Asks missing voters again. With a bare majority of voters alive every answer counts, so lost messages are repeated.
+    fn retry_campaign(&mut self, out: &mut Vec<Effect>) {
+        let Some(campaign) = self.campaign.as_mut().filter(|c| self.now >= c.retry_at) else { return };
+        campaign.retry_at = self.now + self.config.timing.retry_interval;
         let ballot = campaign.ballot;
         let message =
             if campaign.proposed { Message::Propose { ballot } } else { Message::Prepare { ballot } };
@@ -348,11 +348,11 @@
         out.extend(missing.map(|voter| Effect::Send(*voter, message.clone())));
     }
 
-    /// What has run out by a time ends.
+    /// Advances the clock and handles expirations.
     fn advance(&mut self, now: Millis, out: &mut Vec<Effect>) {
         self.now = self.now.max(now);
-        if self.tenure.is_some_and(|t| self.now >= t.until) && !self.lacks(Mutant::AnswersLate) {
-            self.tenure = None;
+        if self.term.is_some_and(|t| self.now >= t.lease_ends) && !self.has_mutant(Mutant::AnswersLate) {
+            self.term = None;
             out.push(Effect::SteppedDown);
         }
         let hold = match self.mutant {
@@ -362,144 +362,161 @@
         if self.granted.is_some_and(|(_, until)| self.now + hold >= until) {
             self.granted = None;
         }
-        // Two mutants let a campaign go on past its end; `accepted` looks again for all others.
-        let goes_on = [Mutant::LeaseFromGrant, Mutant::LeaseFromPropose].into_iter().any(|m| self.lacks(m));
-        if self.campaign.as_ref().is_some_and(|c| self.now >= c.until) && !goes_on {
+        // Two mutants let a campaign outlive its end; for all others `accepted` checks again.
+        let outlives_lease =
+            [Mutant::LeaseFromGrant, Mutant::LeaseFromPropose].into_iter().any(|m| self.has_mutant(m));
+        if self.campaign.as_ref().is_some_and(|c| self.now >= c.lease_ends) && !outlives_lease {
             self.campaign = None;
         }
         let life = self.config.timing.plan_validity;
-        let over = self.known.as_ref().is_some_and(|k| self.now >= k.confirmed + life);
-        if over && !self.lacks(Mutant::NeverFallsBack) {
-            self.known = None;
+        let expired = self.applied.as_ref().is_some_and(|k| self.now >= k.confirmed_at + life);
+        if expired && !self.has_mutant(Mutant::NeverDropsPlan) {
+            self.applied = None;
             out.push(Effect::DropPlan);
         }
     }
 
-    /// Tries to become the decider, or to stay it; [`tick`](Self::tick) does so by itself.
-    pub fn stand(&mut self, now: Millis, out: &mut Vec<Effect>) {
+    /// Tries to become the leader, or to remain it; [`tick`](Self::tick) does so by itself.
+    pub fn start_campaign(&mut self, now: Millis, out: &mut Vec<Effect>) {
         self.advance(now, out);
         self.campaign(out);
     }
 
     fn campaign(&mut self, out: &mut Vec<Effect>) {
         let timing = self.config.timing;
-        let held = self.granted.map(|(ballot, _)| ballot).filter(|b| !self.is_own(*b));
+        let other_grant = self.granted.map(|(ballot, _)| ballot).filter(|b| !self.is_own(*b));
         self.campaign = None;
-        // A decider renews long before its lease ends; others look again when the present grant may have run out.
-        let spread = timing.query_interval * (1 + u64::from(self.config.me) % 4) / 2;
+        // A leader renews long before its lease ends; others try again when the present grant may have expired.
+        let stagger = timing.query_interval * (1 + u64::from(self.config.me) % 4) / 2;
         self.campaign_at =
-            self.now + if self.tenure.is_some() { timing.lease / 3 } else { timing.grant / 2 + spread };
-        if held.is_some() || self.now < self.abstains_until {
+            self.now + if self.term.is_some() { timing.lease / 3 } else { timing.grant / 2 + stagger };
+        if other_grant.is_some() || self.now < self.abstains_until {
             return;
         }
-        self.seen += 1;
-        let ballot = Ballot { round: self.seen, voter: self.config.me, incarnation: self.life };
-        // From the campaign's beginning: a voter that restarts forgets what it has promised, not only what it has granted. A
-        // campaign that could go on with an old promise for longer than that voter abstains would meet a grant which the
-        // promise should have prevented.
+        self.highest_round += 1;
+        let ballot =
+            Ballot { round: self.highest_round, voter: self.config.me, incarnation: self.incarnation };
+        // The lease counts from the beginning of the campaign, because a voter that restarts forgets its promises as well as its grants.
+        // A campaign that could continue with an old promise for longer than that voter abstains would meet a grant that the promise
+        // should have prevented.
         let until = self.now + timing.lease;
         let again = self.now + timing.retry_interval;
-        self.campaign = Some(Campaign { ballot, voters: BTreeSet::new(), until, proposed: false, again });
-        self.ask_voters(Message::Prepare { ballot }, out);
+        self.campaign = Some(Campaign {
+            ballot,
+            voters: BTreeSet::new(),
+            lease_ends: until,
+            proposed: false,
+            retry_at: again,
+        });
+        self.send_to_voters(Message::Prepare { ballot }, out);
     }
 
     fn is_own(&self, ballot: Ballot) -> bool {
-        ballot.voter == self.config.me && ballot.incarnation == self.life
+        ballot.voter == self.config.me && ballot.incarnation == self.incarnation
     }
 
-    /// This member wants another plan, which counts only while it decides.
+    /// Sets another plan; it is ignored unless this member leads.
     pub fn set_plan(&mut self, now: Millis, plan: Vec<u8>, out: &mut Vec<Effect>) {
         self.advance(now, out);
         if self.leader_ballot().is_some() && plan != self.plan.1 {
             self.plan = (self.plan.0 + 1, plan);
-            self.act_on_own(out);
+            self.apply_own_plan(out);
         }
     }
 
-    /// A decider needs nobody to tell it what it has decided.
-    fn act_on_own(&mut self, out: &mut Vec<Effect>) {
-        let Some(tenure) = self.tenure else { return };
-        let number = PlanNumber { term: tenure.began, sequence: self.plan.0 };
-        if number >= self.highest {
-            self.take(number, self.plan.1.clone(), self.now, out);
+    /// Acts on this leader's own plan, for which it needs no message.
+    fn apply_own_plan(&mut self, out: &mut Vec<Effect>) {
+        let Some(tenure) = self.term else { return };
+        let number = PlanNumber { term: tenure.ballot, sequence: self.plan.0 };
+        if number >= self.highest_number {
+            self.apply(number, self.plan.1.clone(), self.now, out);
         }
     }
 
-    fn take(&mut self, number: PlanNumber, plan: Vec<u8>, confirmed: Millis, out: &mut Vec<Effect>) {
-        let before = self.known.as_ref().map(|k| k.number);
-        self.highest = self.highest.max(number);
+    fn apply(&mut self, number: PlanNumber, plan: Vec<u8>, confirmed: Millis, out: &mut Vec<Effect>) {
+        let before = self.applied.as_ref().map(|k| k.number);
+        self.highest_number = self.highest_number.max(number);
         if before != Some(number) {
             out.push(Effect::ApplyPlan(number, plan.clone()));
         }
-        self.known = Some(Known { number, plan, confirmed });
+        self.applied = Some(AppliedPlan { number, plan, confirmed_at: confirmed });
     }
 
-    fn puts(&self) -> Question {
-        let (life, number, evidence) = (self.life, self.highest, self.evidence.clone());
-        Question { stamp: self.now, life, number, evidence }
+    fn current_query(&self) -> Query {
+        let (life, number, evidence) = (self.incarnation, self.highest_number, self.evidence.clone());
+        Query { asked_at: self.now, incarnation: life, number, evidence }
     }
 
-    /// Asks one voter, now; [`tick`](Self::tick) asks by itself.
-    pub fn question(&mut self, now: Millis, to: MemberId, out: &mut Vec<Effect>) {
+    /// Sends a query to one voter now; [`tick`](Self::tick) does so by itself.
+    pub fn send_query(&mut self, now: Millis, to: MemberId, out: &mut Vec<Effect>) {
         self.advance(now, out);
-        let Question { stamp, life, number, evidence } = self.puts();
+        let Query { asked_at: stamp, incarnation: life, number, evidence } = self.current_query();
         out.push(Effect::Send(to, Message::Query { asked_at: stamp, incarnation: life, number, evidence }));
     }
 
-    /// Asks one voter to pass its question on, now; [`tick`](Self::tick) does so by itself where it gets no answer.
-    pub fn question_through(&mut self, now: Millis, voter: MemberId, out: &mut Vec<Effect>) {
+    /// Sends a query through one voter now; [`tick`](Self::tick) does so by itself where replies are missing.
+    pub fn send_query_through(&mut self, now: Millis, voter: MemberId, out: &mut Vec<Effect>) {
         self.advance(now, out);
-        out.push(Effect::Send(voter, Message::Pass { ask: self.puts() }));
+        out.push(Effect::Send(voter, Message::Relay { query: self.current_query() }));
     }
 
-    fn ask(&mut self, out: &mut Vec<Effect>) {
-        self.ask_at = self.now + self.config.timing.query_interval / if self.hurries { 3 } else { 1 };
+    fn query_leader(&mut self, out: &mut Vec<Effect>) {
+        self.query_at = self.now + self.config.timing.query_interval / if self.urgent { 3 } else { 1 };
         if self.leader_ballot().is_some() {
-            return self.act_on_own(out);
+            return self.apply_own_plan(out);
         }
         let (me, now) = (self.config.me, self.now);
         let voters = self.config.voters.len().max(1);
-        // Questions without an answer: somebody else may know who decides, or have a way there.
+        // After unanswered queries another voter may know the leader, or be able to reach it.
         self.unanswered = self.unanswered.saturating_add(1);
-        if self.unanswered > UNANSWERED {
-            self.guess = (self.guess + 1) % voters;
+        if self.unanswered > TOLERATED_UNANSWERED {
+            self.likely_leader = (self.likely_leader + 1) % voters;
             self.relay = (self.relay + 1) % voters;
             if let Some(&through) = self.config.voters.get(self.relay).filter(|v| **v != me) {
-                self.question_through(now, through, out);
+                self.send_query_through(now, through, out);
             }
         }
-        let Some(&to) = self.config.voters.get(self.guess) else { return };
+        let Some(&to) = self.config.voters.get(self.likely_leader) else { return };
         if to == me {
-            // It does not decide: the next one may.
-            self.guess = (self.guess + 1) % voters;
+            // This member does not lead: the next voter may.
+            self.likely_leader = (self.likely_leader + 1) % voters;
         } else {
-            self.question(now, to, out);
+            self.send_query(now, to, out);
         }
     }
 
-    /// A message has come from a member.
+    /// Handles a message from a member.
     pub fn handle(&mut self, now: Millis, from: MemberId, message: Message, out: &mut Vec<Effect>) {
         self.advance(now, out);
-        self.message(from, message, out);
+        self.dispatch(from, message, out);
     }
 
-    fn message(&mut self, from: MemberId, message: Message, out: &mut Vec<Effect>) {
+    fn dispatch(&mut self, from: MemberId, message: Message, out: &mut Vec<Effect>) {
         match message {
-            Message::Prepare { ballot } => self.prepare(from, ballot, out),
-            Message::Promise { ballot, held } => self.promise(from, ballot, held, out),
-            Message::Propose { ballot } => self.propose(from, ballot, out),
-            Message::Accepted { ballot } => self.accepted(from, ballot, out),
-            Message::Refused { seen } => self.hear_of(seen),
+            Message::Prepare { ballot } => self.handle_prepare(from, ballot, out),
+            Message::Promise { ballot, granted: held } => self.handle_promise(from, ballot, held, out),
+            Message::Propose { ballot } => self.handle_propose(from, ballot, out),
+            Message::Accepted { ballot } => self.handle_accepted(from, ballot, out),
+            Message::Rejected { highest_seen: seen } => self.note_round(seen),
             Message::Query { asked_at: stamp, incarnation: life, number, evidence } => {
-                self.asked(from, stamp, life, number, evidence, out)
+                self.handle_query(from, stamp, life, number, evidence, out)
             }
             Message::Reply { asked_at: stamp, incarnation: life, number, lease_left: left, plan } => {
-                self.told((stamp, life), number, left, plan, out)
+                self.handle_reply((stamp, life), number, left, plan, out)
+            }
+            Message::Relay { query: ask } => self.handle_relay(from, ask, out),
+            Message::RelayedQuery { requester: asker, query: ask } => {
+                self.handle_relayed_query(from, asker, ask, out)
             }
-            Message::Pass { ask } => self.pass(from, ask, out),
-            Message::Passed { asker, ask } => self.passed(from, asker, ask, out),
-            Message::Answer { asker, stamp, life, number, left, plan } => {
-                // It keeps nothing of what it passes on: the asker knows whether it has asked this.
+            Message::RelayedReply {
+                requester: asker,
+                asked_at: stamp,
+                incarnation: life,
+                number,
+                lease_left: left,
+                plan,
+            } => {
+                // Nothing is remembered about relayed queries: the member knows whether it has sent this one.
                 if self.config.voters.contains(&from) {
                     self.send(
                         asker,
@@ -508,56 +525,65 @@
                     );
                 }
             }
-            Message::Elsewhere { voter } => {
+            Message::Redirect { voter } => {
                 if let Some(at) = self.config.voters.iter().position(|v| *v == voter) {
-                    self.guess = at;
+                    self.likely_leader = at;
                 }
             }
         }
     }
 
-    /// A round that no tenure comes to in a century is nonsense, and would leave no higher one.
-    fn hear_of(&mut self, ballot: Ballot) {
-        if ballot.round < MOST_ROUNDS {
-            self.seen = self.seen.max(ballot.round);
+    /// Notes the round of a ballot. A round that no term reaches in a century is invalid, and would leave no higher one.
+    fn note_round(&mut self, ballot: Ballot) {
+        if ballot.round < MAX_ROUND {
+            self.highest_round = self.highest_round.max(ballot.round);
         }
     }
 
-    /// Only voters vote, and only of voters, and none that may have forgotten what it has granted.
+    /// Only voters vote, only for voters, and only when they can't have forgotten a grant.
     fn may_vote(&self, from: MemberId, ballot: Ballot) -> bool {
         let voters = &self.config.voters;
-        self.votes() && voters.contains(&from) && ballot.voter == from && self.now >= self.abstains_until
+        self.may_campaign()
+            && voters.contains(&from)
+            && ballot.voter == from
+            && self.now >= self.abstains_until
     }
 
-    fn prepare(&mut self, from: MemberId, ballot: Ballot, out: &mut Vec<Effect>) {
+    fn handle_prepare(&mut self, from: MemberId, ballot: Ballot, out: &mut Vec<Effect>) {
         if !self.may_vote(from, ballot) {
             return;
         }
-        self.hear_of(ballot);
-        if ballot < self.promised || ballot.round >= MOST_ROUNDS {
-            return self.send(from, Message::Refused { seen: self.promised }, out);
+        self.note_round(ballot);
+        if ballot < self.promised || ballot.round >= MAX_ROUND {
+            return self.send(from, Message::Rejected { highest_seen: self.promised }, out);
         }
         self.promised = ballot;
-        let held = self.granted.map(|(held, _)| held).filter(|_| !self.lacks(Mutant::HidesGrant));
-        self.send(from, Message::Promise { ballot, held }, out);
+        let held = self.granted.map(|(held, _)| held).filter(|_| !self.has_mutant(Mutant::HidesGrant));
+        self.send(from, Message::Promise { ballot, granted: held }, out);
     }
 
-    /// Only what voters answer counts towards a majority.
-    fn is_voter(&self, from: MemberId) -> bool {
-        self.config.voters.contains(&from) || self.lacks(Mutant::CountsAnybody)
+    /// Only answers of voters count towards a majority.
+    fn counts_as_voter(&self, from: MemberId) -> bool {
+        self.config.voters.contains(&from) || self.has_mutant(Mutant::CountsNonVoters)
     }
 
-    fn promise(&mut self, from: MemberId, ballot: Ballot, held: Option<Ballot>, out: &mut Vec<Effect>) {
-        if !self.is_voter(from) {
+    fn handle_promise(
+        &mut self,
+        from: MemberId,
+        ballot: Ballot,
+        granted: Option<Ballot>,
+        out: &mut Vec<Effect>,
+    ) {
+        if !self.counts_as_voter(from) {
             return;
         }
         let majority = self.majority();
-        let own = held.is_none_or(|held| self.is_own(held));
+        let own = granted.is_none_or(|held| self.is_own(held));
         let Some(campaign) = self.campaign.as_mut().filter(|c| c.ballot == ballot && !c.proposed) else {
             return;
         };
         if !own {
-            // Somebody decides.
+            // Another member leads.
             self.campaign = None;
             return;
         }
@@ -566,36 +592,36 @@
             return;
         }
         if self.mutant == Some(Mutant::LeaseFromPropose) {
-            campaign.until = self.now + self.config.timing.lease;
+            campaign.lease_ends = self.now + self.config.timing.lease;
         }
         campaign.proposed = true;
         campaign.voters.clear();
-        self.ask_voters(Message::Propose { ballot }, out);
+        self.send_to_voters(Message::Propose { ballot }, out);
     }
 
-    fn propose(&mut self, from: MemberId, ballot: Ballot, out: &mut Vec<Effect>) {
+    fn handle_propose(&mut self, from: MemberId, ballot: Ballot, out: &mut Vec<Effect>) {
         if !self.may_vote(from, ballot) {
             return;
         }
-        self.hear_of(ballot);
-        if ballot < self.promised && !self.lacks(Mutant::BreaksPromise) {
-            return self.send(from, Message::Refused { seen: self.promised }, out);
+        self.note_round(ballot);
+        if ballot < self.promised && !self.has_mutant(Mutant::BreaksPromise) {
+            return self.send(from, Message::Rejected { highest_seen: self.promised }, out);
         }
         self.promised = self.promised.max(ballot);
         self.granted = Some((ballot, self.now + self.config.timing.grant));
         self.send(from, Message::Accepted { ballot }, out);
     }
 
-    fn accepted(&mut self, from: MemberId, ballot: Ballot, out: &mut Vec<Effect>) {
-        if !self.is_voter(from) {
+    fn handle_accepted(&mut self, from: MemberId, ballot: Ballot, out: &mut Vec<Effect>) {
+        if !self.counts_as_voter(from) {
             return;
         }
         let majority = self.majority();
-        let late = self.lacks(Mutant::LeaseFromGrant);
+        let late = self.has_mutant(Mutant::LeaseFromGrant);
         let Some(campaign) = self.campaign.as_mut().filter(|c| c.ballot == ballot && c.proposed) else {
             return;
         };
-        let mut until = campaign.until;
+        let mut until = campaign.lease_ends;
         campaign.voters.insert(from);
         if campaign.voters.len() < majority {
             return;
@@ -604,34 +630,34 @@
         if late {
             until = self.now + self.config.timing.lease;
         }
-        // One that comes when the lease would be over grants nothing.
+        // A grant that arrives when the lease would have ended is worthless.
         if self.now >= until {
             return;
         }
-        match &mut self.tenure {
-            Some(tenure) => tenure.until = tenure.until.max(until),
+        match &mut self.term {
+            Some(tenure) => tenure.lease_ends = tenure.lease_ends.max(until),
             None => {
-                self.tenure = Some(Tenure { began: ballot, until });
-                // What it had planned as one that would decide may come after the lease's end.
+                self.term = Some(Term { ballot, lease_ends: until });
+                // The next campaign, scheduled as a candidate, may come after the lease's end.
                 self.campaign_at = self.campaign_at.min(self.now + self.config.timing.lease / 3);
-                let known = self.known.as_ref().map(|k| k.number);
-                // A member that sees trouble, or acts on a plan that moves, asks twice in this.
+                let known = self.applied.as_ref().map(|k| k.number);
+                // A member that sees trouble, or acts on a moving plan, sends two queries in this time.
                 let learns_until = self.now + self.config.timing.query_interval * 2 / 3;
-                self.succession = Succession::begin(known, learns_until);
-                // It goes on from what it has acted on last.
-                self.plan = (0, self.known.as_ref().map(|k| k.plan.clone()).unwrap_or_default());
+                self.recovery = PlanRecovery::begin(known, learns_until);
+                // The new term begins with the plan that this member last acted on.
+                self.plan = (0, self.applied.as_ref().map(|k| k.plan.clone()).unwrap_or_default());
                 out.push(Effect::BecameLeader(ballot));
-                self.act_on_own(out);
+                self.apply_own_plan(out);
             }
         }
     }
 
-    /// Who decides, as far as this voter has granted it.
+    /// The leader, as far as this voter has granted a lease.
     fn granted_to(&self) -> Option<MemberId> {
         self.granted.map(|(ballot, _)| ballot.voter).filter(|v| *v != self.config.me)
     }
 
-    fn asked(
+    fn handle_query(
         &mut self,
         from: MemberId,
         stamp: Millis,
@@ -640,17 +666,17 @@
         evidence: Vec<u8>,
         out: &mut Vec<Effect>,
     ) {
-        self.hear_of(number.term);
-        if self.tenure.is_none() {
+        self.note_round(number.term);
+        if self.term.is_none() {
             match self.granted_to() {
-                Some(voter) if voter != from => out.push(Effect::Send(from, Message::Elsewhere { voter })),
-                _ => self.tell_known(from, (stamp, life), out),
+                Some(voter) if voter != from => out.push(Effect::Send(from, Message::Redirect { voter })),
+                _ => self.send_applied_plan(from, (stamp, life), out),
             }
             return;
         }
-        let Some((own, left, plan)) = self.answers(from, number, evidence, out) else { return };
-        if self.must_learn_from(from, number) {
-            return self.question(self.now, from, out);
+        let Some((own, left, plan)) = self.reply_to(from, number, evidence, out) else { return };
+        if self.must_recover_from(from, number) {
+            return self.send_query(self.now, from, out);
         }
         out.push(Effect::Send(
             from,
@@ -658,15 +684,15 @@
         ));
     }
 
-    /// Whether a member knows a plan of an earlier tenure that this decider doesn't: it keeps that one until it has told it.
-    fn must_learn_from(&mut self, member: MemberId, number: PlanNumber) -> bool {
-        let earlier = self.tenure.is_some_and(|t| number.term != t.began);
-        earlier && self.succession.queries(self.now, member, number)
+    /// Whether a member knows a plan of an earlier term that this leader doesn't: the reply has to wait until it has sent it.
+    fn must_recover_from(&mut self, member: MemberId, number: PlanNumber) -> bool {
+        let earlier = self.term.is_some_and(|t| number.term != t.ballot);
+        earlier && self.recovery.should_query(self.now, member, number)
     }
 
-    /// A new decider asks for its predecessor's plan: with no time left on the lease nobody acts on what is told.
-    fn tell_known(&self, to: MemberId, (stamp, life): (Millis, u32), out: &mut Vec<Effect>) {
-        let Some(Known { number, plan, .. }) = self.known.clone() else { return };
+    /// Sends the known plan to a new leader that recovers it: with no time left on the lease nobody acts on it.
+    fn send_applied_plan(&self, to: MemberId, (stamp, life): (Millis, u32), out: &mut Vec<Effect>) {
+        let Some(AppliedPlan { number, plan, .. }) = self.applied.clone() else { return };
         if self.config.voters.contains(&to) {
             out.push(Effect::Send(
                 to,
@@ -675,66 +701,84 @@
         }
     }
 
-    /// What a member acts on, told by it to this decider.
-    fn learn(&mut self, tenure: Tenure, number: PlanNumber, plan: Vec<u8>, out: &mut Vec<Effect>) {
-        if number.term < tenure.began && self.succession.learns(self.now, number) {
+    /// Handles a plan that a member reports to this leader.
+    fn recover(&mut self, tenure: Term, number: PlanNumber, plan: Vec<u8>, out: &mut Vec<Effect>) {
+        if number.term < tenure.ballot && self.recovery.record_if_newer(self.now, number) {
             out.push(Effect::RecoveredPlan(plan));
         }
     }
 
-    /// A member gets no answer: its question goes on to the decider, or is answered where this is it.
-    fn pass(&mut self, from: MemberId, ask: Question, out: &mut Vec<Effect>) {
-        self.hear_of(ask.number.term);
-        if self.tenure.is_some() {
-            self.asked(from, ask.stamp, ask.life, ask.number, ask.evidence, out);
+    /// Relays the query of a member without replies to the leader, or answers it where this is the leader.
+    fn handle_relay(&mut self, from: MemberId, query: Query, out: &mut Vec<Effect>) {
+        self.note_round(query.number.term);
+        if self.term.is_some() {
+            self.handle_query(from, query.asked_at, query.incarnation, query.number, query.evidence, out);
         } else if let Some(decider) = self.granted_to() {
-            out.push(Effect::Send(decider, Message::Passed { asker: from, ask }));
+            out.push(Effect::Send(decider, Message::RelayedQuery { requester: from, query }));
         }
     }
 
-    /// A voter has passed a question on: it passes on the answer, too. One that no longer decides says nothing: there would be no
-    /// end to passing on.
-    fn passed(&mut self, from: MemberId, asker: MemberId, ask: Question, out: &mut Vec<Effect>) {
-        self.hear_of(ask.number.term);
-        if self.tenure.is_none() || !self.config.voters.contains(&from) || asker == self.config.me {
+    /// Handles a query that a voter has relayed: the voter also relays the reply. A former leader does not relay it further, or
+    /// relaying could go on for ever.
+    fn handle_relayed_query(
+        &mut self,
+        from: MemberId,
+        requester: MemberId,
+        query: Query,
+        out: &mut Vec<Effect>,
+    ) {
+        self.note_round(query.number.term);
+        if self.term.is_none() || !self.config.voters.contains(&from) || requester == self.config.me {
             return;
         }
-        let (stamp, life) = (ask.stamp, ask.life);
-        let Some((number, left, plan)) = self.answers(asker, ask.number, ask.evidence, out) else { return };
-        if self.must_learn_from(asker, ask.number) {
+        let (stamp, life) = (query.asked_at, query.incarnation);
+        let Some((number, left, plan)) = self.reply_to(requester, query.number, query.evidence, out) else {
+            return;
+        };
+        if self.must_recover_from(requester, query.number) {
             // There may be a direct way by now; where there is none, its next questions are answered.
-            return self.question(self.now, asker, out);
+            return self.send_query(self.now, requester, out);
         }
-        out.push(Effect::Send(from, Message::Answer { asker, stamp, life, number, left, plan }));
+        out.push(Effect::Send(
+            from,
+            Message::RelayedReply {
+                requester,
+                asked_at: stamp,
+                incarnation: life,
+                number,
+                lease_left: left,
+                plan,
+            },
+        ));
     }
 
-    /// What a decider answers to a member's question; nothing where its tenure must begin anew first.
-    fn answers(
+    /// A leader's reply to a member's query; `None` where its term must begin anew first.
+    fn reply_to(
         &mut self,
-        asker: MemberId,
+        requester: MemberId,
         number: PlanNumber,
         evidence: Vec<u8>,
         out: &mut Vec<Effect>,
     ) -> Option<(PlanNumber, Millis, Vec<u8>)> {
-        let tenure = self.tenure?;
-        if number.term == tenure.began {
-            out.push(Effect::PlanApplied(asker, number.sequence));
-        }
-        out.push(Effect::Evidence(asker, evidence));
-        let own = PlanNumber { term: tenure.began, sequence: self.plan.0 };
-        if number > own && number.term.round < MOST_ROUNDS {
-            // It has acted on a plan of a tenure that nobody here remembers: ours must begin anew, above it.
-            self.tenure = None;
+        let tenure = self.term?;
+        if number.term == tenure.ballot {
+            out.push(Effect::PlanApplied(requester, number.sequence));
+        }
+        out.push(Effect::Evidence(requester, evidence));
+        let own = PlanNumber { term: tenure.ballot, sequence: self.plan.0 };
+        if number > own && number.term.round < MAX_ROUND {
+            // The member has acted on a plan of a term that no voter here remembers: this one must begin anew, above it.
+            self.term = None;
             self.campaign_at = self.now;
             out.push(Effect::SteppedDown);
             return None;
         }
-        let left = tenure.until.saturating_sub(self.now);
-        let left = if self.lacks(Mutant::AnswersLate) { self.config.timing.lease } else { left };
+        let left = tenure.lease_ends.saturating_sub(self.now);
+        let left = if self.has_mutant(Mutant::AnswersLate) { self.config.timing.lease } else { left };
         Some((own, left, self.plan.1.clone()))
     }
 
-    fn told(
+    fn handle_reply(
         &mut self,
         (stamp, life): (Millis, u32),
         number: PlanNumber,
@@ -742,25 +786,28 @@
         plan: Vec<u8>,
         out: &mut Vec<Effect>,
     ) {
-        if life != self.life && !self.lacks(Mutant::TakesForeign) {
+        if life != self.incarnation && !self.has_mutant(Mutant::AcceptsForeignReply) {
             return;
         }
-        if let Some(tenure) = self.tenure.filter(|_| left == 0) {
-            return self.learn(tenure, number, plan, out);
+        if let Some(tenure) = self.term.filter(|_| left == 0) {
+            return self.recover(tenure, number, plan, out);
         }
-        // The question was asked before the answer was given: what the lease had left then counts from the question on.
-        let trusted = left.min(self.config.timing.lease) * (1000 - self.config.timing.drift.min(1000)) / 1000;
+        // The query was sent before the reply: the time left on the lease counts from the query.
+        let trusted =
+            left.min(self.config.timing.lease) * (1000 - self.config.timing.drift_per_mille.min(1000)) / 1000;
         let in_time = stamp <= self.now && self.now < stamp.saturating_add(trusted);
-        if !in_time && !self.lacks(Mutant::TakesLate) {
+        if !in_time && !self.has_mutant(Mutant::AcceptsLateReply) {
             return;
         }
-        if number.term.round >= MOST_ROUNDS || number < self.highest && !self.lacks(Mutant::GoesBack) {
+        if number.term.round >= MAX_ROUND
+            || number < self.highest_number && !self.has_mutant(Mutant::GoesBack)
+        {
             return;
         }
-        self.hear_of(number.term);
+        self.note_round(number.term);
         self.unanswered = 0;
         let confirmed =
-            self.known.as_ref().filter(|k| k.number == number).map_or(stamp, |k| k.confirmed.max(stamp));
-        self.take(number, plan, confirmed, out);
+            self.applied.as_ref().filter(|k| k.number == number).map_or(stamp, |k| k.confirmed_at.max(stamp));
+        self.apply(number, plan, confirmed, out);
     }
 }
--- a/crates/accord/src/message.rs
+++ b/crates/accord/src/message.rs
@@ -1,4 +1,4 @@
-//! What members tell each other: at most 256 bytes each, with a version and a checksum.
+//! Messages between members: at most 256 bytes each, with a version and a checksum.
 
 use std::fmt;
 
@@ -8,197 +8,197 @@
 
 /// The longest message, in bytes: what a datagram between nodes may hold.
 pub const MAX_MESSAGE_BYTES: usize = 256;
-/// The version of messages that this program writes and reads.
-pub const VERSION: u8 = 1;
-/// What stands before each message, so that nothing else is taken for one.
-const MARK: u8 = 0xac;
+/// The version of the messages that this program writes and reads.
+pub const MESSAGE_VERSION: u8 = 1;
+/// The first byte of each message, which tells it from other datagrams.
+const MAGIC: u8 = 0xac;
 
-/// A try to become the decider; no two tries ever have the same.
+/// An attempt to become the leader. No two attempts ever have equal ballots.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Higher than all that its voter had heard of.
+    /// Higher than all rounds that its voter had seen.
     pub round: u32,
-    /// Whose it is.
+    /// The voter that made the attempt.
     pub voter: MemberId,
-    /// Which life of that voter: a number that is new with each start.
+    /// The incarnation of that voter: a number that is new with each start.
     pub incarnation: u32,
 }
 
-/// The number of a plan: when its decider's tenure began, and the so manyth plan of it.
+/// The number of a plan: the term of its leader, and the plan's position in the term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PlanNumber {
-    /// The ballot with which the tenure began.
+    /// The ballot with which the term began.
     pub term: Ballot,
-    /// Counts the plans of the tenure, from 0.
+    /// Counts the plans of the term, from 0.
     pub sequence: u32,
 }
 
-/// What one member tells another.
+/// A message from one member to another.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Message {
-    /// To voters: grant nothing to lower ballots from now on, and tell what you have granted.
+    /// To voters: grant nothing to lower ballots from now on, and report your grant.
     Prepare {
         /// The ballot.
         ballot: Ballot,
     },
-    /// A voter has heard that, and holds this grant, if any.
+    /// A voter promises that, and reports its present grant, if any.
     Promise {
         /// The ballot that was prepared.
         ballot: Ballot,
-        /// The ballot to which it has granted a lease that has not run out.
-        held: Option<Ballot>,
+        /// The ballot that holds an unexpired lease from this voter.
+        granted: Option<Ballot>,
     },
     /// To voters: grant a lease to this ballot.
     Propose {
         /// The ballot.
         ballot: Ballot,
     },
-    /// A voter has granted it.
+    /// A voter has granted the lease.
     Accepted {
         /// The ballot.
         ballot: Ballot,
     },
-    /// A voter has promised not to: a higher ballot is about.
-    Refused {
-        /// The highest that it has heard of.
-        seen: Ballot,
+    /// A voter rejects a ballot because it has promised a higher one.
+    Rejected {
+        /// The highest ballot that it has seen.
+        highest_seen: Ballot,
     },
-    /// A member asks the decider for the plan, and tells what it sees.
+    /// A member queries the leader for the plan, and reports its evidence.
     Query {
-        /// Its own clock: an answer must give it back.
+        /// The time of the query by the member's own clock: a reply must return it.
         asked_at: Millis,
-        /// Its life, likewise.
+        /// The member's incarnation, which a reply must return as well.
         incarnation: u32,
-        /// The highest number of a plan that it has acted on.
+        /// The highest number of a plan that the member has acted on.
         number: PlanNumber,
-        /// What it sees; the accord does not read it.
+        /// The member's evidence; this crate does not interpret it.
         evidence: Vec<u8>,
     },
-    /// The decider answers.
+    /// The leader's reply.
     Reply {
-        /// The question's stamp.
+        /// The time of the query.
         asked_at: Millis,
-        /// The asker's life.
+        /// The incarnation of the member that sent the query.
         incarnation: u32,
         /// The plan's number.
         number: PlanNumber,
-        /// What the decider's lease had left when it answered, in milliseconds.
+        /// How long the leader's lease still had to run when it replied, in milliseconds.
         lease_left: Millis,
-        /// The plan; the accord does not read it.
+        /// The plan; this crate does not interpret it.
         plan: Vec<u8>,
     },
-    /// A voter that is not the decider tells who may be.
-    Elsewhere {
+    /// A voter that is not the leader names the likely leader.
+    Redirect {
         /// The voter to which it has granted a lease.
         voter: MemberId,
     },
-    /// To a voter: a member that gets no answer asks it to put its question to the decider, to which it may have a way.
-    Pass {
-        /// The question.
-        ask: Question,
+    /// To a voter: a member without a reply asks it to relay its query to the leader, which the voter may be able to reach.
+    Relay {
+        /// The query.
+        query: Query,
     },
-    /// To the decider: a question of another member.
-    Passed {
-        /// Who asks.
-        asker: MemberId,
-        /// The question.
-        ask: Question,
+    /// To the leader: a query of another member.
+    RelayedQuery {
+        /// The member that sent the query.
+        requester: MemberId,
+        /// The query.
+        query: Query,
     },
-    /// The decider's answer to it, back to the voter: what [`Told`](Self::Told) would have said to the asker.
-    Answer {
-        /// Who has asked.
-        asker: MemberId,
-        /// The question's stamp.
-        stamp: Millis,
-        /// The asker's life.
-        life: u32,
+    /// The leader's reply to a relayed query, back to the voter: the contents of a [`Reply`](Self::Reply) to the member.
+    RelayedReply {
+        /// The member that sent the query.
+        requester: MemberId,
+        /// The time of the query.
+        asked_at: Millis,
+        /// The incarnation of the member that sent the query.
+        incarnation: u32,
         /// The plan's number.
         number: PlanNumber,
-        /// What the decider's lease had left when it answered, in milliseconds.
-        left: Millis,
+        /// How long the leader's lease still had to run when it replied, in milliseconds.
+        lease_left: Millis,
         /// The plan.
         plan: Vec<u8>,
     },
 }
 
-/// What a member asks the decider; as in [`Message::Ask`].
+/// A member's query to the leader, as in [`Message::Query`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Question {
-    /// The asker's own clock: an answer must give it back, whatever way it comes.
-    pub stamp: Millis,
-    /// Its life, likewise.
-    pub life: u32,
-    /// The highest number of a plan that it has acted on.
+pub struct Query {
+    /// The time of the query by the member's own clock: a reply must return it, whatever path it takes.
+    pub asked_at: Millis,
+    /// The member's incarnation, which a reply must return as well.
+    pub incarnation: u32,
+    /// The highest number of a plan that the member has acted on.
     pub number: PlanNumber,
-    /// What it sees.
+    /// The member's evidence.
     pub evidence: Vec<u8>,
 }
 
-/// Why bytes are no message.
+/// Why bytes could not be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unreadable {
-    /// Longer than any message, or shorter.
+pub enum DecodeError {
+    /// Shorter or longer than any message.
     Length(usize),
-    /// Not a message of members.
-    Foreign,
+    /// Not a message between members.
+    NotAMessage,
     /// A message of another version.
     Version(u8),
-    /// Cut or spoilt on its way.
-    Spoilt,
+    /// Truncated or corrupted.
+    Corrupt,
 }
 
-impl fmt::Display for Unreadable {
+impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Unreadable::Length(length) => {
+            DecodeError::Length(length) => {
                 write!(f, "{length} bytes are no message: 7 to {MAX_MESSAGE_BYTES} are allowed")
             }
-            Unreadable::Foreign => f.write_str("no message of a member"),
-            Unreadable::Version(version) => {
-                write!(f, "a message of version {version}; this is version {VERSION}")
+            DecodeError::NotAMessage => f.write_str("no message of a member"),
+            DecodeError::Version(version) => {
+                write!(f, "a message of version {version}; this is version {MESSAGE_VERSION}")
             }
-            Unreadable::Spoilt => f.write_str("cut or spoilt on its way"),
+            DecodeError::Corrupt => f.write_str("cut or spoilt on its way"),
         }
     }
 }
 
-impl std::error::Error for Unreadable {}
+impl std::error::Error for DecodeError {}
 
-/// FNV-1a: against what is cut or spoilt, not against forgery; members know each other by their addresses.
+/// FNV-1a: detects truncation and corruption, not forgery; members identify each other by their addresses.
 fn checksum(bytes: &[u8]) -> u32 {
     bytes.iter().fold(0x811c_9dc5, |sum, byte| (sum ^ u32::from(*byte)).wrapping_mul(0x0100_0193))
 }
 
 impl Message {
-    /// Its bytes. `None` where they would be more than a message may have: evidence or a plan that is too long.
+    /// Serializes the message. `None` where it would be too long, because of its evidence or its plan.
     pub fn encode(&self) -> Option<Vec<u8>> {
-        let mut bytes = vec![MARK, VERSION];
+        let mut bytes = vec![MAGIC, MESSAGE_VERSION];
         bytes.extend(postcard::to_allocvec(self).ok()?);
         bytes.extend(checksum(&bytes).to_le_bytes());
         (bytes.len() <= MAX_MESSAGE_BYTES).then_some(bytes)
     }
 
-    /// Reads a message.
+    /// Deserializes a message.
     ///
     /// # Errors
-    /// Why it is none; nothing of it counts then.
-    pub fn decode(bytes: &[u8]) -> Result<Message, Unreadable> {
+    /// Why the bytes are no message; nothing in them is used then.
+    pub fn decode(bytes: &[u8]) -> Result<Message, DecodeError> {
         if bytes.len() < 7 || bytes.len() > MAX_MESSAGE_BYTES {
-            return Err(Unreadable::Length(bytes.len()));
+            return Err(DecodeError::Length(bytes.len()));
         }
-        if bytes[0] != MARK {
-            return Err(Unreadable::Foreign);
+        if bytes[0] != MAGIC {
+            return Err(DecodeError::NotAMessage);
         }
-        if bytes[1] != VERSION {
-            return Err(Unreadable::Version(bytes[1]));
+        if bytes[1] != MESSAGE_VERSION {
+            return Err(DecodeError::Version(bytes[1]));
         }
         let (body, sum) = bytes.split_at(bytes.len() - 4);
         if sum != checksum(body).to_le_bytes() {
-            return Err(Unreadable::Spoilt);
+            return Err(DecodeError::Corrupt);
         }
         match postcard::take_from_bytes(&body[2..]) {
             Ok((message, [])) => Ok(message),
-            _ => Err(Unreadable::Spoilt),
+            _ => Err(DecodeError::Corrupt),
         }
     }
 }
--- a/crates/accord/src/succession.rs
+++ b/crates/accord/src/succession.rs
@@ -1,53 +1,57 @@
-//! What a new decider learns of its predecessor's last plan, from members that have acted on it.
+//! How a new leader recovers its predecessor's last plan from members that have acted on it.
 //!
-//! A decider that knows less than a member that asks it does not answer, but asks back. The member tells what it acts on in a
-//! [`Message::Told`](crate::Message::Told) with no time left on the lease, which no member acts on.
+//! A leader that gets a query from a member that knows a newer plan does not reply, but queries the member. The member sends the
+//! plan in a [`Message::Reply`](crate::Message::Reply) with no time left on the lease, which no member acts on.
 
 use std::collections::BTreeMap;
 
 use crate::{MemberId, Millis, PlanNumber};
 
-/// One member is asked so often at most, then it is answered: it may not know how to tell.
-const MOST_QUERIES: u8 = 2;
+/// The most queries to one member; then it gets its reply, because it may be unable to answer.
+const MAX_QUERIES_PER_MEMBER: u8 = 2;
 
-/// The part of a tenure in which the predecessor's plan is learned.
+/// The phase of a term in which the predecessor's plan is recovered.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Succession {
-    /// When learning ends.
-    until: Millis,
-    /// The highest number of a plan that this decider knows.
-    known: PlanNumber,
-    /// Queries by member.
-    queries: BTreeMap<MemberId, u8>,
+pub(crate) struct PlanRecovery {
+    /// When recovery ends.
+    ends: Millis,
+    /// The highest plan number that this leader knows.
+    known_number: PlanNumber,
+    /// Queries sent, by member.
+    queries_by_member: BTreeMap<MemberId, u8>,
 }
 
-impl Succession {
-    /// Begins to learn, knowing the plan of a number.
-    pub(crate) fn begin(known: Option<PlanNumber>, until: Millis) -> Succession {
-        Succession { until, known: known.unwrap_or_default(), queries: BTreeMap::new() }
+impl PlanRecovery {
+    /// Starts recovery, with the number of the plan that is known already.
+    pub(crate) fn begin(known: Option<PlanNumber>, until: Millis) -> PlanRecovery {
+        PlanRecovery {
+            ends: until,
+            known_number: known.unwrap_or_default(),
+            queries_by_member: BTreeMap::new(),
+        }
     }
 
-    /// When learning ends.
-    pub(crate) fn until(&self) -> Millis {
-        self.until
+    /// When recovery ends.
+    pub(crate) fn ends(&self) -> Millis {
+        self.ends
     }
 
-    /// Whether a member that has acted on a plan of another tenure is to be asked for it now; counts the query.
-    pub(crate) fn queries(&mut self, now: Millis, member: MemberId, number: PlanNumber) -> bool {
-        if now >= self.until || number <= self.known {
+    /// Whether a member that has acted on a plan of another term should be queried for it now; counts the query.
+    pub(crate) fn should_query(&mut self, now: Millis, member: MemberId, number: PlanNumber) -> bool {
+        if now >= self.ends || number <= self.known_number {
             return false;
         }
-        let queries = self.queries.entry(member).or_default();
+        let queries = self.queries_by_member.entry(member).or_default();
         *queries += 1;
-        *queries <= MOST_QUERIES
+        *queries <= MAX_QUERIES_PER_MEMBER
     }
 
-    /// Whether a plan of an earlier tenure is newer than all that is known; it is known from now on.
-    pub(crate) fn learns(&mut self, now: Millis, number: PlanNumber) -> bool {
-        let learns = now < self.until && number > self.known;
-        if learns {
-            self.known = number;
+    /// Whether a plan of an earlier term is newer than any known one; remembers its number if so.
+    pub(crate) fn record_if_newer(&mut self, now: Millis, number: PlanNumber) -> bool {
+        let newer = now < self.ends && number > self.known_number;
+        if newer {
+            self.known_number = number;
         }
-        learns
+        newer
     }
 }
--- a/crates/accord/tests/explore.rs
+++ b/crates/accord/tests/explore.rs
@@ -1,8 +1,8 @@
-//! The machine itself, explored: every order of messages, losses, repetitions, restarts from nothing, stops and clocks that
-//! differ within bounds, breadth first, so that what is found is as short as can be.
+//! A breadth-first exploration of the state machine: every order of messages, losses, duplicates, restarts without state, stopped
+//! processes and clocks that differ within bounds, so that a counterexample is as short as possible.
 //!
-//! A process that is stopped is one that is neither ticked nor given a message while time goes on; a message that is lost is one
-//! that is never given. Both are part of every exploration.
+//! A stopped process is one that gets neither ticks nor messages while time goes on; a lost message is one that is never
+//! delivered. Both are part of every exploration.
 #![allow(missing_docs)]
 
 use std::collections::hash_map::DefaultHasher;
@@ -12,39 +12,51 @@
 
 use mothpier_accord::{Ballot, Config, Effect, Member, Message, Millis, Mutant, PlanNumber, Timing};
 
-/// What may happen in an exploration, at most; by member where there are several figures.
+/// The most that may happen in an exploration; arrays are by member.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 struct Bounds<const N: usize> {
     time: Millis,
     stands: [u8; N],
     restarts: [u8; N],
     asks: [u8; N],
-    /// Questions that a member has passed on by another.
+    /// Queries that a member sends through another one.
     passes: [u8; N],
     plans: u8,
-    /// Times that a clock runs ahead by one, over the whole.
+    /// How often, in total, a clock may run ahead by one.
     leaps: u8,
     timing: Timing,
 }
 
 /// A lease of two ticks, and grants that are kept for three.
-const STEADY: Timing =
-    Timing { lease: 2, grant: 3, plan_validity: 4, query_interval: 100, retry_interval: 100, drift: 0 };
-/// A lease of two ticks where a clock may run ahead by one over it, and another by one more.
-const DRIFTING: Timing =
-    Timing { lease: 2, grant: 4, plan_validity: 6, query_interval: 100, retry_interval: 100, drift: 500 };
+const STEADY: Timing = Timing {
+    lease: 2,
+    grant: 3,
+    plan_validity: 4,
+    query_interval: 100,
+    retry_interval: 100,
+    drift_per_mille: 0,
+};
+/// A lease of two ticks where one clock may run ahead by one over it, and another by one more.
+const DRIFTING: Timing = Timing {
+    lease: 2,
+    grant: 4,
+    plan_validity: 6,
+    query_interval: 100,
+    retry_interval: 100,
+    drift_per_mille: 500,
+};
 
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct World<const N: usize> {
     time: Millis,
     clocks: [Millis; N],
     members: [Member; N],
-    /// All that was ever sent: each may come at any time, again and again, or never.
+    /// All messages ever sent: each may be delivered at any time, repeatedly, or never.
     messages: Rc<BTreeSet<(u16, u16, Message)>>,
     left: Bounds<N>,
-    /// What plan each number stands for, as far as anybody has acted on it.
+    /// The plan that each number stands for, as far as any member has acted on it.
     plans: Rc<BTreeMap<PlanNumber, Vec<u8>>>,
-    /// When each tenure's lease ends, in the time of the world, at the latest.
+    /// The latest end of each term's lease, in the time of the simulated environment.
     leases: Rc<BTreeMap<Ballot, Millis>>,
 }
 
@@ -64,14 +76,14 @@
     mutant: Option<Mutant>,
 }
 
-/// What an exploration came to.
+/// The result of an exploration.
 struct Found {
     states: usize,
     deepest: usize,
-    /// All there is was explored.
+    /// Every reachable state was explored.
     whole: bool,
     broken: Option<(String, Vec<Step>)>,
-    /// Several members came to act on a plan that was decided.
+    /// Several members came to act on a plan that was set.
     agreed: bool,
 }
 
@@ -88,7 +100,7 @@
     fn begin(&self) -> World<N> {
         World {
             time: 0,
-            // All have been up for as long as they abstain: the exploration begins where they may vote.
+            // All members have been up for as long as they abstain: the exploration begins where they may vote.
             clocks: [self.bounds.timing.grant; N],
             members: std::array::from_fn(|me| self.member(me, me as u32 + 1, 0)),
             messages: Rc::default(),
@@ -112,11 +124,11 @@
                 steps.push(Step::Restart(i));
             }
             if w.left.asks[i] > 0 {
-                let others = (0..N).filter(|j| *j != i && w.members[*j].lease_until().is_some());
+                let others = (0..N).filter(|j| *j != i && w.members[*j].lease_ends().is_some());
                 steps.extend(others.map(|j| Step::Ask(i, j as u16)));
             }
             if w.left.passes[i] > 0 {
-                let others = (0..N).filter(|j| *j != i && w.members[*j].lease_until().is_none());
+                let others = (0..N).filter(|j| *j != i && w.members[*j].lease_ends().is_none());
                 steps.extend(others.map(|j| Step::Pass(i, j as u16)));
             }
         }
@@ -129,7 +141,7 @@
         steps
     }
 
-    /// The world after a step, or what it breaks.
+    /// The state after a step, or the rule that it violates.
     fn after(&self, w: &World<N>, step: &Step) -> Result<World<N>, String> {
         let mut w = w.clone();
         let mut out = Vec::new();
@@ -146,22 +158,22 @@
             Step::Stand(i) => {
                 w.left.stands[*i] -= 1;
                 at = Some(*i);
-                w.members[*i].stand(w.clocks[*i], &mut out);
+                w.members[*i].start_campaign(w.clocks[*i], &mut out);
             }
             Step::Ask(i, to) => {
                 w.left.asks[*i] -= 1;
                 at = Some(*i);
-                w.members[*i].question(w.clocks[*i], *to, &mut out);
+                w.members[*i].send_query(w.clocks[*i], *to, &mut out);
             }
             Step::Pass(i, to) => {
                 w.left.passes[*i] -= 1;
                 at = Some(*i);
-                w.members[*i].question_through(w.clocks[*i], *to, &mut out);
+                w.members[*i].send_query_through(w.clocks[*i], *to, &mut out);
             }
             Step::Plan(i) => {
                 w.left.plans -= 1;
                 at = Some(*i);
-                // A plan of its own: nobody else ever decides on this one.
+                // A plan of its own: no other member ever sets this one.
                 w.members[*i].set_plan(
                     w.clocks[*i],
                     vec![*i as u8 + 1, w.left.plans, w.left.restarts[*i]],
@@ -171,14 +183,14 @@
             Step::Restart(i) => {
                 w.left.restarts[*i] -= 1;
                 let life = 100 * u32::from(self.bounds.restarts[*i] - w.left.restarts[*i]) + *i as u32;
-                // Its clock begins anew with it.
+                // Its clock starts anew with it.
                 w.clocks[*i] = 0;
                 w.members[*i] = self.member(*i, life, 0);
             }
             Step::Give(from, to, message) => {
                 let i = usize::from(*to);
                 at = Some(i);
-                let before = w.members[i].highest();
+                let before = w.members[i].highest_number();
                 w.members[i].handle(w.clocks[i], *from, message.clone(), &mut out);
                 self.followed(&w, i, message, before, &out)?;
             }
@@ -191,23 +203,23 @@
             return Err(format!("members {deciding:?} hold a lease at once"));
         }
         for i in 0..N {
-            w.members[i] = w.members[i].clone().settled(w.clocks[i]);
+            w.members[i] = w.members[i].clone().normalized(w.clocks[i]);
         }
-        // What no one awaits any more makes states differ that are the same. Not so where ballots come again.
-        let dead = |(_, to, message): &(u16, u16, Message)| !w.members[usize::from(*to)].awaits(message);
-        if self.mutant != Some(Mutant::ReusesLife) && w.messages.iter().any(dead) {
+        // Messages without effect would make equal states differ. They are kept where ballots are reused.
+        let dead = |(_, to, message): &(u16, u16, Message)| !w.members[usize::from(*to)].can_affect(message);
+        if self.mutant != Some(Mutant::ReusesIncarnation) && w.messages.iter().any(dead) {
             let alive = w.messages.iter().filter(|m| !dead(m)).cloned().collect();
             w.messages = Rc::new(alive);
         }
         Ok(w)
     }
 
-    /// By its own clock, whether or not it has looked at it.
+    /// By its own clock, whether or not it has noticed the end of the lease.
     fn holds_lease(&self, w: &World<N>, i: usize) -> bool {
-        w.members[i].lease_until().is_some_and(|until| w.clocks[i] < until)
+        w.members[i].lease_ends().is_some_and(|until| w.clocks[i] < until)
     }
 
-    /// What a follower makes of an answer.
+    /// Checks a follower after a reply.
     fn followed(
         &self,
         w: &World<N>,
@@ -218,7 +230,7 @@
     ) -> Result<(), String> {
         let Message::Reply { number, .. } = message else { return Ok(()) };
         let took = w.members[i].applied_plan().is_some_and(|(n, _)| n == *number)
-            && w.members[i].highest() == *number;
+            && w.members[i].highest_number() == *number;
         let acted = out.iter().any(|e| matches!(e, Effect::ApplyPlan(n, _) if n == number));
         if acted {
             if *number < before {
@@ -232,7 +244,7 @@
         Ok(())
     }
 
-    /// What a member did: its messages go out, and what it acts on is looked at.
+    /// Sends a member's messages, and checks the plan that it acts on.
     fn did(&self, w: &mut World<N>, i: usize, out: Vec<Effect>) -> Result<(), String> {
         for effect in out {
             match effect {
@@ -251,7 +263,7 @@
                 _ => {}
             }
         }
-        if let (Some(began), Some(until)) = (w.members[i].leader_ballot(), w.members[i].lease_until()) {
+        if let (Some(began), Some(until)) = (w.members[i].leader_ballot(), w.members[i].lease_ends()) {
             let until = w.time + until - w.clocks[i];
             if w.leases.get(&began).is_none_or(|known| *known < until) {
                 Rc::make_mut(&mut w.leases).insert(began, until);
@@ -260,7 +272,7 @@
         if w.members[i].applied_plan().is_some() {
             let mut looked = w.members[i].clone();
             looked.tick(w.clocks[i] + self.bounds.timing.plan_validity, &mut Vec::new());
-            // It hears nothing from here on: a plan that it was told, and that it does not renew itself, must end.
+            // It receives nothing from here on: a plan of another member, which it does not renew itself, must expire.
             if looked.applied_plan().is_some() {
                 return Err(format!("member {i} acts on a plan for ever"));
             }
@@ -271,7 +283,7 @@
     fn run(&self, most: usize) -> Found {
         let begin = self.begin();
         let mut seen = HashSet::from([fingerprint(&begin)]);
-        // How each state came about: the one before it, and the place of the step among its steps.
+        // How each state was reached: its predecessor, and the index of the step among the predecessor's steps.
         let mut parents: Vec<(u32, u16)> = vec![(0, 0)];
         let mut queue = VecDeque::from([(begin, 0u32, 0usize)]);
         let mut found = Found { states: 1, deepest: 0, whole: false, broken: None, agreed: false };
@@ -311,7 +323,7 @@
         found
     }
 
-    /// The steps of a way, by their places.
+    /// The steps of a path, from their indexes.
     fn again(&self, numbers: &[u16]) -> Vec<Step> {
         let mut world = self.begin();
         let mut steps = Vec::new();
@@ -344,7 +356,7 @@
     found
 }
 
-/// Nothing happens by itself.
+/// Nothing but messages and time.
 const NONE: Bounds<3> = Bounds {
     time: 3,
     stands: [0; 3],
@@ -355,19 +367,19 @@
     leaps: 0,
     timing: STEADY,
 };
-/// Two that would decide, and a voter that restarts.
+/// Two candidates, and a voter that restarts.
 const RIVALS: Bounds<3> = Bounds { stands: [1, 1, 0], restarts: [0, 0, 1], ..NONE };
-/// Two that would decide, and time enough for one lease after the other.
+/// Two candidates, and time enough for one lease after the other.
 const IN_TURN: Bounds<3> = Bounds { stands: [1, 1, 0], time: 4, ..NONE };
-/// A decider that restarts and decides again.
+/// A leader that restarts and leads again.
 const AGAIN: Bounds<3> = Bounds { stands: [2, 0, 0], restarts: [1, 0, 0], plans: 2, ..NONE };
-/// A follower that restarts between question and answer.
+/// A follower that restarts between query and reply.
 const FORGETS: Bounds<3> = Bounds { stands: [1, 0, 0], asks: [0, 0, 1], restarts: [0, 0, 1], ..NONE };
-/// One that decides, two plans of it, and a follower.
+/// One leader, two plans of it, and a follower.
 const PLANS: Bounds<3> = Bounds { stands: [1, 0, 0], asks: [0, 0, 2], plans: 1, ..NONE };
-/// The same, where the follower has its question passed on by the third.
+/// The same, where the follower's query is relayed by the third member.
 const PASSED: Bounds<3> = Bounds { stands: [1, 0, 0], passes: [0, 0, 1], plans: 1, ..NONE };
-/// And restarts between question and answer.
+/// The same, where the follower restarts between query and reply.
 const PASSED_FORGETS: Bounds<3> = Bounds { restarts: [0, 0, 1], plans: 0, ..PASSED };
 /// A clock that runs ahead.
 const CLOCKS: Bounds<3> = Bounds { stands: [1, 1, 0], leaps: 1, timing: DRIFTING, ..NONE };
@@ -379,14 +391,14 @@
     found
 }
 
-/// A guard that is left out is missed: the shortest way to the harm is printed.
+/// Checks that a missing safeguard is detected: the shortest path to the violation is printed.
 fn caught<const N: usize>(mutant: Mutant, bounds: Bounds<N>, harm: &str) {
     let (what, path) = explore(bounds, Some(mutant), 3_000_000).broken.expect("nothing is broken without it");
     assert!(what.contains(harm), "{what}");
     assert!(!path.is_empty());
 }
 
-/// Five voters, two rivals and two voters that restart: three of five must grant.
+/// Five voters, two candidates and two voters that restart: three of five must grant.
 const FIVE: Bounds<5> = Bounds {
     time: 4,
     stands: [1, 1, 0, 0, 0],
@@ -406,14 +418,14 @@
     holds(RIVALS);
 }
 
-/// Of five voters there are too many orders of messages to see all: walks at random, each to its end.
+/// Five voters have too many message orders to explore all: random walks instead, each to its end.
 fn walk(mutant: Option<Mutant>, bounds: Bounds<5>, walks: u64) -> Option<String> {
     let explorer = Explorer { bounds, mutant };
     let mut rng = oorandom::Rand64::new(7);
     let mut most = 0;
     for _ in 0..walks {
         let mut world = explorer.begin();
-        // Each message at most twice: a walk that gives the same again and again gets nowhere.
+        // Each message at most twice: a walk that repeats the same delivery makes no progress.
         let mut given: BTreeMap<(u16, u16, Message), u8> = BTreeMap::new();
         for depth in 0..200 {
             let mut steps = explorer.steps(&world);
@@ -468,9 +480,9 @@
 fn a_question_that_is_passed_on_is_fenced_as_one_that_is_not() {
     assert!(holds(PASSED).agreed, "nobody ever acted on a plan: the exploration shows nothing");
     holds(PASSED_FORGETS);
-    caught(Mutant::TakesLate, PASSED, LATE);
+    caught(Mutant::AcceptsLateReply, PASSED, LATE);
     caught(Mutant::AnswersLate, PASSED, LATE);
-    caught(Mutant::TakesForeign, PASSED_FORGETS, LATE);
+    caught(Mutant::AcceptsForeignReply, PASSED_FORGETS, LATE);
 }
 
 #[test]
@@ -495,18 +507,18 @@
 
 #[test]
 fn lives_that_are_not_told_apart_are_missed() {
-    caught(Mutant::ReusesLife, AGAIN, "for another");
+    caught(Mutant::ReusesIncarnation, AGAIN, "for another");
 }
 
 #[test]
 fn each_guard_of_followers_is_missed_where_it_is_left_out() {
-    caught(Mutant::TakesLate, PLANS, LATE);
-    caught(Mutant::TakesForeign, FORGETS, LATE);
+    caught(Mutant::AcceptsLateReply, PLANS, LATE);
+    caught(Mutant::AcceptsForeignReply, FORGETS, LATE);
     caught(Mutant::GoesBack, PLANS, "went back");
-    caught(Mutant::NeverFallsBack, PLANS, "for ever");
+    caught(Mutant::NeverDropsPlan, PLANS, "for ever");
 }
 
-/// Minutes, and gigabytes: not for every run. `cargo test --release -p mothpier-accord -- --ignored --nocapture`
+/// Takes minutes and gigabytes, so not part of every run: `cargo test --release -p mothpier-accord -- --ignored --nocapture`
 #[test]
 #[ignore = "takes minutes"]
 fn more_of_the_same_holds_as_well() {
--- a/crates/accord/tests/fleet.rs
+++ b/crates/accord/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Members and planner together at the size of a fleet: how soon nodes act on a zone's loss, and what agreeing costs each as their
-//! number grows. Evidence comes from a model of attempts; members, planner and what a node remembers are the program's own.
+//! Members and planner together at the size of a fleet: how soon nodes act on the loss of a zone, and what the agreement costs
+//! each node as the fleet grows. Evidence comes from a model of attempts; members, planner and recent attempts are the real code.
 #![allow(missing_docs)]
 
 use std::collections::BinaryHeap;
@@ -12,17 +12,17 @@
 use oorandom::Rand64;
 
 const ZONES: usize = 3;
-/// A node's looks at what became of its attempts, and when an attempt is silent.
+/// The interval at which a node counts its attempts, and the time after which an attempt counts as unanswered.
 const LOOK: Millis = 250;
 const SILENT: Millis = 200;
-/// The decider's looks at what all see.
+/// The interval at which the leader updates the plan.
 const PLANS: Millis = 100;
-/// A zone looks bad from here on (of 255): questions come more often then.
+/// From this share of unanswered attempts on (of 255) a node sends queries more often.
 const HURRY: u8 = 80;
 /// The zone that is lost, and when.
 const LOST: (usize, Millis) = (2, 10_000);
 
-/// When it comes, its place among all, from and to whom, and what it says.
+/// Arrival time, sequence number, sender, receiver and message.
 type UnderWay = (Millis, u64, u16, u16, Message);
 
 struct Node {
@@ -30,22 +30,22 @@
     planner: Option<Planner>,
     seen: RecentAttempts,
     steps: [AttemptCounts; ZONES],
-    /// When attempts at the lost zone were sent that nobody has answered.
+    /// When unanswered attempts at the lost zone were sent.
     waiting: Vec<Millis>,
     plan: Plan,
     look_at: Millis,
     plans_at: Millis,
     /// When it acted on the loss.
     acted: Option<Millis>,
-    /// Messages sent and their bytes, and time spent in the machines.
+    /// Messages sent, their bytes, and time spent in the state machines.
     cost: (u64, u64, Duration),
 }
 
-/// Figures of a play.
+/// Results of a run.
 struct Told {
     half: Millis,
     most: Millis,
-    /// Of a follower, a second: messages, bytes, and the part of a core; then of the decider.
+    /// Messages a second, bytes a second and the share of a core: of a follower, then of the leader.
     follower: (f64, f64, f64),
     decider: (f64, f64, f64),
     moves: usize,
@@ -163,7 +163,7 @@
                             planner.plan_applied(*from, *sequence);
                         }
                     }
-                    // Nobody is killed here: whoever begins to decide knows the plan.
+                    // No node is killed here: a new leader knows the plan.
                     Effect::RecoveredPlan(_) | Effect::Send(..) => {}
                 }
             }
@@ -177,7 +177,7 @@
             for (other, bytes, message) in sends {
                 node.cost.0 += 1;
                 node.cost.1 += bytes as u64;
-                // One in a hundred is lost; 20 ms away, one way.
+                // One message in a hundred is lost; the one-way delay is 20 ms.
                 if rng.rand_float() >= 0.01 {
                     sent += 1;
                     net.push(Reverse((now + 20 + rng.rand_range(0..3), sent, to, other, message)));
@@ -205,7 +205,7 @@
     }
 }
 
-/// Requests a second of a node at size, as little as each sees there.
+/// Requests a second of a node in a large fleet, where each node sees few.
 const FEW: f64 = 14.0;
 
 #[test]
@@ -219,7 +219,7 @@
 
 #[test]
 fn weather_that_can_be_borne_moves_nothing_at_size() {
-    // One attempt in five is silent, at every zone, for two minutes.
+    // One attempt in five is unanswered, in every zone, for two minutes.
     let told = play(60, FEW, 0.2, false, 120, 4);
     assert_eq!(told.moves, 0);
 }
@@ -231,7 +231,7 @@
     assert!(many.follower.1 <= few.follower.1 * 1.1, "{} {}", few.follower.1, many.follower.1);
 }
 
-/// The table of the measurement: `cargo test --release -p mothpier-accord --test fleet -- --ignored --nocapture`
+/// Prints the measurements by size: `cargo test --release -p mothpier-accord --test fleet -- --ignored --nocapture`
 #[test]
 #[ignore = "a measurement"]
 fn measure_costs_and_times_by_size() {
--- a/crates/accord/tests/messages.rs
+++ b/crates/accord/tests/messages.rs
@@ -1,9 +1,9 @@
-//! Messages that are cut, spoilt, foreign, of another version or too long are told apart and never acted on.
+//! Messages that are truncated, corrupted, foreign, of another version or too long are rejected and never acted on.
 #![allow(missing_docs)]
 
 use mothpier_accord::{
-    Ballot, Config, Effect, MAX_MESSAGE_BYTES, Member, Message, Mutant, PlanNumber, Question, Timing,
-    Unreadable,
+    Ballot, Config, DecodeError, Effect, MAX_MESSAGE_BYTES, Member, Message, Mutant, PlanNumber, Query,
+    Timing,
 };
 use oorandom::Rand64;
 
@@ -12,7 +12,7 @@
 }
 
 fn ballot(rng: &mut Rand64) -> Ballot {
-    // Also figures that no member would send.
+    // Includes values that no member would send.
     let wide = |rng: &mut Rand64| if draw(rng, 8) == 0 { u64::MAX >> draw(rng, 64) } else { draw(rng, 4) };
     Ballot { round: wide(rng) as u32, voter: wide(rng) as u16, incarnation: wide(rng) as u32 }
 }
@@ -23,24 +23,24 @@
     let number = |rng: &mut Rand64| PlanNumber { term: ballot(rng), sequence: draw(rng, 3) as u32 };
     let ask = |rng: &mut Rand64| {
         let (stamp, number, evidence) = (stamp(rng), number(rng), bytes(rng));
-        Question { stamp, life: draw(rng, 9) as u32, number, evidence }
+        Query { asked_at: stamp, incarnation: draw(rng, 9) as u32, number, evidence }
     };
     match draw(rng, 11) {
-        8 => Message::Pass { ask: ask(rng) },
-        9 => Message::Passed { asker: draw(rng, 5) as u16, ask: ask(rng) },
-        10 => Message::Answer {
-            asker: draw(rng, 5) as u16,
-            stamp: stamp(rng),
-            life: draw(rng, 9) as u32,
+        8 => Message::Relay { query: ask(rng) },
+        9 => Message::RelayedQuery { requester: draw(rng, 5) as u16, query: ask(rng) },
+        10 => Message::RelayedReply {
+            requester: draw(rng, 5) as u16,
+            asked_at: stamp(rng),
+            incarnation: draw(rng, 9) as u32,
             number: number(rng),
-            left: stamp(rng),
+            lease_left: stamp(rng),
             plan: bytes(rng),
         },
         0 => Message::Prepare { ballot: ballot(rng) },
-        1 => Message::Promise { ballot: ballot(rng), held: (draw(rng, 2) == 0).then(|| ballot(rng)) },
+        1 => Message::Promise { ballot: ballot(rng), granted: (draw(rng, 2) == 0).then(|| ballot(rng)) },
         2 => Message::Propose { ballot: ballot(rng) },
         3 => Message::Accepted { ballot: ballot(rng) },
-        4 => Message::Refused { seen: ballot(rng) },
+        4 => Message::Rejected { highest_seen: ballot(rng) },
         5 => Message::Query {
             asked_at: stamp(rng),
             incarnation: draw(rng, 9) as u32,
@@ -54,7 +54,7 @@
             lease_left: stamp(rng),
             plan: bytes(rng),
         },
-        _ => Message::Elsewhere { voter: draw(rng, 70_000) as u16 },
+        _ => Message::Redirect { voter: draw(rng, 70_000) as u16 },
     }
 }
 
@@ -87,10 +87,10 @@
     let long =
         Message::Query { asked_at: 1, incarnation: 1, number: PlanNumber::default(), evidence: vec![7; 250] };
     assert_eq!(long.encode(), None, "what would be longer than a datagram is not sent");
-    assert_eq!(Message::decode(&[0xac; 257]), Err(Unreadable::Length(257)));
-    assert_eq!(Message::decode(&[]), Err(Unreadable::Length(0)));
-    assert_eq!(Message::decode(&[0; 40]), Err(Unreadable::Foreign));
-    let mut bytes = Message::Elsewhere { voter: 3 }.encode().unwrap();
+    assert_eq!(Message::decode(&[0xac; 257]), Err(DecodeError::Length(257)));
+    assert_eq!(Message::decode(&[]), Err(DecodeError::Length(0)));
+    assert_eq!(Message::decode(&[0; 40]), Err(DecodeError::NotAMessage));
+    let mut bytes = Message::Redirect { voter: 3 }.encode().unwrap();
     bytes[1] = 2;
     assert_eq!(Message::decode(&bytes).unwrap_err().to_string(), "a message of version 2; this is version 1");
 }
@@ -111,7 +111,7 @@
             } else {
                 member.handle(now, draw(&mut rng, 4) as u16, message(&mut rng), &mut out);
             }
-            // Nobody answers its campaigns as they are, so it never decides, and what it acts on ends by itself.
+            // Nobody answers its campaigns properly, so it never leads, and the plan it acts on expires.
             assert!(out.len() < 16, "{out:?}");
         }
         member.tick(now + timing.plan_validity, &mut Vec::new());
@@ -119,7 +119,7 @@
     }
 }
 
-/// What a voter would answer to a campaign comes from members instead; whether the campaigner decides by it.
+/// Has members answer a campaign in place of voters; returns whether the candidate becomes the leader.
 fn decides_by(mutant: Option<Mutant>, from: [u16; 2]) -> bool {
     let timing = Timing::default();
     let config = Config { me: 1, voters: vec![0, 1, 2], timing };
@@ -127,11 +127,11 @@
     let mut member = mutant.map_or(member.clone(), |m| member.with_mutant(m));
     let now = timing.grant + 1;
     let mut out = Vec::new();
-    member.stand(now, &mut out);
+    member.start_campaign(now, &mut out);
     let Some(Effect::Send(_, Message::Prepare { ballot })) = out.first().cloned() else {
         panic!("it does not campaign: {out:?}")
     };
-    member.handle(now, from[0], Message::Promise { ballot, held: None }, &mut out);
+    member.handle(now, from[0], Message::Promise { ballot, granted: None }, &mut out);
     member.handle(now, from[1], Message::Accepted { ballot }, &mut out);
     member.leader_ballot().is_some()
 }
@@ -142,5 +142,5 @@
     for from in [[7, 7], [0, 7], [7, 0]] {
         assert!(!decides_by(None, from), "{from:?}");
     }
-    assert!(decides_by(Some(Mutant::CountsAnybody), [7, 7]), "the guard is what holds them off");
+    assert!(decides_by(Some(Mutant::CountsNonVoters), [7, 7]), "the guard is what holds them off");
 }
--- a/crates/accord/tests/stable.rs
+++ b/crates/accord/tests/stable.rs
@@ -1,5 +1,5 @@
-//! Many members over minutes of virtual time, with loss, delay, repetition, cuts, kills, stops and clocks that drift: what must
-//! hold does at every step, and whenever a majority of voters can talk for a while all who reach it act on one plan.
+//! Many members over minutes of virtual time, with loss, delay, duplication, partitions, kills, stops and clock drift: safety is
+//! checked at every step, and whenever a majority of voters can communicate for a while all members that reach it act on one plan.
 #![allow(missing_docs)]
 
 use std::cmp::Reverse;
@@ -8,7 +8,7 @@
 use mothpier_accord::{Config, Effect, Member, MemberId, Message, Millis, PlanNumber, Timing};
 use oorandom::Rand64;
 
-/// When it comes, its place among all, from and to whom, and what it says.
+/// Arrival time, sequence number, sender, receiver and message.
 type UnderWay = (Millis, u64, MemberId, MemberId, Message);
 
 struct Net {
@@ -17,7 +17,7 @@
     rates: Vec<(u64, Millis)>,
     lives: Vec<u32>,
     stopped: Vec<Option<Millis>>,
-    /// Members that are cut off, each with a group of its own number.
+    /// The partition of each member; members of different partitions can't communicate.
     group: Vec<u8>,
     queue: BinaryHeap<Reverse<UnderWay>>,
     sent: u64,
@@ -79,16 +79,16 @@
             let Some(Reverse((_, _, from, to, message))) = self.queue.pop() else { break };
             let i = usize::from(to);
             if self.stopped[i].is_some() {
-                // It waits in the machine's buffers until the process goes on.
+                // It waits in the socket buffer until the process continues.
                 self.sent += 1;
                 self.queue.push(Reverse((self.now + 50, self.sent, from, to, message)));
                 continue;
             }
-            let before = self.members[i].highest();
+            let before = self.members[i].highest_number();
             let mut out = Vec::new();
             let now = self.clock(i);
             self.members[i].handle(now, from, message, &mut out);
-            assert!(self.members[i].highest() >= before);
+            assert!(self.members[i].highest_number() >= before);
             self.did(i, out);
         }
         for i in 0..self.members.len() {
@@ -100,7 +100,7 @@
             }
         }
         let deciding: Vec<usize> = (0..self.members.len())
-            .filter(|i| self.members[*i].lease_until().is_some_and(|until| self.clock(*i) < until))
+            .filter(|i| self.members[*i].lease_ends().is_some_and(|until| self.clock(*i) < until))
             .collect();
         assert!(deciding.len() <= 1, "{deciding:?} at {}", self.now);
     }
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Somebody decides on something new, now and then.
+    /// Whoever leads sets a new plan.
     fn wish(&mut self) {
         for i in 0..self.members.len() {
             if self.stopped[i].is_none() && self.members[i].leader_ballot().is_some() {
@@ -151,21 +151,21 @@
         }
     }
 
-    /// For people who look into a failure.
+    /// The state of all members, for the message of a failed assertion.
     fn tell(&self) -> String {
         let one = |i: usize| {
             let m = &self.members[i];
-            let (number, lease) = (m.applied_plan().map(|(n, _)| n), m.lease_until());
+            let (number, lease) = (m.applied_plan().map(|(n, _)| n), m.lease_ends());
             let (clock, group) = (self.clock(i), self.group[i]);
             format!(
                 "{i} in {group}, clock {clock}: acts on {number:?}, highest {:?}, lease {lease:?}",
-                m.highest()
+                m.highest_number()
             )
         };
         (0..self.members.len()).map(one).collect::<Vec<_>>().join("\n")
     }
 
-    /// The one plan that all of these act on, if they do.
+    /// The number of the plan that all of these members act on, if it is the same.
     fn agreed(&self, among: impl Fn(usize) -> bool) -> Option<PlanNumber> {
         let mut numbers = (0..self.members.len())
             .filter(|i| among(*i))
@@ -181,7 +181,7 @@
     for seed in 0..200 {
         let mut net = Net::new(12, seed);
         for round in 0..12 {
-            // Trouble: some are killed, some stopped, some cut off.
+            // Faults: some members are killed, some stopped, some cut off.
             net.loss = net.draw(50) as f64 / 100.0;
             for i in 0..net.members.len() {
                 match net.draw(8) {
@@ -196,7 +196,7 @@
                 net.run(span);
                 net.wish();
             }
-            // Weather that can be borne, with a minority of voters away.
+            // Moderate loss, with a minority of voters cut off.
             net.loss = 0.1;
             net.group.fill(0);
             net.stopped.fill(None);
@@ -234,7 +234,7 @@
     net.run(5_000);
     let second = net.agreed(|_| true).expect("it is back");
     assert!(second >= first);
-    // Every voter forgets everything; the others remember.
+    // Every voter loses its state; the others keep theirs.
     for voter in 0..VOTERS {
         net.members[usize::from(voter)] = net.start(voter);
     }
@@ -251,7 +251,7 @@
         let before = net.messages;
         net.run(20_000);
         let followers = f64::from(members - 1);
-        // What the decider answers is told apart: it alone bears all questions.
+        // Replies are counted as well: the leader alone answers all queries.
         (net.messages - before) as f64 / followers / 20.0
     };
     let (few, many) = (per_member(9), per_member(100));
--- a/crates/accord/tests/wall_clock.rs
+++ b/crates/accord/tests/wall_clock.rs
@@ -1,31 +1,31 @@
-//! Members whose number of incarnation comes from a clock that was stepped between two of their lives: one that is lower than the
-//! former one, higher, or the same neither keeps a member out nor has anything of its former life count.
+//! Members whose incarnation number comes from a wall clock that was stepped between two incarnations: whether the number is
+//! lower, higher or the same, it neither keeps a member out nor makes anything of its former incarnation count.
 #![allow(missing_docs)]
 
 use std::collections::VecDeque;
 
 use mothpier_accord::{Config, Effect, Member, MemberId, Message, Millis, PlanNumber, Timing};
 
-/// When the first lives begin by the wall clock, in milliseconds of a day.
+/// The wall clock when the first incarnations start, in milliseconds of a day.
 const BEGIN: i64 = 43_200_000;
-/// Steps of the wall clock between two lives, in milliseconds.
+/// Steps of the wall clock between two incarnations, in milliseconds.
 const STEPS: [i64; 4] = [-2_000, 2_000, -3_600_000, 3_600_000];
-/// How long a member's process is down between two lives.
+/// How long a member's process is down between two incarnations.
 const DOWN: Millis = 300;
-/// Time for a decider to begin and for all to hear its plan: all voters abstain first, then each waits for its turn to campaign.
+/// Time for a leader to emerge and for all to receive its plan: all voters abstain first, then campaign in turn.
 const SETTLED: Millis = 8_000;
 const VOTERS: [MemberId; 3] = [0, 1, 2];
 const MEMBERS: usize = 5;
-/// One way.
+/// The one-way delay of messages.
 const DELAY: Millis = 15;
 
 struct Fleet {
     now: Millis,
-    /// When each life began: a process's own clock begins with it.
+    /// When each incarnation began: a process's own clock starts with it.
     began: Vec<Millis>,
     members: Vec<Member>,
     net: VecDeque<(Millis, MemberId, MemberId, Message)>,
-    /// Deciders that hold a lease, and numbers acted on, in order.
+    /// Plan numbers acted on, with the member, in order.
     acted: Vec<(MemberId, PlanNumber)>,
 }
 
@@ -56,7 +56,7 @@
         (0..MEMBERS).filter(|i| self.members[*i].leader_ballot().is_some()).collect()
     }
 
-    /// Goes on; whoever decides has this plan.
+    /// Runs for a time; whoever leads sets this plan.
     fn run(&mut self, millis: Millis, plan: &[u8]) {
         let end = self.now + millis;
         while self.now < end {
@@ -65,7 +65,7 @@
                 let Some((_, from, to, message)) = self.net.pop_front() else { break };
                 let (me, mut out) = (usize::from(to), Vec::new());
                 let own = self.now.saturating_sub(self.began[me]);
-                // Nobody is there while its process is down.
+                // Messages to a process that is down are lost.
                 if self.now >= self.began[me] {
                     self.members[me].handle(own, from, message, &mut out);
                     self.carry_out(me, out);
@@ -83,7 +83,7 @@
         }
     }
 
-    /// A member's process ends, and begins anew when the wall clock was stepped.
+    /// Ends a member's process; it starts again after a step of the wall clock.
     fn restart(&mut self, me: usize, step: i64) {
         self.began[me] = self.now + DOWN;
         self.members[me] = start(me, BEGIN + self.began[me] as i64 + step);
@@ -101,7 +101,7 @@
             let mut fleet = Fleet::new();
             fleet.run(SETTLED, &[1]);
             assert!(fleet.all_act_on(&[1]), "before");
-            // Twice, back and forth.
+            // Twice: the clock is stepped and set back.
             for (step, plan) in [(step, [2]), (-step, [3])] {
                 let me = if me == 0 { fleet.deciders()[0] } else { me };
                 fleet.restart(me, step);
@@ -117,28 +117,28 @@
     for step in STEPS {
         let mut fleet = Fleet::new();
         fleet.run(SETTLED, &[1]);
-        let before = fleet.members[3].highest();
+        let before = fleet.members[3].highest_number();
         VOTERS.iter().for_each(|me| fleet.restart(usize::from(*me), step));
         fleet.run(SETTLED, &[2]);
         assert!(fleet.all_act_on(&[2]), "a step of {step} ms");
-        assert!(fleet.members[3].highest() > before, "a step of {step} ms");
+        assert!(fleet.members[3].highest_number() > before, "a step of {step} ms");
         let of_follower: Vec<PlanNumber> =
             fleet.acted.iter().filter(|(me, _)| *me == 3).map(|(_, n)| *n).collect();
         assert!(of_follower.windows(2).all(|w| w[0] < w[1]), "{of_follower:?}");
     }
 }
 
-/// Of a ballot the round goes before the incarnation: a voter that has promised to the former life tells its round, and the
-/// new life campaigns above it.
+/// In a ballot the round goes before the incarnation: a voter that has promised to the former incarnation reports its round,
+/// and the new incarnation campaigns above it.
 #[test]
 fn a_candidate_whose_incarnation_is_lower_than_its_former_one_campaigns_above_what_a_voter_has_promised() {
     let timing = Timing::default();
     for step in STEPS {
         let mut voter = start(1, BEGIN);
         let (mut former, mut out) = (start(0, BEGIN), Vec::new());
-        // It stands several times, and is promised to: its round is ahead of what a new life begins with.
+        // It campaigns several times and gets promises: its round is ahead of a new incarnation's first one.
         for i in 0..3 {
-            former.stand(timing.grant + i, &mut out);
+            former.start_campaign(timing.grant + i, &mut out);
         }
         let prepares = |out: &[Effect]| -> Vec<Message> {
             let sent = out.iter().filter_map(|e| match e {
@@ -155,7 +155,7 @@
         let mut now = timing.grant;
         while !promised && tries < 3 {
             let (mut out, mut answers) = (Vec::new(), Vec::new());
-            candidate.stand(now, &mut out);
+            candidate.start_campaign(now, &mut out);
             for message in prepares(&out) {
                 voter.handle(now + timing.grant, 0, message, &mut answers);
             }
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,9 +1,9 @@
-//! What a process of a node tells the one that takes its place. Frames of known length with a version and a checksum;
-//! whatever else comes is told apart and never guessed at. Nothing here does I/O.
+//! Messages between a process of a node and its successor: frames with a length, a version and a checksum. Anything else is
+//! rejected with its kind of error. Nothing here does I/O.
 //!
-//! The new process says [`Message::Hello`]; the old one answers with [`Message::State`], or [`Message::Declined`], and
-//! goes on with [`Message::Left`] for as long as both live, and with another [`Message::State`], without the module's, when it
-//! is told of a change of the list. The end of the connection is the end of the other process.
+//! The successor sends [`Message::Hello`]; the predecessor answers with [`Message::State`] or [`Message::Declined`]. While both
+//! run it goes on to send [`Message::Remaining`] and, when its list of servers changes, another [`Message::State`] without the
+//! decision module's state. A connection that ends means that the other process has ended.
 
 use std::fmt;
 
@@ -12,139 +12,144 @@
 
 /// Begins each frame.
 const MAGIC: [u8; 4] = *b"mpho";
-/// Changes whenever a message does.
-pub const VERSION: u16 = 1;
-/// Magic, version, length and checksum.
-const HEAD: usize = 4 + 2 + 4 + 4;
-/// The longest message: the state of a node with a few thousand servers.
-pub const LONGEST: usize = 4 << 20;
+/// The version of the messages: it changes whenever a message does.
+pub const PROTOCOL_VERSION: u16 = 1;
+/// Bytes of a frame's header: magic, version, length and checksum.
+const HEADER_BYTES: usize = 4 + 2 + 4 + 4;
+/// The longest message, in bytes: holds the state of a node with a few thousand servers.
+pub const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
-/// A message.
+/// A message between the two processes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// From the new process: it would take the place of the other.
+    /// From the successor: it asks to take over.
     Hello {
         /// The name of its node.
         node_name: String,
-        /// The layout of the module's state that it can go on from.
+        /// The layout of the decision module's state that it can restore.
         state_layout: u32,
     },
-    /// From the old process: what it knows.
+    /// From the predecessor: its state.
     State(PredecessorState),
-    /// From the old process: it hands nothing over, and why.
+    /// From the predecessor: it hands nothing over, and why.
     Declined(String),
-    /// From the old process: what it would leave behind if it ended now.
+    /// From the predecessor: what would remain if it ended now.
     Remaining(RemainingResources),
 }
 
-/// What the old process knows.
+/// The state of the predecessor.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct PredecessorState {
-    /// The version of its list of servers; told to the node itself also where nothing else of this is.
+    /// The revision of its list of servers; also sent where nothing else of the state is.
     pub list_revision: u64,
-    /// The list, in discovery's form.
+    /// The list, in discovery's format.
     pub list: Vec<u8>,
-    /// The decision module's state, in the layout asked for; empty where it has another.
+    /// The decision module's state, in the requested layout; empty where the predecessor has another layout.
     pub module_state: Vec<u8>,
-    /// What it would leave behind.
+    /// What would remain if the predecessor ended now.
     pub remaining: RemainingResources,
 }
 
-/// What a process would leave behind.
+/// What remains of a process when it ends: the successor accounts for it.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct RemainingResources {
-    /// Calls at the origin, its tally, and keyed writes in their window.
+    /// Calls in flight at the origin, the origin's tally, and keyed writes in their window.
     pub inherited: InheritedState,
-    /// Descriptors that it holds.
+    /// Open descriptors of the process.
     pub descriptors: u32,
 }
 
-/// What came is no message.
+/// Why bytes could not be decoded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DecodeError {
-    /// It does not begin as a frame does.
-    Foreign,
+    /// They do not begin with the magic bytes of a frame.
+    NotAFrame,
     /// A frame of another version.
     Version(u16),
-    /// Too long to be a message.
+    /// A message longer than allowed, with its length.
     TooLong(usize),
-    /// Its checksum is wrong.
+    /// The checksum does not match.
     Checksum,
-    /// It can't be read.
-    Unreadable,
+    /// The message can't be deserialized.
+    Malformed,
 }
 
 impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            DecodeError::Foreign => f.write_str("no frame of a handover"),
-            DecodeError::Version(version) => write!(f, "a frame of version {version}, not {VERSION}"),
-            DecodeError::TooLong(length) => write!(f, "a message of {length} bytes"),
-            DecodeError::Checksum => f.write_str("a wrong checksum"),
-            DecodeError::Unreadable => f.write_str("a message that can't be read"),
+            DecodeError::NotAFrame => f.write_str("not a handover frame"),
+            DecodeError::Version(version) => {
+                write!(f, "handover frame of version {version}, expected {PROTOCOL_VERSION}")
+            }
+            DecodeError::TooLong(length) => {
+                write!(f, "handover message of {length} bytes is longer than {MAX_MESSAGE_BYTES}")
+            }
+            DecodeError::Checksum => f.write_str("handover frame with a wrong checksum"),
+            DecodeError::Malformed => f.write_str("malformed handover message"),
         }
     }
 }
 
-/// The frame of a message.
+/// Serializes a message into a frame.
 ///
 /// # Errors
-/// It is longer than [`LONGEST`].
+/// The message is longer than [`MAX_MESSAGE_BYTES`].
 pub fn encode(message: &Message) -> Result<Vec<u8>, DecodeError> {
-    let body = postcard::to_allocvec(message).map_err(|_| DecodeError::Unreadable)?;
-    if body.len() > LONGEST {
+    let body = postcard::to_allocvec(message).map_err(|_| DecodeError::Malformed)?;
+    if body.len() > MAX_MESSAGE_BYTES {
         return Err(DecodeError::TooLong(body.len()));
     }
-    let mut frame = Vec::with_capacity(HEAD + body.len());
+    let mut frame = Vec::with_capacity(HEADER_BYTES + body.len());
     frame.extend(MAGIC);
-    frame.extend(VERSION.to_le_bytes());
+    frame.extend(PROTOCOL_VERSION.to_le_bytes());
     frame.extend((body.len() as u32).to_le_bytes());
     frame.extend(crc32fast::hash(&body).to_le_bytes());
     frame.extend(body);
     Ok(frame)
 }
 
-/// Finds messages in what comes.
+/// Reassembles messages from a byte stream.
 #[derive(Debug, Default)]
 pub struct Decoder(Vec<u8>);
 
 impl Decoder {
-    /// Takes more of what has come.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.0.extend(bytes);
     }
 
-    /// The next message; `None` while it has not all come.
+    /// The next message; `None` while it is incomplete.
     ///
     /// # Errors
-    /// What came is none. Nothing behind it can be read either.
+    /// The bytes are no valid frame. Nothing behind them can be read either.
     pub fn next_message(&mut self) -> Result<Option<Message>, DecodeError> {
-        let here = &self.0;
-        let begin = MAGIC.len().min(here.len());
-        if here[..begin] != MAGIC[..begin] {
-            return Err(DecodeError::Foreign);
+        let buffer = &self.0;
+        let prefix = MAGIC.len().min(buffer.len());
+        if buffer[..prefix] != MAGIC[..prefix] {
+            return Err(DecodeError::NotAFrame);
         }
-        if here.len() < HEAD {
+        if buffer.len() < HEADER_BYTES {
             return Ok(None);
         }
-        let four = |at: usize| u32::from_le_bytes([here[at], here[at + 1], here[at + 2], here[at + 3]]);
-        let version = u16::from_le_bytes([here[4], here[5]]);
-        if version != VERSION {
+        let read_u32 =
+            |at: usize| u32::from_le_bytes([buffer[at], buffer[at + 1], buffer[at + 2], buffer[at + 3]]);
+        let version = u16::from_le_bytes([buffer[4], buffer[5]]);
+        if version != PROTOCOL_VERSION {
             return Err(DecodeError::Version(version));
         }
-        let (length, checksum) = (four(6) as usize, four(10));
-        if length > LONGEST {
+        let (length, checksum) = (read_u32(6) as usize, read_u32(10));
+        if length > MAX_MESSAGE_BYTES {
             return Err(DecodeError::TooLong(length));
         }
-        let Some(body) = here.get(HEAD..HEAD + length) else { return Ok(None) };
+        let Some(body) = buffer.get(HEADER_BYTES..HEADER_BYTES + length) else { return Ok(None) };
         if crc32fast::hash(body) != checksum {
             return Err(DecodeError::Checksum);
         }
         let message = match postcard::take_from_bytes(body) {
             Ok((message, [])) => message,
-            _ => return Err(DecodeError::Unreadable),
+            _ => return Err(DecodeError::Malformed),
         };
-        self.0.drain(..HEAD + length);
+        self.0.drain(..HEADER_BYTES + length);
         Ok(Some(message))
     }
 }
--- a/crates/handover/tests/frames.rs
+++ b/crates/handover/tests/frames.rs
@@ -1,81 +1,85 @@
-//! Frames that are whole, cut, spoilt, foreign and too long.
+//! Decoding of frames that are whole, split, corrupted, foreign and too long.
 
 use brassrouter::InheritedState;
 use mothpier_handover::{
-    DecodeError, Decoder, LONGEST, Message, PredecessorState, RemainingResources, VERSION, encode,
+    DecodeError, Decoder, MAX_MESSAGE_BYTES, Message, PROTOCOL_VERSION, PredecessorState, RemainingResources,
+    encode,
 };
 use proptest::prelude::*;
 
 fn state() -> Message {
-    let legacy = InheritedState {
+    let inherited = InheritedState {
         origin_calls: vec![(true, 7)],
         window_start: 3,
         calls_in_window: [2, 1],
         outstanding_limit: 4.5,
         keyed_writes: vec![(9, 8)],
     };
-    let left = RemainingResources { inherited: legacy, descriptors: 120 };
+    let remaining = RemainingResources { inherited, descriptors: 120 };
     Message::State(PredecessorState {
         list_revision: 41,
         list: b"{}".to_vec(),
         module_state: vec![1, 2, 3],
-        remaining: left,
+        remaining,
     })
 }
 
 #[test]
-fn messages_come_back_as_they_were_however_they_are_cut() {
+fn messages_survive_any_split_of_the_byte_stream() {
     let hello = Message::Hello { node_name: "n0".into(), state_layout: 2 };
-    let all =
+    let frames =
         [encode(&hello).unwrap(), encode(&state()).unwrap(), encode(&Message::Declined("x".into())).unwrap()];
-    for size in 1..40 {
-        let (mut decoder, mut seen) = (Decoder::default(), Vec::new());
-        for part in all.concat().chunks(size) {
-            decoder.push(part);
+    for chunk_size in 1..40 {
+        let (mut decoder, mut decoded) = (Decoder::default(), Vec::new());
+        for chunk in frames.concat().chunks(chunk_size) {
+            decoder.push(chunk);
             while let Some(message) = decoder.next_message().unwrap() {
-                seen.push(message);
+                decoded.push(message);
             }
         }
-        assert_eq!(seen, [hello.clone(), state(), Message::Declined("x".into())], "{size}");
+        assert_eq!(decoded, [hello.clone(), state(), Message::Declined("x".into())], "{chunk_size}");
     }
 }
 
 #[test]
-fn what_is_no_message_is_told_by_its_kind() {
-    let read = |bytes: &[u8]| {
+fn invalid_frames_are_rejected_with_the_kind_of_error() {
+    let decode = |bytes: &[u8]| {
         let mut decoder = Decoder::default();
         decoder.push(bytes);
         decoder.next_message()
     };
-    let good = encode(&state()).unwrap();
-    assert_eq!(read(b"GET / HTTP/1.1\r\n"), Err(DecodeError::Foreign));
-    assert_eq!(read(b"x"), Err(DecodeError::Foreign), "at the first byte");
-    let mut other = good.clone();
-    other[4] = VERSION as u8 + 1;
-    assert_eq!(read(&other), Err(DecodeError::Version(VERSION + 1)));
-    let mut long = good.clone();
-    long[6..10].copy_from_slice(&(LONGEST as u32 + 1).to_le_bytes());
-    assert_eq!(read(&long), Err(DecodeError::TooLong(LONGEST + 1)));
-    let mut spoilt = good.clone();
-    *spoilt.last_mut().unwrap() ^= 1;
-    assert_eq!(read(&spoilt), Err(DecodeError::Checksum));
-    for cut in 0..good.len() {
-        assert_eq!(read(&good[..cut]), Ok(None), "{cut}");
+    let valid = encode(&state()).unwrap();
+    assert_eq!(decode(b"GET / HTTP/1.1\r\n"), Err(DecodeError::NotAFrame));
+    assert_eq!(decode(b"x"), Err(DecodeError::NotAFrame), "at the first byte");
+    let mut wrong_version = valid.clone();
+    wrong_version[4] = PROTOCOL_VERSION as u8 + 1;
+    assert_eq!(decode(&wrong_version), Err(DecodeError::Version(PROTOCOL_VERSION + 1)));
+    let mut too_long = valid.clone();
+    too_long[6..10].copy_from_slice(&(MAX_MESSAGE_BYTES as u32 + 1).to_le_bytes());
+    assert_eq!(decode(&too_long), Err(DecodeError::TooLong(MAX_MESSAGE_BYTES + 1)));
+    let mut corrupted = valid.clone();
+    *corrupted.last_mut().unwrap() ^= 1;
+    assert_eq!(decode(&corrupted), Err(DecodeError::Checksum));
+    for length in 0..valid.len() {
+        assert_eq!(decode(&valid[..length]), Ok(None), "{length}");
     }
-    assert_eq!(encode(&Message::Declined("x".repeat(LONGEST))), Err(DecodeError::TooLong(LONGEST + 5)));
+    assert_eq!(
+        encode(&Message::Declined("x".repeat(MAX_MESSAGE_BYTES))),
+        Err(DecodeError::TooLong(MAX_MESSAGE_BYTES + 5))
+    );
 }
 
 proptest! {
     #[test]
-    fn no_bytes_bring_it_down(bytes in prop::collection::vec(any::<u8>(), 0..200), at in 0usize..80) {
+    fn no_bytes_make_the_decoder_panic(bytes in prop::collection::vec(any::<u8>(), 0..200), start in 0usize..80) {
         let mut decoder = Decoder::default();
         decoder.push(&bytes);
         let _ = decoder.next_message();
-        // Behind a good head, too.
+        // Also with a valid header.
         let mut frame = encode(&state()).unwrap();
-        let end = (at + bytes.len()).min(frame.len());
-        let at = at.min(end);
-        frame[at..end].copy_from_slice(&bytes[..end - at]);
+        let end = (start + bytes.len()).min(frame.len());
+        let start = start.min(end);
+        frame[start..end].copy_from_slice(&bytes[..end - start]);
         let mut decoder = Decoder::default();
         decoder.push(&frame);
         let _ = decoder.next_message();
--- a/crates/host/src/accepted.rs
+++ b/crates/host/src/accepted.rs
@@ -1,8 +1,8 @@
-//! Connections that this machine has accepted.
+//! Connections that this process has accepted.
 //!
-//! Accepting one and having the runtime watch it are two steps here. Tokio's own listener takes both at once: where epoll has no
-//! place for the connection (`ENOMEM`, `ENOSPC` of epoll_ctl(2)) it is closed before anybody has it. [`AsyncFd`] gives it back,
-//! so that it can be tried again.
+//! Accepting a connection and registering it with the runtime are two steps here. Tokio's own listener does both at once: where
+//! epoll has no room for the connection (`ENOMEM`, `ENOSPC` of epoll_ctl(2)) it is closed before anyone can use it. [`AsyncFd`]
+//! returns it, so that registering can be tried again.
 
 use std::io::{self, ErrorKind, IoSlice, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -18,23 +18,23 @@
 use tokio::io::unix::AsyncFd;
 use tokio::time::{Instant, Sleep, sleep};
 
-/// Before the runtime is asked again to watch a connection.
-const PAUSE: Duration = Duration::from_millis(10);
-/// A connection that can't be watched for so long is closed: its client has hardly waited longer.
-const LONGEST: Duration = Duration::from_secs(3);
+/// Between two tries to register a connection with the runtime.
+const REGISTER_RETRY_INTERVAL: Duration = Duration::from_millis(10);
+/// A connection that can't be registered for this long is closed: its client is unlikely to have waited longer.
+const MAX_UNREGISTERED: Duration = Duration::from_secs(3);
 
-/// A connection that is watched by the runtime. A clone is the same connection.
+/// A connection that is registered with the runtime. A clone refers to the same connection.
 #[derive(Clone, Debug)]
-pub(crate) struct Accepted(Arc<AsyncFd<TcpStream>>);
+pub(crate) struct AcceptedConnection(Arc<AsyncFd<TcpStream>>);
 
-impl Accepted {
-    /// Has the runtime watch a connection.
+impl AcceptedConnection {
+    /// Registers a connection with the runtime.
     ///
     /// # Errors
-    /// Why it can't, and the connection.
-    fn watch(stream: TcpStream) -> Result<Accepted, (TcpStream, io::Error)> {
-        let watched = watch(stream, Interest::READABLE | Interest::WRITABLE)?;
-        Ok(Accepted(Arc::new(watched)))
+    /// The failure, and the connection.
+    fn register(stream: TcpStream) -> Result<AcceptedConnection, (TcpStream, io::Error)> {
+        let registered = register(stream, Interest::READABLE | Interest::WRITABLE)?;
+        Ok(AcceptedConnection(Arc::new(registered)))
     }
 
     fn stream(&self) -> &TcpStream {
@@ -45,26 +45,26 @@
         self.stream().set_nodelay(true)
     }
 
-    /// Waits until something can be read, the end included.
+    /// Waits until something can be read, the end of the stream included.
     pub(crate) async fn readable(&self) -> io::Result<()> {
         self.0.readable().await?.retain_ready();
         Ok(())
     }
 
-    /// Reads what is there into the room that the buffer has.
+    /// Reads available data into the spare capacity of the buffer.
     #[allow(unsafe_code)]
     pub(crate) fn try_read_buf(&self, buffer: &mut BytesMut) -> io::Result<usize> {
-        let room = buffer.spare_capacity_mut();
-        let length = self.0.try_io(Interest::READABLE, |stream| SockRef::from(stream).recv(room))?;
-        // SAFETY: the call has written so many bytes into the room behind those that there were.
-        unsafe { buffer.set_len(buffer.len() + length) };
-        Ok(length)
+        let spare = buffer.spare_capacity_mut();
+        let count = self.0.try_io(Interest::READABLE, |stream| SockRef::from(stream).recv(spare))?;
+        // SAFETY: the call has initialized this many bytes of the spare capacity, which follows the buffer's contents.
+        unsafe { buffer.set_len(buffer.len() + count) };
+        Ok(count)
     }
 
-    pub(crate) fn poll_read(&self, cx: &mut Context<'_>, room: &mut [u8]) -> Poll<io::Result<usize>> {
+    pub(crate) fn poll_read(&self, cx: &mut Context<'_>, buffer: &mut [u8]) -> Poll<io::Result<usize>> {
         loop {
             let mut guard = ready!(self.0.poll_read_ready(cx))?;
-            if let Ok(read) = guard.try_io(|watched| watched.get_ref().read(room)) {
+            if let Ok(read) = guard.try_io(|socket| socket.get_ref().read(buffer)) {
                 return Poll::Ready(read);
             }
         }
@@ -83,7 +83,7 @@
         self.poll_write_with(cx, length, |mut stream| stream.write_vectored(slices))
     }
 
-    /// Writes; a short write is taken for a full buffer.
+    /// Writes; a short write is taken as a full socket buffer.
     fn poll_write_with(
         &self,
         cx: &mut Context<'_>,
@@ -105,94 +105,99 @@
         }
     }
 
-    /// Ends the sending.
-    pub(crate) fn end_sending(&self) -> io::Result<()> {
+    /// Shuts down writing.
+    pub(crate) fn shutdown_write(&self) -> io::Result<()> {
         self.stream().shutdown(Shutdown::Write)
     }
 
-    /// Whether the other side is known to have ended its sending.
-    pub(crate) fn other_side_has_ended(&self) -> bool {
+    /// Whether the remote end is known to have shut down writing.
+    pub(crate) fn remote_end_closed(&self) -> bool {
         let ready = pin!(self.0.ready(Interest::READABLE));
         let mut context = Context::from_waker(Waker::noop());
         matches!(ready.poll(&mut context), Poll::Ready(Ok(guard)) if guard.ready().is_read_closed())
     }
 }
 
-impl AsFd for Accepted {
+impl AsFd for AcceptedConnection {
     fn as_fd(&self) -> BorrowedFd<'_> {
         self.stream().as_fd()
     }
 }
 
-/// A connection that was accepted and that the runtime could not watch yet.
+/// An accepted connection that could not be registered with the runtime yet.
 #[derive(Debug)]
-pub(crate) struct Unwatched {
+pub(crate) struct Unregistered {
     stream: TcpStream,
-    from: SocketAddr,
+    remote: SocketAddr,
     since: Instant,
-    pause: Pin<Box<Sleep>>,
+    retry_delay: Pin<Box<Sleep>>,
 }
 
-impl Unwatched {
-    /// Tries to have a connection watched. It comes back where that is to be tried again.
+impl Unregistered {
+    /// Tries to register a connection. It is returned where that has to be tried again.
     ///
     /// # Errors
-    /// It could not be watched for too long, and is closed.
-    pub(crate) fn watch(
+    /// Registering has failed for too long, and the connection is closed.
+    pub(crate) fn register(
         stream: TcpStream,
-        from: SocketAddr,
+        remote: SocketAddr,
         since: Instant,
-    ) -> io::Result<Result<(Accepted, SocketAddr), Unwatched>> {
-        match Accepted::watch(stream) {
-            Ok(accepted) => Ok(Ok((accepted, from))),
-            Err((_, error)) if since.elapsed() >= LONGEST => Err(error),
-            Err((stream, _)) => Ok(Err(Unwatched { stream, from, since, pause: Box::pin(sleep(PAUSE)) })),
+    ) -> io::Result<Result<(AcceptedConnection, SocketAddr), Unregistered>> {
+        match AcceptedConnection::register(stream) {
+            Ok(accepted) => Ok(Ok((accepted, remote))),
+            Err((_, error)) if since.elapsed() >= MAX_UNREGISTERED => Err(error),
+            Err((stream, _)) => Ok(Err(Unregistered {
+                stream,
+                remote,
+                since,
+                retry_delay: Box::pin(sleep(REGISTER_RETRY_INTERVAL)),
+            })),
         }
     }
 
-    /// Waits until it may be tried again.
-    pub(crate) fn poll_pause(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        self.pause.as_mut().poll(cx)
+    /// Waits until the next try is due.
+    pub(crate) fn poll_retry_delay(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+        self.retry_delay.as_mut().poll(cx)
     }
 
-    /// Tries again.
+    /// Tries again to register the connection.
     ///
     /// # Errors
-    /// As [`Unwatched::watch`].
-    pub(crate) fn watch_again(self) -> io::Result<Result<(Accepted, SocketAddr), Unwatched>> {
-        Unwatched::watch(self.stream, self.from, self.since)
+    /// As [`Unregistered::register`].
+    pub(crate) fn register_again(self) -> io::Result<Result<(AcceptedConnection, SocketAddr), Unregistered>> {
+        Unregistered::register(self.stream, self.remote, self.since)
     }
 }
 
-/// Has the runtime watch a socket.
+/// Registers a socket with the runtime.
 ///
 /// # Errors
-/// Why it can't, and the socket.
+/// The failure, and the socket.
 #[allow(unsafe_code)]
-pub(crate) fn watch<T: AsRawFd + Into<OwnedFd>>(
+pub(crate) fn register<T: AsRawFd + Into<OwnedFd>>(
     socket: T,
     interest: Interest,
 ) -> Result<AsyncFd<T>, (T, io::Error)> {
-    // SAFETY: what becomes an owned descriptor owns one: it is open, and the same, until the socket is dropped, which the
-    // `AsyncFd` does after it has ended the watch.
-    let watched = unsafe { AsyncFd::register_with_interest(socket, interest) };
-    watched.map_err(|error| error.into_parts())
+    // SAFETY: a type that converts into an owned descriptor owns one: it is open, and the same, until the socket is dropped, which
+    // the `AsyncFd` does after it has ended the registration.
+    let registered = unsafe { AsyncFd::register_with_interest(socket, interest) };
+    registered.map_err(|error| error.into_parts())
 }
 
-/// Takes the next connection off a listener's queue, without blocking.
+/// Accepts the next connection in a listener's queue, without blocking.
 #[allow(unsafe_code)]
 pub(crate) fn accept(listener: &TcpListener) -> io::Result<(TcpStream, SocketAddr)> {
     let flags = libc::SOCK_NONBLOCK | libc::SOCK_CLOEXEC;
     // SAFETY: the listener is open for as long as it is borrowed. The kernel writes the address into the storage, no more than
-    // the length that it is given, and stores how long that is; where it fails nothing of it is used.
+    // the given length, and stores its actual length; where the call fails neither is used.
     let accepted = unsafe {
         SockAddr::try_init(|storage, length| {
-            let number = libc::accept4(listener.as_raw_fd(), storage.cast(), length, flags);
-            if number == -1 {
+            let descriptor = libc::accept4(listener.as_raw_fd(), storage.cast(), length, flags);
+            if descriptor == -1 {
                 return Err(io::Error::last_os_error());
             }
-            // SAFETY: the descriptor has just been opened for this call, and nothing else owns it.
-            Ok(OwnedFd::from_raw_fd(number))
+            // SAFETY: the descriptor has just been opened by this call, and nothing else owns it.
+            Ok(OwnedFd::from_raw_fd(descriptor))
         })
     };
     let (descriptor, address) = accepted?;
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -1,19 +1,19 @@
-//! What a machine gives to a program: sockets, the time of day and a log.
+//! The operating system as a program sees it: sockets, the time of day and a log.
 //!
-//! Everything that the node, and every stand-in round it, does outside its own memory goes through [`Host`]. Two
-//! hosts exist: [`Machine`], which is tokio's sockets and the system's clock, and the simulated one in
-//! `chalksill-simnet`. The traits are resolved when a program is compiled, so the real one costs nothing.
+//! Everything that the node, and every stub around it, does outside its own memory goes through [`Host`]. It has two
+//! implementations: [`SystemHost`] with tokio's sockets and the system's clock, and the simulated one in
+//! `chalksill-simnet`. The traits are resolved at compile time, so the real one costs nothing.
 //!
-//! Spans are measured with tokio's clock ([`tokio::time`]), which a simulation pauses; it is no part of the trait.
+//! Durations are measured with tokio's clock ([`tokio::time`]), which a simulation pauses; it is no part of the trait.
 
 mod accepted;
 pub mod failure;
 pub mod inherited;
 mod interrupted;
-mod machine;
 pub mod opening;
 pub mod receiving;
 pub mod sockets;
+mod system_host;
 mod tcp_info;
 
 use std::fmt;
@@ -26,50 +26,50 @@
 use bytes::BytesMut;
 use tokio::io::{AsyncRead, AsyncWrite};
 
-pub use machine::SystemHost;
+pub use system_host::SystemHost;
 
-/// A machine as a program sees it. A clone is the same machine.
+/// The operating system as a program sees it. A clone refers to the same system.
 pub trait Host: Clone + 'static {
     /// A TCP connection.
     type Stream: Stream;
-    /// A TCP socket that waits for connections.
+    /// A listening TCP socket.
     type Listener: Listener<Stream = Self::Stream>;
     /// A UDP socket.
     type Datagrams: Datagrams;
 
-    /// Opens a connection. It may stay without an answer for ever: the caller sets the limit.
+    /// Opens a connection. It may never complete: the caller sets the time-out.
     ///
     /// # Errors
-    /// `ConnectionRefused` where nothing listens, or what else the machine says.
+    /// `ConnectionRefused` where nothing listens, or any other error of the system.
     fn connect(&self, to: SocketAddr) -> impl Future<Output = io::Result<Self::Stream>>;
 
-    /// Listens for connections. Port 0 takes any that is free.
+    /// Listens for connections. Port 0 takes any free port.
     ///
     /// # Errors
-    /// `AddrInUse` where something listens there already, or what else the machine says.
+    /// `AddrInUse` where a socket listens there already, or any other error of the system.
     fn listen(&self, at: SocketAddr) -> impl Future<Output = io::Result<Self::Listener>>;
 
-    /// Opens a socket for datagrams.
+    /// Opens a UDP socket.
     ///
     /// # Errors
-    /// `AddrInUse` where one is open there already, or what else the machine says.
+    /// `AddrInUse` where a socket is open there already, or any other error of the system.
     fn datagrams(&self, at: SocketAddr) -> impl Future<Output = io::Result<Self::Datagrams>>;
 
-    /// The time of day, since the start of 1970. It may be set back; spans are not measured with it.
+    /// The time of day, since the start of 1970. It may be set back; durations are not measured with it.
     fn unix_time(&self) -> Duration;
 
-    /// Writes a line for the people on call. It never fails and never waits.
+    /// Writes a line to the operators' log. It never fails and never blocks.
     fn log(&self, line: fmt::Arguments<'_>);
 }
 
-/// A TCP connection, sent without delay (`TCP_NODELAY`). Dropping it closes it; what was not read then resets it.
+/// A TCP connection without delay of small writes (`TCP_NODELAY`). Dropping it closes it; unread data then resets it.
 pub trait Stream: AsyncRead + AsyncWrite + Unpin + 'static {
     /// The half that is read from.
     type Reading: Reading;
-    /// The half that is written to; dropping it ends the sending.
+    /// The half that is written to; dropping it shuts down writing.
     type Writing: AsyncWrite + Unpin + 'static;
 
-    /// Splits it, so that both directions go on side by side.
+    /// Splits the connection, so that both directions proceed concurrently.
     fn into_halves(self) -> (Self::Reading, Self::Writing);
 }
 
@@ -81,55 +81,55 @@
     /// What ended the connection.
     fn readable(&self) -> impl Future<Output = io::Result<()>>;
 
-    /// Reads what is there into the room that the buffer has; 0 at the end.
+    /// Reads available data into the spare capacity of the buffer; 0 at the end of the stream.
     ///
     /// # Errors
-    /// `WouldBlock` where nothing is there, or what ended the connection.
+    /// `WouldBlock` where no data is available, or the error that ended the connection.
     fn try_read_buf(&self, buffer: &mut BytesMut) -> io::Result<usize>;
 
-    /// How long ago the last bytes of the other side arrived at this machine, read or not; `None` where it doesn't tell.
+    /// How long ago the last bytes from the remote end arrived at this machine, read or not; `None` where the system doesn't tell.
     fn since_last_arrival(&self) -> Option<Duration>;
 
-    /// Has what has come acknowledged without delay: the other side may hold back something small until then (`TCP_QUICKACK`,
-    /// tcp(7)). Holds for what comes next alone.
+    /// Acknowledges received data without delay: the remote end may hold back a small write until then (`TCP_QUICKACK`,
+    /// tcp(7)). Applies to the next data only.
     fn acknowledge_at_once(&self) {}
 
-    /// Whether the other side is known to have ended its sending, though there may be something left to read.
+    /// Whether the remote end is known to have shut down writing, though there may be data left to read.
     fn remote_end_closed(&self) -> bool;
 }
 
-/// A TCP socket that waits for connections.
+/// A listening TCP socket.
 pub trait Listener: 'static {
     /// What it accepts.
     type Stream;
 
-    /// Takes the next connection, with the address of the other side.
+    /// Accepts the next connection, with the address of the remote end.
     ///
     /// # Errors
-    /// What hindered this one connection, or a lack of descriptors: the listener goes on.
+    /// A failure of this one connection, or a lack of descriptors: the listener stays usable.
     fn accept(&self) -> impl Future<Output = io::Result<(Self::Stream, SocketAddr)>>;
 
-    /// Takes a connection if one is there.
+    /// Accepts a connection if one is waiting.
     fn poll_accept(&self, cx: &mut Context<'_>) -> Poll<io::Result<(Self::Stream, SocketAddr)>>;
 
-    /// Where it listens.
+    /// The address at which it listens.
     ///
     /// # Errors
-    /// What the machine says.
+    /// An error of the system.
     fn local_addr(&self) -> io::Result<SocketAddr>;
 }
 
 /// A UDP socket.
 pub trait Datagrams: 'static {
-    /// Takes the next datagram: its length, cut to that of the buffer, and its sender.
+    /// Receives the next datagram: its length, cut to that of the buffer, and its sender.
     ///
     /// # Errors
-    /// That of an earlier datagram which found no receiver.
+    /// An error that an earlier datagram caused because it reached no receiver.
     fn recv_from(&self, buffer: &mut [u8]) -> impl Future<Output = io::Result<(usize, SocketAddr)>>;
 
-    /// Sends one if it can go at once.
+    /// Sends a datagram if that is possible at once.
     ///
     /// # Errors
-    /// `WouldBlock` where it can't; it is lost then.
+    /// `WouldBlock` where it is not; the datagram is lost then.
     fn try_send_to(&self, bytes: &[u8], to: SocketAddr) -> io::Result<usize>;
 }
--- a/crates/host/src/receiving.rs
+++ b/crates/host/src/receiving.rs
@@ -1,4 +1,4 @@
-//! Receiving datagrams although that fails now and then, or for a while.
+//! Receiving datagrams despite occasional or lasting failures.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,24 +9,26 @@
 use crate::Datagrams;
 use crate::failure::ReceiveFailure;
 
-/// Failures in a row that are each followed by another try at once. Each tells of one datagram that was sent, to one of
-/// the other nodes; more of them than that is a failure that lasts.
-const AT_ONCE: usize = 512;
-/// The first pause, and the longest; it doubles with each failure. Messages of other nodes are a second old at most.
+/// Failures in a row that are retried at once. Each reports one datagram sent earlier to one of the other nodes; more in a
+/// row mean a lasting failure.
+const MAX_IMMEDIATE_RETRIES: usize = 512;
+/// The first pause after a failure; it doubles with each further one.
 const FIRST_PAUSE: Duration = Duration::from_millis(5);
 const LONGEST_PAUSE: Duration = Duration::from_millis(100);
 
-/// Takes the next datagram as [`Datagrams::recv_from`], and goes on behind failures: at once behind one that tells of a
-/// datagram sent earlier, after a growing pause behind others.
+/// Receives the next datagram as [`Datagrams::recv_from`] and retries failures: at once if the failure reports a datagram
+/// sent earlier, after a growing pause otherwise.
 pub async fn receive_with_backoff(socket: &impl Datagrams, buffer: &mut [u8]) -> (usize, SocketAddr) {
-    let (mut in_a_row, mut pause) = (0, FIRST_PAUSE);
+    let (mut failures, mut pause) = (0, FIRST_PAUSE);
     loop {
         let error = match socket.recv_from(buffer).await {
             Ok(received) => return received,
             Err(error) => error,
         };
-        in_a_row += 1;
-        if ReceiveFailure::of(&error) == ReceiveFailure::EarlierDatagram && in_a_row <= AT_ONCE {
+        failures += 1;
+        if ReceiveFailure::from_error(&error) == ReceiveFailure::EarlierDatagram
+            && failures <= MAX_IMMEDIATE_RETRIES
+        {
             yield_now().await;
             continue;
         }
--- a/crates/host/src/sockets.rs
+++ b/crates/host/src/sockets.rs
@@ -1,10 +1,10 @@
-//! Tokio's sockets as the node uses them: calls that a signal interrupts are made again, and a short read says nothing
-//! of what comes next.
+//! Tokio's sockets with two differences: calls interrupted by a signal are retried, and a short read says nothing about
+//! what comes next.
 //!
 //! Tokio's own `poll_read` takes a short read as a sign that the socket is drained, and waits for the next edge of epoll.
-//! read(2) allows a short one at any time (a signal, the urgent mark), after which no edge may ever come. Here the
-//! readiness to read ends only with `EAGAIN`. A short write is taken for a full buffer, as tokio does: a second try at
-//! once would make the system's buffer grow, and with it what can't be taken back.
+//! read(2) allows a short read at any time (a signal, the urgent mark), after which no edge may ever come. Here the
+//! readiness to read ends only with `EAGAIN`. A short write is taken as a full buffer, as in tokio: a second try at
+//! once would make the system's buffer grow, and with it the data that can't be taken back.
 
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
@@ -23,155 +23,155 @@
 use tokio::task::yield_now;
 use tokio::time::Instant;
 
-use crate::accepted::{self, Accepted, Unwatched};
-use crate::interrupted::{self, TRIES, is_interrupted, poll_retry};
+use crate::accepted::{self, AcceptedConnection, Unregistered};
+use crate::interrupted::{self, MAX_TRIES, is_interrupted, poll_retry};
 use crate::{Datagrams, Listener, Reading, Stream, tcp_info};
 
-/// The most that is read at once into a buffer which has to be cleared first.
-const READ_AT_ONCE: usize = 16 * 1024;
-/// Tries to switch off the delay of a connection: it may fail for want of memory, and works without.
-const NO_DELAY_TRIES: usize = 3;
+/// The most that is read at once into a buffer that has to be cleared first.
+const MAX_READ_BYTES: usize = 16 * 1024;
+/// Tries to set `TCP_NODELAY`: it may fail for lack of memory, and the connection works without it.
+const MAX_NODELAY_TRIES: usize = 3;
 
-/// A TCP connection of this machine.
+/// A TCP connection of the operating system.
 #[derive(Debug)]
-pub struct MachineStream(Connection);
+pub struct SystemStream(Connection);
 
-/// A connection by who made it.
+/// A connection, by the side that opened it.
 #[derive(Debug)]
 enum Connection {
-    /// This side.
+    /// Opened by this process.
     Opened(TcpStream),
-    /// The other side.
-    Accepted(Accepted),
+    /// Opened by the remote end.
+    Accepted(AcceptedConnection),
 }
 
 #[derive(Debug)]
-enum ReadingHalf {
+enum ReadHalf {
     Opened(OwnedReadHalf),
-    Accepted(Accepted),
+    Accepted(AcceptedConnection),
 }
 
 #[derive(Debug)]
-enum WritingHalf {
+enum WriteHalf {
     Opened(OwnedWriteHalf),
-    Accepted(AcceptedWriting),
+    Accepted(AcceptedWriteHalf),
 }
 
 /// The half of an accepted connection that is written to.
 #[derive(Debug)]
-struct AcceptedWriting {
-    connection: Accepted,
-    /// The sending has been ended.
-    ended: bool,
+struct AcceptedWriteHalf {
+    connection: AcceptedConnection,
+    /// Writing has been shut down.
+    write_shut_down: bool,
 }
 
-impl AcceptedWriting {
-    fn end_sending(&mut self) -> io::Result<()> {
-        self.ended = true;
-        self.connection.end_sending()
+impl AcceptedWriteHalf {
+    fn shutdown_write(&mut self) -> io::Result<()> {
+        self.write_shut_down = true;
+        self.connection.shutdown_write()
     }
 }
 
-impl Drop for AcceptedWriting {
+impl Drop for AcceptedWriteHalf {
     fn drop(&mut self) {
-        if !self.ended {
-            let _ = self.end_sending();
+        if !self.write_shut_down {
+            let _ = self.shutdown_write();
         }
     }
 }
 
 /// The half of a TCP connection that is read from.
 #[derive(Debug)]
-pub struct MachineReading {
-    half: ReadingHalf,
-    /// The last read was interrupted again and again: other tasks run before the next.
+pub struct SystemReadHalf {
+    half: ReadHalf,
+    /// The last read was interrupted repeatedly: other tasks run before the next.
     interrupted: Cell<bool>,
 }
 
-/// The half of a TCP connection that is written to; dropping it ends the sending.
+/// The half of a TCP connection that is written to; dropping it shuts down writing.
 #[derive(Debug)]
-pub struct MachineWriting(WritingHalf);
+pub struct SystemWriteHalf(WriteHalf);
 
-/// A TCP socket of this machine that waits for connections.
+/// A listening TCP socket of the operating system.
 #[derive(Debug)]
-pub struct MachineListener {
+pub struct SystemListener {
     socket: AsyncFd<std::net::TcpListener>,
-    /// A connection that was accepted and is not watched yet.
-    unwatched: RefCell<Option<Unwatched>>,
+    /// A connection that was accepted and is not registered with the runtime yet.
+    unregistered: RefCell<Option<Unregistered>>,
 }
 
-/// A UDP socket of this machine.
+/// A UDP socket of the operating system.
 #[derive(Debug)]
-pub struct MachineDatagrams(UdpSocket);
+pub struct SystemDatagrams(UdpSocket);
 
-impl MachineStream {
-    /// Opens a connection. A connect that is interrupted goes on in the background, on a socket that tokio has closed
-    /// by then: it is begun anew on another.
-    pub(crate) async fn connect(to: SocketAddr) -> io::Result<MachineStream> {
-        for _ in 1..TRIES {
+impl SystemStream {
+    /// Opens a connection. A connect that is interrupted continues in the background, on a socket that tokio has closed
+    /// by then: it is started again on another one.
+    pub(crate) async fn connect(to: SocketAddr) -> io::Result<SystemStream> {
+        for _ in 1..MAX_TRIES {
             match TcpStream::connect(to).await {
                 Err(error) if is_interrupted(&error) => yield_now().await,
-                connected => return connected.map(MachineStream::opened),
+                connected => return connected.map(SystemStream::opened),
             }
         }
-        TcpStream::connect(to).await.map(MachineStream::opened)
+        TcpStream::connect(to).await.map(SystemStream::opened)
     }
 
-    fn opened(stream: TcpStream) -> MachineStream {
-        without_delay(|| stream.set_nodelay(true));
-        MachineStream(Connection::Opened(stream))
+    fn opened(stream: TcpStream) -> SystemStream {
+        set_nodelay(|| stream.set_nodelay(true));
+        SystemStream(Connection::Opened(stream))
     }
 
-    fn accepted(connection: Accepted) -> MachineStream {
-        without_delay(|| connection.set_nodelay());
-        MachineStream(Connection::Accepted(connection))
+    fn accepted(connection: AcceptedConnection) -> SystemStream {
+        set_nodelay(|| connection.set_nodelay());
+        SystemStream(Connection::Accepted(connection))
     }
 }
 
-/// Switches off the delay of small writes. Where that fails the connection is used all the same: an answer that is late is
-/// better than none, and a connection that is broken says so at its first read or write.
-fn without_delay(set: impl Fn() -> io::Result<()>) {
-    for _ in 0..NO_DELAY_TRIES {
+/// Sets `TCP_NODELAY`. Where that fails the connection is used nevertheless: a delayed answer is better than none, and a
+/// broken connection reports so at its first read or write.
+fn set_nodelay(set: impl Fn() -> io::Result<()>) {
+    for _ in 0..MAX_NODELAY_TRIES {
         if set().is_ok() {
             break;
         }
     }
 }
 
-impl Stream for MachineStream {
-    type Reading = MachineReading;
-    type Writing = MachineWriting;
+impl Stream for SystemStream {
+    type Reading = SystemReadHalf;
+    type Writing = SystemWriteHalf;
 
-    fn into_halves(self) -> (MachineReading, MachineWriting) {
+    fn into_halves(self) -> (SystemReadHalf, SystemWriteHalf) {
         let (half, writing) = match self.0 {
             Connection::Opened(stream) => {
                 let (reading, writing) = stream.into_split();
-                (ReadingHalf::Opened(reading), WritingHalf::Opened(writing))
+                (ReadHalf::Opened(reading), WriteHalf::Opened(writing))
             }
             Connection::Accepted(connection) => {
-                let writing = AcceptedWriting { connection: connection.clone(), ended: false };
-                (ReadingHalf::Accepted(connection), WritingHalf::Accepted(writing))
+                let writing = AcceptedWriteHalf { connection: connection.clone(), write_shut_down: false };
+                (ReadHalf::Accepted(connection), WriteHalf::Accepted(writing))
             }
         };
-        (MachineReading { half, interrupted: Cell::new(false) }, MachineWriting(writing))
+        (SystemReadHalf { half, interrupted: Cell::new(false) }, SystemWriteHalf(writing))
     }
 }
 
-impl Reading for MachineReading {
+impl Reading for SystemReadHalf {
     async fn readable(&self) -> io::Result<()> {
         if self.interrupted.take() {
             yield_now().await;
         }
         match &self.half {
-            ReadingHalf::Opened(half) => half.readable().await,
-            ReadingHalf::Accepted(connection) => connection.readable().await,
+            ReadHalf::Opened(half) => half.readable().await,
+            ReadHalf::Accepted(connection) => connection.readable().await,
         }
     }
 
     fn try_read_buf(&self, buffer: &mut BytesMut) -> io::Result<usize> {
         let read = interrupted::retry(|| match &self.half {
-            ReadingHalf::Opened(half) => half.try_read_buf(buffer),
-            ReadingHalf::Accepted(connection) => connection.try_read_buf(buffer),
+            ReadHalf::Opened(half) => half.try_read_buf(buffer),
+            ReadHalf::Accepted(connection) => connection.try_read_buf(buffer),
         });
         match read {
             Err(error) if is_interrupted(&error) => {
@@ -184,26 +184,26 @@
 
     fn since_last_arrival(&self) -> Option<Duration> {
         match &self.half {
-            ReadingHalf::Opened(half) => {
+            ReadHalf::Opened(half) => {
                 let stream: &TcpStream = half.as_ref();
                 tcp_info::since_last_data(stream.as_fd())
             }
-            ReadingHalf::Accepted(connection) => tcp_info::since_last_data(connection.as_fd()),
+            ReadHalf::Accepted(connection) => tcp_info::since_last_data(connection.as_fd()),
         }
     }
 
     fn acknowledge_at_once(&self) {
-        if let ReadingHalf::Opened(half) = &self.half {
+        if let ReadHalf::Opened(half) = &self.half {
             let stream: &TcpStream = half.as_ref();
-            // Where that fails it is acknowledged some 40 ms later.
+            // Where that fails, the kernel acknowledges some 40 ms later.
             let _ = stream.set_quickack(true);
         }
     }
 
     fn remote_end_closed(&self) -> bool {
         let half = match &self.half {
-            ReadingHalf::Opened(half) => half,
-            ReadingHalf::Accepted(connection) => return connection.other_side_has_ended(),
+            ReadHalf::Opened(half) => half,
+            ReadHalf::Accepted(connection) => return connection.remote_end_closed(),
         };
         let ready = pin!(half.ready(Interest::READABLE));
         let mut context = Context::from_waker(Waker::noop());
@@ -211,22 +211,22 @@
     }
 }
 
-impl AsyncRead for MachineStream {
+impl AsyncRead for SystemStream {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let room = buffer.initialize_unfilled_to(buffer.remaining().min(READ_AT_ONCE));
+        let space = buffer.initialize_unfilled_to(buffer.remaining().min(MAX_READ_BYTES));
         let read = poll_retry(cx, |cx| match &self.0 {
             Connection::Opened(stream) => loop {
                 ready!(stream.poll_read_ready(cx))?;
-                match stream.try_read(room) {
+                match stream.try_read(space) {
                     Err(error) if error.kind() == ErrorKind::WouldBlock => {}
                     read => return Poll::Ready(read),
                 }
             },
-            Connection::Accepted(connection) => connection.poll_read(cx, room),
+            Connection::Accepted(connection) => connection.poll_read(cx, space),
         });
         let length = ready!(read)?;
         buffer.advance(length);
@@ -234,7 +234,7 @@
     }
 }
 
-impl AsyncWrite for MachineStream {
+impl AsyncWrite for SystemStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         poll_retry(cx, |cx| match &mut self.0 {
             Connection::Opened(stream) => Pin::new(stream).poll_write(cx, bytes),
@@ -258,23 +258,23 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // Nothing is held back.
+        // Writes are not buffered here.
         Poll::Ready(Ok(()))
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         poll_retry(cx, |cx| match &mut self.0 {
             Connection::Opened(stream) => Pin::new(stream).poll_shutdown(cx),
-            Connection::Accepted(connection) => Poll::Ready(connection.end_sending()),
+            Connection::Accepted(connection) => Poll::Ready(connection.shutdown_write()),
         })
     }
 }
 
-impl AsyncWrite for MachineWriting {
+impl AsyncWrite for SystemWriteHalf {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         poll_retry(cx, |cx| match &mut self.0 {
-            WritingHalf::Opened(half) => Pin::new(half).poll_write(cx, bytes),
-            WritingHalf::Accepted(half) => half.connection.poll_write(cx, bytes),
+            WriteHalf::Opened(half) => Pin::new(half).poll_write(cx, bytes),
+            WriteHalf::Accepted(half) => half.connection.poll_write(cx, bytes),
         })
     }
 
@@ -284,8 +284,8 @@
         slices: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         poll_retry(cx, |cx| match &mut self.0 {
-            WritingHalf::Opened(half) => Pin::new(half).poll_write_vectored(cx, slices),
-            WritingHalf::Accepted(half) => half.connection.poll_write_vectored(cx, slices),
+            WriteHalf::Opened(half) => Pin::new(half).poll_write_vectored(cx, slices),
+            WriteHalf::Accepted(half) => half.connection.poll_write_vectored(cx, slices),
         })
     }
 
@@ -294,37 +294,40 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // Nothing is held back.
+        // Writes are not buffered here.
         Poll::Ready(Ok(()))
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         poll_retry(cx, |cx| match &mut self.0 {
-            WritingHalf::Opened(half) => Pin::new(half).poll_shutdown(cx),
-            WritingHalf::Accepted(half) => Poll::Ready(half.end_sending()),
+            WriteHalf::Opened(half) => Pin::new(half).poll_shutdown(cx),
+            WriteHalf::Accepted(half) => Poll::Ready(half.shutdown_write()),
         })
     }
 }
 
-impl MachineListener {
+impl SystemListener {
     /// Listens at an address.
-    pub(crate) async fn bind(at: SocketAddr) -> io::Result<MachineListener> {
-        MachineListener::watch(TcpListener::bind(at).await?.into_std()?)
+    pub(crate) async fn bind(at: SocketAddr) -> io::Result<SystemListener> {
+        SystemListener::register(TcpListener::bind(at).await?.into_std()?)
     }
 
-    /// Goes on with a listener that was made elsewhere.
-    pub(crate) fn adopt(listener: std::net::TcpListener) -> io::Result<MachineListener> {
+    /// Uses a listener that was opened elsewhere.
+    pub(crate) fn adopt(listener: std::net::TcpListener) -> io::Result<SystemListener> {
         listener.set_nonblocking(true)?;
-        MachineListener::watch(listener)
+        SystemListener::register(listener)
     }
 
-    fn watch(listener: std::net::TcpListener) -> io::Result<MachineListener> {
-        let socket = accepted::watch(listener, Interest::READABLE).map_err(|(_, error)| error)?;
-        Ok(MachineListener { socket, unwatched: RefCell::new(None) })
+    fn register(listener: std::net::TcpListener) -> io::Result<SystemListener> {
+        let socket = accepted::register(listener, Interest::READABLE).map_err(|(_, error)| error)?;
+        Ok(SystemListener { socket, unregistered: RefCell::new(None) })
     }
 
-    /// The next connection off the queue, whether or not it can be watched.
-    fn poll_next(&self, cx: &mut Context<'_>) -> Poll<io::Result<(std::net::TcpStream, SocketAddr)>> {
+    /// The next connection in the queue, whether or not it can be registered with the runtime.
+    fn poll_accept_unregistered(
+        &self,
+        cx: &mut Context<'_>,
+    ) -> Poll<io::Result<(std::net::TcpStream, SocketAddr)>> {
         loop {
             let mut guard = ready!(self.socket.poll_read_ready(cx))?;
             if let Ok(accepted) = guard.try_io(|socket| accepted::accept(socket.get_ref())) {
@@ -334,29 +337,29 @@
     }
 }
 
-impl Listener for MachineListener {
-    type Stream = MachineStream;
+impl Listener for SystemListener {
+    type Stream = SystemStream;
 
-    async fn accept(&self) -> io::Result<(MachineStream, SocketAddr)> {
+    async fn accept(&self) -> io::Result<(SystemStream, SocketAddr)> {
         poll_fn(|cx| self.poll_accept(cx)).await
     }
 
-    fn poll_accept(&self, cx: &mut Context<'_>) -> Poll<io::Result<(MachineStream, SocketAddr)>> {
-        let mut unwatched = self.unwatched.borrow_mut();
+    fn poll_accept(&self, cx: &mut Context<'_>) -> Poll<io::Result<(SystemStream, SocketAddr)>> {
+        let mut unwatched = self.unregistered.borrow_mut();
         loop {
             if let Some(waiting) = unwatched.as_mut() {
-                ready!(waiting.poll_pause(cx));
+                ready!(waiting.poll_retry_delay(cx));
             }
-            let watched = match unwatched.take() {
-                Some(waiting) => waiting.watch_again()?,
+            let registered = match unwatched.take() {
+                Some(waiting) => waiting.register_again()?,
                 None => {
-                    let (stream, from) = ready!(poll_retry(cx, |cx| self.poll_next(cx)))?;
-                    Unwatched::watch(stream, from, Instant::now())?
+                    let (stream, remote) = ready!(poll_retry(cx, |cx| self.poll_accept_unregistered(cx)))?;
+                    Unregistered::register(stream, remote, Instant::now())?
                 }
             };
-            match watched {
-                Ok((connection, from)) => {
-                    return Poll::Ready(Ok((MachineStream::accepted(connection), from)));
+            match registered {
+                Ok((connection, remote)) => {
+                    return Poll::Ready(Ok((SystemStream::accepted(connection), remote)));
                 }
                 Err(waiting) => *unwatched = Some(waiting),
             }
@@ -368,24 +371,24 @@
     }
 }
 
-impl MachineDatagrams {
+impl SystemDatagrams {
     /// Opens a socket at an address.
-    pub(crate) async fn bind(at: SocketAddr) -> io::Result<MachineDatagrams> {
-        UdpSocket::bind(at).await.map(MachineDatagrams)
+    pub(crate) async fn bind(at: SocketAddr) -> io::Result<SystemDatagrams> {
+        UdpSocket::bind(at).await.map(SystemDatagrams)
     }
 
-    /// Where it is open.
+    /// The address at which it is open.
     ///
     /// # Errors
-    /// What the machine says.
+    /// An error of the system.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         interrupted::retry(|| self.0.local_addr())
     }
 }
 
-impl Datagrams for MachineDatagrams {
+impl Datagrams for SystemDatagrams {
     async fn recv_from(&self, buffer: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
-        for _ in 1..TRIES {
+        for _ in 1..MAX_TRIES {
             match self.0.recv_from(buffer).await {
                 Err(error) if is_interrupted(&error) => yield_now().await,
                 received => return received,
--- a/crates/host/tests/failing_calls.rs
+++ b/crates/host/tests/failing_calls.rs
@@ -1,4 +1,4 @@
-//! The machine's sockets, in a process whose calls fail now and then.
+//! The system's sockets in a process whose calls fail from time to time.
 
 mod interposed;
 
@@ -14,9 +14,9 @@
 use tokio::time::timeout;
 
 const HOST: SystemHost = SystemHost { program: "test" };
-/// Only what has hung takes so long.
+/// Only a test that hangs takes this long.
 const HUNG: Duration = Duration::from_secs(20);
-/// Sent in pieces over each connection: more than the buffers of a socket hold.
+/// The number and size of the pieces sent over each connection: more in total than the socket buffers hold.
 const PIECES: usize = 200;
 const PIECE: usize = 30_000;
 
@@ -24,13 +24,13 @@
     (Ipv4Addr::LOCALHOST, 0).into()
 }
 
-/// Runs a test on a runtime like the node's, for as long as nothing hangs.
+/// Runs a test on a runtime like the node's, with a time-out.
 fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    LocalSet::new().block_on(&runtime, async { timeout(HUNG, test).await.expect("it hangs") });
+    LocalSet::new().block_on(&runtime, async { timeout(HUNG, test).await.expect("the test hangs") });
 }
 
-/// Reads to the end as sessions do, and tells how much came.
+/// Reads to the end as client sessions do, and returns the number of bytes.
 async fn drain(reading: impl Reading) -> usize {
     let mut read = 0;
     loop {
@@ -59,31 +59,31 @@
             }
             writing.shutdown().await.unwrap();
         });
-        // Whole, as hyper has it.
+        // Unsplit, as hyper uses it.
         let mut stream = HOST.connect(address).await.unwrap();
         for _ in 0..PIECES {
             stream.write_all(&[2; PIECE]).await.unwrap();
         }
         stream.shutdown().await.unwrap();
-        let mut come = Vec::new();
-        stream.read_to_end(&mut come).await.unwrap();
-        assert_eq!(come.len(), PIECES * PIECE);
+        let mut received = Vec::new();
+        stream.read_to_end(&mut received).await.unwrap();
+        assert_eq!(received.len(), PIECES * PIECE);
         server.await.unwrap();
     });
 }
 
 #[test]
 #[ignore = "run by the tests below, in a process whose calls fail"]
-fn datagrams_come() {
+fn datagrams_arrive() {
     run(async {
-        // An address that is known before: nothing else of this process asks for its name.
+        // The address is determined beforehand: getsockname is not called later in this process.
         let receiver = std::net::UdpSocket::bind(any_port()).unwrap();
         let address = receiver.local_addr().unwrap();
         drop(receiver);
         let receiver = HOST.datagrams(address).await.unwrap();
         let sender = HOST.datagrams(any_port()).await.unwrap();
         for number in 0..50 {
-            // Until the runtime has seen that the socket can be written to.
+            // Retries until the runtime has seen that the socket is writable.
             while let Err(e) = sender.try_send_to(&[number], address) {
                 assert_eq!(e.kind(), std::io::ErrorKind::WouldBlock);
                 yield_now().await;
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn an_interrupted_connect_accept_or_shutdown_is_made_again() {
+fn an_interrupted_connect_accept_or_shutdown_is_retried() {
     let test = "a_connection_carries_all_that_is_sent";
     for call in ["connect", "accept4", "shutdown", "getsockname"] {
         run_with_failing_calls(test, &format!("{call}:{}:1:2", libc::EINTR));
@@ -110,13 +110,13 @@
 }
 
 #[test]
-fn a_connection_whose_delay_cannot_be_switched_off_is_used() {
+fn a_connection_without_nodelay_is_used() {
     let test = "a_connection_carries_all_that_is_sent";
-    // The listener's own option (SO_REUSEADDR) is set first.
+    // The first setsockopt call sets SO_REUSEADDR on the listener.
     run_with_failing_calls(test, &format!("setsockopt:{}:2", libc::ENOBUFS));
 }
 
 #[test]
 fn interrupted_datagrams_are_sent_and_received() {
-    run_with_failing_calls("datagrams_come", "recvfrom:4:2,sendto:4:2,recvmsg:4:2,sendmsg:4:2");
+    run_with_failing_calls("datagrams_arrive", "recvfrom:4:2,sendto:4:2,recvmsg:4:2,sendmsg:4:2");
 }
--- a/crates/host/tests/failure.rs
+++ b/crates/host/tests/failure.rs
@@ -1,28 +1,36 @@
-//! What errors of system calls are taken for.
+//! Classification of errors of system calls.
 
 use std::io::{self, ErrorKind};
 
 use mothpier_host::failure::{AcceptFailure, BindFailure, ConnectFailure, ReceiveFailure};
 
-/// The failure that each of these numbers is read as.
-fn each<F>(of: impl Fn(&io::Error) -> F, numbers: &[i32]) -> Vec<F> {
-    numbers.iter().map(|number| of(&io::Error::from_raw_os_error(*number))).collect()
+/// The failures that these errnos are classified as.
+fn classify_each<F>(classify: impl Fn(&io::Error) -> F, errnos: &[i32]) -> Vec<F> {
+    errnos.iter().map(|errno| classify(&io::Error::from_raw_os_error(*errno))).collect()
 }
 
-/// Whether all of them are read as this.
-fn all<F: PartialEq + std::fmt::Debug>(of: impl Fn(&io::Error) -> F, numbers: &[i32], expected: F) {
-    for (number, failure) in numbers.iter().zip(each(of, numbers)) {
-        assert_eq!(failure, expected, "errno {number}");
+/// Checks that all of these errnos are classified as one failure.
+fn assert_all<F: PartialEq + std::fmt::Debug>(
+    classify: impl Fn(&io::Error) -> F,
+    errnos: &[i32],
+    expected: F,
+) {
+    for (errno, failure) in errnos.iter().zip(classify_each(classify, errnos)) {
+        assert_eq!(failure, expected, "errno {errno}");
     }
 }
 
 #[test]
-fn errors_of_bind_pass_or_last() {
-    let passing = [libc::ENOBUFS, libc::ENOMEM, libc::EMFILE, libc::ENFILE, libc::EINTR];
-    all(BindFailure::of, &passing, BindFailure::Passing);
-    all(BindFailure::of, &[libc::EADDRINUSE], BindFailure::AddressInUse);
-    all(BindFailure::of, &[libc::EADDRNOTAVAIL], BindFailure::AddressUnavailable);
-    all(BindFailure::of, &[libc::EACCES, libc::EAFNOSUPPORT, libc::EINVAL], BindFailure::Lasting);
+fn errors_of_bind_are_transient_or_permanent() {
+    let transient = [libc::ENOBUFS, libc::ENOMEM, libc::EMFILE, libc::ENFILE, libc::EINTR];
+    assert_all(BindFailure::from_error, &transient, BindFailure::Transient);
+    assert_all(BindFailure::from_error, &[libc::EADDRINUSE], BindFailure::AddressInUse);
+    assert_all(BindFailure::from_error, &[libc::EADDRNOTAVAIL], BindFailure::AddressUnavailable);
+    assert_all(
+        BindFailure::from_error,
+        &[libc::EACCES, libc::EAFNOSUPPORT, libc::EINVAL],
+        BindFailure::Permanent,
+    );
 }
 
 #[test]
@@ -40,14 +48,14 @@
         libc::EPERM,
         libc::EINTR,
     ];
-    all(AcceptFailure::from_error, &connection, AcceptFailure::ThisConnection);
-    let short = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM];
-    all(AcceptFailure::from_error, &short, AcceptFailure::OutOfResources);
-    all(AcceptFailure::from_error, &[libc::EINVAL, libc::EBADF], AcceptFailure::Other);
+    assert_all(AcceptFailure::from_error, &connection, AcceptFailure::ThisConnection);
+    let out_of_resources = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM];
+    assert_all(AcceptFailure::from_error, &out_of_resources, AcceptFailure::OutOfResources);
+    assert_all(AcceptFailure::from_error, &[libc::EINVAL, libc::EBADF], AcceptFailure::Other);
 }
 
 #[test]
-fn errors_of_connect_are_this_machines_or_the_other_sides() {
+fn errors_of_connect_are_local_or_remote() {
     let local = [
         libc::EADDRNOTAVAIL,
         libc::ENOBUFS,
@@ -58,25 +66,33 @@
         libc::ENETDOWN,
         libc::EINTR,
     ];
-    all(ConnectFailure::from_error, &local, ConnectFailure::Local);
+    assert_all(ConnectFailure::from_error, &local, ConnectFailure::Local);
     let remote = [libc::ECONNREFUSED, libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::ECONNRESET];
-    all(ConnectFailure::from_error, &remote, ConnectFailure::Remote);
+    assert_all(ConnectFailure::from_error, &remote, ConnectFailure::Remote);
 }
 
 #[test]
-fn errors_of_a_datagram_that_was_sent_earlier_are_told_once() {
-    all(ReceiveFailure::of, &[libc::ECONNREFUSED, libc::EINTR], ReceiveFailure::EarlierDatagram);
-    all(ReceiveFailure::of, &[libc::ENOBUFS, libc::ENOMEM, libc::EBADF], ReceiveFailure::Other);
+fn errors_of_an_earlier_datagram_are_retried_at_once() {
+    assert_all(
+        ReceiveFailure::from_error,
+        &[libc::ECONNREFUSED, libc::EINTR],
+        ReceiveFailure::EarlierDatagram,
+    );
+    assert_all(
+        ReceiveFailure::from_error,
+        &[libc::ENOBUFS, libc::ENOMEM, libc::EBADF],
+        ReceiveFailure::Other,
+    );
 }
 
 #[test]
-fn an_error_without_a_number_is_read_by_its_kind() {
-    assert_eq!(BindFailure::of(&ErrorKind::AddrInUse.into()), BindFailure::AddressInUse);
+fn an_error_without_errno_is_classified_by_its_kind() {
+    assert_eq!(BindFailure::from_error(&ErrorKind::AddrInUse.into()), BindFailure::AddressInUse);
     assert_eq!(
         AcceptFailure::from_error(&ErrorKind::ConnectionAborted.into()),
         AcceptFailure::ThisConnection
     );
     assert_eq!(ConnectFailure::from_error(&ErrorKind::AddrNotAvailable.into()), ConnectFailure::Local);
     assert_eq!(ConnectFailure::from_error(&ErrorKind::ConnectionRefused.into()), ConnectFailure::Remote);
-    assert_eq!(ConnectFailure::from_error(&io::Error::other("no number")), ConnectFailure::Remote);
+    assert_eq!(ConnectFailure::from_error(&io::Error::other("no errno")), ConnectFailure::Remote);
 }
--- a/crates/host/tests/interposed/failing_calls.c
+++ b/crates/host/tests/interposed/failing_calls.c
@@ -1,8 +1,8 @@
-/* A library that is loaded before libc (LD_PRELOAD) and lets calls on internet sockets fail.
+/* A shared library, preloaded before libc (LD_PRELOAD), that makes calls on internet sockets fail.
  *
- * FAILING_CALLS is a list of rules, separated by commas: NAME:ERRNO:EVERY[:MOST]. Every EVERY-th call of the function
- * NAME fails with the number ERRNO before it does anything, MOST times at most. A second rule for a name is tried where
- * the first lets a call pass. EVERY=1 without MOST is an error that lasts.
+ * FAILING_CALLS is a comma-separated list of rules NAME:ERRNO:EVERY[:MAX]. Every EVERY-th call of the function NAME
+ * fails with ERRNO before it does anything, MAX times at most. A second rule for the same name is tried where the first
+ * lets a call pass. EVERY=1 without MAX is a permanent error.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -14,35 +14,35 @@
 #include <sys/uio.h>
 #include <unistd.h>
 
-enum { MOST_RULES = 64, NAME_ROOM = 16 };
+enum { MAX_RULES = 64, NAME_CAPACITY = 16 };
 
 struct rule {
-  char name[NAME_ROOM];
+  char name[NAME_CAPACITY];
   int error;
-  unsigned long every, most;
+  unsigned long every, max_failures;
   atomic_ulong calls, failed;
 };
 
-static struct rule rules[MOST_RULES];
+static struct rule rules[MAX_RULES];
 static int rule_count;
 
 static void read_rule(char *text) {
   struct rule *rule = &rules[rule_count];
   char *colon = strchr(text, ':');
-  if (!colon || rule_count == MOST_RULES || colon - text >= NAME_ROOM) abort();
+  if (!colon || rule_count == MAX_RULES || colon - text >= NAME_CAPACITY) abort();
   memcpy(rule->name, text, colon - text);
   rule->error = strtol(colon + 1, &colon, 10);
   rule->every = *colon == ':' ? strtoul(colon + 1, &colon, 10) : 0;
-  rule->most = *colon == ':' ? strtoul(colon + 1, &colon, 10) : -1UL;
+  rule->max_failures = *colon == ':' ? strtoul(colon + 1, &colon, 10) : -1UL;
   if (!rule->error || !rule->every || *colon) abort();
   rule_count++;
 }
 
 __attribute__((constructor)) static void read_rules(void) {
-  const char *given = getenv("FAILING_CALLS");
-  if (!given) return;
-  char *text = strdup(given), *rest = text;
-  for (char *one = strtok_r(text, ",", &rest); one; one = strtok_r(NULL, ",", &rest)) read_rule(one);
+  const char *setting = getenv("FAILING_CALLS");
+  if (!setting) return;
+  char *text = strdup(setting), *rest = text;
+  for (char *rule = strtok_r(text, ",", &rest); rule; rule = strtok_r(NULL, ",", &rest)) read_rule(rule);
   free(text);
 }
 
@@ -51,7 +51,7 @@
     struct rule *rule = &rules[i];
     if (strcmp(rule->name, name)) continue;
     if ((atomic_fetch_add(&rule->calls, 1) + 1) % rule->every) continue;
-    if (atomic_fetch_add(&rule->failed, 1) >= rule->most) continue;
+    if (atomic_fetch_add(&rule->failed, 1) >= rule->max_failures) continue;
     errno = rule->error;
     return 1;
   }
@@ -66,7 +66,7 @@
   return !failed && (domain == AF_INET || domain == AF_INET6);
 }
 
-/* Defines a function of libc whose first argument is a descriptor, and which fails where a rule says so. */
+/* Defines a libc function whose first argument is a descriptor, and which fails where a rule says so. */
 #define INTERPOSE(result, name, parameters, arguments)                        \
   result name parameters {                                                    \
     static result(*_Atomic real) parameters;                                  \
--- a/crates/ops/src/lib.rs
+++ b/crates/ops/src/lib.rs
@@ -1,42 +1,38 @@
-//! What the people who run a node ask of it: whether it can serve, its figures, and that it drains. Nothing here does
-//! I/O: a driver hands over the bytes of a call and writes the answer back, from a thread of its own if it likes.
+//! The operations interface of a node: readiness, metrics and draining. Nothing here does I/O: the caller passes in the
+//! bytes of an HTTP request and writes the response, from a thread of its own if it likes.
 //!
-//! [`Lifecycle`] is the one place that knows whether the node serves; [`Figures`] the one that counts how requests end.
+//! [`Lifecycle`] alone knows whether the node serves; [`Metrics`] counts how requests end.
 
-mod board;
 mod call;
-mod figures;
 mod lifecycle;
+mod metrics;
 mod reasons;
 mod text;
+mod zone_status;
 
 use std::sync::{Arc, OnceLock};
 
-pub use board::ZoneStatusBoard;
 pub use call::{CallEffect, CallResult, MAX_HEAD_BYTES};
-pub use figures::{DoubtedAnswers, Gauges, Metrics, RequestEnd, RequestTicket};
 pub use lifecycle::{Lifecycle, LifecycleEvent, Phase};
+pub use metrics::{DoubtedAnswers, Gauges, Metrics, RequestEnd, RequestTicket};
 pub use reasons::{ByReason, CloseReason, Reason, RefuseReason, RetryReason};
+pub use zone_status::ZoneStatusBoard;
 
-/// What the node shares with those who ask.
+/// The state that the node shares with its operations endpoint.
 #[derive(Debug)]
 pub struct OpsEndpoint {
     /// Whether the node serves.
     pub lifecycle: Lifecycle,
-    /// What it has done.
+    /// The node's counters and gauges.
     pub metrics: Arc<Metrics>,
-    /// What staff read and order of zones; nothing where places are off.
+    /// Status and orders of zones; unset where places are switched off.
     pub zone_status: OnceLock<ZoneStatusBoard>,
 }
 
 impl OpsEndpoint {
-    /// The desk of a node that has just begun.
+    /// The state of a node that has just started.
     pub fn new<S: Into<String>>(classes: impl IntoIterator<Item = S>) -> Arc<Self> {
-        let figures = Arc::new(Metrics::new(classes));
-        Arc::new(OpsEndpoint {
-            lifecycle: Lifecycle::default(),
-            metrics: figures,
-            zone_status: OnceLock::new(),
-        })
+        let metrics = Arc::new(Metrics::new(classes));
+        Arc::new(OpsEndpoint { lifecycle: Lifecycle::default(), metrics, zone_status: OnceLock::new() })
     }
 }
--- a/crates/ops/src/lifecycle.rs
+++ b/crates/ops/src/lifecycle.rs
@@ -1,85 +1,85 @@
-//! Whether a node serves, as one machine of four facts and a rule that ranks them.
+//! The lifecycle of a node: four flags, and the phase that follows from them.
 
 use std::sync::atomic::{AtomicU8, Ordering};
 
-/// It has held a list of servers that may be used.
-const READY: u8 = 1;
-/// Staff have told it to drain.
-const DRAINED: u8 = 2;
-/// It has been told to end.
-const STOPPING: u8 = 4;
-/// Its zone's clients are to go elsewhere, as staff have ordered for the whole zone.
-const AWAY: u8 = 8;
+/// The node has had a usable list of servers.
+const FLAG_READY: u8 = 1;
+/// An operator has drained the node.
+const FLAG_DRAINED: u8 = 2;
+/// The process has been told to end.
+const FLAG_STOPPING: u8 = 4;
+/// An operator has drained the node's whole zone.
+const FLAG_ZONE_DRAINED: u8 = 8;
 
-/// Something that happens to a node.
+/// An event in the life of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LifecycleEvent {
-    /// It can serve from now on.
+    /// The node can serve from now on.
     Ready,
-    /// Staff want no clients at it.
+    /// An operator drains the node.
     Drain,
-    /// Staff want clients at it again.
+    /// An operator undoes the drain of the node.
     Undrain,
-    /// Staff want no clients in its zone.
+    /// An operator drains the node's zone.
     Leave,
-    /// Staff want clients in its zone again.
+    /// An operator undoes the drain of the zone.
     Return,
-    /// It ends. Nothing takes this back.
+    /// The process is to end. This can't be undone.
     Stop,
 }
 
-/// What a node is to those who ask.
+/// The phase of a node as clients and operators see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// It can't serve yet.
     Starting,
     /// It serves.
     Serving,
-    /// It is alive and wants no clients.
+    /// It runs, and wants no clients.
     Drained,
-    /// It ends.
+    /// It is ending.
     Stopping,
 }
 
-/// The state of a node. Readers on other threads see a step at once.
+/// The lifecycle state of a node. Other threads see a change at once.
 #[derive(Debug, Default)]
 pub struct Lifecycle(AtomicU8);
 
 impl Lifecycle {
-    /// What the node is now.
+    /// The present phase.
     pub fn phase(&self) -> Phase {
-        phase(self.0.load(Ordering::Acquire))
+        phase_of(self.0.load(Ordering::Acquire))
     }
 
-    /// Whether clients that ask are served. A node that ends takes all that still comes to it, so it says yes for as long
-    /// as it listens; only one that staff have drained, by itself or with its zone, wants none.
+    /// Whether new requests are served. A node that is ending still serves whatever reaches it, so this stays true for as
+    /// long as it listens; only a node that is drained, by itself or with its zone, turns clients away.
     pub fn accepts_clients(&self) -> bool {
-        self.0.load(Ordering::Acquire) & (READY | DRAINED | AWAY) == READY
+        self.0.load(Ordering::Acquire) & (FLAG_READY | FLAG_DRAINED | FLAG_ZONE_DRAINED) == FLAG_READY
     }
 
-    /// Takes a step; what the node was before and is now. A step that is made already, or that can't be made any
-    /// more, changes nothing.
-    pub fn apply(&self, step: LifecycleEvent) -> (Phase, Phase) {
-        let facts = |was: u8| match step {
-            LifecycleEvent::Ready => was | READY,
-            LifecycleEvent::Drain => was | DRAINED,
-            LifecycleEvent::Undrain => was & !DRAINED,
-            LifecycleEvent::Leave => was | AWAY,
-            LifecycleEvent::Return => was & !AWAY,
-            LifecycleEvent::Stop => was | STOPPING,
+    /// Applies an event and returns the phases before and after it. One that has been applied already, or that is no longer
+    /// possible, changes nothing.
+    pub fn apply(&self, event: LifecycleEvent) -> (Phase, Phase) {
+        let change = |flags: u8| match event {
+            LifecycleEvent::Ready => flags | FLAG_READY,
+            LifecycleEvent::Drain => flags | FLAG_DRAINED,
+            LifecycleEvent::Undrain => flags & !FLAG_DRAINED,
+            LifecycleEvent::Leave => flags | FLAG_ZONE_DRAINED,
+            LifecycleEvent::Return => flags & !FLAG_ZONE_DRAINED,
+            LifecycleEvent::Stop => flags | FLAG_STOPPING,
         };
-        let was = self.0.fetch_update(Ordering::AcqRel, Ordering::Acquire, |was| Some(facts(was)));
-        let was = was.unwrap_or_else(|same| same);
-        (phase(was), phase(facts(was)))
+        let previous = self.0.fetch_update(Ordering::AcqRel, Ordering::Acquire, |flags| Some(change(flags)));
+        let flags = previous.unwrap_or_else(|unchanged| unchanged);
+        (phase_of(flags), phase_of(change(flags)))
     }
 }
 
-fn phase(facts: u8) -> Phase {
-    if facts & STOPPING != 0 {
+fn phase_of(flags: u8) -> Phase {
+    if flags & FLAG_STOPPING != 0 {
         Phase::Stopping
-    } else if facts & (DRAINED | AWAY) != 0 {
+    } else if flags & (FLAG_DRAINED | FLAG_ZONE_DRAINED) != 0 {
         Phase::Drained
-    } else if facts & READY != 0 {
+    } else if flags & FLAG_READY != 0 {
         Phase::Serving
     } else {
         Phase::Starting
@@ -91,16 +91,16 @@
     use super::*;
 
     #[test]
-    fn each_step_leads_where_it_should_from_everywhere() {
+    fn each_event_leads_to_the_expected_phase() {
         use Phase::*;
-        let after = |steps: &[LifecycleEvent]| {
-            let life = Lifecycle::default();
-            for step in steps {
-                life.apply(*step);
+        let after = |events: &[LifecycleEvent]| {
+            let lifecycle = Lifecycle::default();
+            for event in events {
+                lifecycle.apply(*event);
             }
-            life.phase()
+            lifecycle.phase()
         };
-        for (steps, phase) in [
+        for (events, phase) in [
             (&[][..], Starting),
             (&[LifecycleEvent::Ready], Serving),
             (&[LifecycleEvent::Drain], Drained),
@@ -140,18 +140,18 @@
                 Stopping,
             ),
         ] {
-            assert_eq!(after(steps), phase, "{steps:?}");
+            assert_eq!(after(events), phase, "{events:?}");
         }
-        let life = Lifecycle::default();
-        assert!(!life.accepts_clients());
-        life.apply(LifecycleEvent::Ready);
-        life.apply(LifecycleEvent::Stop);
-        assert!(life.accepts_clients(), "what still comes is taken");
-        life.apply(LifecycleEvent::Drain);
-        assert!(!life.accepts_clients());
-        let life = Lifecycle::default();
-        assert_eq!(life.apply(LifecycleEvent::Ready), (Starting, Serving));
-        assert_eq!(life.apply(LifecycleEvent::Drain), (Serving, Drained));
-        assert_eq!(life.apply(LifecycleEvent::Drain), (Drained, Drained));
+        let lifecycle = Lifecycle::default();
+        assert!(!lifecycle.accepts_clients());
+        lifecycle.apply(LifecycleEvent::Ready);
+        lifecycle.apply(LifecycleEvent::Stop);
+        assert!(lifecycle.accepts_clients(), "a stopping node still serves what reaches it");
+        lifecycle.apply(LifecycleEvent::Drain);
+        assert!(!lifecycle.accepts_clients());
+        let lifecycle = Lifecycle::default();
+        assert_eq!(lifecycle.apply(LifecycleEvent::Ready), (Starting, Serving));
+        assert_eq!(lifecycle.apply(LifecycleEvent::Drain), (Serving, Drained));
+        assert_eq!(lifecycle.apply(LifecycleEvent::Drain), (Drained, Drained));
     }
 }
--- a/crates/ops/src/figures.rs
+++ b/crates/ops/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What a node has done since its start. Read from other threads while it is counted.
+//! Counters and gauges of a node since its start. Other threads read them while they are updated.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -9,32 +9,32 @@
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// Its value or receipt was passed on whole.
+    /// Its value or acknowledgement was passed on in full.
     Served,
-    /// It was turned away: trying again is harmless.
+    /// It was refused: retrying is harmless.
     Refused,
-    /// Anything else.
+    /// It ended in any other way.
     Failed,
 }
 
-/// Of one class.
+/// Counts of ended requests of one class.
 #[derive(Debug, Default)]
-pub(crate) struct Ends {
+pub(crate) struct EndCounts {
     pub served: AtomicU64,
     pub refused: AtomicU64,
     pub failed: AtomicU64,
 }
 
-/// The figures of one process, from 0.
+/// Counters and gauges of one process, starting from 0.
 #[derive(Debug)]
 pub struct Metrics {
-    pub(crate) classes: Vec<(String, Ends)>,
+    pub(crate) classes: Vec<(String, EndCounts)>,
     pub(crate) in_flight: AtomicU64,
     pub(crate) attempts: AtomicU64,
-    pub(crate) known: AtomicU64,
-    pub(crate) excluded: AtomicU64,
-    pub(crate) origin_out: AtomicU64,
-    pub(crate) origin_most: AtomicU64,
+    pub(crate) servers_known: AtomicU64,
+    pub(crate) servers_excluded: AtomicU64,
+    pub(crate) origin_calls_out: AtomicU64,
+    pub(crate) origin_calls_limit: AtomicU64,
     pub(crate) list_age_ms: AtomicU64,
     list_revision: AtomicU64,
     pub(crate) list_calls_failed: AtomicU64,
@@ -45,26 +45,26 @@
     pub(crate) doubts_confirmed: AtomicU64,
     pub(crate) doubts_refuted: AtomicU64,
     pub(crate) answers_held_back: AtomicU64,
-    /// Connections of clients that have ended.
+    /// Ended connections of clients.
     pub closed: ByReason<CloseReason>,
-    /// Requests that were refused.
+    /// Refused requests.
     pub refusals: ByReason<RefuseReason>,
     /// Attempts of a request beyond its first.
     pub retries: ByReason<RetryReason>,
 }
 
-/// Answers of cache servers that came twice, or may have.
+/// Counts of answers from cache servers that were, or may have been, duplicates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DoubtedAnswers {
-    /// Connections on which something came that nobody had asked for.
+    /// Connections on which a server sent data that no command had asked for.
     pub unasked: u64,
-    /// Answers that were not taken, for they may be repeats.
+    /// Answers that were not accepted because they may have been duplicates.
     pub doubted: u64,
-    /// Of these, the ones that were true.
+    /// Doubted answers that proved to be genuine.
     pub confirmed: u64,
-    /// Of these, the ones that were repeats.
+    /// Doubted answers that proved to be duplicates.
     pub refuted: u64,
-    /// Answers that were handed on later, for one more might have come behind them.
+    /// Answers that were handed on later, because one more might have followed them.
     pub held_back: u64,
 }
 
@@ -76,32 +76,32 @@
     }
 }
 
-/// What a node holds at a moment.
+/// The gauges that a node reports at one time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gauges {
-    /// Cache servers in the list.
+    /// Cache servers in the list of servers.
     pub servers_known: usize,
-    /// Of these, the ones that it avoids.
+    /// Cache servers that the node avoids now.
     pub servers_excluded: usize,
     /// Calls out at the origin.
     pub origin_calls_out: u32,
-    /// As many as it may have out there now.
+    /// The most calls that may be out at the origin now.
     pub origin_calls_limit: u32,
     /// Time since discovery last answered, or since the start.
     pub list_age: Duration,
 }
 
 impl Metrics {
-    /// All figures at 0, each class present.
+    /// All values at 0, with every class present.
     pub fn new<S: Into<String>>(classes: impl IntoIterator<Item = S>) -> Self {
         Metrics {
-            classes: classes.into_iter().map(|name| (name.into(), Ends::default())).collect(),
+            classes: classes.into_iter().map(|name| (name.into(), EndCounts::default())).collect(),
             in_flight: AtomicU64::new(0),
             attempts: AtomicU64::new(0),
-            known: AtomicU64::new(0),
-            excluded: AtomicU64::new(0),
-            origin_out: AtomicU64::new(0),
-            origin_most: AtomicU64::new(0),
+            servers_known: AtomicU64::new(0),
+            servers_excluded: AtomicU64::new(0),
+            origin_calls_out: AtomicU64::new(0),
+            origin_calls_limit: AtomicU64::new(0),
             list_age_ms: AtomicU64::new(0),
             list_revision: AtomicU64::new(0),
             list_calls_failed: AtomicU64::new(0),
@@ -118,10 +118,10 @@
         }
     }
 
-    /// A request of a class, by its place, was taken.
+    /// A request of a class (by its index) was accepted.
     pub fn request_started(self: &Arc<Self>, class: usize) -> RequestTicket {
         self.in_flight.fetch_add(1, Relaxed);
-        RequestTicket { figures: self.clone(), class }
+        RequestTicket { metrics: self.clone(), class }
     }
 
     /// An attempt was written to a cache server or to the origin.
@@ -134,57 +134,57 @@
         self.list_calls_failed.fetch_add(1, Relaxed);
     }
 
-    /// A list of discovery, of this revision, was taken in.
+    /// A list from discovery with this revision was applied.
     pub fn list_applied(&self, revision: u64) {
         self.list_revision.store(revision, Relaxed);
     }
 
-    /// The revision of the list that was taken in last; 0 before any.
+    /// The revision of the last applied list; 0 before any.
     pub fn list_revision(&self) -> u64 {
         self.list_revision.load(Relaxed)
     }
 
-    /// As many calls as the node may have out at the origin, as it last told.
+    /// The most calls that the node may have out at the origin, as last reported.
     pub fn origin_calls_limit(&self) -> u64 {
-        self.origin_most.load(Relaxed)
+        self.origin_calls_limit.load(Relaxed)
     }
 
-    /// A connection to a cache server was begun.
+    /// A connection to a cache server was started.
     pub fn connect_started(&self) {
         self.connects.fetch_add(1, Relaxed);
     }
 
-    /// One of them was refused.
+    /// A cache server refused a connection.
     pub fn connect_refused(&self) {
         self.connects_refused.fetch_add(1, Relaxed);
     }
 
-    /// A cache server sent something while nothing was asked on the connection.
+    /// A cache server sent data on a connection with no command outstanding.
     pub fn unasked_answer(&self) {
         self.unasked_answers.fetch_add(1, Relaxed);
     }
 
-    /// A cache server's answer was not taken, for it may be the repeat of an earlier one; its command is sent again.
+    /// An answer of a cache server was not accepted because it may be a duplicate; its command is sent again.
     pub fn answer_doubted(&self) {
         self.answers_doubted.fetch_add(1, Relaxed);
     }
 
-    /// What was doubted was true: it came again on a connection of its own.
+    /// A doubted answer was genuine: the same value came again on a separate connection.
     pub fn doubt_confirmed(&self) {
         self.doubts_confirmed.fetch_add(1, Relaxed);
     }
 
-    /// What was doubted was a repeat: another value came on a connection of its own.
+    /// A doubted answer was a duplicate: another value came on a separate connection.
     pub fn doubt_refuted(&self) {
         self.doubts_refuted.fetch_add(1, Relaxed);
     }
 
-    /// An answer of a cache server was held back, for it may be that of the command before its own.
+    /// An answer of a cache server was held back because it may belong to the previous command.
     pub fn answer_held_back(&self) {
         self.answers_held_back.fetch_add(1, Relaxed);
     }
 
-    /// The answers that came twice, or may have, since the start.
+    /// Counts of duplicate and possibly duplicate answers since the start.
     pub fn doubted_answers(&self) -> DoubtedAnswers {
         DoubtedAnswers {
             unasked: self.unasked_answers.load(Relaxed),
@@ -195,32 +195,32 @@
         }
     }
 
-    /// What the node holds now.
-    pub fn set_gauges(&self, now: Gauges) {
-        self.known.store(now.servers_known as u64, Relaxed);
-        self.excluded.store(now.servers_excluded.min(now.servers_known) as u64, Relaxed);
-        self.origin_out.store(now.origin_calls_out.into(), Relaxed);
-        self.origin_most.store(now.origin_calls_limit.into(), Relaxed);
-        self.list_age_ms.store(now.list_age.as_millis() as u64, Relaxed);
+    /// Sets all gauges.
+    pub fn set_gauges(&self, gauges: Gauges) {
+        self.servers_known.store(gauges.servers_known as u64, Relaxed);
+        self.servers_excluded.store(gauges.servers_excluded.min(gauges.servers_known) as u64, Relaxed);
+        self.origin_calls_out.store(gauges.origin_calls_out.into(), Relaxed);
+        self.origin_calls_limit.store(gauges.origin_calls_limit.into(), Relaxed);
+        self.list_age_ms.store(gauges.list_age.as_millis() as u64, Relaxed);
     }
 
-    /// Requests taken and not ended.
+    /// Requests that were accepted and have not ended.
     pub fn in_flight(&self) -> u64 {
         self.in_flight.load(Relaxed)
     }
 }
 
-/// A request that was taken. It is counted once, by the way it ends; dropped without an end it was abandoned.
+/// An accepted request, counted once when it ends. Dropped without an outcome, it counts as abandoned.
 #[derive(Debug)]
 pub struct RequestTicket {
-    figures: Arc<Metrics>,
+    metrics: Arc<Metrics>,
     class: usize,
 }
 
 impl RequestTicket {
-    /// It ended.
+    /// Counts how the request ended.
     pub fn end(self, end: RequestEnd) {
-        if let Some((_, ends)) = self.figures.classes.get(self.class) {
+        if let Some((_, ends)) = self.metrics.classes.get(self.class) {
             let count = match end {
                 RequestEnd::Served => &ends.served,
                 RequestEnd::Refused => &ends.refused,
@@ -233,6 +233,6 @@
 
 impl Drop for RequestTicket {
     fn drop(&mut self) {
-        self.figures.in_flight.fetch_sub(1, Relaxed);
+        self.metrics.in_flight.fetch_sub(1, Relaxed);
     }
 }
