--- a/crates/ops/src/reasons.rs
+++ b/crates/ops/src/reasons.rs
@@ -1,22 +1,22 @@
-//! Why connections end, requests are refused and further attempts are made, each with the name that the log and the figures
-//! give it.
+//! Why connections end, requests are refused and further attempts are made, with the names that log and metrics give the
+//! reasons.
 
 use std::marker::PhantomData;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// A reason of one kind.
+/// An enum of reasons.
 pub trait Reason: Copy + Eq + 'static {
-    /// All reasons of this kind, in the order of their numbers.
+    /// All reasons of this kind, in declaration order.
     const ALL: &'static [Self];
 
-    /// Its name in the log and in the figures.
+    /// The reason's name in log and metrics.
     fn name(self) -> &'static str;
 
-    /// Its place in [`Reason::ALL`].
-    fn number(self) -> usize;
+    /// The reason's index in [`Reason::ALL`].
+    fn index(self) -> usize;
 }
 
-/// An enum of reasons with their names.
+/// Defines an enum of reasons with their names.
 macro_rules! reasons {
     ($(#[$doc:meta])* $kind:ident { $($(#[$reason_doc:meta])* $reason:ident = $name:literal,)* }) => {
         $(#[$doc])*
@@ -34,7 +34,7 @@
                 }
             }
 
-            fn number(self) -> usize {
+            fn index(self) -> usize {
                 self as usize
             }
         }
@@ -42,35 +42,35 @@
 }
 
 reasons! {
-    /// Why the connection of a client has ended.
+    /// Why a client's connection has ended.
     CloseReason {
-        /// The client has closed it, or it broke.
+        /// The client closed it, or it broke.
         Client = "client",
-        /// Staff have told the node to drain.
+        /// An operator has drained the node.
         Drained = "drained",
         /// The process ends.
         Stopping = "stopping",
-        /// The process ends, and another one has taken its place.
+        /// The process ends, and another process has taken over.
         HandedOver = "handed_over",
-        /// It was still held when the drain or the end of the process had to be over.
+        /// It was still open when the drain or the end of the process was due.
         RetirementOver = "retirement_over",
-        /// It asked nothing for the longest time that it may.
+        /// It was idle for longer than allowed.
         Idle = "idle",
-        /// It rested while many were open.
+        /// It was idle while the node had many open connections.
         Crowded = "crowded",
-        /// Its place was wanted for another.
+        /// Its slot was needed for another connection.
         Evicted = "evicted",
-        /// Its first command did not come in time.
+        /// Its first command did not arrive in time.
         FirstCommandLate = "first_command_late",
-        /// It sent what is no command, too many of them, or the rest of one too late.
+        /// It sent something that is no command, too many commands, or the rest of a command too late.
         Protocol = "protocol",
-        /// It asked to be closed.
+        /// The client sent QUIT.
         Quit = "quit",
-        /// The client did not take its answer in time.
+        /// The client did not read its answer in time.
         AnswerNotTaken = "answer_not_taken",
-        /// The rest of a large value did not come.
+        /// The rest of a large value did not arrive.
         ValueCut = "value_cut",
-        /// Too many new connections came.
+        /// Too many new connections arrived.
         TurnedAway = "turned_away",
     }
 }
@@ -80,11 +80,11 @@
     RefuseReason {
         /// The node has no memory for it.
         Memory = "memory",
-        /// Too many requests of its connection are open.
+        /// Its connection has too many open requests.
         Pipeline = "pipeline",
-        /// Too many requests of the node are open.
+        /// The node has too many open requests.
         OpenRequests = "open_requests",
-        /// Its connection is to go.
+        /// Its connection is about to be closed.
         Retiring = "retiring",
         /// The decision module refused it.
         Module = "module",
@@ -92,23 +92,23 @@
 }
 
 reasons! {
-    /// What came before a further attempt of a request.
+    /// What happened before a further attempt of a request.
     RetryReason {
-        /// The attempt before is still out.
+        /// The previous attempt is still in flight.
         Hedge = "hedge",
-        /// The server lacked the key.
+        /// The server did not have the key.
         Miss = "miss",
-        /// It answered with an error.
+        /// The server answered with an error.
         Error = "error",
-        /// It turned the attempt away.
+        /// The server refused the attempt because it was full.
         Full = "full",
-        /// It did not answer in time.
+        /// The server did not answer in time.
         TimedOut = "timed_out",
-        /// It could not be reached.
+        /// The server could not be reached.
         NotConnected = "not_connected",
-        /// Its connection broke.
+        /// The connection to the server broke.
         Reset = "reset",
-        /// The attempt was taken back.
+        /// The attempt was cancelled.
         Cancelled = "cancelled",
         /// The attempt was never sent.
         NotSent = "not_sent",
@@ -117,7 +117,7 @@
     }
 }
 
-/// How often each reason of a kind occurred.
+/// A counter for each reason of a kind.
 #[derive(Debug)]
 pub struct ByReason<R> {
     counts: Vec<AtomicU64>,
@@ -131,15 +131,15 @@
 }
 
 impl<R: Reason> ByReason<R> {
-    /// It occurred once more.
+    /// Counts one occurrence.
     pub fn increment(&self, reason: R) {
-        if let Some(count) = self.counts.get(reason.number()) {
+        if let Some(count) = self.counts.get(reason.index()) {
             count.fetch_add(1, Relaxed);
         }
     }
 
-    /// Each reason's name and how often it occurred.
-    pub fn all(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
+    /// Each reason's name and its count.
+    pub fn iter(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
         R::ALL.iter().zip(&self.counts).map(|(reason, count)| (reason.name(), count.load(Relaxed)))
     }
 }
@@ -149,26 +149,26 @@
     use super::*;
 
     fn check<R: Reason + std::fmt::Debug>() {
-        for (place, reason) in R::ALL.iter().enumerate() {
-            assert_eq!(reason.number(), place, "{reason:?}");
+        for (index, reason) in R::ALL.iter().enumerate() {
+            assert_eq!(reason.index(), index, "{reason:?}");
             assert!(reason.name().bytes().all(|b| b.is_ascii_lowercase() || b == b'_'), "{reason:?}");
         }
     }
 
     #[test]
-    fn every_reason_has_its_place_and_a_name_that_labels_may_have() {
+    fn every_reason_has_its_index_and_a_valid_label_name() {
         check::<CloseReason>();
         check::<RefuseReason>();
         check::<RetryReason>();
     }
 
     #[test]
-    fn each_reason_is_counted_by_itself() {
+    fn each_reason_has_its_own_counter() {
         let counts = ByReason::default();
         counts.increment(CloseReason::Drained);
         counts.increment(CloseReason::Drained);
         counts.increment(CloseReason::TurnedAway);
-        let seen: Vec<_> = counts.all().filter(|(_, count)| *count > 0).collect();
+        let seen: Vec<_> = counts.iter().filter(|(_, count)| *count > 0).collect();
         assert_eq!(seen, [("drained", 2), ("turned_away", 1)]);
     }
 }
--- a/crates/ops/src/text.rs
+++ b/crates/ops/src/text.rs
@@ -1,34 +1,34 @@
-//! The figures in Prometheus' text format, version 0.0.4.
+//! The metrics in the Prometheus text format, version 0.0.4.
 
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-use crate::figures::{Ends, Metrics};
+use crate::metrics::{EndCounts, Metrics};
 use crate::reasons::{ByReason, Reason};
 
-/// Stands before the name of each figure.
+/// The prefix of all metric names.
 const PREFIX: &str = "edge_router_";
 
-type Count = fn(&Ends) -> &AtomicU64;
+type CounterOf = fn(&EndCounts) -> &AtomicU64;
 
-const BY_CLASS: [(&str, &str, Count); 3] = [
+const BY_CLASS: [(&str, &str, CounterOf); 3] = [
     ("served_total", "Requests answered with their value or receipt.", |e| &e.served),
     ("refused_total", "Requests turned away; trying again is harmless.", |e| &e.refused),
     ("failed_total", "Requests that failed.", |e| &e.failed),
 ];
 
 impl Metrics {
-    /// All figures as text.
+    /// All metrics in the text format.
     pub fn to_text(&self) -> String {
         let mut out = String::with_capacity(1024 + 256 * self.classes.len());
-        for (name, help, count) in BY_CLASS {
-            head(&mut out, name, help, "counter");
-            for (class, ends) in &self.classes {
-                let value = count(ends).load(Relaxed);
-                let _ = writeln!(out, "{PREFIX}{name}{{class=\"{}\"}} {value}", escaped(class));
+        for (name, help, counter_of) in BY_CLASS {
+            write_header(&mut out, name, help, "counter");
+            for (class, counts) in &self.classes {
+                let value = counter_of(counts).load(Relaxed);
+                let _ = writeln!(out, "{PREFIX}{name}{{class=\"{}\"}} {value}", escape_label(class));
             }
         }
-        let single = [
+        let unlabelled = [
             (
                 "attempts_total",
                 "Attempts written to cache servers, the origin among them.",
@@ -36,10 +36,25 @@
                 &self.attempts,
             ),
             ("in_flight", "Requests taken and not ended.", "gauge", &self.in_flight),
-            ("cache_servers_known", "Cache servers in the list, without the origin.", "gauge", &self.known),
-            ("cache_servers_excluded", "Listed cache servers that are avoided now.", "gauge", &self.excluded),
-            ("origin_calls_out", "Calls out at the origin.", "gauge", &self.origin_out),
-            ("origin_calls_limit", "Calls that may be out at the origin now.", "gauge", &self.origin_most),
+            (
+                "cache_servers_known",
+                "Cache servers in the list, without the origin.",
+                "gauge",
+                &self.servers_known,
+            ),
+            (
+                "cache_servers_excluded",
+                "Listed cache servers that are avoided now.",
+                "gauge",
+                &self.servers_excluded,
+            ),
+            ("origin_calls_out", "Calls out at the origin.", "gauge", &self.origin_calls_out),
+            (
+                "origin_calls_limit",
+                "Calls that may be out at the origin now.",
+                "gauge",
+                &self.origin_calls_limit,
+            ),
             (
                 "list_calls_failed_total",
                 "Calls to discovery that failed.",
@@ -69,36 +84,44 @@
                 &self.answers_held_back,
             ),
         ];
-        for (name, help, kind, value) in single {
-            head(&mut out, name, help, kind);
+        for (name, help, kind, value) in unlabelled {
+            write_header(&mut out, name, help, kind);
             let _ = writeln!(out, "{PREFIX}{name} {}", value.load(Relaxed));
         }
-        by_reason(&mut out, ("connections_closed_total", "Connections of clients that ended."), &self.closed);
-        by_reason(&mut out, ("refusals_total", "Requests refused, by what refused them."), &self.refusals);
+        write_by_reason(
+            &mut out,
+            ("connections_closed_total", "Connections of clients that ended."),
+            &self.closed,
+        );
+        write_by_reason(
+            &mut out,
+            ("refusals_total", "Requests refused, by what refused them."),
+            &self.refusals,
+        );
         let (name, help) =
             ("further_attempts_total", "Attempts beyond a request's first, by what came before.");
-        by_reason(&mut out, (name, help), &self.retries);
+        write_by_reason(&mut out, (name, help), &self.retries);
         let (name, help) = ("list_age_seconds", "Since discovery last answered, or since the start.");
-        head(&mut out, name, help, "gauge");
+        write_header(&mut out, name, help, "gauge");
         let _ = writeln!(out, "{PREFIX}{name} {:.1}", self.list_age_ms.load(Relaxed) as f64 / 1e3);
         out
     }
 }
 
-fn head(out: &mut String, name: &str, help: &str, kind: &str) {
+fn write_header(out: &mut String, name: &str, help: &str, kind: &str) {
     let _ = writeln!(out, "# HELP {PREFIX}{name} {help}\n# TYPE {PREFIX}{name} {kind}");
 }
 
-/// A counter for each reason of a kind.
-fn by_reason<R: Reason>(out: &mut String, (name, help): (&str, &str), counts: &ByReason<R>) {
-    head(out, name, help, "counter");
-    for (reason, count) in counts.all() {
+/// Writes one counter with a value for each reason.
+fn write_by_reason<R: Reason>(out: &mut String, (name, help): (&str, &str), counts: &ByReason<R>) {
+    write_header(out, name, help, "counter");
+    for (reason, count) in counts.iter() {
         let _ = writeln!(out, "{PREFIX}{name}{{reason=\"{reason}\"}} {count}");
     }
 }
 
-/// A label's value: a backslash, a quote and an end of line would end it or mean something else.
-fn escaped(label: &str) -> String {
+/// Escapes a label value: a backslash, a quote and an end of line would end it or change its meaning.
+fn escape_label(label: &str) -> String {
     label.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
 }
 
@@ -111,37 +134,37 @@
     use crate::{CloseReason, Gauges, RefuseReason, RequestEnd, RetryReason};
 
     #[test]
-    fn every_class_is_there_from_the_start_and_each_end_counts_once() {
-        let figures = Arc::new(Metrics::new(["read", "a \"quoted\\\n\" one"]));
-        let of_classes =
+    fn every_class_is_present_from_the_start_and_each_end_counts_once() {
+        let metrics = Arc::new(Metrics::new(["read", "a \"quoted\\\n\" one"]));
+        let zero_counters =
             |text: &str| text.lines().filter(|l| l.contains("{class=") && l.ends_with("} 0")).count();
-        assert_eq!(of_classes(&figures.to_text()), 6, "{}", figures.to_text());
+        assert_eq!(zero_counters(&metrics.to_text()), 6, "{}", metrics.to_text());
         for (end, times) in [(RequestEnd::Served, 3), (RequestEnd::Refused, 2), (RequestEnd::Failed, 1)] {
-            (0..times).for_each(|_| figures.request_started(0).end(end));
+            (0..times).for_each(|_| metrics.request_started(0).end(end));
         }
-        drop(figures.request_started(1));
-        let open = figures.request_started(1);
-        figures.attempt_sent();
-        let (origin_out, origin_most, list_age) = (3, 20, Duration::from_millis(2_340));
-        figures.set_gauges(Gauges {
+        drop(metrics.request_started(1));
+        let open = metrics.request_started(1);
+        metrics.attempt_sent();
+        let (origin_calls_out, origin_calls_limit, list_age) = (3, 20, Duration::from_millis(2_340));
+        metrics.set_gauges(Gauges {
             servers_known: 9,
             servers_excluded: 12,
-            origin_calls_out: origin_out,
-            origin_calls_limit: origin_most,
+            origin_calls_out,
+            origin_calls_limit,
             list_age,
         });
-        figures.list_call_failed();
-        (0..4).for_each(|_| figures.connect_started());
-        (0..2).for_each(|_| figures.connect_refused());
-        (0..4).for_each(|_| figures.unasked_answer());
-        (0..3).for_each(|_| figures.answer_doubted());
-        (0..2).for_each(|_| figures.doubt_confirmed());
-        figures.doubt_refuted();
-        (0..5).for_each(|_| figures.answer_held_back());
-        figures.closed.increment(CloseReason::Drained);
-        figures.refusals.increment(RefuseReason::Retiring);
-        figures.retries.increment(RetryReason::Miss);
-        let text = figures.to_text();
+        metrics.list_call_failed();
+        (0..4).for_each(|_| metrics.connect_started());
+        (0..2).for_each(|_| metrics.connect_refused());
+        (0..4).for_each(|_| metrics.unasked_answer());
+        (0..3).for_each(|_| metrics.answer_doubted());
+        (0..2).for_each(|_| metrics.doubt_confirmed());
+        metrics.doubt_refuted();
+        (0..5).for_each(|_| metrics.answer_held_back());
+        metrics.closed.increment(CloseReason::Drained);
+        metrics.refusals.increment(RefuseReason::Retiring);
+        metrics.retries.increment(RetryReason::Miss);
+        let text = metrics.to_text();
         for line in [
             "# TYPE edge_router_served_total counter",
             "edge_router_served_total{class=\"read\"} 3",
@@ -177,6 +200,6 @@
             || l.starts_with("# TYPE edge_")
             || l.starts_with("edge_")));
         drop(open);
-        assert_eq!(figures.in_flight(), 0);
+        assert_eq!(metrics.in_flight(), 0);
     }
 }
--- a/crates/places/src/lib.rs
+++ b/crates/places/src/lib.rs
@@ -9,4 +9,4 @@
 mod places;
 
 pub use near::{LocalitySteering, RingState, Tally};
-pub use places::{InvalidSetting, Places, Reach, Region, Tuning};
+pub use places::{InvalidSetting, Places, Region, RoutingScope, Tuning};
--- a/crates/places/src/near.rs
+++ b/crates/places/src/near.rs
@@ -1,4 +1,4 @@
-//! How much of a node's traffic stays near, from what became of its attempts.
+//! Decides how much of a node's traffic stays local, from the results of its attempts.
 
 use std::time::Duration;
 
@@ -7,141 +7,141 @@
 
 use crate::places::Tuning;
 
-/// Rings that keys can be kept in: near and next. What is far has nothing beyond it to spill to.
-const INNER: usize = 2;
-/// What a step keeps of the counts before it.
-const FADE: f64 = 0.6;
-/// Fewer attempts than this tell nothing of a ring that is in full use.
-const ENOUGH: f64 = 4.0;
-/// Of a ring that only scouts go to, so many must have come back well before a step back.
-const SCOUTS: f64 = 2.0;
-/// Spilling over helps only where what lies beyond is this much better off.
-const BETTER: f64 = 0.5;
-/// Where nothing is known of what lies beyond, so much goes there to learn.
-const TRY: f64 = 0.1;
-/// The longest hold before a return, a multiple of the usual one.
-const LONGEST_HOLD: u32 = 16;
-/// Each node's steps differ from the figure by up to this part.
-const OUT_OF_STEP: f64 = 0.25;
-
-/// What became of attempts in one zone since the last step.
+/// The number of rings that can spill over: near and next. Behind the far ring there is nothing to spill over to.
+const INNER_RINGS: usize = 2;
+/// The share of the former counts that each step keeps.
+const KEEP: f64 = 0.6;
+/// Fewer attempts than this don't suffice to judge a ring with all of its traffic.
+const MIN_ATTEMPTS: f64 = 4.0;
+/// Successful attempts that a ring with probe traffic only needs before a step back.
+const MIN_PROBE_SUCCESSES: f64 = 2.0;
+/// Spillover needs a ring beyond with at most this fraction of the trouble.
+const MAX_RELATIVE_TROUBLE: f64 = 0.5;
+/// The share that goes to a ring beyond of which nothing is known, to find out.
+const EXPLORATION_SHARE: f64 = 0.1;
+/// The longest hold before a return, as a multiple of the usual one.
+const MAX_HOLD_FACTOR: u32 = 16;
+/// The largest random deviation of a node's step interval from the setting, as a fraction of it.
+const STEP_JITTER: f64 = 0.25;
+
+/// Results of attempts in one zone since the last step.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
     /// Answered in time, whatever the answer.
     pub answered: u32,
-    /// Turned away or failed, of those that came.
+    /// Answered in time, but refused or failed.
     pub refused: u32,
-    /// Not answered within the silent time, or lost with their connection, or never connected.
+    /// Not answered in time, or lost with their connection, or never connected.
     pub unanswered: u32,
-    /// Of those, answered after all.
+    /// Answered late, after they were counted as unanswered.
     pub answered_late: u32,
 }
 
-/// How a ring looks from here.
+/// The state of a ring as this node sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RingState {
-    /// It bears what it gets.
+    /// It bears its traffic.
     Healthy,
-    /// Much is turned away or late.
+    /// Many attempts are refused or late.
     Overloaded,
-    /// Next to nothing comes back.
+    /// Almost no attempt is answered.
     Lost,
-    /// It gets less than its part, and bears that.
+    /// It gets less than its share, and bears that.
     Returning,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Faded {
-    all: f64,
-    silent: f64,
+struct DecayingCounts {
+    attempts: f64,
+    unanswered: f64,
     trouble: f64,
-    /// Answered well since the last sign of trouble.
-    well: f64,
+    /// Successful attempts since the last sign of trouble.
+    successes: f64,
 }
 
-impl Faded {
+impl DecayingCounts {
     fn add(&mut self, tallies: impl Iterator<Item = Tally>) {
-        let Faded { all, silent, trouble, .. } = self;
-        [&mut *all, &mut *silent, &mut *trouble].into_iter().for_each(|f| *f *= FADE);
+        let DecayingCounts { attempts: all, unanswered: silent, trouble, .. } = self;
+        [&mut *all, &mut *silent, &mut *trouble].into_iter().for_each(|f| *f *= KEEP);
         let (mut came, mut bad) = (0u32, 0u32);
         for t in tallies {
             *all += f64::from(t.answered + t.unanswered);
-            // What comes late after all was not lost: its server is slow, and not silent.
+            // A late answer was not lost: its server is slow, not unreachable.
             *silent = (*silent + f64::from(t.unanswered) - f64::from(t.answered_late)).max(0.0);
             *trouble += f64::from(t.refused + t.unanswered);
             came += t.answered.saturating_sub(t.refused);
             bad += t.refused + t.unanswered;
         }
-        // One that fails among many that come well is no reason to begin again.
-        self.well =
-            if f64::from(bad) > 0.2 * f64::from(came + bad) { 0.0 } else { self.well + f64::from(came) };
+        // A few failures among many successes are no reason to start again.
+        self.successes =
+            if f64::from(bad) > 0.2 * f64::from(came + bad) { 0.0 } else { self.successes + f64::from(came) };
     }
 
-    fn part(of: f64, all: f64) -> f64 {
+    fn share(of: f64, all: f64) -> f64 {
         if all > 0.0 { (of / all).min(1.0) } else { 0.0 }
     }
 }
 
 #[derive(Clone, Debug)]
 struct Ring {
-    seen: Faded,
+    counts: DecayingCounts,
     state: RingState,
-    /// The part of its keys that goes farther out.
-    spilt: f64,
+    /// The share of its keys that goes to a ring farther out.
+    spillover: f64,
     /// The next step away from it, while it is lost.
-    step: f64,
-    /// When it last gave a sign of trouble.
+    lost_step: f64,
+    /// When it last showed trouble.
     trouble_at: Duration,
-    /// The hold before a return, a multiple of the figure.
-    hold: u32,
-    /// Whether a return has begun that has not come to its end.
+    /// The hold before a return, as a multiple of the setting.
+    hold_factor: u32,
+    /// Whether a return has begun and is not complete.
     returning: bool,
 }
 
-/// One node's machine.
+/// Decides how much of one node's traffic stays local.
 #[derive(Debug)]
 pub struct LocalitySteering {
-    figures: Tuning,
+    tuning: Tuning,
     /// The ring of each zone.
     rings: Vec<u8>,
-    inner: [Ring; INNER],
-    far: Faded,
+    inner: [Ring; INNER_RINGS],
+    far: DecayingCounts,
     rng: Rand64,
-    next: Duration,
+    next_step_at: Duration,
 }
 
 impl LocalitySteering {
-    /// A node in whose view zones lie in these rings (0 near, 1 next, 2 far), with nothing seen yet.
-    pub fn new(figures: Tuning, rings: Vec<u8>, seed: u64) -> LocalitySteering {
+    /// For a node that sees zones in these rings (0 near, 1 next, 2 far), without attempts yet.
+    pub fn new(tuning: Tuning, rings: Vec<u8>, seed: u64) -> LocalitySteering {
         let ring = Ring {
-            seen: Faded::default(),
+            counts: DecayingCounts::default(),
             state: RingState::Healthy,
-            spilt: 0.0,
-            step: figures.first_step,
+            spillover: 0.0,
+            lost_step: tuning.first_lost_step,
             trouble_at: Duration::ZERO,
-            hold: 1,
+            hold_factor: 1,
             returning: false,
         };
         let rng = Rand64::new(seed.into());
         LocalitySteering {
-            figures,
+            tuning,
             rings,
             inner: [ring.clone(), ring],
-            far: Faded::default(),
+            far: DecayingCounts::default(),
             rng,
-            next: Duration::ZERO,
+            next_step_at: Duration::ZERO,
         }
     }
 
-    /// How the near ring looks, and the part of its keys that goes farther out.
+    /// The state of the near ring, and the share of its keys that goes farther out.
     pub fn state(&self) -> (RingState, f64) {
-        (self.inner[0].state, self.inner[0].spilt)
+        (self.inner[0].state, self.inner[0].spillover)
     }
 
-    /// Where keys' orders are taken now.
+    /// The zones among which servers are chosen now.
     pub fn routing(&self) -> ZoneRouting {
-        let [near, next] = [0, 1].map(|ring: usize| 1.0 - self.inner[ring].spilt);
-        // Where no zone lies in the next ring, what leaves the near one goes to what is far.
+        let [near, next] = [0, 1].map(|ring: usize| 1.0 - self.inner[ring].spillover);
+        // Where no zone lies in the next ring, what leaves the near ring goes to the far one.
         let next = if self.rings.contains(&1) { next } else { 0.0 };
         ZoneRouting {
             zone_rings: self.rings.clone(),
@@ -152,73 +152,80 @@
 
     /// When the next step is due.
     pub fn next_due(&self) -> Duration {
-        self.next
+        self.next_step_at
     }
 
-    /// One step: what became of the attempts in each zone since the last. A pool, where it has changed.
+    /// Makes one step with the results of attempts in each zone since the last one. Returns the routing where it has changed.
     pub fn step(&mut self, now: Duration, tallies: &[Tally]) -> Option<ZoneRouting> {
-        let apart = 1.0 + OUT_OF_STEP * (2.0 * self.rng.rand_float() - 1.0);
-        self.next = now + Duration::from_millis(self.figures.step_ms).mul_f64(apart);
+        let jitter = 1.0 + STEP_JITTER * (2.0 * self.rng.rand_float() - 1.0);
+        self.next_step_at = now + Duration::from_millis(self.tuning.step_ms).mul_f64(jitter);
         let before = self.routing();
-        for ring in 0..=INNER {
-            let of = |zone: &usize| usize::from(self.rings[*zone].min(INNER as u8)) == ring;
+        for ring in 0..=INNER_RINGS {
+            let of = |zone: &usize| usize::from(self.rings[*zone].min(INNER_RINGS as u8)) == ring;
             let counted = (0..self.rings.len().min(tallies.len())).filter(of).map(|zone| tallies[zone]);
-            let seen = if ring < INNER { &mut self.inner[ring].seen } else { &mut self.far };
+            let seen = if ring < INNER_RINGS { &mut self.inner[ring].counts } else { &mut self.far };
             seen.add(counted.collect::<Vec<_>>().into_iter());
         }
-        for ring in 0..INNER {
-            // What lies beyond: the first ring farther out that has zones.
-            let beyond = (ring + 1..=INNER).find(|r| self.rings.iter().any(|z| usize::from(*z) == *r));
-            let beyond = beyond.map(|r| if r < INNER { self.inner[r].seen } else { self.far });
-            self.inner[ring].step(&self.figures, now, beyond);
+        for ring in 0..INNER_RINGS {
+            // The ring beyond: the first one farther out that has zones.
+            let beyond = (ring + 1..=INNER_RINGS).find(|r| self.rings.iter().any(|z| usize::from(*z) == *r));
+            let beyond = beyond.map(|r| if r < INNER_RINGS { self.inner[r].counts } else { self.far });
+            self.inner[ring].step(&self.tuning, now, beyond);
         }
         Some(self.routing()).filter(|pool| *pool != before)
     }
 }
 
 impl Ring {
-    fn step(&mut self, figures: &Tuning, now: Duration, beyond: Option<Faded>) {
-        let seen = &self.seen;
-        let (silent, trouble) = (Faded::part(seen.silent, seen.all), Faded::part(seen.trouble, seen.all));
-        // While it is spilt little comes here: few attempts must do.
-        let enough = seen.all >= ENOUGH * (1.0 - self.spilt).max(0.25);
-        let lost = enough && silent >= figures.lost;
-        let strained = enough && trouble >= figures.strained;
+    fn step(&mut self, tuning: &Tuning, now: Duration, beyond: Option<DecayingCounts>) {
+        let seen = &self.counts;
+        let (silent, trouble) = (
+            DecayingCounts::share(seen.unanswered, seen.attempts),
+            DecayingCounts::share(seen.trouble, seen.attempts),
+        );
+        // While its keys go elsewhere few attempts come here: few must suffice.
+        let enough = seen.attempts >= MIN_ATTEMPTS * (1.0 - self.spillover).max(0.25);
+        let lost = enough && silent >= tuning.lost_share;
+        let strained = enough && trouble >= tuning.overloaded_share;
         if lost || strained {
             self.trouble_at = now;
             if std::mem::take(&mut self.returning) {
-                // It did not bear what came back: longer until the next try.
-                self.hold = (self.hold * 2).min(LONGEST_HOLD);
+                // It did not bear the traffic that came back: wait longer before the next try.
+                self.hold_factor = (self.hold_factor * 2).min(MAX_HOLD_FACTOR);
             }
         }
-        // Without room beyond, what is spilt would be lost there, and the way is longer.
+        // Without capacity beyond, spilled traffic would be lost there, and the path is longer.
         let most = match beyond {
             None => 0.0,
-            Some(beyond) if beyond.all < 1.0 => TRY.max(self.spilt),
+            Some(beyond) if beyond.attempts < 1.0 => EXPLORATION_SHARE.max(self.spillover),
             Some(beyond) => {
-                let there = Faded::part(beyond.trouble, beyond.all);
-                if there <= BETTER * trouble { 1.0 - figures.scouts } else { self.spilt }
+                let there = DecayingCounts::share(beyond.trouble, beyond.attempts);
+                if there <= MAX_RELATIVE_TROUBLE * trouble {
+                    1.0 - tuning.probe_share
+                } else {
+                    self.spillover
+                }
             }
         };
         if lost {
             self.state = RingState::Lost;
-            self.spilt = (self.spilt + self.step).min(most.max(self.spilt));
-            self.step = (self.step * 2.0).min(1.0);
+            self.spillover = (self.spillover + self.lost_step).min(most.max(self.spillover));
+            self.lost_step = (self.lost_step * 2.0).min(1.0);
         } else if strained {
             self.state = RingState::Overloaded;
-            self.spilt = (self.spilt + figures.strained_step).min(most.max(self.spilt));
-        } else if self.spilt > 0.0 {
-            let hold = Duration::from_millis(figures.hold_ms) * self.hold;
-            if now >= self.trouble_at + hold && self.seen.well >= SCOUTS {
+            self.spillover = (self.spillover + tuning.overloaded_step).min(most.max(self.spillover));
+        } else if self.spillover > 0.0 {
+            let hold = Duration::from_millis(tuning.hold_ms) * self.hold_factor;
+            if now >= self.trouble_at + hold && self.counts.successes >= MIN_PROBE_SUCCESSES {
                 self.state = RingState::Returning;
                 self.returning = true;
-                self.spilt = (self.spilt - figures.back_step).max(0.0);
+                self.spillover = (self.spillover - tuning.return_step).max(0.0);
             }
         } else {
             self.state = RingState::Healthy;
-            self.step = figures.first_step;
-            if now >= self.trouble_at + Duration::from_millis(figures.hold_ms) * LONGEST_HOLD {
-                self.hold = 1;
+            self.lost_step = tuning.first_lost_step;
+            if now >= self.trouble_at + Duration::from_millis(tuning.hold_ms) * MAX_HOLD_FACTOR {
+                self.hold_factor = 1;
             }
             self.returning = false;
         }
--- a/crates/places/src/places.rs
+++ b/crates/places/src/places.rs
@@ -1,13 +1,13 @@
-//! What the operator says of places, checked.
+//! The operator's settings of places, and their checks.
 
 use std::fmt;
 
 use serde::Deserialize;
 
-/// The pool in which a key's order is taken while nothing is wrong.
+/// The zones among which a key's server is chosen in normal operation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Reach {
+pub enum RoutingScope {
     /// The node's own zone.
     Zone,
     /// The node's own region.
@@ -17,56 +17,63 @@
     All,
 }
 
-/// A region, and the zones in it.
+/// A region and its zones.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Region {
-    /// What it is called.
+    /// The name of the region.
     pub name: String,
-    /// Its zones, as the settings name them.
+    /// Its zones, by their names in the settings.
     pub zones: Vec<String>,
 }
 
-/// Places, as the operator's file has them.
+/// The table `places` of the operator's file.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Places {
-    /// Whether traffic stays near at all.
+    /// Whether traffic is kept local at all.
     pub on: bool,
-    /// How far a key's order reaches while nothing is wrong.
-    pub pool: Reach,
-    /// The regions; a zone that none names is a region of its own.
+    /// The zones among which a key's server is chosen in normal operation.
+    #[serde(rename = "pool")]
+    pub scope: RoutingScope,
+    /// The regions; a zone that is in none is a region by itself.
     #[serde(rename = "region")]
     pub regions: Vec<Region>,
-    /// Figures of the spill-over.
+    /// Settings of the spillover.
     #[serde(rename = "figures")]
     pub tuning: Tuning,
 }
 
-/// Figures of the spill-over.
+/// Settings of the spillover.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Tuning {
-    /// Between two steps, in milliseconds. Each node's steps differ from it by up to a quarter, by chance.
+    /// Between two steps, in milliseconds. Each node's interval deviates from it by up to a quarter, at random.
     pub step_ms: u64,
-    /// An attempt that nobody has answered for this long counts as silent, in milliseconds.
+    /// After this long an attempt without an answer counts as unanswered, in milliseconds.
     #[serde(rename = "silent_ms")]
     pub unanswered_after_ms: u64,
-    /// The part of silent attempts from which a ring counts as lost.
-    pub lost: f64,
-    /// The part of attempts that are turned away, fail or are late from which a ring counts as strained.
-    pub strained: f64,
+    /// The share of unanswered attempts from which a ring counts as lost.
+    #[serde(rename = "lost")]
+    pub lost_share: f64,
+    /// The share of attempts that are refused, fail or are late from which a ring counts as overloaded.
+    #[serde(rename = "strained")]
+    pub overloaded_share: f64,
     /// The first step away from a lost ring; each further one is twice as large.
-    pub first_step: f64,
-    /// A step away from a strained ring.
-    pub strained_step: f64,
+    #[serde(rename = "first_step")]
+    pub first_lost_step: f64,
+    /// A step away from an overloaded ring.
+    #[serde(rename = "strained_step")]
+    pub overloaded_step: f64,
     /// A step back.
-    pub back_step: f64,
-    /// So long after the last sign of trouble the first step back is made, in milliseconds; twice as long after each return
-    /// that failed, up to sixteen times.
+    #[serde(rename = "back_step")]
+    pub return_step: f64,
+    /// How long after the last sign of trouble the first step back is made, in milliseconds; twice as long after each failed
+    /// return, up to sixteen times.
     pub hold_ms: u64,
-    /// The part of the keys that stays near whatever happens: by it a node learns that a ring is back.
-    pub scouts: f64,
+    /// The share of keys that stays near in any case: its attempts show when a ring is back.
+    #[serde(rename = "scouts")]
+    pub probe_share: f64,
 }
 
 impl Default for Tuning {
@@ -74,21 +81,21 @@
         Tuning {
             step_ms: 250,
             unanswered_after_ms: 200,
-            lost: 0.6,
-            strained: 0.15,
-            first_step: 0.25,
-            strained_step: 0.05,
-            back_step: 0.05,
+            lost_share: 0.6,
+            overloaded_share: 0.15,
+            first_lost_step: 0.25,
+            overloaded_step: 0.05,
+            return_step: 0.05,
             hold_ms: 2000,
-            scouts: 0.02,
+            probe_share: 0.02,
         }
     }
 }
 
-/// What is wrong with places: the key, and what is wrong with it.
+/// An invalid setting.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidSetting {
-    /// The key, from `places` on.
+    /// The key, relative to `places`.
     pub key: String,
     /// What is wrong, with the value and what is allowed.
     pub problem: String,
@@ -103,22 +110,22 @@
 impl std::error::Error for InvalidSetting {}
 
 impl Places {
-    /// Looks whether figures and regions make sense by themselves.
+    /// Checks tuning and regions by themselves.
     ///
     /// # Errors
-    /// The first thing that does not, with its key.
+    /// The first invalid setting, with its key.
     pub fn validate(&self) -> Result<(), InvalidSetting> {
         let f = &self.tuning;
         let figures = [
             ("step_ms", f.step_ms as f64, 50.0, 10_000.0),
             ("silent_ms", f.unanswered_after_ms as f64, 10.0, 60_000.0),
-            ("lost", f.lost, 0.1, 1.0),
-            ("strained", f.strained, 0.01, 1.0),
-            ("first_step", f.first_step, 0.01, 1.0),
-            ("strained_step", f.strained_step, 0.01, 1.0),
-            ("back_step", f.back_step, 0.01, 1.0),
+            ("lost", f.lost_share, 0.1, 1.0),
+            ("strained", f.overloaded_share, 0.01, 1.0),
+            ("first_step", f.first_lost_step, 0.01, 1.0),
+            ("strained_step", f.overloaded_step, 0.01, 1.0),
+            ("back_step", f.return_step, 0.01, 1.0),
             ("hold_ms", f.hold_ms as f64, 100.0, 600_000.0),
-            ("scouts", f.scouts, 0.001, 0.2),
+            ("scouts", f.probe_share, 0.001, 0.2),
         ];
         for (key, value, least, most) in figures {
             if !(least..=most).contains(&value) {
@@ -145,11 +152,11 @@
         Ok(())
     }
 
-    /// Looks whether they fit the zones that the settings name, and says in which ring each zone is, seen from one of
-    /// them: 0 the pool, 1 and 2 what lies farther out.
+    /// Checks the regions against the zones of the node's settings, and returns the ring of each zone, seen from one of them: 0
+    /// for zones among which servers are chosen, 1 and 2 for zones farther out.
     ///
     /// # Errors
-    /// A zone that the settings lack, or a node that has no zone.
+    /// A zone that the settings lack, or a node without a zone.
     pub fn rings(&self, zones: &[String], own: Option<u8>) -> Result<Vec<u8>, InvalidSetting> {
         for zone in self.regions.iter().flat_map(|r| &r.zones) {
             if !zones.contains(zone) {
@@ -165,17 +172,17 @@
         };
         let region = |zone: usize| self.regions.iter().position(|r| r.zones.contains(&zones[zone]));
         let together = |zone: usize| zone == own || region(zone).is_some() && region(zone) == region(own);
-        let ring = |zone: usize| match self.pool {
-            Reach::All => 0,
-            Reach::Region => {
+        let ring = |zone: usize| match self.scope {
+            RoutingScope::All => 0,
+            RoutingScope::Region => {
                 if together(zone) {
                     0
                 } else {
                     2
                 }
             }
-            Reach::Zone if zone == own => 0,
-            Reach::Zone => {
+            RoutingScope::Zone if zone == own => 0,
+            RoutingScope::Zone => {
                 if together(zone) {
                     1
                 } else {
--- a/crates/places/tests/near.rs
+++ b/crates/places/tests/near.rs
@@ -1,9 +1,9 @@
-//! How much stays near: zones that fall silent, that are too busy, that come back cold, and what must not swing.
+//! How much traffic stays local: zones that do not answer, that are overloaded, that return cold, and no oscillation.
 #![allow(missing_docs)]
 
 use std::time::Duration;
 
-use mothpier_places::{LocalitySteering, Places, Reach, Region, RingState, Tally, Tuning};
+use mothpier_places::{LocalitySteering, Places, Region, RingState, RoutingScope, Tally, Tuning};
 
 fn places() -> Places {
     let region = |name: &str, zones: &[&str]| Region {
@@ -26,9 +26,9 @@
     let mut p = places();
     assert_eq!(p.rings(&zones(), Some(0)).unwrap(), [0, 0, 2, 2]);
     assert_eq!(p.rings(&zones(), Some(3)).unwrap(), [2, 2, 2, 0], "a zone that no region names is alone");
-    p.pool = Reach::Zone;
+    p.scope = RoutingScope::Zone;
     assert_eq!(p.rings(&zones(), Some(1)).unwrap(), [1, 0, 2, 2]);
-    p.pool = Reach::All;
+    p.scope = RoutingScope::All;
     assert_eq!(p.rings(&zones(), Some(1)).unwrap(), [0, 0, 0, 0]);
     let bad = |p: &Places| p.validate().unwrap_err().to_string();
     assert!(p.validate().is_ok());
@@ -40,11 +40,11 @@
     let told = p.rings(&zones(), Some(0)).unwrap_err().to_string();
     assert_eq!(told, "region: there is no zone \"nowhere\"; the settings have east, west, south, alone");
     assert!(places().rings(&zones(), None).unwrap_err().to_string().starts_with("on: "));
-    p.tuning.scouts = f64::NAN;
+    p.tuning.probe_share = f64::NAN;
     assert_eq!(bad(&p), "figures.scouts: NaN is not between 0.001 and 0.2");
 }
 
-/// A node in zone 0 of two, the other one far, that sends so many attempts a step.
+/// A node in zone 0 of two, the other one far, with this many attempts a step.
 struct Site {
     near: LocalitySteering,
     now: Duration,
@@ -58,12 +58,12 @@
         Site { near, now: Duration::from_secs(1000), rate: 8.0, sent: [0.0; 2] }
     }
 
-    /// One step in which each zone treats what it gets in its way: parts that are silent and that are refused.
+    /// One step; `how` gives for each zone and its attempts the share that is unanswered and the share that is refused.
     fn step(&mut self, how: impl Fn(usize, f64) -> (f64, f64)) -> f64 {
         let spilt = self.near.state().1;
         let mut tallies = [Tally::default(); 2];
         for (zone, part) in [1.0 - spilt, spilt].into_iter().enumerate() {
-            // Whole attempts come out of parts of them, over several steps.
+            // Fractions of attempts add up to whole ones over several steps.
             self.sent[zone] += self.rate * part;
             let all = self.sent[zone].floor();
             self.sent[zone] -= all;
@@ -110,14 +110,14 @@
     let back = site.run(30.0, WELL);
     assert_eq!(*back.last().unwrap(), 0.0, "{back:?}");
     let largest = back.windows(2).map(|w| w[0] - w[1]).fold(0.0, f64::max);
-    assert!(largest <= Tuning::default().back_step + 1e-9, "{largest}");
+    assert!(largest <= Tuning::default().return_step + 1e-9, "{largest}");
 }
 
 #[test]
 fn a_ring_that_bears_only_half_is_relieved_of_the_rest_without_swinging() {
     let mut site = Site::new(2);
     site.rate = 40.0;
-    // The near zone turns away what is over half of the whole.
+    // The near zone refuses what exceeds half of the total.
     let half = |zone: usize, all: f64| (0.0, if zone == 0 && all > 20.0 { (all - 20.0) / all } else { 0.0 });
     let spilt = site.run(120.0, half);
     let late = &spilt[spilt.len() / 2..];
@@ -148,7 +148,7 @@
     let mut site = Site::new(4);
     site.run(5.0, WELL);
     site.run(3.0, LOST);
-    // It answers scouts, and falls silent when more comes.
+    // It answers probe traffic, and stops answering when more arrives.
     let weak = |zone: usize, all: f64| (if zone == 0 && all > 1.0 { 1.0 } else { 0.0 }, 0.0);
     let (mut tries, mut before) = (Vec::new(), 1.0);
     let begin = site.now;
--- a/crates/plan/src/announcement.rs
+++ b/crates/plan/src/announcement.rs
@@ -1,59 +1,59 @@
-//! What others know of a decider's plans before it gives a zone up.
+//! What other nodes know of a leader's plans before it gives a zone up.
 //!
-//! Whoever decides next learns from them which zone that is, and gives up no other one beside it.
+//! The next leader learns from them which zone that is, and gives up no other zone beside it.
 
 use std::collections::BTreeMap;
 
 use crate::Millis;
 
-/// By what others know that a zone is suspected.
+/// How other nodes know that a zone is suspected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Announced {
-    /// It is not, or they don't.
+    /// The zone is not suspected, or they don't know.
     No,
-    /// By the plan of a sequence number.
-    With(u32),
-    /// By the predecessor's plan, of which they have told themselves.
-    Earlier,
+    /// From the plan with this sequence number.
+    InPlan(u32),
+    /// From the predecessor's plan, which they have reported themselves.
+    ByPredecessor,
 }
 
-/// What others know.
+/// What other nodes know.
 #[derive(Clone, Debug)]
 pub(crate) struct Announcement {
-    /// Until then the predecessor's plan is learned, and nothing is chosen.
-    learns_until: Millis,
+    /// Until then the predecessor's plan is recovered, and nothing is chosen.
+    recovery_ends: Millis,
     /// By node, the sequence number of the last plan that it is known to have acted on.
-    follows: BTreeMap<u16, u32>,
+    applied: BTreeMap<u16, u32>,
 }
 
 impl Announcement {
-    /// Of a decider that has told nothing, and learns until a time.
-    pub(crate) fn new(learns_until: Millis) -> Announcement {
-        Announcement { learns_until, follows: BTreeMap::new() }
+    /// For a leader that has sent no plan yet, and recovers its predecessor's until a time.
+    pub(crate) fn new(recovery_ends: Millis) -> Announcement {
+        Announcement { recovery_ends, applied: BTreeMap::new() }
     }
 
-    /// Whether the predecessor's plan is known as far as it will be.
-    pub(crate) fn may_choose(&self, now: Millis) -> bool {
-        now >= self.learns_until
+    /// Whether recovery of the predecessor's plan is over.
+    pub(crate) fn recovery_is_over(&self, now: Millis) -> bool {
+        now >= self.recovery_ends
     }
 
     /// A node has acted on a plan.
-    pub(crate) fn follows(&mut self, node: u16, sequence: u32) {
-        let known = self.follows.entry(node).or_default();
+    pub(crate) fn plan_applied(&mut self, node: u16, sequence: u32) {
+        let known = self.applied.entry(node).or_default();
         *known = sequence.max(*known);
     }
 
-    /// Whether more than half of these nodes have acted on the plan that tells of a suspicion, or on a later one.
+    /// Whether more than half of these nodes have acted on the plan that announces a suspicion, or on a later one.
     pub(crate) fn is_known<'a>(&self, announced: Announced, nodes: impl Iterator<Item = &'a u16>) -> bool {
         let sequence = match announced {
             Announced::No => return false,
-            Announced::Earlier => return true,
-            Announced::With(sequence) => sequence,
+            Announced::ByPredecessor => return true,
+            Announced::InPlan(sequence) => sequence,
         };
         let (mut all, mut known) = (0, 0);
         for node in nodes {
             all += 1;
-            known += usize::from(self.follows.get(node).is_some_and(|last| *last >= sequence));
+            known += usize::from(self.applied.get(node).is_some_and(|last| *last >= sequence));
         }
         2 * known > all
     }
--- a/crates/plan/src/orders.rs
+++ b/crates/plan/src/orders.rs
@@ -1,49 +1,49 @@
-//! What staff have ordered by hand: a zone kept out of service, or kept in it, for a time.
+//! Orders of operators: a zone kept out of service, or kept in service, for a time.
 //!
-//! Each zone has a register of one order. Any node takes an order, numbers it above the one that it knows of that zone, and tells it
-//! with its evidence; the decider puts it into the plan; whoever hears of an order with a higher number has that one from then on.
-//! So an order survives the node that took it, any decider, and all voters at once, for as long as one node that knows it runs.
-//! It ends by itself: each node counts its span down by its own clock, and the shortest count that it has heard holds. A
-//! release is an order too, and what has run out is kept, so that an old message brings neither back.
+//! Each zone has a register of one order. Any node accepts an order, numbers it above the one that it knows for that zone, and sends
+//! it with its evidence; the leader puts it into the plan; a node that receives an order with a higher number keeps that one.
+//! So an order survives the node that accepted it, any leader, and all voters at once, for as long as one node that knows it runs.
+//! It expires by itself: each node counts its duration down by its own clock, and the shortest count that it has received holds.
+//! A release is an order too, and expired orders are kept, so that an old message brings neither back.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
-use crate::evidence::Spoilt;
+use crate::evidence::DecodeError;
 use crate::{MOST_ZONES, Millis};
 
-/// The longest span of an order, in milliseconds: 18 hours, what its bytes can tell. Whoever means longer orders again.
-pub const LONGEST: Millis = 18 * 3600 * 1000;
+/// The longest duration of an order, in milliseconds: 18 hours, which its encoding can hold. For longer, order again.
+pub const MAX_ORDER_MS: Millis = 18 * 3600 * 1000;
 /// Plans tell spans that are longer than the second figure in steps of the first, rounded up, in milliseconds: else each second
 /// would be another plan. The last minute is told by the second, so that all come to the end together.
 const GRAIN: (Millis, Millis) = (15_000, 60_000);
 /// The step otherwise.
-const SECOND: Millis = 1_000;
-/// Numbers from which on an order is nonsense: staff do not order so often, and no higher one would be left.
-const MOST_NUMBER: u16 = 60_000;
-/// Bytes of an order that is told: zone and what is ordered, number, node, span in seconds.
-const BYTES: usize = 7;
+const SECOND_MS: Millis = 1_000;
+/// Order numbers from here on are invalid: operators do not order so often, and no higher number would be left.
+const MAX_NUMBER: u16 = 60_000;
+/// The length of an encoded order in bytes: zone and kind, number, node, duration in seconds.
+const ENCODED_BYTES: usize = 7;
 
-/// What staff want of a zone.
+/// What an operator orders for a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderKind {
-    /// Nothing any more: what nodes see decides.
+    /// No order any more: evidence decides.
     Released,
-    /// It keeps its keys, whatever nodes see.
+    /// The zone keeps its keys, whatever the evidence says.
     KeepIn,
     /// None of its keys go there.
     KeepOut,
-    /// None of its keys go there, and its nodes' clients go elsewhere.
+    /// None of its keys go there, and clients of its nodes are sent elsewhere.
     Drain,
 }
 
 impl OrderKind {
-    /// Whether keys are kept away.
+    /// Whether keys are kept away from the zone.
     pub fn is_out(self) -> bool {
         matches!(self, OrderKind::KeepOut | OrderKind::Drain)
     }
 
-    /// One word for people and for the second address.
+    /// The kind as one word, for logs and the operations endpoint.
     pub fn as_str(self) -> &'static str {
         match self {
             OrderKind::Released => "released",
@@ -54,50 +54,50 @@
     }
 }
 
-/// An order as staff give it.
+/// An order as an operator gives it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ZoneOrder {
-    /// The zone, by its number in the settings.
+    /// The zone, by its index in the settings.
     pub zone: usize,
-    /// What they want of it.
+    /// The kind of order.
     pub kind: OrderKind,
-    /// For how long, in milliseconds.
+    /// How long it lasts, in milliseconds.
     pub duration_ms: Millis,
 }
 
-/// Why an order is not taken.
+/// Why an order is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum OrderError {
     /// There is no such zone.
-    NoZone,
-    /// A span of nothing, or longer than [`LONGEST`].
-    Span,
+    UnknownZone,
+    /// A duration of 0, or one longer than [`MAX_ORDER_MS`].
+    Duration,
     /// No zone would be left.
     LastZone,
-    /// The zone's numbers are used up.
-    Numbers,
+    /// The zone has no order numbers left.
+    NumbersExhausted,
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for OrderError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refused::NoZone => f.write_str("there is no such zone"),
-            Refused::Span => write!(f, "a span is between 1 and {} seconds", LONGEST / 1000),
-            Refused::LastZone => f.write_str("every other zone is kept out already: none would be left"),
-            Refused::Numbers => f.write_str("the numbers of this zone's orders are used up"),
+            OrderError::UnknownZone => f.write_str("there is no such zone"),
+            OrderError::Duration => write!(f, "a span is between 1 and {} seconds", MAX_ORDER_MS / 1000),
+            OrderError::LastZone => f.write_str("every other zone is kept out already: none would be left"),
+            OrderError::NumbersExhausted => f.write_str("the numbers of this zone's orders are used up"),
         }
     }
 }
 
-impl std::error::Error for Refused {}
+impl std::error::Error for OrderError {}
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Order {
     number: u16,
     node: u16,
-    how: OrderKind,
-    /// When it ends, by this node's clock.
-    until: Millis,
+    kind: OrderKind,
+    /// When it expires, by this node's clock.
+    expires_at: Millis,
 }
 
 impl Order {
@@ -105,46 +105,46 @@
         (self.number, self.node)
     }
 
-    fn stands(&self, now: Millis) -> bool {
-        self.how != OrderKind::Released && now < self.until
+    fn is_active(&self, now: Millis) -> bool {
+        self.kind != OrderKind::Released && now < self.expires_at
     }
 }
 
-/// An order as nodes tell it.
+/// An order in a message between nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OrderMessage {
     zone: u8,
     number: u16,
     node: u16,
-    how: OrderKind,
+    kind: OrderKind,
     left_s: u16,
 }
 
 impl OrderMessage {
-    pub(crate) fn is_of(&self, zone: usize) -> bool {
+    pub(crate) fn is_for(&self, zone: usize) -> bool {
         usize::from(self.zone) == zone
     }
 
-    /// Whether it has neither run out nor been taken back.
-    pub(crate) fn stands(&self) -> bool {
-        self.how != OrderKind::Released && self.left_s > 0
+    /// Whether it has neither expired nor been released.
+    pub(crate) fn is_active(&self) -> bool {
+        self.kind != OrderKind::Released && self.left_s > 0
     }
 
-    pub(crate) fn how(&self) -> OrderKind {
-        self.how
+    pub(crate) fn kind(&self) -> OrderKind {
+        self.kind
     }
 
-    pub(crate) fn write(&self, bytes: &mut Vec<u8>) {
-        bytes.push(self.zone | (self.how as u8) << 4);
+    pub(crate) fn encode_into(&self, bytes: &mut Vec<u8>) {
+        bytes.push(self.zone | (self.kind as u8) << 4);
         for field in [self.number, self.node, self.left_s] {
             bytes.extend(field.to_le_bytes());
         }
     }
 
-    /// Reads all that are told.
-    pub(crate) fn read(bytes: &[u8]) -> Result<Vec<OrderMessage>, Spoilt> {
-        if !bytes.len().is_multiple_of(BYTES) || bytes.len() > MOST_ZONES * BYTES {
-            return Err(Spoilt);
+    /// Deserializes all orders of a message.
+    pub(crate) fn decode_all(bytes: &[u8]) -> Result<Vec<OrderMessage>, DecodeError> {
+        if !bytes.len().is_multiple_of(ENCODED_BYTES) || bytes.len() > MOST_ZONES * ENCODED_BYTES {
+            return Err(DecodeError);
         }
         let one = |b: &[u8]| {
             let how = match b[0] >> 4 {
@@ -152,101 +152,114 @@
                 1 => OrderKind::KeepIn,
                 2 => OrderKind::KeepOut,
                 3 => OrderKind::Drain,
-                _ => return Err(Spoilt),
+                _ => return Err(DecodeError),
             };
             let field = |at: usize| u16::from_le_bytes([b[at], b[at + 1]]);
-            Ok(OrderMessage { zone: b[0] & 15, number: field(1), node: field(3), how, left_s: field(5) })
+            Ok(OrderMessage {
+                zone: b[0] & 15,
+                number: field(1),
+                node: field(3),
+                kind: how,
+                left_s: field(5),
+            })
         };
-        bytes.chunks_exact(BYTES).map(one).collect()
+        bytes.chunks_exact(ENCODED_BYTES).map(one).collect()
     }
 }
 
-/// What is known of staff's orders, by zone.
+/// The known orders, by zone.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ZoneOrders {
     zones: BTreeMap<u8, Order>,
 }
 
 impl ZoneOrders {
-    /// Staff order something at this node.
+    /// Accepts an operator's order at this node.
     ///
     /// # Errors
-    /// Why it is not taken.
-    pub fn issue(&mut self, now: Millis, node: u16, wish: ZoneOrder, zones: usize) -> Result<(), Refused> {
-        if wish.zone >= zones.min(MOST_ZONES) {
-            return Err(Refused::NoZone);
+    /// Why the order is rejected.
+    pub fn issue(
+        &mut self,
+        now: Millis,
+        node: u16,
+        order: ZoneOrder,
+        zones: usize,
+    ) -> Result<(), OrderError> {
+        if order.zone >= zones.min(MOST_ZONES) {
+            return Err(OrderError::UnknownZone);
         }
-        if wish.kind != OrderKind::Released && !(1000..=LONGEST).contains(&wish.duration_ms) {
-            return Err(Refused::Span);
+        if order.kind != OrderKind::Released && !(1000..=MAX_ORDER_MS).contains(&order.duration_ms) {
+            return Err(OrderError::Duration);
         }
-        let zone = wish.zone as u8;
+        let zone = order.zone as u8;
         let out = |z: usize| self.active(z, now).is_some_and(|(how, _)| how.is_out());
-        if wish.kind.is_out() && (0..zones).all(|z| z == wish.zone || out(z)) {
-            return Err(Refused::LastZone);
+        if order.kind.is_out() && (0..zones).all(|z| z == order.zone || out(z)) {
+            return Err(OrderError::LastZone);
         }
         let number = self.zones.get(&zone).map_or(0, |o| o.number) + 1;
-        if number >= MOST_NUMBER {
-            return Err(Refused::Numbers);
+        if number >= MAX_NUMBER {
+            return Err(OrderError::NumbersExhausted);
         }
-        self.zones.insert(zone, Order { number, node, how: wish.kind, until: now + wish.duration_ms });
+        self.zones
+            .insert(zone, Order { number, node, kind: order.kind, expires_at: now + order.duration_ms });
         Ok(())
     }
 
-    /// What is ordered of a zone now, and for how much longer.
+    /// The active order for a zone, and how long it still lasts.
     pub fn active(&self, zone: usize, now: Millis) -> Option<(OrderKind, Millis)> {
         let order = self.zones.get(&u8::try_from(zone).ok()?)?;
-        order.stands(now).then(|| (order.how, order.until - now))
+        order.is_active(now).then(|| (order.kind, order.expires_at - now))
     }
 
-    /// Which node took the last order of a zone.
+    /// The node that accepted the last order for a zone.
     pub fn issued_by(&self, zone: usize) -> Option<u16> {
         self.zones.get(&u8::try_from(zone).ok()?).map(|o| o.node)
     }
 
-    /// What this node tells others, releases and what has run out included.
+    /// The orders that this node sends to others, releases and expired ones included.
     pub fn messages(&self, now: Millis) -> Vec<OrderMessage> {
-        self.tell(now, |_| SECOND)
+        self.messages_with_grain(now, |_| SECOND_MS)
     }
 
-    /// The same for a plan, which is another one only now and then while an order's time goes on.
-    pub fn planned(&self, now: Millis) -> Vec<OrderMessage> {
-        self.tell(now, |left| if left > GRAIN.1 { GRAIN.0 } else { SECOND })
+    /// The orders for a plan, with a coarser time left: otherwise each second would be another plan.
+    pub fn plan_messages(&self, now: Millis) -> Vec<OrderMessage> {
+        self.messages_with_grain(now, |left| if left > GRAIN.1 { GRAIN.0 } else { SECOND_MS })
     }
 
-    fn tell(&self, now: Millis, step: impl Fn(Millis) -> Millis) -> Vec<OrderMessage> {
+    fn messages_with_grain(&self, now: Millis, step: impl Fn(Millis) -> Millis) -> Vec<OrderMessage> {
         let one = |(zone, o): (&u8, &Order)| {
-            let left = if o.stands(now) { o.until - now } else { 0 };
+            let left = if o.is_active(now) { o.expires_at - now } else { 0 };
             let left_s = (left.next_multiple_of(step(left)) / 1000).min(u64::from(u16::MAX)) as u16;
-            OrderMessage { zone: *zone, number: o.number, node: o.node, how: o.how, left_s }
+            OrderMessage { zone: *zone, number: o.number, node: o.node, kind: o.kind, left_s }
         };
         self.zones.iter().map(one).collect()
     }
 
-    /// Hears what another tells. What is newer holds; of the same order the shorter count does.
-    pub fn merge(&mut self, now: Millis, told: &[OrderMessage], zones: usize) {
-        for t in told {
+    /// Merges the orders of a message. A newer order replaces an older one; of the same order the shorter time left holds.
+    pub fn merge(&mut self, now: Millis, messages: &[OrderMessage], zones: usize) {
+        for t in messages {
             let left = Millis::from(t.left_s) * 1000;
-            if usize::from(t.zone) >= zones || t.number >= MOST_NUMBER || left > LONGEST + GRAIN.0 {
+            if usize::from(t.zone) >= zones || t.number >= MAX_NUMBER || left > MAX_ORDER_MS + GRAIN.0 {
                 continue;
             }
-            let heard = Order { number: t.number, node: t.node, how: t.how, until: now + left };
+            let received = Order { number: t.number, node: t.node, kind: t.kind, expires_at: now + left };
             self.zones
                 .entry(t.zone)
                 .and_modify(|known| {
-                    if heard.rank() > known.rank() {
-                        *known = heard;
-                    } else if heard.rank() == known.rank() {
-                        known.until = known.until.min(heard.until);
+                    if received.rank() > known.rank() {
+                        *known = received;
+                    } else if received.rank() == known.rank() {
+                        known.expires_at = known.expires_at.min(received.expires_at);
                     }
                 })
-                .or_insert(heard);
+                .or_insert(received);
         }
     }
 
-    /// Whether it knows an order that what was told lacks.
-    pub fn has_newer_than(&self, told: &[OrderMessage]) -> bool {
+    /// Whether an order is known that these messages lack.
+    pub fn has_newer_than(&self, messages: &[OrderMessage]) -> bool {
         let lacks = |(zone, o): (&u8, &Order)| {
-            !told.iter().any(|t| t.zone == *zone && (t.number, t.node) >= o.rank())
+            !messages.iter().any(|t| t.zone == *zone && (t.number, t.node) >= o.rank())
         };
         self.zones.iter().any(lacks)
     }
--- a/crates/plan/src/planner.rs
+++ b/crates/plan/src/planner.rs
@@ -1,82 +1,87 @@
-//! From what nodes see to a plan.
+//! The planner: turns evidence of nodes into a plan.
 
 use std::collections::BTreeMap;
 
 use serde::Deserialize;
 
 use crate::announcement::{Announced, Announcement};
-use crate::evidence::{ENOUGH, Evidence, PARTS, Plan, Zone, ZoneState};
+use crate::evidence::{Evidence, MIN_ATTEMPTS, Plan, UNITS_PER_ATTEMPT, ZonePlan, ZoneState};
 use crate::orders::{OrderKind, ZoneOrders};
 use crate::{MOST_ZONES, Millis};
 
 /// All nodes together must have sent a zone that is given up so many to tell how it is, and a node that decides for itself.
 const ENOUGH_SCOUTS: (f64, f64) = (2.0, 0.5);
-/// Nodes that are heard for this long count.
-const HEARD: Millis = 2_000;
-/// The longest hold before a return, a multiple of the usual one.
-const LONGEST_HOLD: u64 = 16;
-/// A node leaves a zone by itself when it has lost it for so long, in milliseconds: a plan takes about half of it.
-const ALONE: Millis = 1_500;
-/// In hundredths: of one node's keys so many must go on by which it sees that it can reach the zone again.
-const ALONE_SCOUTS: u8 = 5;
-/// In milliseconds: longer than this a zone is not kept because too few nodes know that it is the one to be given up. Nodes that see
-/// trouble ask for plans every 167 ms, and tell with the next question that they act on one.
-const LONGEST_ANNOUNCEMENT: Millis = 1_000;
-/// All of a zone's keys.
-const ALL: u8 = 100;
+/// How long evidence of a node counts, in milliseconds.
+const EVIDENCE_VALIDITY_MS: Millis = 2_000;
+/// The longest hold before a return, as a multiple of the usual one.
+const MAX_HOLD_FACTOR: u64 = 16;
+/// How long a node must have lost a zone before it leaves it by itself, in milliseconds: a plan takes about half as long.
+const SINGLE_NODE_CONFIRM_MS: Millis = 1_500;
+/// The percentage of one node's keys that must still go to a zone to show when the node can reach it again.
+const SINGLE_NODE_PROBE_PERCENT: u8 = 5;
+/// The longest time, in milliseconds, that a zone is kept because too few nodes know that it is to be given up. Nodes that see
+/// trouble query the leader every 167 ms, and report with the next query that they act on a plan.
+const MAX_ANNOUNCEMENT_MS: Millis = 1_000;
+/// The percentage that stands for all of a zone's keys.
+const ALL_KEYS_PERCENT: u8 = 100;
 
-/// Figures of the planner.
+/// Settings of the planner.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Tuning {
-    /// A node sees a zone as lost from this part of silent attempts on.
-    pub lost: f64,
-    /// A zone is given up when this part of the nodes that can tell see it as lost.
-    pub nodes: f64,
-    /// It is suspected for this long first, in milliseconds.
+    /// A node sees a zone as lost from this share of unanswered attempts on.
+    #[serde(rename = "lost")]
+    pub lost_share: f64,
+    /// A zone is given up when this share of the nodes that can judge it see it as lost.
+    #[serde(rename = "nodes")]
+    pub node_share: f64,
+    /// How long a zone is suspected first, in milliseconds.
     pub confirm_ms: Millis,
-    /// Between two steps of a move, in milliseconds: longer than a new plan takes to all nodes.
+    /// Between two steps of a move, in milliseconds: longer than a new plan takes to reach all nodes.
     pub step_ms: Millis,
-    /// The part of a zone's keys that a step away moves, in hundredths.
-    pub away: u8,
-    /// The part of its keys that stays with a zone that is given up, in hundredths: by it a return is seen.
-    pub scouts: u8,
-    /// A zone must answer for this long before it gets keys back, in milliseconds; twice as long after each return that failed.
+    /// The percentage of a zone's keys that one step moves away.
+    #[serde(rename = "away")]
+    pub step_percent: u8,
+    /// The percentage of its keys that stays with a zone that is given up: attempts there show when it is back.
+    #[serde(rename = "scouts")]
+    pub probe_percent: u8,
+    /// How long a zone must answer before it gets keys back, in milliseconds; twice as long after each failed return.
     pub hold_ms: Millis,
-    /// At most this part of the zones is given up at once: the others could not bear more.
-    pub most: f64,
+    /// The largest share of zones that is given up at once: the others could not bear more.
+    #[serde(rename = "most")]
+    pub max_zone_share: f64,
 }
 
 impl Default for Tuning {
     fn default() -> Self {
         Tuning {
-            lost: 0.6,
-            nodes: 0.25,
+            lost_share: 0.6,
+            node_share: 0.25,
             confirm_ms: 200,
             step_ms: 500,
-            away: 60,
-            scouts: 4,
+            step_percent: 60,
+            probe_percent: 4,
             hold_ms: 2_000,
-            most: 0.5,
+            max_zone_share: 0.5,
         }
     }
 }
 
 impl Tuning {
-    /// Looks whether every figure makes sense.
+    /// Checks that every setting is in its valid range.
     ///
     /// # Errors
-    /// The first one that does not: its key, and its value and range.
+    /// The first setting that is not: its key, and its value with the range.
     pub fn validate(&self) -> Result<(), (&'static str, String)> {
         let figures = [
-            ("lost", self.lost, 0.1, 1.0),
-            ("nodes", self.nodes, 0.01, 1.0),
+            ("lost", self.lost_share, 0.1, 1.0),
+            ("nodes", self.node_share, 0.01, 1.0),
             ("confirm_ms", self.confirm_ms as f64, 0.0, 60_000.0),
             ("step_ms", self.step_ms as f64, 100.0, 600_000.0),
-            ("away", f64::from(self.away), 1.0, 100.0),
-            ("scouts", f64::from(self.scouts), 1.0, 20.0),
+            ("away", f64::from(self.step_percent), 1.0, 100.0),
+            ("scouts", f64::from(self.probe_percent), 1.0, 20.0),
             ("hold_ms", self.hold_ms as f64, 100.0, 3_600_000.0),
-            ("most", self.most, 0.0, 1.0),
+            ("most", self.max_zone_share, 0.0, 1.0),
         ];
         for (key, value, least, most) in figures {
             if !(least..=most).contains(&value) {
@@ -88,90 +93,93 @@
 }
 
 #[derive(Clone, Debug)]
-struct Course {
-    zone: Zone,
-    /// Since when it is as it is, and when its last step was made.
+struct ZoneCourse {
+    planned: ZonePlan,
+    /// When it entered its state, and when its last step was made.
     since: Millis,
-    stepped: Millis,
+    stepped_at: Millis,
     /// Since when it answers, where it does.
-    well_since: Option<Millis>,
-    /// Enough nodes see it as lost now, and since when they did, but for times in which nobody could tell.
-    bad: bool,
+    answering_since: Option<Millis>,
+    /// Whether enough nodes see it as lost now, and since when, apart from times in which no node could judge it.
+    lost: bool,
     lost_since: Option<Millis>,
-    /// Who knows that it is suspected.
+    /// How other nodes know that it is suspected.
     announced: Announced,
-    hold: u64,
+    hold_factor: u64,
 }
 
-/// Makes plans. Whoever begins to decide begins with the plan that it has acted on, and with no evidence.
+/// Makes plans. A new leader starts with the plan that it has acted on, and without evidence.
 #[derive(Debug)]
 pub struct Planner {
-    figures: Tuning,
-    courses: Vec<Course>,
-    heard: BTreeMap<u16, (Millis, Evidence)>,
+    tuning: Tuning,
+    courses: Vec<ZoneCourse>,
+    evidence: BTreeMap<u16, (Millis, Evidence)>,
     orders: ZoneOrders,
-    /// It is one node's own.
-    alone: bool,
-    /// What others know of its plans, where it decides for them.
+    /// Whether it plans for one node only.
+    single_node: bool,
+    /// What other nodes know of its plans, where it plans for them.
     announcement: Option<Announcement>,
 }
 
 impl Planner {
-    /// For so many zones, going on from a plan.
-    pub fn new(figures: Tuning, zones: usize, plan: &Plan, now: Millis) -> Planner {
+    /// A planner for this many zones that continues a plan.
+    pub fn new(tuning: Tuning, zones: usize, plan: &Plan, now: Millis) -> Planner {
         let course = |i: usize| {
-            let zone =
-                plan.zones.get(i).copied().unwrap_or(Zone { state: ZoneState::Serving, open_percent: ALL });
-            Course {
-                zone,
+            let zone = plan
+                .zones
+                .get(i)
+                .copied()
+                .unwrap_or(ZonePlan { state: ZoneState::Serving, open_percent: ALL_KEYS_PERCENT });
+            ZoneCourse {
+                planned: zone,
                 since: now,
-                stepped: now,
-                well_since: None,
-                bad: false,
+                stepped_at: now,
+                answering_since: None,
+                lost: false,
                 lost_since: None,
                 announced: Announced::No,
-                hold: 1,
+                hold_factor: 1,
             }
         };
         let mut orders = ZoneOrders::default();
         orders.merge(now, &plan.orders, zones);
         let courses = (0..zones.min(MOST_ZONES)).map(course).collect();
-        Planner { figures, courses, heard: BTreeMap::new(), orders, alone: false, announcement: None }
+        Planner { tuning, courses, evidence: BTreeMap::new(), orders, single_node: false, announcement: None }
     }
 
-    /// The same for a node that begins to decide for others: until a time it only learns what its predecessor had planned, and it
-    /// gives a zone up only when others know that it is the one.
+    /// A planner for a new leader: until a time it only recovers its predecessor's plan, and it gives a zone up only when other
+    /// nodes know which one it is.
     pub fn for_new_leader(
-        figures: Tuning,
+        tuning: Tuning,
         zones: usize,
         plan: &Plan,
-        (now, learns_until): (Millis, Millis),
+        (now, recovery_ends): (Millis, Millis),
     ) -> Planner {
-        let announcement = Some(Announcement::new(learns_until));
-        Planner { announcement, ..Planner::new(figures, zones, plan, now) }
+        let announcement = Some(Announcement::new(recovery_ends));
+        Planner { announcement, ..Planner::new(tuning, zones, plan, now) }
     }
 
-    /// The predecessor's last plan, as a node has told it: goes on from that. Orders are told with evidence. Returns whether there
-    /// was still time for it.
+    /// Continues the predecessor's last plan, as a node has reported it. Its orders come with evidence. Returns whether recovery was
+    /// still going on.
     pub fn adopt_predecessor_plan(&mut self, now: Millis, plan: &Plan) -> bool {
-        if self.announcement.as_ref().is_none_or(|announcement| announcement.may_choose(now)) {
+        if self.announcement.as_ref().is_none_or(|announcement| announcement.recovery_is_over(now)) {
             return false;
         }
         for (course, zone) in self.courses.iter_mut().zip(&plan.zones) {
-            (course.zone, course.since, course.stepped) = (*zone, now, now);
+            (course.planned, course.since, course.stepped_at) = (*zone, now, now);
             course.announced = match zone.state {
-                ZoneState::Suspected => Announced::Earlier,
+                ZoneState::Suspected => Announced::ByPredecessor,
                 _ => Announced::No,
             };
         }
         true
     }
 
-    /// The plan as it is now is told to others under a sequence number; this node acts on it at once.
+    /// The present plan is sent to other nodes under a sequence number; this node acts on it at once.
     pub fn plan_published(&mut self, me: u16, sequence: u32) {
         for course in &mut self.courses {
-            course.announced = match (course.zone.state, course.announced) {
-                (ZoneState::Suspected, Announced::No) => Announced::With(sequence),
+            course.announced = match (course.planned.state, course.announced) {
+                (ZoneState::Suspected, Announced::No) => Announced::InPlan(sequence),
                 (ZoneState::Suspected, announced) => announced,
                 _ => Announced::No,
             };
@@ -179,69 +187,78 @@
         self.plan_applied(me, sequence);
     }
 
-    /// A node has acted on the plan of a sequence number, or on a later one.
+    /// A node has acted on the plan with a sequence number, or on a later one.
     pub fn plan_applied(&mut self, node: u16, sequence: u32) {
         if let Some(announcement) = &mut self.announcement {
-            announcement.follows(node, sequence);
+            announcement.plan_applied(node, sequence);
         }
     }
 
-    /// What one node does by itself about zones that the common plan keeps: fewer nodes than the plan goes by may have no way there,
-    /// or there is no room to give one more up. It waits until a plan would have moved, and leaves at least one zone.
-    pub fn for_single_node(figures: &Tuning, zones: usize, now: Millis) -> Planner {
+    /// A planner for what one node does by itself about zones that the common plan keeps: too few nodes for the plan may have lost the
+    /// zone, or no more zones may be given up. It waits until a plan would have moved, and keeps at least one zone.
+    pub fn for_single_node(tuning: &Tuning, zones: usize, now: Millis) -> Planner {
         let most = zones.saturating_sub(1) as f64 / zones.max(1) as f64;
-        let figures = Tuning { confirm_ms: ALONE, scouts: ALONE_SCOUTS, nodes: 1.0, most, ..figures.clone() };
-        Planner { alone: true, ..Planner::new(figures, zones, &Plan::default(), now) }
+        let figures = Tuning {
+            confirm_ms: SINGLE_NODE_CONFIRM_MS,
+            probe_percent: SINGLE_NODE_PROBE_PERCENT,
+            node_share: 1.0,
+            max_zone_share: most,
+            ..tuning.clone()
+        };
+        Planner { single_node: true, ..Planner::new(figures, zones, &Plan::default(), now) }
     }
 
-    /// What one node tells others of what it sees, where this is its own planner: to a zone that it has
-    /// left by itself and the common plan keeps it sends fewer attempts than others need to tell by. It
-    /// tells the zone as lost while those few are silent. What is left of earlier attempts fades in number
-    /// and not in its silent part, so that less than half an attempt tells nothing any more.
-    pub fn evidence_to_report(&self, seen: &Evidence, common: &Plan) -> Evidence {
-        let mut tells = seen.clone();
-        for (zone, (course, told)) in self.courses.iter().zip(&mut tells.zones).enumerate() {
+    /// The evidence that a node reports to others, where this is its own planner. To a zone that it has left by
+    /// itself and that the common plan keeps, it sends fewer attempts than others need to judge. It reports the
+    /// zone as lost while those few are unanswered. The remaining weight of earlier attempts fades, their share
+    /// of unanswered ones does not, so less than half an attempt reports nothing any more.
+    pub fn evidence_to_report(&self, measured: &Evidence, common: &Plan) -> Evidence {
+        let mut reported = measured.clone();
+        for (zone, (course, told)) in self.courses.iter().zip(&mut reported.zones).enumerate() {
             let (all, silent) = (f64::from(told.0), f64::from(told.1) / 255.0);
-            let still_lost = all >= ENOUGH_SCOUTS.1 * PARTS && silent >= self.figures.lost;
-            if still_lost && course.zone.state == ZoneState::GivenUp && common.open_share(zone) >= 1.0 {
+            let still_lost = all >= ENOUGH_SCOUTS.1 * UNITS_PER_ATTEMPT && silent >= self.tuning.lost_share;
+            if still_lost && course.planned.state == ZoneState::GivenUp && common.open_share(zone) >= 1.0 {
                 *told = Evidence::LOST;
             }
         }
-        tells
+        reported
     }
 
-    /// What a node sees.
+    /// Adds a node's evidence.
     pub fn add_evidence(&mut self, now: Millis, node: u16, evidence: Evidence) {
         self.orders.merge(now, &evidence.orders, self.courses.len());
-        self.heard.insert(node, (now, evidence));
+        self.evidence.insert(node, (now, evidence));
     }
 
-    /// The plan now.
+    /// The present plan.
     pub fn plan(&self, now: Millis) -> Plan {
-        Plan { zones: self.courses.iter().map(|c| c.zone).collect(), orders: self.orders.planned(now) }
+        Plan {
+            zones: self.courses.iter().map(|c| c.planned).collect(),
+            orders: self.orders.plan_messages(now),
+        }
     }
 
-    /// How many nodes see a zone as lost, and how many see that it answers: why the plan is as it is.
+    /// How many nodes see a zone as lost, and how many see that it answers: the reason for the plan.
     pub fn vote_counts(&self, zone: usize) -> Option<(usize, usize)> {
         (zone < self.courses.len()).then(|| self.votes(zone))
     }
 
-    /// One step: what nodes have told of late, and time.
+    /// Makes one step, from recent evidence and time.
     pub fn step(&mut self, now: Millis) -> Plan {
-        self.heard.retain(|_, (at, _)| *at + HEARD >= now);
-        // Parts such as two thirds are a little less than they should be.
-        let most = (self.figures.most * self.courses.len() as f64 + 1e-9).floor() as usize;
-        let may_choose = self.announcement.as_ref().is_none_or(|a| a.may_choose(now));
+        self.evidence.retain(|_, (at, _)| *at + EVIDENCE_VALIDITY_MS >= now);
+        // Shares such as two thirds are slightly less than exact in floating point.
+        let most = (self.tuning.max_zone_share * self.courses.len() as f64 + 1e-9).floor() as usize;
+        let may_choose = self.announcement.as_ref().is_none_or(|a| a.recovery_is_over(now));
         for i in 0..self.courses.len() {
             let (lost, well) = self.votes(i);
-            let room = self.reserved_beside(i) < most;
-            let known = self.is_known(i, now);
+            let room = self.others_given_up(i) < most;
+            let known = self.others_know(i, now);
             match self.orders.active(i, now) {
-                Some((how, _)) => self.courses[i].ordered(&self.figures, now, how),
+                Some((how, _)) => self.courses[i].apply_order(&self.tuning, now, how),
                 None => {
-                    self.courses[i].see(&self.figures, now, (lost, well));
+                    self.courses[i].apply_votes(&self.tuning, now, (lost, well));
                     if may_choose {
-                        self.courses[i].step(&self.figures, now, lost + well, room, known);
+                        self.courses[i].step(&self.tuning, now, lost + well, room, known);
                     }
                 }
             }
@@ -249,11 +266,11 @@
         self.plan(now)
     }
 
-    /// How many other zones are given up or are about to be. Of several that are suspected (a plan of an earlier version may have
-    /// those) the first ones go before the others.
-    fn reserved_beside(&self, zone: usize) -> usize {
-        let suspected = self.courses[zone].zone.state == ZoneState::Suspected;
-        let reserves = |(other, course): &(usize, &Course)| match course.zone.state {
+    /// How many other zones are given up or about to be. Of several suspected zones (a plan of an earlier version may have them) the
+    /// first ones go before the others.
+    fn others_given_up(&self, zone: usize) -> usize {
+        let suspected = self.courses[zone].planned.state == ZoneState::Suspected;
+        let reserves = |(other, course): &(usize, &ZoneCourse)| match course.planned.state {
             _ if *other == zone => false,
             ZoneState::GivenUp | ZoneState::Returning => true,
             ZoneState::Suspected => !suspected || *other < zone,
@@ -262,139 +279,148 @@
         self.courses.iter().enumerate().filter(reserves).count()
     }
 
-    /// Whether a zone may be given up as far as others must know of it first.
-    fn is_known(&self, zone: usize, now: Millis) -> bool {
+    /// Whether a zone may be given up, as far as other nodes must know of it first.
+    fn others_know(&self, zone: usize, now: Millis) -> bool {
         let Some(announcement) = &self.announcement else { return true };
         let course = &self.courses[zone];
-        now >= course.since + self.figures.confirm_ms + LONGEST_ANNOUNCEMENT
-            || announcement.is_known(course.announced, self.heard.keys())
+        now >= course.since + self.tuning.confirm_ms + MAX_ANNOUNCEMENT_MS
+            || announcement.is_known(course.announced, self.evidence.keys())
     }
 
     /// How many nodes see a zone as lost, and how many see that it answers.
     fn votes(&self, zone: usize) -> (usize, usize) {
-        let figures = || self.heard.values().filter_map(|(_, e)| e.zones.get(zone));
-        if self.courses[zone].zone.open_percent < ALL {
-            // Few go there: what all nodes together see counts as one that tells. It was given up for a part of the nodes,
-            // and must not come back while that part still loses what it sends.
+        let figures = || self.evidence.values().filter_map(|(_, e)| e.zones.get(zone));
+        if self.courses[zone].planned.open_percent < ALL_KEYS_PERCENT {
+            // Few attempts go there: the sum over all nodes counts as one vote. The zone was given up for some of the nodes,
+            // and must not come back while those still lose what they send.
             let (all, silent) = figures().fold((0.0, 0.0), |(all, silent), (a, s)| {
                 (all + f64::from(*a), silent + f64::from(*a) * f64::from(*s) / 255.0)
             });
-            let is = silent >= self.figures.lost.min(self.figures.nodes) * all;
-            let enough = if self.alone { ENOUGH_SCOUTS.1 } else { ENOUGH_SCOUTS.0 };
-            return if all < enough * PARTS { (0, 0) } else { (usize::from(is), usize::from(!is)) };
+            let is = silent >= self.tuning.lost_share.min(self.tuning.node_share) * all;
+            let enough = if self.single_node { ENOUGH_SCOUTS.1 } else { ENOUGH_SCOUTS.0 };
+            return if all < enough * UNITS_PER_ATTEMPT {
+                (0, 0)
+            } else {
+                (usize::from(is), usize::from(!is))
+            };
         }
-        let told = figures().filter(|(all, _)| f64::from(*all) >= ENOUGH * PARTS);
+        let told = figures().filter(|(all, _)| f64::from(*all) >= MIN_ATTEMPTS * UNITS_PER_ATTEMPT);
         told.fold((0, 0), |(lost, well), (_, silent)| {
-            let is = f64::from(*silent) / 255.0 >= self.figures.lost;
+            let is = f64::from(*silent) / 255.0 >= self.tuning.lost_share;
             (lost + usize::from(is), well + usize::from(!is))
         })
     }
 }
 
-impl Course {
-    fn become_(&mut self, now: Millis, state: ZoneState) {
-        if self.zone.state != state {
-            (self.zone.state, self.since) = (state, now);
+impl ZoneCourse {
+    fn enter(&mut self, now: Millis, state: ZoneState) {
+        if self.planned.state != state {
+            (self.planned.state, self.since) = (state, now);
         }
     }
 
-    /// What nodes tell of it now. Where nobody can tell, nothing changes but what time alone moves.
-    fn see(&mut self, figures: &Tuning, now: Millis, (lost, well): (usize, usize)) {
+    /// Applies the votes. Where no node can judge the zone, only time changes anything.
+    fn apply_votes(&mut self, tuning: &Tuning, now: Millis, (lost, well): (usize, usize)) {
         let told = lost + well;
-        self.bad = lost > 0 && lost as f64 >= figures.nodes * told as f64;
-        let well = !self.bad && told > 0;
-        if well || !self.bad && self.zone.state == ZoneState::Serving {
+        self.lost = lost > 0 && lost as f64 >= tuning.node_share * told as f64;
+        let well = !self.lost && told > 0;
+        if well || !self.lost && self.planned.state == ZoneState::Serving {
             self.lost_since = None;
-        } else if self.bad {
+        } else if self.lost {
             self.lost_since = self.lost_since.or(Some(now));
         }
-        self.well_since = if self.bad { None } else { self.well_since.or(well.then_some(now)) };
+        self.answering_since = if self.lost { None } else { self.answering_since.or(well.then_some(now)) };
     }
 
-    fn step(&mut self, figures: &Tuning, now: Millis, told: usize, room: bool, known: bool) {
-        let bad = self.bad;
-        let confirmed = self.lost_since.is_some_and(|since| now >= since + figures.confirm_ms);
-        let due = now >= self.stepped + figures.step_ms;
-        match self.zone.state {
-            // The one that is suspected is the one that others know to be given up next: no more of them than there is room for.
-            ZoneState::Serving if bad && room => self.become_(now, ZoneState::Suspected),
+    fn step(&mut self, tuning: &Tuning, now: Millis, told: usize, room: bool, known: bool) {
+        let bad = self.lost;
+        let confirmed = self.lost_since.is_some_and(|since| now >= since + tuning.confirm_ms);
+        let due = now >= self.stepped_at + tuning.step_ms;
+        match self.planned.state {
+            // A suspected zone is the one that others know to be given up next: no more of them than there is room for.
+            ZoneState::Serving if bad && room => self.enter(now, ZoneState::Suspected),
             ZoneState::Serving => {
-                if now >= self.since + figures.hold_ms * LONGEST_HOLD {
-                    self.hold = 1;
+                if now >= self.since + tuning.hold_ms * MAX_HOLD_FACTOR {
+                    self.hold_factor = 1;
                 }
             }
-            ZoneState::Suspected if !bad && told > 0 => self.become_(now, ZoneState::Serving),
-            // Nobody can tell any more: it does not keep the room from others.
-            ZoneState::Suspected if !bad && now >= self.since + figures.confirm_ms + LONGEST_ANNOUNCEMENT => {
-                self.become_(now, ZoneState::Serving);
+            ZoneState::Suspected if !bad && told > 0 => self.enter(now, ZoneState::Serving),
+            // No node can judge it any more: it does not take the room of other zones.
+            ZoneState::Suspected if !bad && now >= self.since + tuning.confirm_ms + MAX_ANNOUNCEMENT_MS => {
+                self.enter(now, ZoneState::Serving);
             }
             ZoneState::Suspected => {
                 if bad && confirmed && room && known {
-                    self.become_(now, ZoneState::GivenUp);
-                    self.away(figures, now);
+                    self.enter(now, ZoneState::GivenUp);
+                    self.step_away(tuning, now);
                 }
             }
-            // Kept out by hand until now: scouts first, by which it is seen whether it answers.
-            ZoneState::GivenUp if self.zone.open_percent < figures.scouts => {
-                self.zone.open_percent = figures.scouts;
-                (self.stepped, self.well_since) = (now, None);
+            // An order has kept it out until now: probe traffic first, which shows whether it answers.
+            ZoneState::GivenUp if self.planned.open_percent < tuning.probe_percent => {
+                self.planned.open_percent = tuning.probe_percent;
+                (self.stepped_at, self.answering_since) = (now, None);
             }
             ZoneState::GivenUp => {
-                let answers = self.well_since.is_some_and(|since| now >= since + figures.hold_ms * self.hold);
+                let answers = self
+                    .answering_since
+                    .is_some_and(|since| now >= since + tuning.hold_ms * self.hold_factor);
                 if answers && due {
-                    self.become_(now, ZoneState::Returning);
-                    self.back(now);
-                } else if due && self.zone.open_percent > figures.scouts {
-                    self.away(figures, now);
+                    self.enter(now, ZoneState::Returning);
+                    self.step_back(now);
+                } else if due && self.planned.open_percent > tuning.probe_percent {
+                    self.step_away(tuning, now);
                 }
             }
             ZoneState::Returning if bad => {
-                self.hold = (self.hold * 2).min(LONGEST_HOLD);
-                self.become_(now, ZoneState::GivenUp);
-                self.zone.open_percent = figures.scouts;
-                self.stepped = now;
+                self.hold_factor = (self.hold_factor * 2).min(MAX_HOLD_FACTOR);
+                self.enter(now, ZoneState::GivenUp);
+                self.planned.open_percent = tuning.probe_percent;
+                self.stepped_at = now;
             }
-            ZoneState::Returning if due => self.back(now),
+            ZoneState::Returning if due => self.step_back(now),
             ZoneState::Returning => {}
         }
     }
 
-    /// Staff's word goes before what nodes see; it moves keys in the same steps.
-    fn ordered(&mut self, figures: &Tuning, now: Millis, how: OrderKind) {
-        // What is seen meanwhile is not held against the zone, nor for it, when the order ends.
-        (self.well_since, self.lost_since, self.hold) = (None, None, 1);
-        let due = now >= self.stepped + figures.step_ms;
-        match how {
+    /// Applies an operator's order, which takes precedence over evidence and moves keys in the same steps.
+    fn apply_order(&mut self, tuning: &Tuning, now: Millis, kind: OrderKind) {
+        // What is measured meanwhile counts neither against the zone nor for it when the order ends.
+        (self.answering_since, self.lost_since, self.hold_factor) = (None, None, 1);
+        let due = now >= self.stepped_at + tuning.step_ms;
+        match kind {
             OrderKind::KeepOut | OrderKind::Drain => {
-                let first = self.zone.state != ZoneState::GivenUp;
-                self.become_(now, ZoneState::GivenUp);
-                if self.zone.open_percent > 0 && (first || due) {
-                    self.zone.open_percent = self.zone.open_percent.saturating_sub(figures.away);
-                    self.stepped = now;
+                let first = self.planned.state != ZoneState::GivenUp;
+                self.enter(now, ZoneState::GivenUp);
+                if self.planned.open_percent > 0 && (first || due) {
+                    self.planned.open_percent = self.planned.open_percent.saturating_sub(tuning.step_percent);
+                    self.stepped_at = now;
                 }
             }
-            OrderKind::KeepIn if self.zone.open_percent == ALL => self.become_(now, ZoneState::Serving),
+            OrderKind::KeepIn if self.planned.open_percent == ALL_KEYS_PERCENT => {
+                self.enter(now, ZoneState::Serving)
+            }
             OrderKind::KeepIn => {
-                self.become_(now, ZoneState::Returning);
+                self.enter(now, ZoneState::Returning);
                 if due {
-                    self.back(now);
+                    self.step_back(now);
                 }
             }
             OrderKind::Released => {}
         }
     }
 
-    fn away(&mut self, figures: &Tuning, now: Millis) {
-        self.zone.open_percent = self.zone.open_percent.saturating_sub(figures.away).max(figures.scouts);
-        self.stepped = now;
+    fn step_away(&mut self, tuning: &Tuning, now: Millis) {
+        self.planned.open_percent =
+            self.planned.open_percent.saturating_sub(tuning.step_percent).max(tuning.probe_percent);
+        self.stepped_at = now;
     }
 
-    /// Cold as it is, it gets its keys back in steps that double.
-    fn back(&mut self, now: Millis) {
-        self.zone.open_percent = self.zone.open_percent.saturating_mul(2).clamp(10, ALL);
-        self.stepped = now;
-        if self.zone.open_percent == ALL {
-            self.become_(now, ZoneState::Serving);
+    /// Gives keys back to a cold zone, in steps that double.
+    fn step_back(&mut self, now: Millis) {
+        self.planned.open_percent = self.planned.open_percent.saturating_mul(2).clamp(10, ALL_KEYS_PERCENT);
+        self.stepped_at = now;
+        if self.planned.open_percent == ALL_KEYS_PERCENT {
+            self.enter(now, ZoneState::Serving);
         }
     }
 }
--- a/crates/plan/src/seen.rs
+++ b/crates/plan/src/seen.rs
@@ -1,55 +1,55 @@
-//! What a node has seen of each zone of late.
+//! A node's recent attempts by zone.
 
 use crate::evidence::Evidence;
 
 /// What a step keeps of what was seen before it: evidence is of about the last half second, and of a zone to which only scouts go, of
 /// more than a second. (Nodes with little traffic need no longer memory: in a fleet some have seen enough at any time.)
 const KEEP: (f64, f64) = (0.5, 0.8);
-/// Only scouts go where no more of the keys do.
-const SCOUTS: f64 = 0.05;
+/// A zone gets only probe traffic at this share of its keys or less.
+const PROBE_SHARE: f64 = 0.05;
 
-/// What became of attempts in a zone during a step.
+/// Attempts in a zone during one step.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AttemptCounts {
     /// Answered in time, whatever the answer.
     pub answered: u32,
     /// Not answered in time.
     pub unanswered: u32,
-    /// Answered after all, of those that were silent in this step or in one before.
+    /// Answered late: attempts that counted as unanswered in this step or an earlier one.
     pub answered_late: u32,
 }
 
-/// Attempts and silent ones among them by zone, fading.
+/// Attempts by zone and the unanswered ones among them, with exponential decay.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RecentAttempts {
     zones: Vec<(f64, f64)>,
 }
 
 impl RecentAttempts {
-    /// Of so many zones, nothing yet.
+    /// For this many zones, without attempts yet.
     pub fn new(zones: usize) -> RecentAttempts {
         RecentAttempts { zones: vec![(0.0, 0.0); zones] }
     }
 
-    /// What became of the attempts of a step, and the part of its keys that goes to each zone; all of them to those beyond it.
+    /// Adds the attempts of one step. `open` is the share of its keys that goes to each zone, 1 for zones beyond it.
     pub fn record(&mut self, steps: &[AttemptCounts], open: &[f64]) {
         for (zone, ((all, silent), step)) in self.zones.iter_mut().zip(steps).enumerate() {
             let now = f64::from(step.answered + step.unanswered);
-            // What comes late after all was counted as silent steps ago: its server is far or cold, and not gone. Taken back only
-            // from what fell silent in the same step, a zone whose answers take long would look gone for as long as they do.
+            // A late answer was counted as unanswered steps ago: its server is far or cold, not gone. If it were subtracted only from
+            // attempts of the same step, a zone with slow answers would look gone for as long as they are slow.
             let lost = f64::from(step.unanswered) - f64::from(step.answered_late);
-            let scouts = open.get(zone).is_some_and(|open| *open <= SCOUTS);
+            let scouts = open.get(zone).is_some_and(|open| *open <= PROBE_SHARE);
             let keep = if scouts { KEEP.1 } else { KEEP.0 };
             (*all, *silent) = (*all * keep + now, (*silent * keep + lost).max(0.0));
         }
     }
 
-    /// By zone: attempts of late, and the silent ones among them.
+    /// By zone: recent attempts, and the unanswered ones among them.
     pub fn zones(&self) -> &[(f64, f64)] {
         &self.zones
     }
 
-    /// What the node tells of it.
+    /// The evidence that the node reports.
     pub fn evidence(&self) -> Evidence {
         Evidence::from_counts(self.zones.iter().copied())
     }
@@ -79,7 +79,7 @@
             silent / all
         };
         assert!(lost(2) > 0.7 && lost(1) < 0.6);
-        // Each is late: what is silent in a step came after all in the next.
+        // Each is late: what is unanswered in one step is answered in the next.
         let (_, silent) = after(40, AttemptCounts { answered: 0, unanswered: 4, answered_late: 4 }, 1.0);
         assert_eq!(silent, 0.0);
         let one = AttemptCounts { answered: 1, ..AttemptCounts::default() };
--- a/crates/plan/tests/orders.rs
+++ b/crates/plan/tests/orders.rs
@@ -1,10 +1,10 @@
-//! Staff's orders: they outlive whoever took them, end by themselves, and nothing that comes late, twice or from before brings one
-//! back.
+//! Operators' orders: they outlive the node that accepted them, expire by themselves, and no late, duplicate or old message brings
+//! one back.
 #![allow(missing_docs)]
 
 use mothpier_plan::{
-    Evidence, LONGEST, MOST_ZONES, Millis, OrderKind, Plan, Planner, Refused, Tuning, Zone, ZoneOrder,
-    ZoneOrders, ZoneState,
+    Evidence, MAX_ORDER_MS, MOST_ZONES, Millis, OrderError, OrderKind, Plan, Planner, Tuning, ZoneOrder,
+    ZoneOrders, ZonePlan, ZoneState,
 };
 use oorandom::Rand64;
 
@@ -12,7 +12,7 @@
     ZoneOrder { zone, kind: how, duration_ms: seconds * 1000 }
 }
 
-/// Nodes that hear of each other's orders only by messages, each with a clock of its own.
+/// Nodes that learn of each other's orders only by messages, each with its own clock.
 struct Fleet {
     nodes: Vec<(ZoneOrders, Millis)>,
     sent: Vec<Vec<mothpier_plan::OrderMessage>>,
@@ -20,7 +20,7 @@
 
 impl Fleet {
     fn new(count: usize) -> Fleet {
-        // Clocks begin anywhere.
+        // Clocks start at different values.
         let nodes = (0..count).map(|i| (ZoneOrders::default(), 1_000 * i as Millis)).collect();
         Fleet { nodes, sent: Vec::new() }
     }
@@ -51,7 +51,7 @@
     fleet.nodes[0].0.issue(0, 0, wish(2, OrderKind::KeepOut, 60), 3).unwrap();
     let early = fleet.tells(0);
     fleet.hears(1, early);
-    // The one that took it dies and comes back from nothing; the second tells the third.
+    // The node that accepted it restarts without state; the second node informs the third.
     fleet.nodes[0].0 = ZoneOrders::default();
     fleet.pass(5_000);
     let later = fleet.tells(1);
@@ -60,10 +60,10 @@
     assert_eq!([0, 1, 2].map(|node| fleet.of(node, 1)), [None; 3]);
     fleet.pass(56_000);
     assert_eq!([0, 1, 2].map(|node| fleet.of(node, 2)), [None; 3], "its end comes without a word");
-    // What it told at first comes a minute late, to all.
+    // The first message arrives a minute late, at all nodes.
     (0..3).for_each(|node| fleet.hears(node, early));
     assert_eq!([0, 1, 2].map(|node| fleet.of(node, 2)), [None; 3], "a late message has brought it back");
-    // A release is newer than what it releases, whoever hears them in which order.
+    // A release is newer than what it releases, in whatever order they arrive.
     let (orders, now) = &mut fleet.nodes[1];
     orders.issue(*now, 1, wish(2, OrderKind::KeepIn, 600), 3).unwrap();
     let held = fleet.tells(1);
@@ -103,7 +103,7 @@
                 }
                 1 => fleet.nodes[node].0 = ZoneOrders::default(),
                 2..8 => drop(fleet.tells(node)),
-                // The last few messages may come, each any number of times; older ones are gone.
+                // One of the last few messages arrives, each any number of times; older ones are lost.
                 _ if !fleet.sent.is_empty() => {
                     let all = fleet.sent.len();
                     fleet.hears(node, all - 1 - draw(all.min(8) as u64) as usize);
@@ -121,7 +121,7 @@
             let all = [0, 1, 2, 3].map(|node| fleet.of(node, zone));
             assert_eq!(all, [all[0]; 4], "seed {seed}: nodes that hear each other differ over zone {zone}");
         }
-        // Messages may have been some seconds old when they told how long was left.
+        // Messages may have been some seconds old when they reported the time left.
         let end = last_end.iter().max().unwrap() + 20_000;
         fleet.pass(end.saturating_sub(time));
         let none = (0..4).all(|node| (0..3).all(|zone| fleet.of(node, zone).is_none()));
@@ -132,19 +132,22 @@
 #[test]
 fn orders_that_make_no_sense_are_refused_and_the_last_zone_is_kept() {
     let mut orders = ZoneOrders::default();
-    assert_eq!(orders.issue(0, 0, wish(3, OrderKind::KeepOut, 60), 3), Err(Refused::NoZone));
-    assert_eq!(orders.issue(0, 0, wish(0, OrderKind::KeepOut, 0), 3), Err(Refused::Span));
-    assert_eq!(orders.issue(0, 0, wish(0, OrderKind::KeepOut, LONGEST / 1000 + 1), 3), Err(Refused::Span));
+    assert_eq!(orders.issue(0, 0, wish(3, OrderKind::KeepOut, 60), 3), Err(OrderError::UnknownZone));
+    assert_eq!(orders.issue(0, 0, wish(0, OrderKind::KeepOut, 0), 3), Err(OrderError::Duration));
+    assert_eq!(
+        orders.issue(0, 0, wish(0, OrderKind::KeepOut, MAX_ORDER_MS / 1000 + 1), 3),
+        Err(OrderError::Duration)
+    );
     orders.issue(0, 0, wish(0, OrderKind::KeepOut, 60), 3).unwrap();
     orders.issue(0, 0, wish(2, OrderKind::Drain, 60), 3).unwrap();
-    assert_eq!(orders.issue(0, 0, wish(1, OrderKind::KeepOut, 60), 3), Err(Refused::LastZone));
+    assert_eq!(orders.issue(0, 0, wish(1, OrderKind::KeepOut, 60), 3), Err(OrderError::LastZone));
     orders.issue(0, 0, wish(1, OrderKind::KeepIn, 60), 3).unwrap();
     orders.issue(61_000, 0, wish(1, OrderKind::KeepOut, 60), 3).unwrap();
     assert_eq!(orders.active(0, 59_999), Some((OrderKind::KeepOut, 1)));
     assert_eq!(orders.active(0, 60_000), None);
 }
 
-/// A plan's course over a time in which all nodes tell the same.
+/// Runs a planner over a time in which all nodes report the same evidence.
 fn run(planner: &mut Planner, from: Millis, to: Millis, silent: f64, orders: &ZoneOrders) -> Plan {
     let mut plan = planner.plan(from);
     for now in (from..to).step_by(100) {
@@ -159,24 +162,28 @@
 
 #[test]
 fn the_plan_keeps_a_zone_out_or_in_as_ordered_moves_in_steps_and_goes_by_what_is_seen_afterwards() {
-    let serving = Zone { state: ZoneState::Serving, open_percent: 100 };
+    let serving = ZonePlan { state: ZoneState::Serving, open_percent: 100 };
     let mut planner = Planner::new(Tuning::default(), 3, &Plan::default(), 0);
     let mut orders = ZoneOrders::default();
     orders.issue(0, 4, wish(2, OrderKind::KeepOut, 60), 3).unwrap();
     let first = run(&mut planner, 0, 200, 0.0, &orders);
-    assert_eq!(first.zones[2], Zone { state: ZoneState::GivenUp, open_percent: 40 }, "in steps, as any move");
+    assert_eq!(
+        first.zones[2],
+        ZonePlan { state: ZoneState::GivenUp, open_percent: 40 },
+        "in steps, as any move"
+    );
     let plan = run(&mut planner, 200, 20_000, 0.0, &orders);
-    assert_eq!(plan.zones, [serving, serving, Zone { state: ZoneState::GivenUp, open_percent: 0 }]);
+    assert_eq!(plan.zones, [serving, serving, ZonePlan { state: ZoneState::GivenUp, open_percent: 0 }]);
     assert_eq!(plan.active_order(2), Some(OrderKind::KeepOut));
     let names = ["east", "west", "south"].map(String::from);
     assert_eq!(plan.describe(&names), "south is kept out by staff, 0% of its keys go there");
-    // A new decider that knows this plan alone goes on from it.
+    // A new leader that knows only this plan continues it.
     let mut next = Planner::new(Tuning::default(), 3, &Plan::decode(&plan.encode()).unwrap(), 20_000);
     let plan = run(&mut next, 20_000, 50_000, 0.0, &ZoneOrders::default());
     assert_eq!(plan.zones[2].open_percent, 0);
     let plan = run(&mut next, 50_000, 90_000, 0.0, &ZoneOrders::default());
     assert_eq!(plan.zones[2], serving, "its end has come: scouts, then back in steps");
-    // Kept in, it is not given up whatever nodes see, and a zone that is away comes back.
+    // Kept in, it is not given up whatever the evidence says, and a zone that was given up returns.
     let mut orders = ZoneOrders::default();
     let gone = run(&mut next, 90_000, 93_000, 1.0, &orders);
     assert_eq!(gone.zones[2].open_percent, 4);
@@ -192,19 +199,19 @@
 fn orders_fit_into_a_message_and_what_is_cut_or_nonsense_is_not_read() {
     let mut orders = ZoneOrders::default();
     for zone in 0..MOST_ZONES - 1 {
-        orders.issue(0, 9, wish(zone, OrderKind::KeepOut, LONGEST / 1000), MOST_ZONES).unwrap();
+        orders.issue(0, 9, wish(zone, OrderKind::KeepOut, MAX_ORDER_MS / 1000), MOST_ZONES).unwrap();
     }
-    let zones = vec![Zone { state: ZoneState::GivenUp, open_percent: 0 }; MOST_ZONES];
+    let zones = vec![ZonePlan { state: ZoneState::GivenUp, open_percent: 0 }; MOST_ZONES];
     let plan = Plan { zones, orders: orders.messages(0) };
     let bytes = plan.encode();
     assert!(bytes.len() <= 2 + 9 * MOST_ZONES);
     assert_eq!(Plan::decode(&bytes), Ok(plan));
     for length in 1..bytes.len() {
-        // Cut behind a whole order it is a plan with fewer: a message's checksum is what tells.
+        // Truncated behind a whole order it is a plan with fewer orders: the checksum of the message detects that.
         assert!(Plan::decode(&bytes[..length]).is_err() || (length - 2 - 2 * MOST_ZONES).is_multiple_of(7));
     }
     assert!(Plan::decode(&[2, 0, 0x42, 0, 0, 0, 0, 0, 0]).is_err(), "no such order");
-    // Numbers and spans that nobody gives are not heard.
+    // Invalid numbers and durations are ignored.
     let mut heard = ZoneOrders::default();
     for told in [[2, 0, 0x20, 0xff, 0xff, 0, 0, 60, 0], [2, 0, 0x20, 1, 0, 0, 0, 0xff, 0xff]] {
         heard.merge(0, &Plan::decode(&told).unwrap().orders, 3);
--- a/crates/plan/tests/succession.rs
+++ b/crates/plan/tests/succession.rs
@@ -1,18 +1,18 @@
-//! A decider whose predecessor may have given a zone up: of two zones that can't both be, the same one is given up.
+//! A leader whose predecessor may have given a zone up: of two zones that can't both be, the same one is given up.
 #![allow(missing_docs)]
 
-use mothpier_plan::{Evidence, Millis, Plan, Planner, Tuning, Zone, ZoneState};
+use mothpier_plan::{Evidence, Millis, Plan, Planner, Tuning, ZonePlan, ZoneState};
 
-/// Until when a decider that begins at 0 learns.
+/// Until when a leader that starts at 0 recovers its predecessor's plan.
 const LEARNS_UNTIL: Millis = 300;
-const SERVING: Zone = Zone { state: ZoneState::Serving, open_percent: 100 };
-const SUSPECTED: Zone = Zone { state: ZoneState::Suspected, open_percent: 100 };
+const SERVING: ZonePlan = ZonePlan { state: ZoneState::Serving, open_percent: 100 };
+const SUSPECTED: ZonePlan = ZonePlan { state: ZoneState::Suspected, open_percent: 100 };
 
 fn decider(plan: &Plan) -> Planner {
     Planner::for_new_leader(Tuning::default(), 3, plan, (0, LEARNS_UNTIL))
 }
 
-/// Zones 0 and 2 of three are cut from each other: six of nine nodes see the other one silent.
+/// Zones 0 and 2 of three are cut off from each other: six of nine nodes see the other zone as unanswered.
 fn cut(planner: &mut Planner, now: Millis) -> Plan {
     for node in 0..9 {
         let silent = |zone: usize| match (node % 3, zone) {
@@ -76,7 +76,7 @@
     }
     planner.plan_published(0, 7);
     (1..4).for_each(|node| planner.plan_applied(node, 7));
-    // One that has acted on an earlier plan only does not know.
+    // A node that has acted on an earlier plan only does not know.
     planner.plan_applied(4, 6);
     for later in [100, 400, 700] {
         assert!(given_up(&cut(&mut planner, now + later)).is_empty(), "four of nine know");
--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -1,4 +1,4 @@
-//! RESP2 frames off a buffer and onto one. The crate decodes; the scan before it bounds what it is given.
+//! Reading and writing RESP2 frames. `redis_protocol` decodes; the scan before it bounds what it is given.
 
 use std::fmt;
 
@@ -6,18 +6,18 @@
 use redis_protocol::resp2::types::BytesFrame;
 use redis_protocol::resp2::{decode, encode};
 
-/// The largest value of a key.
+/// The largest value of a key, in bytes.
 pub const MAX_VALUE_BYTES: usize = 4 << 20;
-/// A value up to this size is taken whole; what is larger passes in pieces.
+/// A value up to this size is buffered whole; a larger one is streamed.
 pub const MAX_BUFFERED_VALUE_BYTES: usize = 64 * 1024;
-/// The longest simple string or error line.
-const MAX_LINE: usize = 1024;
-/// The longest number of a header, with its end of line.
-const MAX_NUMBER: usize = 12;
-/// Elements of one frame, nested ones too: also bounds the depth to which the decoder recurses.
+/// The longest simple string or error line, in bytes.
+const MAX_LINE_BYTES: usize = 1024;
+/// The longest number in a header, in bytes, with its end of line.
+const MAX_NUMBER_BYTES: usize = 12;
+/// The most elements of one frame, nested ones included: also bounds the recursion of the decoder.
 const MAX_ELEMENTS: usize = 32;
 
-/// What can't be the beginning of a frame, in words.
+/// Why bytes can't be the beginning of a frame.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Malformed(pub &'static str);
 
@@ -27,72 +27,72 @@
     }
 }
 
-/// Takes the first whole frame off a buffer; `None` while it has not all come. Values of at most `most` bytes.
+/// Takes the first complete frame off a buffer; `None` while it is incomplete. Values may have `max_value` bytes.
 ///
 /// # Errors
-/// Where it can't be read.
-pub fn take_frame(buffer: &mut BytesMut, most: usize) -> Result<Option<BytesFrame>, Malformed> {
-    let Some(bytes) = take_bytes(buffer, most)? else { return Ok(None) };
+/// The frame can't be read.
+pub fn take_frame(buffer: &mut BytesMut, max_value: usize) -> Result<Option<BytesFrame>, Malformed> {
+    let Some(bytes) = take_bytes(buffer, max_value)? else { return Ok(None) };
     match decode::decode_bytes(&bytes) {
         Ok(Some((frame, used))) if used == bytes.len() => Ok(Some(frame)),
         _ => Err(Malformed("unreadable frame")),
     }
 }
 
-/// As [`take_frame`], without a look into the frame: its bytes.
+/// As [`take_frame`], but returns the frame's bytes without decoding them.
 ///
 /// # Errors
-/// Where its extent can't be read.
-pub fn take_bytes(buffer: &mut BytesMut, most: usize) -> Result<Option<Bytes>, Malformed> {
-    let length = first_frame(buffer, most)?.map(<[u8]>::len);
+/// The frame's extent can't be determined.
+pub fn take_bytes(buffer: &mut BytesMut, max_value: usize) -> Result<Option<Bytes>, Malformed> {
+    let length = first_frame(buffer, max_value)?.map(<[u8]>::len);
     Ok(length.map(|length| buffer.split_to(length).freeze()))
 }
 
-/// The bytes of the first whole frame; `None` while it has not all come. Values of at most `most` bytes.
+/// The bytes of the first complete frame; `None` while it is incomplete. Values may have `max_value` bytes.
 ///
 /// # Errors
-/// Where its extent can't be read.
-pub fn first_frame(bytes: &[u8], most: usize) -> Result<Option<&[u8]>, Malformed> {
-    match frame_extent(bytes, most)? {
+/// The frame's extent can't be determined.
+pub fn first_frame(bytes: &[u8], max_value: usize) -> Result<Option<&[u8]>, Malformed> {
+    match frame_extent(bytes, max_value)? {
         FrameExtent::Complete(end) => Ok(Some(&bytes[..end])),
         FrameExtent::Unknown | FrameExtent::InValue { .. } => Ok(None),
     }
 }
 
-/// How far the first frame of a buffer goes.
+/// How far the first frame of a buffer extends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameExtent {
-    /// It is all there, and so long.
+    /// The frame is complete and has this length.
     Complete(usize),
-    /// The head of an element, or of the frame, has not all come.
+    /// A header, of an element or of the frame, is incomplete.
     Unknown,
-    /// It stops inside a value.
+    /// The buffer ends inside a value.
     InValue {
-        /// Where the value's own header begins.
+        /// The offset of the value's header.
         header: usize,
-        /// The bytes of the frame up to the end of this value.
+        /// The offset of the end of this value.
         end: usize,
-        /// Whether it is the last element.
+        /// Whether the value is the frame's last element.
         last: bool,
     },
 }
 
-/// How far the first frame goes. Walks headers only, so that a value that comes in many parts is not decoded
-/// anew with each, and refuses what is too large or too deep before anything is kept for it.
-pub fn frame_extent(bytes: &[u8], most: usize) -> Result<FrameExtent, Malformed> {
-    let (mut at, mut left, mut seen) = (0, 1usize, 0usize);
-    while left > 0 {
-        left -= 1;
-        seen += 1;
-        let header = at;
-        let Some(kind) = bytes.get(at) else { return Ok(FrameExtent::Unknown) };
+/// Finds the extent of the first frame. Walks headers only, so that a value that arrives in many parts is not decoded
+/// again with each, and rejects what is too large or too deep before any memory is allocated for it.
+pub fn frame_extent(bytes: &[u8], max_value: usize) -> Result<FrameExtent, Malformed> {
+    let (mut offset, mut elements_left, mut elements_seen) = (0, 1usize, 0usize);
+    while elements_left > 0 {
+        elements_left -= 1;
+        elements_seen += 1;
+        let header = offset;
+        let Some(kind) = bytes.get(offset) else { return Ok(FrameExtent::Unknown) };
         let limit = match kind {
-            b'$' | b'*' => MAX_NUMBER,
-            b':' => MAX_NUMBER * 2,
-            b'+' | b'-' => MAX_LINE,
+            b'$' | b'*' => MAX_NUMBER_BYTES,
+            b':' => MAX_NUMBER_BYTES * 2,
+            b'+' | b'-' => MAX_LINE_BYTES,
             _ => return Err(Malformed("unknown frame type")),
         };
-        let line = &bytes[at + 1..bytes.len().min(at + 1 + limit)];
+        let line = &bytes[offset + 1..bytes.len().min(offset + 1 + limit)];
         let Some(length) = line.iter().position(|b| *b == b'\n') else {
             return if line.len() == limit {
                 Err(Malformed("line too long"))
@@ -101,45 +101,45 @@
             };
         };
         let Some(text) = line[..length].strip_suffix(b"\r") else { return Err(Malformed("bad end of line")) };
-        at += 2 + length;
+        offset += 2 + length;
         if !matches!(kind, b'$' | b'*') || text == b"-1" {
             continue;
         }
         let number = std::str::from_utf8(text).ok().filter(|t| t.bytes().all(|b| b.is_ascii_digit()));
         let number: usize = number.and_then(|t| t.parse().ok()).ok_or(Malformed("bad length"))?;
         if *kind == b'*' {
-            if number > MAX_ELEMENTS || seen + left + number > MAX_ELEMENTS {
+            if number > MAX_ELEMENTS || elements_seen + elements_left + number > MAX_ELEMENTS {
                 return Err(Malformed("too many elements"));
             }
-            left += number;
+            elements_left += number;
             continue;
         }
-        if number > most {
+        if number > max_value {
             return Err(Malformed("value too large"));
         }
-        at += number + 2;
-        match bytes.get(at - 2..at) {
-            None => return Ok(FrameExtent::InValue { header, end: at, last: left == 0 }),
+        offset += number + 2;
+        match bytes.get(offset - 2..offset) {
+            None => return Ok(FrameExtent::InValue { header, end: offset, last: elements_left == 0 }),
             Some(b"\r\n") => {}
             Some(_) => return Err(Malformed("bad end of value")),
         }
     }
-    Ok(FrameExtent::Complete(at))
+    Ok(FrameExtent::Complete(offset))
 }
 
-/// A large value at the beginning of a cache server's answer.
+/// The header of a large value at the beginning of a cache server's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LargeValue {
     /// The bytes before the value.
     pub header_length: usize,
-    /// The bytes of the value.
+    /// The length of the value in bytes.
     pub length: usize,
 }
 
-/// Whether a buffer begins with an array whose first element is a value too large to be taken whole.
+/// The header of a value too large to be buffered whole, where a buffer begins with an array with such a first element.
 pub fn large_value_header(buffer: &[u8]) -> Option<LargeValue> {
     let rest = buffer.strip_prefix(b"*3\r\n")?;
-    let line = rest.strip_prefix(b"$")?.get(..MAX_NUMBER.min(rest.len() - 1))?;
+    let line = rest.strip_prefix(b"$")?.get(..MAX_NUMBER_BYTES.min(rest.len() - 1))?;
     let digits = line.iter().position(|b| *b == b'\r').filter(|end| line.get(end + 1) == Some(&b'\n'))?;
     let text = std::str::from_utf8(&line[..digits]).ok().filter(|t| t.bytes().all(|b| b.is_ascii_digit()))?;
     let length =
@@ -152,7 +152,7 @@
     format!("${length}\r\n").into()
 }
 
-/// Takes the end of a line that closes a value off a buffer; `None` while it has not come.
+/// Takes the end of line that closes a value off a buffer; `None` while it is incomplete.
 pub fn take_line_end(buffer: &mut BytesMut) -> Result<Option<()>, Malformed> {
     if buffer.len() < 2 {
         return Ok(None);
@@ -163,20 +163,20 @@
     }
 }
 
-/// A frame's bytes.
+/// Serializes a frame.
 pub fn encode(frame: &BytesFrame) -> Bytes {
     let mut out = BytesMut::new();
-    // Fails only where the buffer is too small, which the call grows first.
+    // Fails only where the buffer is too small, and the call grows it first.
     let _ = encode::extend_encode(&mut out, frame, false);
     out.freeze()
 }
 
-/// A command's bytes: an array of bulk strings.
+/// Serializes a command: an array of bulk strings.
 pub fn encode_command(words: impl IntoIterator<Item = Bytes>) -> Bytes {
     encode(&BytesFrame::Array(words.into_iter().map(BytesFrame::BulkString).collect()))
 }
 
-/// An error line's bytes; the text must hold no line end.
+/// Serializes an error line; the text must contain no line end.
 pub fn encode_error(text: &str) -> Bytes {
     encode(&BytesFrame::Error(text.into()))
 }
--- a/crates/storm/src/lib.rs
+++ b/crates/storm/src/lib.rs
@@ -1,14 +1,14 @@
-//! What a node makes of a storm after an outage: telling one from growth and from one tenant's burst
-//! ([`Detector`]), and what it does about new connections ([`Door`]). No sockets and no clock: times come in as
-//! spans since any fixed beginning, and the same calls give the same answers.
+//! Detection of retry storms after an outage, as distinct from growth and from one tenant's burst ([`Detector`]), and
+//! admission of new connections ([`ConnectionAdmission`]). No sockets and no clock: times are passed in as durations since
+//! any fixed point, and the same calls give the same results.
 //!
-//! Which request is turned away, and with which advice, stays with the decision module; it is told the
-//! [`Weather`] as one of its events.
+//! Which request is refused, and with which advice on retries, is up to the decision module; it receives the
+//! [`LoadState`] as one of its events.
 
 mod detector;
 mod door;
 mod settings;
 
-pub use detector::{Detector, Figures, LoadStateChange, Sign, Weather};
+pub use detector::{Detector, LoadState, LoadStateChange, Measurements, Sign};
 pub use door::{ConnectionAdmission, Verdict};
-pub use settings::{Settings, Unusable};
+pub use settings::{InvalidSetting, Settings};
--- a/crates/storm/tests/detector.rs
+++ b/crates/storm/tests/detector.rs
@@ -1,9 +1,9 @@
-//! The detector under loads that a site has seen: what is a storm, what is none, and that it does not flap.
+//! The detector under the loads of a production site: what is a storm, what is not, and that it does not flap.
 #![allow(missing_docs)]
 
 use std::time::Duration;
 
-use mothpier_storm::{Detector, LoadStateChange, Settings, Weather};
+use mothpier_storm::{Detector, LoadState, LoadStateChange, Settings};
 
 const LOOK: Duration = Duration::from_millis(100);
 
@@ -14,8 +14,8 @@
     changes: Vec<LoadStateChange>,
 }
 
-/// What comes in a second: first tries of each of four tenants, the part of them that is repeated, new connections, the
-/// fleet's capacity.
+/// Rates a second: first attempts of each of four tenants, their repeats, and new connections; the share of wasted work, and the
+/// capacity of the cache servers.
 #[derive(Clone, Copy)]
 struct Load {
     first: [f64; 4],
@@ -39,7 +39,7 @@
         Site { detector, now: Duration::ZERO, number: 0, changes: Vec::new() }
     }
 
-    fn play(&mut self, seconds: f64, load: Load) -> Weather {
+    fn play(&mut self, seconds: f64, load: Load) -> LoadState {
         let mut owed = [0.0; 9];
         let end = self.now + Duration::from_secs_f64(seconds);
         while self.now < end {
@@ -67,21 +67,21 @@
 #[test]
 fn an_outage_and_its_retries_are_a_storm_that_is_entered_soon_and_left_once() {
     let mut site = Site::new();
-    assert_eq!(site.play(60.0, USUAL), Weather::Calm);
+    assert_eq!(site.play(60.0, USUAL), LoadState::Normal);
     let after = Load { repeats: [100.0; 4], connections: 400.0, wasted: 0.3, capacity: 0.3, ..USUAL };
     let begin = site.now;
-    assert_eq!(site.play(1.5, after), Weather::Storm { of: None });
+    assert_eq!(site.play(1.5, after), LoadState::Storm { tenant: None });
     assert_eq!(site.changes.len(), 1, "{:?}", site.changes);
     let line = site.changes[0].to_string();
     assert!(line.starts_with("weather: storm, was calm (") && line.contains("repeats"), "{line}");
     assert!(line.contains("the fleet can do 30%"), "{line}");
-    // It falls off slowly and unevenly, as storms do: the weather changes once.
+    // It declines slowly and unevenly, as storms do: the load state changes once.
     for i in 0..40 {
         let part = if i % 3 == 0 { 0.15 } else { 1.0 } * (1.0 - f64::from(i) / 40.0);
         let load = Load { repeats: [100.0 * part; 4], capacity: 0.3 + f64::from(i) / 60.0, ..USUAL };
         site.play(0.4, load);
     }
-    assert_eq!(site.play(10.0, USUAL), Weather::Calm);
+    assert_eq!(site.play(10.0, USUAL), LoadState::Normal);
     assert_eq!(site.changes.len(), 2, "{:?}", site.changes);
     assert!(site.now - begin > Duration::from_secs(10));
 }
@@ -91,8 +91,8 @@
     let mut site = Site::new();
     site.play(60.0, USUAL);
     let more = Load { first: USUAL.first.map(|f| f * 3.0), connections: 80.0, ..USUAL };
-    assert_eq!(site.play(3.0, more), Weather::Growth);
-    assert_eq!(site.play(150.0, more), Weather::Calm, "after minutes it is the usual");
+    assert_eq!(site.play(3.0, more), LoadState::Growth);
+    assert_eq!(site.play(150.0, more), LoadState::Normal, "after minutes it is the usual");
     assert_eq!(site.changes.len(), 2, "{:?}", site.changes);
 }
 
@@ -102,17 +102,25 @@
     site.play(60.0, USUAL);
     let mut more = USUAL;
     more.first[2] = 400.0;
-    assert_eq!(site.play(3.0, more), Weather::Burst { tenant: 2 });
+    assert_eq!(site.play(3.0, more), LoadState::Burst { tenant: 2 });
     (more.repeats[2], more.wasted) = (600.0, 0.2);
-    assert_eq!(site.play(3.0, more), Weather::Storm { of: Some(2) });
+    assert_eq!(site.play(3.0, more), LoadState::Storm { tenant: Some(2) });
 }
 
 #[test]
 fn cold_boxes_alone_or_a_deploy_of_clients_alone_are_no_storm() {
     let mut site = Site::new();
     site.play(60.0, USUAL);
-    assert_eq!(site.play(10.0, Load { capacity: 0.3, ..USUAL }), Weather::Calm, "a rolling deploy of boxes");
-    assert_eq!(site.play(10.0, Load { connections: 500.0, ..USUAL }), Weather::Calm, "a deploy of clients");
+    assert_eq!(
+        site.play(10.0, Load { capacity: 0.3, ..USUAL }),
+        LoadState::Normal,
+        "a rolling deploy of boxes"
+    );
+    assert_eq!(
+        site.play(10.0, Load { connections: 500.0, ..USUAL }),
+        LoadState::Normal,
+        "a deploy of clients"
+    );
     let both = Load { connections: 500.0, capacity: 0.3, ..USUAL };
     assert!(site.play(3.0, both).is_storm(), "all come back to a fleet that is not there yet");
 }
@@ -147,7 +155,7 @@
     for peer in 0..3 {
         site.detector.peer_reported(site.now, peer, true);
     }
-    assert_eq!(site.play(2.0, USUAL), Weather::Calm, "hearsay alone changes nothing");
+    assert_eq!(site.play(2.0, USUAL), LoadState::Normal, "hearsay alone changes nothing");
     for peer in 0..3 {
         site.detector.peer_reported(site.now, peer, true);
     }
@@ -156,7 +164,7 @@
     alone.play(60.0, USUAL);
     assert_eq!(
         alone.play(1.5, Load { repeats: [40.0; 4], ..USUAL }),
-        Weather::Calm,
+        LoadState::Normal,
         "repeats alone are not enough"
     );
 }
