--- a/crates/accord/src/lib.rs
+++ b/crates/accord/src/lib.rs
@@ -26,7 +26,7 @@
 
 mod member;
 mod message;
-mod succession;
+mod recovery;
 
 pub use member::{Config, Effect, Member, Mutant, Timing};
 pub use message::{Ballot, DecodeError, MAX_MESSAGE_BYTES, MESSAGE_VERSION, Message, PlanNumber, Query};
--- a/crates/accord/src/member.rs
+++ b/crates/accord/src/member.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use crate::message::{Ballot, Message, PlanNumber, Query};
-use crate::succession::PlanRecovery;
+use crate::recovery::PlanRecovery;
 use crate::{MemberId, Millis};
 
 /// This many unanswered queries in a row are not taken for a failure yet.
@@ -151,7 +151,7 @@
     // State of a follower.
     applied: Option<AppliedPlan>,
     highest_number: PlanNumber,
-    likely_leader: usize,
+    leader_guess: usize,
     /// The voter that relays the next query.
     relay: usize,
     query_at: Millis,
@@ -163,17 +163,17 @@
 impl Member {
     /// A member that starts without state; `incarnation` must be a number that no former start of it has had.
     pub fn start(config: Config, incarnation: u32, now: Millis) -> Member {
-        let hold = config.timing.grant;
+        let grant = config.timing.grant;
         // Voters campaign after different delays, by their position and by a draw from their incarnation.
         let position = config.voters.iter().position(|v| *v == config.me).unwrap_or(0) as u64;
-        let delay = hold
+        let delay = grant
             + (position * config.timing.query_interval)
             + u64::from(incarnation).wrapping_mul(0x9e37_79b9) % config.timing.query_interval.max(1);
         Member {
             incarnation,
             now,
             mutant: None,
-            abstains_until: now + hold,
+            abstains_until: now + grant,
             promised: Ballot::default(),
             granted: None,
             highest_round: 0,
@@ -184,7 +184,7 @@
             recovery: PlanRecovery::default(),
             applied: None,
             highest_number: PlanNumber::default(),
-            likely_leader: 0,
+            leader_guess: 0,
             relay: 0,
             query_at: now,
             unanswered: 0,
@@ -217,7 +217,7 @@
     pub fn normalized(mut self, now: Millis) -> Member {
         self.advance(now, &mut Vec::new());
         (self.campaign_at, self.query_at, self.unanswered) = (0, 0, 0);
-        (self.likely_leader, self.relay) = (0, 0);
+        (self.leader_guess, self.relay) = (0, 0);
         if let Some(campaign) = &mut self.campaign {
             campaign.retry_at = 0;
         }
@@ -276,9 +276,9 @@
 
     /// Sets whether queries are three times as frequent: for times of trouble, or while a plan moves.
     pub fn set_urgent(&mut self, urgent: bool) {
-        let ask = self.config.timing.query_interval;
+        let interval = self.config.timing.query_interval;
         if urgent && !self.urgent {
-            self.query_at = self.query_at.min(self.now + ask / 3);
+            self.query_at = self.query_at.min(self.now + interval / 3);
         }
         self.urgent = urgent;
     }
@@ -286,22 +286,22 @@
     /// When this member next has to act by itself.
     pub fn next_due(&self) -> Millis {
         let mut due = self.query_at;
-        if self.may_campaign() {
+        if self.is_voter() {
             due = due.min(self.campaign_at);
         }
-        if let Some(tenure) = self.term {
-            due = due.min(tenure.lease_ends);
+        if let Some(term) = self.term {
+            due = due.min(term.lease_ends);
         }
         if let Some(campaign) = &self.campaign {
             due = due.min(campaign.retry_at);
         }
-        if let Some(known) = &self.applied {
-            due = due.min(known.confirmed_at + self.config.timing.plan_validity);
+        if let Some(applied) = &self.applied {
+            due = due.min(applied.confirmed_at + self.config.timing.plan_validity);
         }
         due.max(self.now + 1)
     }
 
-    fn may_campaign(&self) -> bool {
+    fn is_voter(&self) -> bool {
         self.config.voters.contains(&self.config.me)
     }
 
@@ -327,7 +327,7 @@
     /// Advances the clock: handles expirations and does what is due.
     pub fn tick(&mut self, now: Millis, out: &mut Vec<Effect>) {
         self.advance(now, out);
-        if self.may_campaign() && now >= self.campaign_at && now >= self.abstains_until {
+        if self.is_voter() && now >= self.campaign_at && now >= self.abstains_until {
             self.campaign(out);
         }
         if now >= self.query_at {
@@ -355,21 +355,21 @@
             self.term = None;
             out.push(Effect::SteppedDown);
         }
-        let hold = match self.mutant {
+        let too_early = match self.mutant {
             Some(Mutant::HoldsTooShort) => self.config.timing.grant - self.config.timing.lease,
             _ => 0,
         };
-        if self.granted.is_some_and(|(_, until)| self.now + hold >= until) {
+        if self.granted.is_some_and(|(_, expires_at)| self.now + too_early >= expires_at) {
             self.granted = None;
         }
-        // Two mutants let a campaign outlive its end; for all others `accepted` checks again.
+        // Two mutants let a campaign outlive its end; for all others `handle_accepted` checks again.
         let outlives_lease =
             [Mutant::LeaseFromGrant, Mutant::LeaseFromPropose].into_iter().any(|m| self.has_mutant(m));
         if self.campaign.as_ref().is_some_and(|c| self.now >= c.lease_ends) && !outlives_lease {
             self.campaign = None;
         }
-        let life = self.config.timing.plan_validity;
-        let expired = self.applied.as_ref().is_some_and(|k| self.now >= k.confirmed_at + life);
+        let plan_validity = self.config.timing.plan_validity;
+        let expired = self.applied.as_ref().is_some_and(|k| self.now >= k.confirmed_at + plan_validity);
         if expired && !self.has_mutant(Mutant::NeverDropsPlan) {
             self.applied = None;
             out.push(Effect::DropPlan);
@@ -399,15 +399,10 @@
         // The lease counts from the beginning of the campaign, because a voter that restarts forgets its promises as well as its grants.
         // A campaign that could continue with an old promise for longer than that voter abstains would meet a grant that the promise
         // should have prevented.
-        let until = self.now + timing.lease;
-        let again = self.now + timing.retry_interval;
-        self.campaign = Some(Campaign {
-            ballot,
-            voters: BTreeSet::new(),
-            lease_ends: until,
-            proposed: false,
-            retry_at: again,
-        });
+        let lease_ends = self.now + timing.lease;
+        let retry_at = self.now + timing.retry_interval;
+        self.campaign =
+            Some(Campaign { ballot, voters: BTreeSet::new(), lease_ends, proposed: false, retry_at });
         self.send_to_voters(Message::Prepare { ballot }, out);
     }
 
@@ -426,32 +421,32 @@
 
     /// Acts on this leader's own plan, for which it needs no message.
     fn apply_own_plan(&mut self, out: &mut Vec<Effect>) {
-        let Some(tenure) = self.term else { return };
-        let number = PlanNumber { term: tenure.ballot, sequence: self.plan.0 };
+        let Some(term) = self.term else { return };
+        let number = PlanNumber { term: term.ballot, sequence: self.plan.0 };
         if number >= self.highest_number {
             self.apply(number, self.plan.1.clone(), self.now, out);
         }
     }
 
-    fn apply(&mut self, number: PlanNumber, plan: Vec<u8>, confirmed: Millis, out: &mut Vec<Effect>) {
+    fn apply(&mut self, number: PlanNumber, plan: Vec<u8>, confirmed_at: Millis, out: &mut Vec<Effect>) {
         let before = self.applied.as_ref().map(|k| k.number);
         self.highest_number = self.highest_number.max(number);
         if before != Some(number) {
             out.push(Effect::ApplyPlan(number, plan.clone()));
         }
-        self.applied = Some(AppliedPlan { number, plan, confirmed_at: confirmed });
+        self.applied = Some(AppliedPlan { number, plan, confirmed_at });
     }
 
     fn current_query(&self) -> Query {
-        let (life, number, evidence) = (self.incarnation, self.highest_number, self.evidence.clone());
-        Query { asked_at: self.now, incarnation: life, number, evidence }
+        let (incarnation, number, evidence) = (self.incarnation, self.highest_number, self.evidence.clone());
+        Query { asked_at: self.now, incarnation, number, evidence }
     }
 
     /// Sends a query to one voter now; [`tick`](Self::tick) does so by itself.
     pub fn send_query(&mut self, now: Millis, to: MemberId, out: &mut Vec<Effect>) {
         self.advance(now, out);
-        let Query { asked_at: stamp, incarnation: life, number, evidence } = self.current_query();
-        out.push(Effect::Send(to, Message::Query { asked_at: stamp, incarnation: life, number, evidence }));
+        let Query { asked_at, incarnation, number, evidence } = self.current_query();
+        out.push(Effect::Send(to, Message::Query { asked_at, incarnation, number, evidence }));
     }
 
     /// Sends a query through one voter now; [`tick`](Self::tick) does so by itself where replies are missing.
@@ -470,16 +465,16 @@
         // After unanswered queries another voter may know the leader, or be able to reach it.
         self.unanswered = self.unanswered.saturating_add(1);
         if self.unanswered > TOLERATED_UNANSWERED {
-            self.likely_leader = (self.likely_leader + 1) % voters;
+            self.leader_guess = (self.leader_guess + 1) % voters;
             self.relay = (self.relay + 1) % voters;
             if let Some(&through) = self.config.voters.get(self.relay).filter(|v| **v != me) {
                 self.send_query_through(now, through, out);
             }
         }
-        let Some(&to) = self.config.voters.get(self.likely_leader) else { return };
+        let Some(&to) = self.config.voters.get(self.leader_guess) else { return };
         if to == me {
             // This member does not lead: the next voter may.
-            self.likely_leader = (self.likely_leader + 1) % voters;
+            self.leader_guess = (self.leader_guess + 1) % voters;
         } else {
             self.send_query(now, to, out);
         }
@@ -494,40 +489,33 @@
     fn dispatch(&mut self, from: MemberId, message: Message, out: &mut Vec<Effect>) {
         match message {
             Message::Prepare { ballot } => self.handle_prepare(from, ballot, out),
-            Message::Promise { ballot, granted: held } => self.handle_promise(from, ballot, held, out),
+            Message::Promise { ballot, granted } => self.handle_promise(from, ballot, granted, out),
             Message::Propose { ballot } => self.handle_propose(from, ballot, out),
             Message::Accepted { ballot } => self.handle_accepted(from, ballot, out),
-            Message::Rejected { highest_seen: seen } => self.note_round(seen),
-            Message::Query { asked_at: stamp, incarnation: life, number, evidence } => {
-                self.handle_query(from, stamp, life, number, evidence, out)
+            Message::Rejected { highest_seen } => self.note_round(highest_seen),
+            Message::Query { asked_at, incarnation, number, evidence } => {
+                self.handle_query(from, asked_at, incarnation, number, evidence, out)
             }
-            Message::Reply { asked_at: stamp, incarnation: life, number, lease_left: left, plan } => {
-                self.handle_reply((stamp, life), number, left, plan, out)
+            Message::Reply { asked_at, incarnation, number, lease_left, plan } => {
+                self.handle_reply((asked_at, incarnation), number, lease_left, plan, out)
             }
-            Message::Relay { query: ask } => self.handle_relay(from, ask, out),
-            Message::RelayedQuery { requester: asker, query: ask } => {
-                self.handle_relayed_query(from, asker, ask, out)
+            Message::Relay { query } => self.handle_relay(from, query, out),
+            Message::RelayedQuery { requester, query } => {
+                self.handle_relayed_query(from, requester, query, out)
             }
-            Message::RelayedReply {
-                requester: asker,
-                asked_at: stamp,
-                incarnation: life,
-                number,
-                lease_left: left,
-                plan,
-            } => {
+            Message::RelayedReply { requester, asked_at, incarnation, number, lease_left, plan } => {
                 // Nothing is remembered about relayed queries: the member knows whether it has sent this one.
                 if self.config.voters.contains(&from) {
                     self.send(
-                        asker,
-                        Message::Reply { asked_at: stamp, incarnation: life, number, lease_left: left, plan },
+                        requester,
+                        Message::Reply { asked_at, incarnation, number, lease_left, plan },
                         out,
                     );
                 }
             }
             Message::Redirect { voter } => {
-                if let Some(at) = self.config.voters.iter().position(|v| *v == voter) {
-                    self.likely_leader = at;
+                if let Some(index) = self.config.voters.iter().position(|v| *v == voter) {
+                    self.leader_guess = index;
                 }
             }
         }
@@ -543,10 +531,7 @@
     /// Only voters vote, only for voters, and only when they can't have forgotten a grant.
     fn may_vote(&self, from: MemberId, ballot: Ballot) -> bool {
         let voters = &self.config.voters;
-        self.may_campaign()
-            && voters.contains(&from)
-            && ballot.voter == from
-            && self.now >= self.abstains_until
+        self.is_voter() && voters.contains(&from) && ballot.voter == from && self.now >= self.abstains_until
     }
 
     fn handle_prepare(&mut self, from: MemberId, ballot: Ballot, out: &mut Vec<Effect>) {
@@ -558,8 +543,9 @@
             return self.send(from, Message::Rejected { highest_seen: self.promised }, out);
         }
         self.promised = ballot;
-        let held = self.granted.map(|(held, _)| held).filter(|_| !self.has_mutant(Mutant::HidesGrant));
-        self.send(from, Message::Promise { ballot, granted: held }, out);
+        let granted =
+            self.granted.map(|(granted, _)| granted).filter(|_| !self.has_mutant(Mutant::HidesGrant));
+        self.send(from, Message::Promise { ballot, granted }, out);
     }
 
     /// Only answers of voters count towards a majority.
@@ -617,33 +603,33 @@
             return;
         }
         let majority = self.majority();
-        let late = self.has_mutant(Mutant::LeaseFromGrant);
+        let lease_from_grant = self.has_mutant(Mutant::LeaseFromGrant);
         let Some(campaign) = self.campaign.as_mut().filter(|c| c.ballot == ballot && c.proposed) else {
             return;
         };
-        let mut until = campaign.lease_ends;
+        let mut lease_ends = campaign.lease_ends;
         campaign.voters.insert(from);
         if campaign.voters.len() < majority {
             return;
         }
         self.campaign = None;
-        if late {
-            until = self.now + self.config.timing.lease;
+        if lease_from_grant {
+            lease_ends = self.now + self.config.timing.lease;
         }
         // A grant that arrives when the lease would have ended is worthless.
-        if self.now >= until {
+        if self.now >= lease_ends {
             return;
         }
         match &mut self.term {
-            Some(tenure) => tenure.lease_ends = tenure.lease_ends.max(until),
+            Some(term) => term.lease_ends = term.lease_ends.max(lease_ends),
             None => {
-                self.term = Some(Term { ballot, lease_ends: until });
+                self.term = Some(Term { ballot, lease_ends });
                 // The next campaign, scheduled as a candidate, may come after the lease's end.
                 self.campaign_at = self.campaign_at.min(self.now + self.config.timing.lease / 3);
-                let known = self.applied.as_ref().map(|k| k.number);
+                let known_number = self.applied.as_ref().map(|k| k.number);
                 // A member that sees trouble, or acts on a moving plan, sends two queries in this time.
-                let learns_until = self.now + self.config.timing.query_interval * 2 / 3;
-                self.recovery = PlanRecovery::begin(known, learns_until);
+                let recovery_ends = self.now + self.config.timing.query_interval * 2 / 3;
+                self.recovery = PlanRecovery::begin(known_number, recovery_ends);
                 // The new term begins with the plan that this member last acted on.
                 self.plan = (0, self.applied.as_ref().map(|k| k.plan.clone()).unwrap_or_default());
                 out.push(Effect::BecameLeader(ballot));
@@ -660,8 +646,8 @@
     fn handle_query(
         &mut self,
         from: MemberId,
-        stamp: Millis,
-        life: u32,
+        asked_at: Millis,
+        incarnation: u32,
         number: PlanNumber,
         evidence: Vec<u8>,
         out: &mut Vec<Effect>,
@@ -670,17 +656,17 @@
         if self.term.is_none() {
             match self.granted_to() {
                 Some(voter) if voter != from => out.push(Effect::Send(from, Message::Redirect { voter })),
-                _ => self.send_applied_plan(from, (stamp, life), out),
+                _ => self.send_applied_plan(from, (asked_at, incarnation), out),
             }
             return;
         }
-        let Some((own, left, plan)) = self.reply_to(from, number, evidence, out) else { return };
+        let Some((own_number, lease_left, plan)) = self.reply_to(from, number, evidence, out) else { return };
         if self.must_recover_from(from, number) {
             return self.send_query(self.now, from, out);
         }
         out.push(Effect::Send(
             from,
-            Message::Reply { asked_at: stamp, incarnation: life, number: own, lease_left: left, plan },
+            Message::Reply { asked_at, incarnation, number: own_number, lease_left, plan },
         ));
     }
 
@@ -691,19 +677,16 @@
     }
 
     /// Sends the known plan to a new leader that recovers it: with no time left on the lease nobody acts on it.
-    fn send_applied_plan(&self, to: MemberId, (stamp, life): (Millis, u32), out: &mut Vec<Effect>) {
+    fn send_applied_plan(&self, to: MemberId, (asked_at, incarnation): (Millis, u32), out: &mut Vec<Effect>) {
         let Some(AppliedPlan { number, plan, .. }) = self.applied.clone() else { return };
         if self.config.voters.contains(&to) {
-            out.push(Effect::Send(
-                to,
-                Message::Reply { asked_at: stamp, incarnation: life, number, lease_left: 0, plan },
-            ));
+            out.push(Effect::Send(to, Message::Reply { asked_at, incarnation, number, lease_left: 0, plan }));
         }
     }
 
     /// Handles a plan that a member reports to this leader.
-    fn recover(&mut self, tenure: Term, number: PlanNumber, plan: Vec<u8>, out: &mut Vec<Effect>) {
-        if number.term < tenure.ballot && self.recovery.record_if_newer(self.now, number) {
+    fn recover(&mut self, term: Term, number: PlanNumber, plan: Vec<u8>, out: &mut Vec<Effect>) {
+        if number.term < term.ballot && self.recovery.record_if_newer(self.now, number) {
             out.push(Effect::RecoveredPlan(plan));
         }
     }
@@ -713,8 +696,8 @@
         self.note_round(query.number.term);
         if self.term.is_some() {
             self.handle_query(from, query.asked_at, query.incarnation, query.number, query.evidence, out);
-        } else if let Some(decider) = self.granted_to() {
-            out.push(Effect::Send(decider, Message::RelayedQuery { requester: from, query }));
+        } else if let Some(leader) = self.granted_to() {
+            out.push(Effect::Send(leader, Message::RelayedQuery { requester: from, query }));
         }
     }
 
@@ -731,24 +714,18 @@
         if self.term.is_none() || !self.config.voters.contains(&from) || requester == self.config.me {
             return;
         }
-        let (stamp, life) = (query.asked_at, query.incarnation);
-        let Some((number, left, plan)) = self.reply_to(requester, query.number, query.evidence, out) else {
+        let (asked_at, incarnation) = (query.asked_at, query.incarnation);
+        let Some((number, lease_left, plan)) = self.reply_to(requester, query.number, query.evidence, out)
+        else {
             return;
         };
         if self.must_recover_from(requester, query.number) {
-            // There may be a direct way by now; where there is none, its next questions are answered.
+            // The member may be reachable directly by now; if not, its next queries are answered.
             return self.send_query(self.now, requester, out);
         }
         out.push(Effect::Send(
             from,
-            Message::RelayedReply {
-                requester,
-                asked_at: stamp,
-                incarnation: life,
-                number,
-                lease_left: left,
-                plan,
-            },
+            Message::RelayedReply { requester, asked_at, incarnation, number, lease_left, plan },
         ));
     }
 
@@ -760,42 +737,44 @@
         evidence: Vec<u8>,
         out: &mut Vec<Effect>,
     ) -> Option<(PlanNumber, Millis, Vec<u8>)> {
-        let tenure = self.term?;
-        if number.term == tenure.ballot {
+        let term = self.term?;
+        if number.term == term.ballot {
             out.push(Effect::PlanApplied(requester, number.sequence));
         }
         out.push(Effect::Evidence(requester, evidence));
-        let own = PlanNumber { term: tenure.ballot, sequence: self.plan.0 };
-        if number > own && number.term.round < MAX_ROUND {
+        let own_number = PlanNumber { term: term.ballot, sequence: self.plan.0 };
+        if number > own_number && number.term.round < MAX_ROUND {
             // The member has acted on a plan of a term that no voter here remembers: this one must begin anew, above it.
             self.term = None;
             self.campaign_at = self.now;
             out.push(Effect::SteppedDown);
             return None;
         }
-        let left = tenure.lease_ends.saturating_sub(self.now);
-        let left = if self.has_mutant(Mutant::AnswersLate) { self.config.timing.lease } else { left };
-        Some((own, left, self.plan.1.clone()))
+        let lease_left = term.lease_ends.saturating_sub(self.now);
+        let lease_left =
+            if self.has_mutant(Mutant::AnswersLate) { self.config.timing.lease } else { lease_left };
+        Some((own_number, lease_left, self.plan.1.clone()))
     }
 
     fn handle_reply(
         &mut self,
-        (stamp, life): (Millis, u32),
+        (asked_at, incarnation): (Millis, u32),
         number: PlanNumber,
-        left: Millis,
+        lease_left: Millis,
         plan: Vec<u8>,
         out: &mut Vec<Effect>,
     ) {
-        if life != self.incarnation && !self.has_mutant(Mutant::AcceptsForeignReply) {
+        if incarnation != self.incarnation && !self.has_mutant(Mutant::AcceptsForeignReply) {
             return;
         }
-        if let Some(tenure) = self.term.filter(|_| left == 0) {
-            return self.recover(tenure, number, plan, out);
+        if let Some(term) = self.term.filter(|_| lease_left == 0) {
+            return self.recover(term, number, plan, out);
         }
         // The query was sent before the reply: the time left on the lease counts from the query.
-        let trusted =
-            left.min(self.config.timing.lease) * (1000 - self.config.timing.drift_per_mille.min(1000)) / 1000;
-        let in_time = stamp <= self.now && self.now < stamp.saturating_add(trusted);
+        let trusted = lease_left.min(self.config.timing.lease)
+            * (1000 - self.config.timing.drift_per_mille.min(1000))
+            / 1000;
+        let in_time = asked_at <= self.now && self.now < asked_at.saturating_add(trusted);
         if !in_time && !self.has_mutant(Mutant::AcceptsLateReply) {
             return;
         }
@@ -806,8 +785,11 @@
         }
         self.note_round(number.term);
         self.unanswered = 0;
-        let confirmed =
-            self.applied.as_ref().filter(|k| k.number == number).map_or(stamp, |k| k.confirmed_at.max(stamp));
-        self.apply(number, plan, confirmed, out);
+        let confirmed_at = self
+            .applied
+            .as_ref()
+            .filter(|k| k.number == number)
+            .map_or(asked_at, |k| k.confirmed_at.max(asked_at));
+        self.apply(number, plan, confirmed_at, out);
     }
 }
--- a/crates/accord/src/message.rs
+++ b/crates/accord/src/message.rs
@@ -151,13 +151,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             DecodeError::Length(length) => {
-                write!(f, "{length} bytes are no message: 7 to {MAX_MESSAGE_BYTES} are allowed")
+                write!(f, "message of {length} bytes, expected 7 to {MAX_MESSAGE_BYTES}")
             }
-            DecodeError::NotAMessage => f.write_str("no message of a member"),
+            DecodeError::NotAMessage => f.write_str("not a message between members"),
             DecodeError::Version(version) => {
-                write!(f, "a message of version {version}; this is version {MESSAGE_VERSION}")
+                write!(f, "message of version {version}, expected version {MESSAGE_VERSION}")
             }
-            DecodeError::Corrupt => f.write_str("cut or spoilt on its way"),
+            DecodeError::Corrupt => f.write_str("truncated or corrupted message"),
         }
     }
 }
--- a/crates/accord/src/succession.rs
+++ b/crates/accord/src/recovery.rs
@@ -23,10 +23,10 @@
 
 impl PlanRecovery {
     /// Starts recovery, with the number of the plan that is known already.
-    pub(crate) fn begin(known: Option<PlanNumber>, until: Millis) -> PlanRecovery {
+    pub(crate) fn begin(known_number: Option<PlanNumber>, ends: Millis) -> PlanRecovery {
         PlanRecovery {
-            ends: until,
-            known_number: known.unwrap_or_default(),
+            ends,
+            known_number: known_number.unwrap_or_default(),
             queries_by_member: BTreeMap::new(),
         }
     }
--- a/crates/accord/tests/explore.rs
+++ b/crates/accord/tests/explore.rs
@@ -16,19 +16,19 @@
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 struct Bounds<const N: usize> {
     time: Millis,
-    stands: [u8; N],
+    campaigns: [u8; N],
     restarts: [u8; N],
-    asks: [u8; N],
+    queries: [u8; N],
     /// Queries that a member sends through another one.
-    passes: [u8; N],
+    relays: [u8; N],
     plans: u8,
     /// How often, in total, a clock may run ahead by one.
-    leaps: u8,
+    clock_leaps: u8,
     timing: Timing,
 }
 
 /// A lease of two ticks, and grants that are kept for three.
-const STEADY: Timing = Timing {
+const EQUAL_CLOCKS: Timing = Timing {
     lease: 2,
     grant: 3,
     plan_validity: 4,
@@ -37,7 +37,7 @@
     drift_per_mille: 0,
 };
 /// A lease of two ticks where one clock may run ahead by one over it, and another by one more.
-const DRIFTING: Timing = Timing {
+const DRIFTING_CLOCKS: Timing = Timing {
     lease: 2,
     grant: 4,
     plan_validity: 6,
@@ -47,13 +47,13 @@
 };
 
 #[derive(Clone, PartialEq, Eq, Hash)]
-struct World<const N: usize> {
+struct ModelState<const N: usize> {
     time: Millis,
     clocks: [Millis; N],
     members: [Member; N],
     /// All messages ever sent: each may be delivered at any time, repeatedly, or never.
     messages: Rc<BTreeSet<(u16, u16, Message)>>,
-    left: Bounds<N>,
+    remaining: Bounds<N>,
     /// The plan that each number stands for, as far as any member has acted on it.
     plans: Rc<BTreeMap<PlanNumber, Vec<u8>>>,
     /// The latest end of each term's lease, in the time of the simulated environment.
@@ -63,12 +63,12 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Step {
     Tick(Option<usize>),
-    Stand(usize),
-    Ask(usize, u16),
-    Pass(usize, u16),
-    Plan(usize),
+    Campaign(usize),
+    Query(usize, u16),
+    Relay(usize, u16),
+    SetPlan(usize),
     Restart(usize),
-    Give(u16, u16, Message),
+    Deliver(u16, u16, Message),
 }
 
 struct Explorer<const N: usize> {
@@ -77,64 +77,64 @@
 }
 
 /// The result of an exploration.
-struct Found {
+struct Outcome {
     states: usize,
-    deepest: usize,
+    depth: usize,
     /// Every reachable state was explored.
-    whole: bool,
-    broken: Option<(String, Vec<Step>)>,
+    complete: bool,
+    violation: Option<(String, Vec<Step>)>,
     /// Several members came to act on a plan that was set.
-    agreed: bool,
+    plan_applied: bool,
 }
 
 impl<const N: usize> Explorer<N> {
-    fn member(&self, me: usize, life: u32, now: Millis) -> Member {
+    fn member(&self, me: usize, incarnation: u32, now: Millis) -> Member {
         let config = Config { me: me as u16, voters: (0..N as u16).collect(), timing: self.bounds.timing };
-        let member = Member::start(config, life, now);
+        let member = Member::start(config, incarnation, now);
         match self.mutant {
             Some(mutant) => member.with_mutant(mutant),
             None => member,
         }
     }
 
-    fn begin(&self) -> World<N> {
-        World {
+    fn initial_state(&self) -> ModelState<N> {
+        ModelState {
             time: 0,
             // All members have been up for as long as they abstain: the exploration begins where they may vote.
             clocks: [self.bounds.timing.grant; N],
             members: std::array::from_fn(|me| self.member(me, me as u32 + 1, 0)),
             messages: Rc::default(),
-            left: self.bounds,
+            remaining: self.bounds,
             plans: Rc::default(),
             leases: Rc::default(),
         }
     }
 
-    fn steps(&self, w: &World<N>) -> Vec<Step> {
+    fn steps(&self, w: &ModelState<N>) -> Vec<Step> {
         let mut steps: Vec<Step> =
-            w.messages.iter().map(|(from, to, m)| Step::Give(*from, *to, m.clone())).collect();
+            w.messages.iter().map(|(from, to, m)| Step::Deliver(*from, *to, m.clone())).collect();
         for i in 0..N {
-            if w.left.stands[i] > 0 {
-                steps.push(Step::Stand(i));
+            if w.remaining.campaigns[i] > 0 {
+                steps.push(Step::Campaign(i));
             }
-            if w.left.plans > 0 && w.members[i].leader_ballot().is_some() {
-                steps.push(Step::Plan(i));
+            if w.remaining.plans > 0 && w.members[i].leader_ballot().is_some() {
+                steps.push(Step::SetPlan(i));
             }
-            if w.left.restarts[i] > 0 {
+            if w.remaining.restarts[i] > 0 {
                 steps.push(Step::Restart(i));
             }
-            if w.left.asks[i] > 0 {
+            if w.remaining.queries[i] > 0 {
                 let others = (0..N).filter(|j| *j != i && w.members[*j].lease_ends().is_some());
-                steps.extend(others.map(|j| Step::Ask(i, j as u16)));
+                steps.extend(others.map(|j| Step::Query(i, j as u16)));
             }
-            if w.left.passes[i] > 0 {
+            if w.remaining.relays[i] > 0 {
                 let others = (0..N).filter(|j| *j != i && w.members[*j].lease_ends().is_none());
-                steps.extend(others.map(|j| Step::Pass(i, j as u16)));
+                steps.extend(others.map(|j| Step::Relay(i, j as u16)));
             }
         }
         if w.time < self.bounds.time {
             steps.push(Step::Tick(None));
-            if w.left.leaps > 0 {
+            if w.remaining.clock_leaps > 0 {
                 steps.extend((0..N).map(|i| Step::Tick(Some(i))));
             }
         }
@@ -142,7 +142,7 @@
     }
 
     /// The state after a step, or the rule that it violates.
-    fn after(&self, w: &World<N>, step: &Step) -> Result<World<N>, String> {
+    fn after(&self, w: &ModelState<N>, step: &Step) -> Result<ModelState<N>, String> {
         let mut w = w.clone();
         let mut out = Vec::new();
         let mut at = None;
@@ -152,51 +152,52 @@
                 w.clocks.iter_mut().for_each(|c| *c += 1);
                 if let Some(i) = leap {
                     w.clocks[*i] += 1;
-                    w.left.leaps -= 1;
+                    w.remaining.clock_leaps -= 1;
                 }
             }
-            Step::Stand(i) => {
-                w.left.stands[*i] -= 1;
+            Step::Campaign(i) => {
+                w.remaining.campaigns[*i] -= 1;
                 at = Some(*i);
                 w.members[*i].start_campaign(w.clocks[*i], &mut out);
             }
-            Step::Ask(i, to) => {
-                w.left.asks[*i] -= 1;
+            Step::Query(i, to) => {
+                w.remaining.queries[*i] -= 1;
                 at = Some(*i);
                 w.members[*i].send_query(w.clocks[*i], *to, &mut out);
             }
-            Step::Pass(i, to) => {
-                w.left.passes[*i] -= 1;
+            Step::Relay(i, to) => {
+                w.remaining.relays[*i] -= 1;
                 at = Some(*i);
                 w.members[*i].send_query_through(w.clocks[*i], *to, &mut out);
             }
-            Step::Plan(i) => {
-                w.left.plans -= 1;
+            Step::SetPlan(i) => {
+                w.remaining.plans -= 1;
                 at = Some(*i);
                 // A plan of its own: no other member ever sets this one.
                 w.members[*i].set_plan(
                     w.clocks[*i],
-                    vec![*i as u8 + 1, w.left.plans, w.left.restarts[*i]],
+                    vec![*i as u8 + 1, w.remaining.plans, w.remaining.restarts[*i]],
                     &mut out,
                 );
             }
             Step::Restart(i) => {
-                w.left.restarts[*i] -= 1;
-                let life = 100 * u32::from(self.bounds.restarts[*i] - w.left.restarts[*i]) + *i as u32;
+                w.remaining.restarts[*i] -= 1;
+                let incarnation =
+                    100 * u32::from(self.bounds.restarts[*i] - w.remaining.restarts[*i]) + *i as u32;
                 // Its clock starts anew with it.
                 w.clocks[*i] = 0;
-                w.members[*i] = self.member(*i, life, 0);
+                w.members[*i] = self.member(*i, incarnation, 0);
             }
-            Step::Give(from, to, message) => {
+            Step::Deliver(from, to, message) => {
                 let i = usize::from(*to);
                 at = Some(i);
                 let before = w.members[i].highest_number();
                 w.members[i].handle(w.clocks[i], *from, message.clone(), &mut out);
-                self.followed(&w, i, message, before, &out)?;
+                self.check_follower(&w, i, message, before, &out)?;
             }
         }
         if let Some(i) = at {
-            self.did(&mut w, i, out)?;
+            self.apply_effects(&mut w, i, out)?;
         }
         let deciding: Vec<usize> = (0..N).filter(|i| self.holds_lease(&w, *i)).collect();
         if deciding.len() > 1 {
@@ -215,14 +216,14 @@
     }
 
     /// By its own clock, whether or not it has noticed the end of the lease.
-    fn holds_lease(&self, w: &World<N>, i: usize) -> bool {
+    fn holds_lease(&self, w: &ModelState<N>, i: usize) -> bool {
         w.members[i].lease_ends().is_some_and(|until| w.clocks[i] < until)
     }
 
     /// Checks a follower after a reply.
-    fn followed(
+    fn check_follower(
         &self,
-        w: &World<N>,
+        w: &ModelState<N>,
         i: usize,
         message: &Message,
         before: PlanNumber,
@@ -238,14 +239,14 @@
             }
             let until = w.leases.get(&number.term).copied().unwrap_or(0);
             if took && w.time >= until {
-                return Err(format!("member {i} acts on {number:?} when its decider's lease is over"));
+                return Err(format!("member {i} acts on {number:?} after its leader's lease has expired"));
             }
         }
         Ok(())
     }
 
     /// Sends a member's messages, and checks the plan that it acts on.
-    fn did(&self, w: &mut World<N>, i: usize, out: Vec<Effect>) -> Result<(), String> {
+    fn apply_effects(&self, w: &mut ModelState<N>, i: usize, out: Vec<Effect>) -> Result<(), String> {
         for effect in out {
             match effect {
                 Effect::Send(to, message) => {
@@ -280,57 +281,58 @@
         Ok(())
     }
 
-    fn run(&self, most: usize) -> Found {
-        let begin = self.begin();
-        let mut seen = HashSet::from([fingerprint(&begin)]);
+    fn run(&self, max_states: usize) -> Outcome {
+        let initial_state = self.initial_state();
+        let mut seen = HashSet::from([fingerprint(&initial_state)]);
         // How each state was reached: its predecessor, and the index of the step among the predecessor's steps.
         let mut parents: Vec<(u32, u16)> = vec![(0, 0)];
-        let mut queue = VecDeque::from([(begin, 0u32, 0usize)]);
-        let mut found = Found { states: 1, deepest: 0, whole: false, broken: None, agreed: false };
-        while let Some((world, place, depth)) = queue.pop_front() {
-            found.deepest = depth;
-            for (number, step) in self.steps(&world).into_iter().enumerate() {
-                match self.after(&world, &step) {
-                    Err(what) => {
-                        let mut numbers = vec![number as u16];
-                        let mut at = place;
-                        while at != 0 {
-                            numbers.push(parents[at as usize].1);
-                            at = parents[at as usize].0;
+        let mut queue = VecDeque::from([(initial_state, 0u32, 0usize)]);
+        let mut outcome =
+            Outcome { states: 1, depth: 0, complete: false, violation: None, plan_applied: false };
+        while let Some((state, state_index, depth)) = queue.pop_front() {
+            outcome.depth = depth;
+            for (step_index, step) in self.steps(&state).into_iter().enumerate() {
+                match self.after(&state, &step) {
+                    Err(problem) => {
+                        let mut step_indexes = vec![step_index as u16];
+                        let mut index = state_index;
+                        while index != 0 {
+                            step_indexes.push(parents[index as usize].1);
+                            index = parents[index as usize].0;
                         }
-                        numbers.reverse();
-                        found.broken = Some((what, self.again(&numbers)));
-                        return found;
+                        step_indexes.reverse();
+                        outcome.violation = Some((problem, self.replay(&step_indexes)));
+                        return outcome;
                     }
                     Ok(next) if seen.insert(fingerprint(&next)) => {
                         let acting = next
                             .members
                             .iter()
                             .filter(|m| m.applied_plan().is_some_and(|(_, p)| !p.is_empty()));
-                        found.agreed |= acting.count() > 1;
-                        found.states += 1;
-                        parents.push((place, number as u16));
+                        outcome.plan_applied |= acting.count() > 1;
+                        outcome.states += 1;
+                        parents.push((state_index, step_index as u16));
                         queue.push_back((next, parents.len() as u32 - 1, depth + 1));
                     }
                     Ok(_) => {}
                 }
             }
-            if found.states >= most {
-                return found;
+            if outcome.states >= max_states {
+                return outcome;
             }
         }
-        found.whole = true;
-        found
+        outcome.complete = true;
+        outcome
     }
 
     /// The steps of a path, from their indexes.
-    fn again(&self, numbers: &[u16]) -> Vec<Step> {
-        let mut world = self.begin();
+    fn replay(&self, step_indexes: &[u16]) -> Vec<Step> {
+        let mut state = self.initial_state();
         let mut steps = Vec::new();
-        for number in numbers {
-            let step = self.steps(&world).swap_remove(usize::from(*number));
-            if let Ok(next) = self.after(&world, &step) {
-                world = next;
+        for step_index in step_indexes {
+            let step = self.steps(&state).swap_remove(usize::from(*step_index));
+            if let Ok(next) = self.after(&state, &step) {
+                state = next;
             }
             steps.push(step);
         }
@@ -338,198 +340,207 @@
     }
 }
 
-fn fingerprint<const N: usize>(world: &World<N>) -> u64 {
+fn fingerprint<const N: usize>(state: &ModelState<N>) -> u64 {
     let mut hasher = DefaultHasher::new();
-    world.hash(&mut hasher);
+    state.hash(&mut hasher);
     hasher.finish()
 }
 
-fn explore<const N: usize>(bounds: Bounds<N>, mutant: Option<Mutant>, most: usize) -> Found {
-    let begin = std::time::Instant::now();
-    let found = Explorer { bounds, mutant }.run(most);
-    let (states, depth, whole) = (found.states, found.deepest, found.whole);
-    println!("{mutant:?}: {states} states, depth {depth}, whole {whole}, {:?}", begin.elapsed());
-    if let Some((what, path)) = &found.broken {
-        println!("  {what}");
+fn explore<const N: usize>(bounds: Bounds<N>, mutant: Option<Mutant>, max_states: usize) -> Outcome {
+    let started_at = std::time::Instant::now();
+    let outcome = Explorer { bounds, mutant }.run(max_states);
+    let (states, depth, complete) = (outcome.states, outcome.depth, outcome.complete);
+    println!("{mutant:?}: {states} states, depth {depth}, whole {complete}, {:?}", started_at.elapsed());
+    if let Some((problem, path)) = &outcome.violation {
+        println!("  {problem}");
         path.iter().for_each(|step| println!("    {step:?}"));
     }
-    found
+    outcome
 }
 
 /// Nothing but messages and time.
 const NONE: Bounds<3> = Bounds {
     time: 3,
-    stands: [0; 3],
+    campaigns: [0; 3],
     restarts: [0; 3],
-    asks: [0; 3],
-    passes: [0; 3],
+    queries: [0; 3],
+    relays: [0; 3],
     plans: 0,
-    leaps: 0,
-    timing: STEADY,
+    clock_leaps: 0,
+    timing: EQUAL_CLOCKS,
 };
 /// Two candidates, and a voter that restarts.
-const RIVALS: Bounds<3> = Bounds { stands: [1, 1, 0], restarts: [0, 0, 1], ..NONE };
+const CANDIDATES: Bounds<3> = Bounds { campaigns: [1, 1, 0], restarts: [0, 0, 1], ..NONE };
 /// Two candidates, and time enough for one lease after the other.
-const IN_TURN: Bounds<3> = Bounds { stands: [1, 1, 0], time: 4, ..NONE };
+const IN_TURN: Bounds<3> = Bounds { campaigns: [1, 1, 0], time: 4, ..NONE };
 /// A leader that restarts and leads again.
-const AGAIN: Bounds<3> = Bounds { stands: [2, 0, 0], restarts: [1, 0, 0], plans: 2, ..NONE };
+const LEADS_AGAIN: Bounds<3> = Bounds { campaigns: [2, 0, 0], restarts: [1, 0, 0], plans: 2, ..NONE };
 /// A follower that restarts between query and reply.
-const FORGETS: Bounds<3> = Bounds { stands: [1, 0, 0], asks: [0, 0, 1], restarts: [0, 0, 1], ..NONE };
+const FOLLOWER_RESTARTS: Bounds<3> =
+    Bounds { campaigns: [1, 0, 0], queries: [0, 0, 1], restarts: [0, 0, 1], ..NONE };
 /// One leader, two plans of it, and a follower.
-const PLANS: Bounds<3> = Bounds { stands: [1, 0, 0], asks: [0, 0, 2], plans: 1, ..NONE };
+const TWO_PLANS: Bounds<3> = Bounds { campaigns: [1, 0, 0], queries: [0, 0, 2], plans: 1, ..NONE };
 /// The same, where the follower's query is relayed by the third member.
-const PASSED: Bounds<3> = Bounds { stands: [1, 0, 0], passes: [0, 0, 1], plans: 1, ..NONE };
+const RELAYED: Bounds<3> = Bounds { campaigns: [1, 0, 0], relays: [0, 0, 1], plans: 1, ..NONE };
 /// The same, where the follower restarts between query and reply.
-const PASSED_FORGETS: Bounds<3> = Bounds { restarts: [0, 0, 1], plans: 0, ..PASSED };
+const RELAYED_AND_RESTARTED: Bounds<3> = Bounds { restarts: [0, 0, 1], plans: 0, ..RELAYED };
 /// A clock that runs ahead.
-const CLOCKS: Bounds<3> = Bounds { stands: [1, 1, 0], leaps: 1, timing: DRIFTING, ..NONE };
-
-fn holds(bounds: Bounds<3>) -> Found {
-    let found = explore(bounds, None, 3_000_000);
-    assert_eq!(found.broken, None);
-    assert!(found.whole, "not all of it was seen");
-    found
+const CLOCK_LEAP: Bounds<3> =
+    Bounds { campaigns: [1, 1, 0], clock_leaps: 1, timing: DRIFTING_CLOCKS, ..NONE };
+
+fn assert_safe(bounds: Bounds<3>) -> Outcome {
+    let outcome = explore(bounds, None, 3_000_000);
+    assert_eq!(outcome.violation, None);
+    assert!(outcome.complete, "the exploration is incomplete");
+    outcome
 }
 
 /// Checks that a missing safeguard is detected: the shortest path to the violation is printed.
-fn caught<const N: usize>(mutant: Mutant, bounds: Bounds<N>, harm: &str) {
-    let (what, path) = explore(bounds, Some(mutant), 3_000_000).broken.expect("nothing is broken without it");
-    assert!(what.contains(harm), "{what}");
+fn assert_detected<const N: usize>(mutant: Mutant, bounds: Bounds<N>, violation: &str) {
+    let (problem, path) =
+        explore(bounds, Some(mutant), 3_000_000).violation.expect("no violation without the safeguard");
+    assert!(problem.contains(violation), "{problem}");
     assert!(!path.is_empty());
 }
 
 /// Five voters, two candidates and two voters that restart: three of five must grant.
-const FIVE: Bounds<5> = Bounds {
+const FIVE_VOTERS: Bounds<5> = Bounds {
     time: 4,
-    stands: [1, 1, 0, 0, 0],
+    campaigns: [1, 1, 0, 0, 0],
     restarts: [0, 0, 1, 1, 0],
-    asks: [0; 5],
-    passes: [0; 5],
+    queries: [0; 5],
+    relays: [0; 5],
     plans: 0,
-    leaps: 0,
-    timing: STEADY,
+    clock_leaps: 0,
+    timing: EQUAL_CLOCKS,
 };
 
-const TWO: &str = "hold a lease at once";
-const LATE: &str = "when its decider's lease is over";
+const TWO_LEADERS: &str = "hold a lease at once";
+const ACTS_TOO_LATE: &str = "after its leader's lease has expired";
 
 #[test]
-fn of_two_rivals_one_decides_whatever_is_late_lost_or_restarted() {
-    holds(RIVALS);
+fn of_two_candidates_one_leads_whatever_is_late_lost_or_restarted() {
+    assert_safe(CANDIDATES);
 }
 
 /// Five voters have too many message orders to explore all: random walks instead, each to its end.
 fn walk(mutant: Option<Mutant>, bounds: Bounds<5>, walks: u64) -> Option<String> {
     let explorer = Explorer { bounds, mutant };
     let mut rng = oorandom::Rand64::new(7);
-    let mut most = 0;
+    let mut longest = 0;
     for _ in 0..walks {
-        let mut world = explorer.begin();
+        let mut state = explorer.initial_state();
         // Each message at most twice: a walk that repeats the same delivery makes no progress.
-        let mut given: BTreeMap<(u16, u16, Message), u8> = BTreeMap::new();
+        let mut deliveries: BTreeMap<(u16, u16, Message), u8> = BTreeMap::new();
         for depth in 0..200 {
-            let mut steps = explorer.steps(&world);
+            let mut steps = explorer.steps(&state);
             steps.retain(|step| match step {
-                Step::Give(from, to, m) => given.get(&(*from, *to, m.clone())).is_none_or(|n| *n < 2),
+                Step::Deliver(from, to, m) => deliveries.get(&(*from, *to, m.clone())).is_none_or(|n| *n < 2),
                 _ => true,
             });
             if steps.is_empty() {
                 break;
             }
             let step = steps.swap_remove(rng.rand_range(0..steps.len() as u64) as usize);
-            if let Step::Give(from, to, m) = &step {
-                *given.entry((*from, *to, m.clone())).or_default() += 1;
+            if let Step::Deliver(from, to, m) = &step {
+                *deliveries.entry((*from, *to, m.clone())).or_default() += 1;
             }
-            match explorer.after(&world, &step) {
-                Ok(next) => world = next,
+            match explorer.after(&state, &step) {
+                Ok(next) => state = next,
                 Err(what) => return Some(what),
             }
-            most = most.max(depth);
+            longest = longest.max(depth);
         }
     }
-    println!("{mutant:?}: {walks} walks, the longest of {most} steps");
+    println!("{mutant:?}: {walks} walks, the longest of {longest} steps");
     None
 }
 
 #[test]
-fn of_five_voters_as_well_no_two_decide_and_each_guard_of_theirs_is_missed() {
-    assert_eq!(walk(None, FIVE, 40_000), None);
+fn five_voters_have_one_leader_and_need_each_safeguard() {
+    assert_eq!(walk(None, FIVE_VOTERS, 40_000), None);
     for mutant in [Mutant::VotesAtOnce, Mutant::HidesGrant, Mutant::BreaksPromise, Mutant::LeaseFromGrant] {
-        let what = walk(Some(mutant), FIVE, 40_000);
-        assert!(what.as_ref().is_some_and(|w| w.contains(TWO)), "{mutant:?}: {what:?}");
+        let what = walk(Some(mutant), FIVE_VOTERS, 40_000);
+        assert!(what.as_ref().is_some_and(|w| w.contains(TWO_LEADERS)), "{mutant:?}: {what:?}");
     }
 }
 
 #[test]
-fn one_lease_follows_the_other_and_never_lies_over_it() {
-    holds(IN_TURN);
+fn leases_never_overlap() {
+    assert_safe(IN_TURN);
 }
 
 #[test]
-fn a_decider_that_restarts_never_gives_a_number_again() {
-    holds(AGAIN);
+fn a_leader_that_restarts_never_reuses_a_plan_number() {
+    assert_safe(LEADS_AGAIN);
 }
 
 #[test]
 fn followers_act_within_the_lease_and_never_go_back() {
-    assert!(holds(PLANS).agreed, "nobody ever acted on a plan: the exploration shows nothing");
-    holds(FORGETS);
+    assert!(
+        assert_safe(TWO_PLANS).plan_applied,
+        "no member ever acted on a plan: the exploration shows nothing"
+    );
+    assert_safe(FOLLOWER_RESTARTS);
 }
 
 #[test]
-fn a_question_that_is_passed_on_is_fenced_as_one_that_is_not() {
-    assert!(holds(PASSED).agreed, "nobody ever acted on a plan: the exploration shows nothing");
-    holds(PASSED_FORGETS);
-    caught(Mutant::AcceptsLateReply, PASSED, LATE);
-    caught(Mutant::AnswersLate, PASSED, LATE);
-    caught(Mutant::AcceptsForeignReply, PASSED_FORGETS, LATE);
+fn a_relayed_query_is_fenced_like_a_direct_one() {
+    assert!(
+        assert_safe(RELAYED).plan_applied,
+        "no member ever acted on a plan: the exploration shows nothing"
+    );
+    assert_safe(RELAYED_AND_RESTARTED);
+    assert_detected(Mutant::AcceptsLateReply, RELAYED, ACTS_TOO_LATE);
+    assert_detected(Mutant::AnswersLate, RELAYED, ACTS_TOO_LATE);
+    assert_detected(Mutant::AcceptsForeignReply, RELAYED_AND_RESTARTED, ACTS_TOO_LATE);
 }
 
 #[test]
-fn clocks_may_differ_by_what_the_hold_allows() {
-    holds(CLOCKS);
+fn clocks_may_differ_by_what_grants_allow() {
+    assert_safe(CLOCK_LEAP);
 }
 
 #[test]
-fn each_guard_of_voters_is_missed_where_it_is_left_out() {
-    caught(Mutant::VotesAtOnce, RIVALS, TWO);
-    caught(Mutant::HidesGrant, IN_TURN, TWO);
-    caught(Mutant::BreaksPromise, IN_TURN, TWO);
-    caught(Mutant::HoldsTooShort, CLOCKS, TWO);
+fn voters_need_each_safeguard() {
+    assert_detected(Mutant::VotesAtOnce, CANDIDATES, TWO_LEADERS);
+    assert_detected(Mutant::HidesGrant, IN_TURN, TWO_LEADERS);
+    assert_detected(Mutant::BreaksPromise, IN_TURN, TWO_LEADERS);
+    assert_detected(Mutant::HoldsTooShort, CLOCK_LEAP, TWO_LEADERS);
 }
 
 #[test]
-fn each_guard_of_deciders_is_missed_where_it_is_left_out() {
-    caught(Mutant::LeaseFromGrant, IN_TURN, TWO);
-    caught(Mutant::LeaseFromPropose, RIVALS, TWO);
-    caught(Mutant::AnswersLate, PLANS, LATE);
+fn leaders_need_each_safeguard() {
+    assert_detected(Mutant::LeaseFromGrant, IN_TURN, TWO_LEADERS);
+    assert_detected(Mutant::LeaseFromPropose, CANDIDATES, TWO_LEADERS);
+    assert_detected(Mutant::AnswersLate, TWO_PLANS, ACTS_TOO_LATE);
 }
 
 #[test]
-fn lives_that_are_not_told_apart_are_missed() {
-    caught(Mutant::ReusesIncarnation, AGAIN, "for another");
+fn incarnations_must_differ() {
+    assert_detected(Mutant::ReusesIncarnation, LEADS_AGAIN, "for another");
 }
 
 #[test]
-fn each_guard_of_followers_is_missed_where_it_is_left_out() {
-    caught(Mutant::AcceptsLateReply, PLANS, LATE);
-    caught(Mutant::AcceptsForeignReply, FORGETS, LATE);
-    caught(Mutant::GoesBack, PLANS, "went back");
-    caught(Mutant::NeverDropsPlan, PLANS, "for ever");
+fn followers_need_each_safeguard() {
+    assert_detected(Mutant::AcceptsLateReply, TWO_PLANS, ACTS_TOO_LATE);
+    assert_detected(Mutant::AcceptsForeignReply, FOLLOWER_RESTARTS, ACTS_TOO_LATE);
+    assert_detected(Mutant::GoesBack, TWO_PLANS, "went back");
+    assert_detected(Mutant::NeverDropsPlan, TWO_PLANS, "for ever");
 }
 
 /// Takes minutes and gigabytes, so not part of every run: `cargo test --release -p mothpier-accord -- --ignored --nocapture`
 #[test]
 #[ignore = "takes minutes"]
-fn more_of_the_same_holds_as_well() {
-    let far = [
-        Bounds { stands: [2, 0, 0], asks: [0, 0, 1], plans: 1, ..NONE },
-        Bounds { leaps: 2, ..CLOCKS },
-        Bounds { restarts: [0, 1, 1], ..RIVALS },
-        Bounds { stands: [1, 1, 1], time: 2, ..NONE },
+fn larger_explorations_are_safe() {
+    let larger = [
+        Bounds { campaigns: [2, 0, 0], queries: [0, 0, 1], plans: 1, ..NONE },
+        Bounds { clock_leaps: 2, ..CLOCK_LEAP },
+        Bounds { restarts: [0, 1, 1], ..CANDIDATES },
+        Bounds { campaigns: [1, 1, 1], time: 2, ..NONE },
     ];
-    for bounds in far {
-        let found = explore(bounds, None, 6_000_000);
-        assert_eq!(found.broken, None);
+    for bounds in larger {
+        let outcome = explore(bounds, None, 6_000_000);
+        assert_eq!(outcome.violation, None);
     }
 }
--- a/crates/accord/tests/fleet.rs
+++ b/crates/accord/tests/fleet.rs
@@ -13,45 +13,46 @@
 
 const ZONES: usize = 3;
 /// The interval at which a node counts its attempts, and the time after which an attempt counts as unanswered.
-const LOOK: Millis = 250;
-const SILENT: Millis = 200;
+const COUNT_INTERVAL: Millis = 250;
+const UNANSWERED_AFTER: Millis = 200;
 /// The interval at which the leader updates the plan.
-const PLANS: Millis = 100;
+const PLAN_INTERVAL: Millis = 100;
 /// From this share of unanswered attempts on (of 255) a node sends queries more often.
-const HURRY: u8 = 80;
-/// The zone that is lost, and when.
-const LOST: (usize, Millis) = (2, 10_000);
+const URGENT_FROM: u8 = 80;
+/// The zone that is lost, and the time of the loss.
+const LOST_ZONE: usize = 2;
+const LOST_AT: Millis = 10_000;
 
 /// Arrival time, sequence number, sender, receiver and message.
-type UnderWay = (Millis, u64, u16, u16, Message);
+type InFlight = (Millis, u64, u16, u16, Message);
 
 struct Node {
     member: Member,
     planner: Option<Planner>,
-    seen: RecentAttempts,
-    steps: [AttemptCounts; ZONES],
+    recent: RecentAttempts,
+    counts: [AttemptCounts; ZONES],
     /// When unanswered attempts at the lost zone were sent.
     waiting: Vec<Millis>,
     plan: Plan,
-    look_at: Millis,
-    plans_at: Millis,
+    count_at: Millis,
+    plan_at: Millis,
     /// When it acted on the loss.
-    acted: Option<Millis>,
+    applied_at: Option<Millis>,
     /// Messages sent, their bytes, and time spent in the state machines.
     cost: (u64, u64, Duration),
 }
 
 /// Results of a run.
-struct Told {
-    half: Millis,
-    most: Millis,
+struct Results {
+    half_applied: Millis,
+    most_applied: Millis,
     /// Messages a second, bytes a second and the share of a core: of a follower, then of the leader.
     follower: (f64, f64, f64),
-    decider: (f64, f64, f64),
+    leader: (f64, f64, f64),
     moves: usize,
 }
 
-fn play(members: usize, per_s: f64, silent: f64, lost: bool, seconds: u64, seed: u64) -> Told {
+fn run(members: usize, per_s: f64, unanswered: f64, lost: bool, seconds: u64, seed: u64) -> Results {
     let mut rng = Rand64::new(seed.into());
     let begin = |me: usize| {
         let voters = vec![0, 1, 2];
@@ -59,18 +60,18 @@
         Node {
             member: Member::start(config, me as u32 + 1, 0),
             planner: None,
-            seen: RecentAttempts::new(ZONES),
-            steps: Default::default(),
+            recent: RecentAttempts::new(ZONES),
+            counts: Default::default(),
             waiting: Vec::new(),
             plan: Plan::default(),
-            look_at: me as Millis * 37 % LOOK,
-            plans_at: 0,
-            acted: None,
+            count_at: me as Millis * 37 % COUNT_INTERVAL,
+            plan_at: 0,
+            applied_at: None,
             cost: Default::default(),
         }
     };
     let mut nodes: Vec<Node> = (0..members).map(begin).collect();
-    let mut net: BinaryHeap<Reverse<UnderWay>> = BinaryHeap::new();
+    let mut net: BinaryHeap<Reverse<InFlight>> = BinaryHeap::new();
     let (mut sent, mut moves) = (0u64, 0);
     for now in 0..seconds * 1000 {
         let mut due = Vec::new();
@@ -81,25 +82,25 @@
             if rng.rand_float() < per_s / 1000.0 {
                 let zone = rng.rand_range(0..ZONES as u64) as usize;
                 if rng.rand_float() < node.plan.open_share(zone) {
-                    if lost && zone == LOST.0 && now >= LOST.1 {
+                    if lost && zone == LOST_ZONE && now >= LOST_AT {
                         node.waiting.push(now);
-                    } else if rng.rand_float() < silent {
-                        node.steps[zone].unanswered += 1;
+                    } else if rng.rand_float() < unanswered {
+                        node.counts[zone].unanswered += 1;
                     } else {
-                        node.steps[zone].answered += 1;
+                        node.counts[zone].answered += 1;
                     }
                 }
             }
-            if now >= node.look_at {
-                node.look_at = now + LOOK * 3 / 4 + rng.rand_range(0..LOOK / 2);
+            if now >= node.count_at {
+                node.count_at = now + COUNT_INTERVAL * 3 / 4 + rng.rand_range(0..COUNT_INTERVAL / 2);
                 let before = node.waiting.len();
-                node.waiting.retain(|at| at + SILENT > now);
-                node.steps[LOST.0].unanswered += (before - node.waiting.len()) as u32;
+                node.waiting.retain(|at| at + UNANSWERED_AFTER > now);
+                node.counts[LOST_ZONE].unanswered += (before - node.waiting.len()) as u32;
                 let open: Vec<f64> = (0..ZONES).map(|z| node.plan.open_share(z)).collect();
-                node.seen.record(&node.steps, &open);
-                node.steps = Default::default();
+                node.recent.record(&node.counts, &open);
+                node.counts = Default::default();
                 due.push((i as u16, None));
-            } else if now >= node.member.next_due() || node.planner.is_some() && now >= node.plans_at {
+            } else if now >= node.member.next_due() || node.planner.is_some() && now >= node.plan_at {
                 due.push((i as u16, None));
             }
         }
@@ -110,17 +111,17 @@
             match what {
                 Some((from, message)) => node.member.handle(now, from, message, &mut out),
                 None => {
-                    let seen = node.seen.evidence();
-                    node.member.set_evidence(seen.encode());
-                    let bad = seen.zones.iter().any(|(_, silent)| *silent >= HURRY);
+                    let recent = node.recent.evidence();
+                    node.member.set_evidence(recent.encode());
+                    let bad = recent.zones.iter().any(|(_, unanswered)| *unanswered >= URGENT_FROM);
                     let moving = node.plan.zones.iter().any(|z| z.state != mothpier_plan::ZoneState::Serving);
                     node.member.set_urgent(bad || moving);
                     node.member.tick(now, &mut out);
-                    if now >= node.plans_at
+                    if now >= node.plan_at
                         && let Some(planner) = &mut node.planner
                     {
-                        node.plans_at = now + PLANS;
-                        planner.add_evidence(now, to, seen);
+                        node.plan_at = now + PLAN_INTERVAL;
+                        planner.add_evidence(now, to, recent);
                         let plan = planner.step(now);
                         node.member.set_plan(now, plan.encode(), &mut out);
                         if let Some((number, _)) = node.member.applied_plan() {
@@ -132,21 +133,21 @@
             for effect in &out {
                 match effect {
                     Effect::Evidence(from, bytes) => {
-                        if let (Some(planner), Ok(seen)) = (&mut node.planner, Evidence::decode(bytes)) {
-                            planner.add_evidence(now, *from, seen);
+                        if let (Some(planner), Ok(recent)) = (&mut node.planner, Evidence::decode(bytes)) {
+                            planner.add_evidence(now, *from, recent);
                         }
                     }
                     Effect::ApplyPlan(_, bytes) => {
                         let plan = Plan::decode(bytes).unwrap();
-                        let away = plan.open_share(LOST.0) < 0.5;
+                        let away = plan.open_share(LOST_ZONE) < 0.5;
                         if away
-                            && node.plan.open_share(LOST.0) >= 0.5
+                            && node.plan.open_share(LOST_ZONE) >= 0.5
                             && node.member.leader_ballot().is_some()
                         {
                             moves += 1;
                         }
-                        if away && now >= LOST.1 {
-                            node.acted.get_or_insert(now);
+                        if away && now >= LOST_AT {
+                            node.applied_at.get_or_insert(now);
                         }
                         node.plan = plan;
                     }
@@ -185,10 +186,12 @@
             }
         }
     }
-    let mut acted: Vec<Millis> = nodes.iter().filter_map(|n| n.acted.map(|at| at - LOST.1)).collect();
-    acted.sort_unstable();
-    let after =
-        |part: f64| acted.get((members as f64 * part).ceil() as usize - 1).copied().unwrap_or(Millis::MAX);
+    let mut applied_at: Vec<Millis> =
+        nodes.iter().filter_map(|n| n.applied_at.map(|at| at - LOST_AT)).collect();
+    applied_at.sort_unstable();
+    let after = |part: f64| {
+        applied_at.get((members as f64 * part).ceil() as usize - 1).copied().unwrap_or(Millis::MAX)
+    };
     let rate = |n: &Node| {
         let (messages, bytes, time) = n.cost;
         let s = seconds as f64;
@@ -196,37 +199,46 @@
     };
     let mut rates: Vec<_> = nodes.iter().map(rate).collect();
     rates.sort_by(|a, b| a.0.total_cmp(&b.0));
-    Told {
-        half: after(0.5),
-        most: after(0.9),
+    Results {
+        half_applied: after(0.5),
+        most_applied: after(0.9),
         follower: rates[members / 2],
-        decider: rates[members - 1],
+        leader: rates[members - 1],
         moves,
     }
 }
 
 /// Requests a second of a node in a large fleet, where each node sees few.
-const FEW: f64 = 14.0;
+const FEW_REQUESTS_PER_S: f64 = 14.0;
 
 #[test]
-fn a_hundred_nodes_with_little_traffic_each_act_on_a_lost_zone_within_seconds() {
+fn a_hundred_nodes_with_little_traffic_act_on_a_lost_zone_within_seconds() {
     for seed in [1, 2, 3] {
-        let told = play(100, FEW, 0.02, true, 16, seed);
-        println!("seed {seed}: half after {} ms, nine tenths after {} ms", told.half, told.most);
-        assert!(told.half <= 2_000 && told.most <= 3_000, "half {} ms, most {} ms", told.half, told.most);
+        let results = run(100, FEW_REQUESTS_PER_S, 0.02, true, 16, seed);
+        println!(
+            "seed {seed}: half after {} ms, nine tenths after {} ms",
+            results.half_applied, results.most_applied
+        );
+        assert!(
+            results.half_applied <= 2_000 && results.most_applied <= 3_000,
+            "half {} ms, nine tenths {} ms",
+            results.half_applied,
+            results.most_applied
+        );
     }
 }
 
 #[test]
-fn weather_that_can_be_borne_moves_nothing_at_size() {
+fn tolerable_loss_moves_nothing_in_a_large_fleet() {
     // One attempt in five is unanswered, in every zone, for two minutes.
-    let told = play(60, FEW, 0.2, false, 120, 4);
-    assert_eq!(told.moves, 0);
+    let results = run(60, FEW_REQUESTS_PER_S, 0.2, false, 120, 4);
+    assert_eq!(results.moves, 0);
 }
 
 #[test]
-fn what_agreeing_costs_a_follower_does_not_grow_with_the_fleet() {
-    let (few, many) = (play(9, FEW, 0.02, false, 20, 5), play(100, FEW, 0.02, false, 20, 5));
+fn the_cost_of_a_follower_does_not_grow_with_the_fleet() {
+    let (few, many) =
+        (run(9, FEW_REQUESTS_PER_S, 0.02, false, 20, 5), run(100, FEW_REQUESTS_PER_S, 0.02, false, 20, 5));
     assert!(many.follower.0 <= few.follower.0 * 1.1, "{} {}", few.follower.0, many.follower.0);
     assert!(many.follower.1 <= few.follower.1 * 1.1, "{} {}", few.follower.1, many.follower.1);
 }
@@ -235,26 +247,32 @@
 #[test]
 #[ignore = "a measurement"]
 fn measure_costs_and_times_by_size() {
-    for (members, per_s) in
-        [(3, 33.0), (9, 33.0), (30, 33.0), (100, 33.0), (300, 33.0), (100, FEW), (300, FEW)]
-    {
+    for (members, per_s) in [
+        (3, 33.0),
+        (9, 33.0),
+        (30, 33.0),
+        (100, 33.0),
+        (300, 33.0),
+        (100, FEW_REQUESTS_PER_S),
+        (300, FEW_REQUESTS_PER_S),
+    ] {
         for seed in [1, 2, 3] {
-            let calm = play(members, per_s, 0.02, false, 30, seed);
-            let lost = play(members, per_s, 0.02, true, 16, seed);
+            let calm = run(members, per_s, 0.02, false, 30, seed);
+            let lost = run(members, per_s, 0.02, true, 16, seed);
             println!(
-                "{members:3} nodes, {per_s:2} a second each, seed {seed}: half {} ms, most {} ms; calm, a second: follower {:.1} messages, \
-                 {:.0} bytes, {:.4}% of a core; decider {:.0} messages, {:.0} bytes, {:.3}%",
-                lost.half,
-                lost.most,
+                "{members:3} nodes, {per_s:2} a second each, seed {seed}: half {} ms, nine tenths {} ms; per second without loss: follower {:.1} messages, \
+                 {:.0} bytes, {:.4}% of a core; leader {:.0} messages, {:.0} bytes, {:.3}%",
+                lost.half_applied,
+                lost.most_applied,
                 calm.follower.0,
                 calm.follower.1,
                 calm.follower.2 * 100.0,
-                calm.decider.0,
-                calm.decider.1,
-                calm.decider.2 * 100.0
+                calm.leader.0,
+                calm.leader.1,
+                calm.leader.2 * 100.0
             );
         }
     }
-    let hour = play(30, FEW, 0.2, false, 3_600, 9);
-    println!("an hour in which one attempt in five is silent: {} moves", hour.moves);
+    let hour = run(30, FEW_REQUESTS_PER_S, 0.2, false, 3_600, 9);
+    println!("an hour in which one attempt in five is unanswered: {} moves", hour.moves);
 }
--- a/crates/accord/tests/stable.rs
+++ b/crates/accord/tests/stable.rs
@@ -9,23 +9,23 @@
 use oorandom::Rand64;
 
 /// Arrival time, sequence number, sender, receiver and message.
-type UnderWay = (Millis, u64, MemberId, MemberId, Message);
+type InFlight = (Millis, u64, MemberId, MemberId, Message);
 
 struct Net {
     members: Vec<Member>,
     /// Local clocks: rate in thousandths, and offset.
     rates: Vec<(u64, Millis)>,
-    lives: Vec<u32>,
+    incarnations: Vec<u32>,
     stopped: Vec<Option<Millis>>,
     /// The partition of each member; members of different partitions can't communicate.
-    group: Vec<u8>,
-    queue: BinaryHeap<Reverse<UnderWay>>,
+    partition: Vec<u8>,
+    queue: BinaryHeap<Reverse<InFlight>>,
     sent: u64,
     rng: Rand64,
     now: Millis,
     loss: f64,
     plans: BTreeMap<PlanNumber, Vec<u8>>,
-    wishes: u8,
+    plans_set: u8,
     messages: u64,
 }
 
@@ -40,15 +40,15 @@
             .collect::<Vec<_>>();
         let mut net = Net {
             members: Vec::new(),
-            lives: vec![0; usize::from(members)],
+            incarnations: vec![0; usize::from(members)],
             stopped: vec![None; usize::from(members)],
-            group: vec![0; usize::from(members)],
+            partition: vec![0; usize::from(members)],
             queue: BinaryHeap::new(),
             sent: 0,
             now: 0,
             loss: 0.05,
             plans: BTreeMap::new(),
-            wishes: 0,
+            plans_set: 0,
             messages: 0,
             rates,
             rng,
@@ -64,9 +64,9 @@
 
     fn start(&mut self, me: u16) -> Member {
         let i = usize::from(me);
-        self.lives[i] = self.rng.rand_u64() as u32 | 1;
+        self.incarnations[i] = self.rng.rand_u64() as u32 | 1;
         let config = Config { me, voters: (0..VOTERS).collect(), timing: Timing::default() };
-        Member::start(config, self.lives[i], self.clock(i))
+        Member::start(config, self.incarnations[i], self.clock(i))
     }
 
     fn draw(&mut self, most: u64) -> u64 {
@@ -89,14 +89,14 @@
             let now = self.clock(i);
             self.members[i].handle(now, from, message, &mut out);
             assert!(self.members[i].highest_number() >= before);
-            self.did(i, out);
+            self.apply_effects(i, out);
         }
         for i in 0..self.members.len() {
             let now = self.clock(i);
             if self.stopped[i].is_none() && now >= self.members[i].next_due() {
                 let mut out = Vec::new();
                 self.members[i].tick(now, &mut out);
-                self.did(i, out);
+                self.apply_effects(i, out);
             }
         }
         let deciding: Vec<usize> = (0..self.members.len())
@@ -105,13 +105,13 @@
         assert!(deciding.len() <= 1, "{deciding:?} at {}", self.now);
     }
 
-    fn did(&mut self, i: usize, out: Vec<Effect>) {
+    fn apply_effects(&mut self, i: usize, out: Vec<Effect>) {
         for effect in out {
             match effect {
                 Effect::Send(to, message) => {
                     self.messages += 1;
                     let j = usize::from(to);
-                    if self.group[i] != self.group[j] || self.rng.rand_float() < self.loss {
+                    if self.partition[i] != self.partition[j] || self.rng.rand_float() < self.loss {
                         continue;
                     }
                     let copies = 1 + u64::from(self.draw(20) == 0);
@@ -133,13 +133,13 @@
     }
 
     /// Whoever leads sets a new plan.
-    fn wish(&mut self) {
+    fn set_new_plan(&mut self) {
         for i in 0..self.members.len() {
             if self.stopped[i].is_none() && self.members[i].leader_ballot().is_some() {
-                self.wishes = self.wishes.wrapping_add(1);
-                let (plan, now, mut out) = (vec![self.wishes, i as u8], self.clock(i), Vec::new());
+                self.plans_set = self.plans_set.wrapping_add(1);
+                let (plan, now, mut out) = (vec![self.plans_set, i as u8], self.clock(i), Vec::new());
                 self.members[i].set_plan(now, plan, &mut out);
-                self.did(i, out);
+                self.apply_effects(i, out);
             }
         }
     }
@@ -152,13 +152,13 @@
     }
 
     /// The state of all members, for the message of a failed assertion.
-    fn tell(&self) -> String {
+    fn describe(&self) -> String {
         let one = |i: usize| {
             let m = &self.members[i];
             let (number, lease) = (m.applied_plan().map(|(n, _)| n), m.lease_ends());
-            let (clock, group) = (self.clock(i), self.group[i]);
+            let (clock, partition) = (self.clock(i), self.partition[i]);
             format!(
-                "{i} in {group}, clock {clock}: acts on {number:?}, highest {:?}, lease {lease:?}",
+                "{i} in {partition}, clock {clock}: acts on {number:?}, highest {:?}, lease {lease:?}",
                 m.highest_number()
             )
         };
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn through_kills_stops_and_cuts_one_decides_and_a_stable_majority_comes_to_a_plan() {
+fn one_member_leads_through_faults_and_a_stable_majority_agrees_on_a_plan() {
     let (mut agreed, mut slowest) = (0, 0);
     for seed in 0..200 {
         let mut net = Net::new(12, seed);
@@ -187,52 +187,52 @@
                 match net.draw(8) {
                     0 => net.members[i] = net.start(i as u16),
                     1 => net.stopped[i] = Some(net.now),
-                    2 => net.group[i] = 1 + net.draw(2) as u8,
+                    2 => net.partition[i] = 1 + net.draw(2) as u8,
                     _ => {}
                 }
             }
             for _ in 0..8 {
                 let span = 200 + net.draw(900);
                 net.run(span);
-                net.wish();
+                net.set_new_plan();
             }
             // Moderate loss, with a minority of voters cut off.
             net.loss = 0.1;
-            net.group.fill(0);
+            net.partition.fill(0);
             net.stopped.fill(None);
             let away = net.draw(u64::from(VOTERS)) as usize;
-            net.group[away] = 9;
-            net.group[(away + 2) % usize::from(VOTERS)] = 9;
-            let groups = net.group.clone();
+            net.partition[away] = 9;
+            net.partition[(away + 2) % usize::from(VOTERS)] = 9;
+            let groups = net.partition.clone();
             let begin = net.now;
-            net.wish();
+            net.set_new_plan();
             while net.agreed(|i| groups[i] == 0).is_none() {
                 net.step();
                 assert!(
                     net.now < begin + 30_000,
                     "seed {seed}, round {round}: no plan after 30 s:\n{}",
-                    net.tell()
+                    net.describe()
                 );
             }
             slowest = slowest.max(net.now - begin);
             agreed += 1;
         }
     }
-    println!("{agreed} times agreed, the slowest after {slowest} ms");
+    println!("agreed {agreed} times, the slowest after {slowest} ms");
 }
 
 #[test]
-fn who_hears_nothing_falls_back_and_all_restarted_at_once_begin_above_what_anyone_acted_on() {
+fn a_cut_off_member_drops_its_plan_and_restarted_voters_begin_above_all_applied_plans() {
     let mut net = Net::new(9, 77);
     net.run(15_000);
     let first = net.agreed(|_| true).expect("a plan");
-    net.group[8] = 3;
+    net.partition[8] = 3;
     net.run(Timing::default().plan_validity + 2_000);
-    assert_eq!(net.members[8].applied_plan(), None, "it is alone");
+    assert_eq!(net.members[8].applied_plan(), None, "it is cut off");
     assert!(net.agreed(|i| i != 8).is_some());
-    net.group[8] = 0;
+    net.partition[8] = 0;
     net.run(5_000);
-    let second = net.agreed(|_| true).expect("it is back");
+    let second = net.agreed(|_| true).expect("all agree again");
     assert!(second >= first);
     // Every voter loses its state; the others keep theirs.
     for voter in 0..VOTERS {
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn messages_of_a_member_do_not_grow_with_their_number() {
+fn messages_per_member_do_not_grow_with_the_number_of_members() {
     let per_member = |members: u16| {
         let mut net = Net::new(members, 5);
         net.run(10_000);
--- a/crates/accord/tests/wall_clock.rs
+++ b/crates/accord/tests/wall_clock.rs
@@ -11,9 +11,9 @@
 /// Steps of the wall clock between two incarnations, in milliseconds.
 const STEPS: [i64; 4] = [-2_000, 2_000, -3_600_000, 3_600_000];
 /// How long a member's process is down between two incarnations.
-const DOWN: Millis = 300;
+const DOWN_TIME: Millis = 300;
 /// Time for a leader to emerge and for all to receive its plan: all voters abstain first, then campaign in turn.
-const SETTLED: Millis = 8_000;
+const SETTLING_TIME: Millis = 8_000;
 const VOTERS: [MemberId; 3] = [0, 1, 2];
 const MEMBERS: usize = 5;
 /// The one-way delay of messages.
@@ -52,7 +52,7 @@
         }
     }
 
-    fn deciders(&self) -> Vec<usize> {
+    fn leaders(&self) -> Vec<usize> {
         (0..MEMBERS).filter(|i| self.members[*i].leader_ballot().is_some()).collect()
     }
 
@@ -79,13 +79,13 @@
                     self.carry_out(me, out);
                 }
             }
-            assert!(self.deciders().len() <= 1, "{:?} decide at once", self.deciders());
+            assert!(self.leaders().len() <= 1, "{:?} decide at once", self.leaders());
         }
     }
 
     /// Ends a member's process; it starts again after a step of the wall clock.
     fn restart(&mut self, me: usize, step: i64) {
-        self.began[me] = self.now + DOWN;
+        self.began[me] = self.now + DOWN_TIME;
         self.members[me] = start(me, BEGIN + self.began[me] as i64 + step);
     }
 
@@ -95,17 +95,17 @@
 }
 
 #[test]
-fn a_decider_or_follower_that_starts_again_after_a_step_of_the_wall_clock_takes_part_as_any_other() {
+fn a_member_that_restarts_after_a_step_of_the_wall_clock_takes_part() {
     for step in STEPS {
         for me in 0..MEMBERS {
             let mut fleet = Fleet::new();
-            fleet.run(SETTLED, &[1]);
+            fleet.run(SETTLING_TIME, &[1]);
             assert!(fleet.all_act_on(&[1]), "before");
             // Twice: the clock is stepped and set back.
             for (step, plan) in [(step, [2]), (-step, [3])] {
-                let me = if me == 0 { fleet.deciders()[0] } else { me };
+                let me = if me == 0 { fleet.leaders()[0] } else { me };
                 fleet.restart(me, step);
-                fleet.run(SETTLED, &plan);
+                fleet.run(SETTLING_TIME, &plan);
                 assert!(fleet.all_act_on(&plan), "member {me}, a step of {step} ms");
             }
         }
@@ -113,25 +113,25 @@
 }
 
 #[test]
-fn all_voters_that_start_again_at_once_after_a_step_come_to_a_higher_number_and_followers_act_on_it() {
+fn voters_that_all_restart_after_a_step_agree_on_a_higher_number() {
     for step in STEPS {
         let mut fleet = Fleet::new();
-        fleet.run(SETTLED, &[1]);
+        fleet.run(SETTLING_TIME, &[1]);
         let before = fleet.members[3].highest_number();
         VOTERS.iter().for_each(|me| fleet.restart(usize::from(*me), step));
-        fleet.run(SETTLED, &[2]);
+        fleet.run(SETTLING_TIME, &[2]);
         assert!(fleet.all_act_on(&[2]), "a step of {step} ms");
         assert!(fleet.members[3].highest_number() > before, "a step of {step} ms");
-        let of_follower: Vec<PlanNumber> =
+        let applied_by_follower: Vec<PlanNumber> =
             fleet.acted.iter().filter(|(me, _)| *me == 3).map(|(_, n)| *n).collect();
-        assert!(of_follower.windows(2).all(|w| w[0] < w[1]), "{of_follower:?}");
+        assert!(applied_by_follower.windows(2).all(|w| w[0] < w[1]), "{applied_by_follower:?}");
     }
 }
 
 /// In a ballot the round goes before the incarnation: a voter that has promised to the former incarnation reports its round,
 /// and the new incarnation campaigns above it.
 #[test]
-fn a_candidate_whose_incarnation_is_lower_than_its_former_one_campaigns_above_what_a_voter_has_promised() {
+fn a_candidate_with_a_lower_incarnation_campaigns_above_its_former_round() {
     let timing = Timing::default();
     for step in STEPS {
         let mut voter = start(1, BEGIN);
--- a/crates/places/src/lib.rs
+++ b/crates/places/src/lib.rs
@@ -1,12 +1,12 @@
-//! Where zones lie, and how much of a node's traffic stays near.
+//! The locality of zones, and how much of a node's traffic stays local.
 //!
-//! [`Places`] is what the operator says: regions, the zones in them, and the pool in which a key's order is taken. [`Near`]
-//! is one node's machine: it is told what became of attempts by zone ([`Tally`]) and answers with the
+//! [`Places`] holds the operator's settings: regions, their zones, and the zones among which a key's server is chosen.
+//! [`LocalitySteering`] is one node's state machine: it is given the counts of attempts by zone ([`Tally`]) and returns the
 //! [`ZoneRouting`](brassrouter::ZoneRouting) that the decision module acts on. It has no clock, no sockets and its own seeded
-//! randomness; what it believes, it believes of its own attempts alone.
+//! randomness; it judges by the node's own attempts alone.
 
-mod near;
+mod locality_steering;
 mod places;
 
-pub use near::{LocalitySteering, RingState, Tally};
+pub use locality_steering::{LocalitySteering, RingState, Tally};
 pub use places::{InvalidSetting, Places, Region, RoutingScope, Tuning};
--- a/crates/places/src/near.rs
+++ b/crates/places/src/locality_steering.rs
@@ -61,24 +61,28 @@
 
 impl DecayingCounts {
     fn add(&mut self, tallies: impl Iterator<Item = Tally>) {
-        let DecayingCounts { attempts: all, unanswered: silent, trouble, .. } = self;
-        [&mut *all, &mut *silent, &mut *trouble].into_iter().for_each(|f| *f *= KEEP);
-        let (mut came, mut bad) = (0u32, 0u32);
-        for t in tallies {
-            *all += f64::from(t.answered + t.unanswered);
+        let DecayingCounts { attempts, unanswered, trouble, .. } = self;
+        [&mut *attempts, &mut *unanswered, &mut *trouble].into_iter().for_each(|count| *count *= KEEP);
+        let (mut succeeded, mut failed) = (0u32, 0u32);
+        for tally in tallies {
+            *attempts += f64::from(tally.answered + tally.unanswered);
             // A late answer was not lost: its server is slow, not unreachable.
-            *silent = (*silent + f64::from(t.unanswered) - f64::from(t.answered_late)).max(0.0);
-            *trouble += f64::from(t.refused + t.unanswered);
-            came += t.answered.saturating_sub(t.refused);
-            bad += t.refused + t.unanswered;
+            *unanswered =
+                (*unanswered + f64::from(tally.unanswered) - f64::from(tally.answered_late)).max(0.0);
+            *trouble += f64::from(tally.refused + tally.unanswered);
+            succeeded += tally.answered.saturating_sub(tally.refused);
+            failed += tally.refused + tally.unanswered;
         }
         // A few failures among many successes are no reason to start again.
-        self.successes =
-            if f64::from(bad) > 0.2 * f64::from(came + bad) { 0.0 } else { self.successes + f64::from(came) };
+        self.successes = if f64::from(failed) > 0.2 * f64::from(succeeded + failed) {
+            0.0
+        } else {
+            self.successes + f64::from(succeeded)
+        };
     }
 
-    fn share(of: f64, all: f64) -> f64 {
-        if all > 0.0 { (of / all).min(1.0) } else { 0.0 }
+    fn share(part: f64, total: f64) -> f64 {
+        if total > 0.0 { (part / total).min(1.0) } else { 0.0 }
     }
 }
 
@@ -161,10 +165,11 @@
         self.next_step_at = now + Duration::from_millis(self.tuning.step_ms).mul_f64(jitter);
         let before = self.routing();
         for ring in 0..=INNER_RINGS {
-            let of = |zone: &usize| usize::from(self.rings[*zone].min(INNER_RINGS as u8)) == ring;
-            let counted = (0..self.rings.len().min(tallies.len())).filter(of).map(|zone| tallies[zone]);
-            let seen = if ring < INNER_RINGS { &mut self.inner[ring].counts } else { &mut self.far };
-            seen.add(counted.collect::<Vec<_>>().into_iter());
+            let in_ring = |zone: &usize| usize::from(self.rings[*zone].min(INNER_RINGS as u8)) == ring;
+            let ring_tallies =
+                (0..self.rings.len().min(tallies.len())).filter(in_ring).map(|zone| tallies[zone]);
+            let counts = if ring < INNER_RINGS { &mut self.inner[ring].counts } else { &mut self.far };
+            counts.add(ring_tallies.collect::<Vec<_>>().into_iter());
         }
         for ring in 0..INNER_RINGS {
             // The ring beyond: the first one farther out that has zones.
@@ -172,22 +177,22 @@
             let beyond = beyond.map(|r| if r < INNER_RINGS { self.inner[r].counts } else { self.far });
             self.inner[ring].step(&self.tuning, now, beyond);
         }
-        Some(self.routing()).filter(|pool| *pool != before)
+        Some(self.routing()).filter(|routing| *routing != before)
     }
 }
 
 impl Ring {
     fn step(&mut self, tuning: &Tuning, now: Duration, beyond: Option<DecayingCounts>) {
-        let seen = &self.counts;
-        let (silent, trouble) = (
-            DecayingCounts::share(seen.unanswered, seen.attempts),
-            DecayingCounts::share(seen.trouble, seen.attempts),
+        let counts = &self.counts;
+        let (unanswered, trouble) = (
+            DecayingCounts::share(counts.unanswered, counts.attempts),
+            DecayingCounts::share(counts.trouble, counts.attempts),
         );
         // While its keys go elsewhere few attempts come here: few must suffice.
-        let enough = seen.attempts >= MIN_ATTEMPTS * (1.0 - self.spillover).max(0.25);
-        let lost = enough && silent >= tuning.lost_share;
-        let strained = enough && trouble >= tuning.overloaded_share;
-        if lost || strained {
+        let enough = counts.attempts >= MIN_ATTEMPTS * (1.0 - self.spillover).max(0.25);
+        let lost = enough && unanswered >= tuning.lost_share;
+        let overloaded = enough && trouble >= tuning.overloaded_share;
+        if lost || overloaded {
             self.trouble_at = now;
             if std::mem::take(&mut self.returning) {
                 // It did not bear the traffic that came back: wait longer before the next try.
@@ -195,12 +200,12 @@
             }
         }
         // Without capacity beyond, spilled traffic would be lost there, and the path is longer.
-        let most = match beyond {
+        let max_spillover = match beyond {
             None => 0.0,
             Some(beyond) if beyond.attempts < 1.0 => EXPLORATION_SHARE.max(self.spillover),
             Some(beyond) => {
-                let there = DecayingCounts::share(beyond.trouble, beyond.attempts);
-                if there <= MAX_RELATIVE_TROUBLE * trouble {
+                let trouble_beyond = DecayingCounts::share(beyond.trouble, beyond.attempts);
+                if trouble_beyond <= MAX_RELATIVE_TROUBLE * trouble {
                     1.0 - tuning.probe_share
                 } else {
                     self.spillover
@@ -209,11 +214,11 @@
         };
         if lost {
             self.state = RingState::Lost;
-            self.spillover = (self.spillover + self.lost_step).min(most.max(self.spillover));
+            self.spillover = (self.spillover + self.lost_step).min(max_spillover.max(self.spillover));
             self.lost_step = (self.lost_step * 2.0).min(1.0);
-        } else if strained {
+        } else if overloaded {
             self.state = RingState::Overloaded;
-            self.spillover = (self.spillover + tuning.overloaded_step).min(most.max(self.spillover));
+            self.spillover = (self.spillover + tuning.overloaded_step).min(max_spillover.max(self.spillover));
         } else if self.spillover > 0.0 {
             let hold = Duration::from_millis(tuning.hold_ms) * self.hold_factor;
             if now >= self.trouble_at + hold && self.counts.successes >= MIN_PROBE_SUCCESSES {
--- a/crates/places/src/places.rs
+++ b/crates/places/src/places.rs
@@ -115,37 +115,37 @@
     /// # Errors
     /// The first invalid setting, with its key.
     pub fn validate(&self) -> Result<(), InvalidSetting> {
-        let f = &self.tuning;
-        let figures = [
-            ("step_ms", f.step_ms as f64, 50.0, 10_000.0),
-            ("silent_ms", f.unanswered_after_ms as f64, 10.0, 60_000.0),
-            ("lost", f.lost_share, 0.1, 1.0),
-            ("strained", f.overloaded_share, 0.01, 1.0),
-            ("first_step", f.first_lost_step, 0.01, 1.0),
-            ("strained_step", f.overloaded_step, 0.01, 1.0),
-            ("back_step", f.return_step, 0.01, 1.0),
-            ("hold_ms", f.hold_ms as f64, 100.0, 600_000.0),
-            ("scouts", f.probe_share, 0.001, 0.2),
+        let tuning = &self.tuning;
+        let ranges = [
+            ("step_ms", tuning.step_ms as f64, 50.0, 10_000.0),
+            ("silent_ms", tuning.unanswered_after_ms as f64, 10.0, 60_000.0),
+            ("lost", tuning.lost_share, 0.1, 1.0),
+            ("strained", tuning.overloaded_share, 0.01, 1.0),
+            ("first_step", tuning.first_lost_step, 0.01, 1.0),
+            ("strained_step", tuning.overloaded_step, 0.01, 1.0),
+            ("back_step", tuning.return_step, 0.01, 1.0),
+            ("hold_ms", tuning.hold_ms as f64, 100.0, 600_000.0),
+            ("scouts", tuning.probe_share, 0.001, 0.2),
         ];
-        for (key, value, least, most) in figures {
-            if !(least..=most).contains(&value) {
-                let what = format!("{value} is not between {least} and {most}");
-                return Err(InvalidSetting { key: format!("figures.{key}"), problem: what });
+        for (key, value, min, max) in ranges {
+            if !(min..=max).contains(&value) {
+                let problem = format!("{value} is not between {min} and {max}");
+                return Err(InvalidSetting { key: format!("figures.{key}"), problem });
             }
         }
-        let bad = |what: String| Err(InvalidSetting { key: "region".into(), problem: what });
-        for (i, region) in self.regions.iter().enumerate() {
+        let invalid_region = |problem: String| Err(InvalidSetting { key: "region".into(), problem });
+        for (index, region) in self.regions.iter().enumerate() {
             if region.name.is_empty() || region.zones.is_empty() {
-                return bad(format!("region {:?} needs a name and a zone", region.name));
+                return invalid_region(format!("region {:?} needs a name and a zone", region.name));
             }
-            if self.regions[..i].iter().any(|r| r.name == region.name) {
-                return bad(format!("two regions are called {:?}", region.name));
+            if self.regions[..index].iter().any(|r| r.name == region.name) {
+                return invalid_region(format!("two regions are called {:?}", region.name));
             }
-            for (j, zone) in region.zones.iter().enumerate() {
-                if region.zones[..j].contains(zone)
-                    || self.regions[..i].iter().any(|r| r.zones.contains(zone))
+            for (zone_index, zone) in region.zones.iter().enumerate() {
+                if region.zones[..zone_index].contains(zone)
+                    || self.regions[..index].iter().any(|r| r.zones.contains(zone))
                 {
-                    return bad(format!("zone {zone:?} is named twice"));
+                    return invalid_region(format!("zone {zone:?} is named twice"));
                 }
             }
         }
@@ -160,8 +160,8 @@
     pub fn rings(&self, zones: &[String], own: Option<u8>) -> Result<Vec<u8>, InvalidSetting> {
         for zone in self.regions.iter().flat_map(|r| &r.zones) {
             if !zones.contains(zone) {
-                let what = format!("there is no zone {zone:?}; the settings have {}", zones.join(", "));
-                return Err(InvalidSetting { key: "region".into(), problem: what });
+                let problem = format!("there is no zone {zone:?}; the settings have {}", zones.join(", "));
+                return Err(InvalidSetting { key: "region".into(), problem });
             }
         }
         let Some(own) = own.map(usize::from).filter(|own| *own < zones.len()) else {
@@ -171,11 +171,11 @@
             });
         };
         let region = |zone: usize| self.regions.iter().position(|r| r.zones.contains(&zones[zone]));
-        let together = |zone: usize| zone == own || region(zone).is_some() && region(zone) == region(own);
+        let same_region = |zone: usize| zone == own || region(zone).is_some() && region(zone) == region(own);
         let ring = |zone: usize| match self.scope {
             RoutingScope::All => 0,
             RoutingScope::Region => {
-                if together(zone) {
+                if same_region(zone) {
                     0
                 } else {
                     2
@@ -183,7 +183,7 @@
             }
             RoutingScope::Zone if zone == own => 0,
             RoutingScope::Zone => {
-                if together(zone) {
+                if same_region(zone) {
                     1
                 } else {
                     2
--- a/crates/plan/src/announcement.rs
+++ b/crates/plan/src/announcement.rs
@@ -50,11 +50,11 @@
             Announced::ByPredecessor => return true,
             Announced::InPlan(sequence) => sequence,
         };
-        let (mut all, mut known) = (0, 0);
+        let (mut node_count, mut knowing) = (0, 0);
         for node in nodes {
-            all += 1;
-            known += usize::from(self.applied.get(node).is_some_and(|last| *last >= sequence));
+            node_count += 1;
+            knowing += usize::from(self.applied.get(node).is_some_and(|last| *last >= sequence));
         }
-        2 * known > all
+        2 * knowing > node_count
     }
 }
--- a/crates/plan/src/evidence.rs
+++ b/crates/plan/src/evidence.rs
@@ -5,11 +5,13 @@
 use crate::MOST_ZONES;
 use crate::orders::{OrderKind, OrderMessage};
 
-/// The layout of both, the first byte of each: pairs alone, and pairs with orders of staff behind them. The second is written only
-/// where there are orders, so that nodes which know the first go on reading all else.
-const VERSIONS: (u8, u8) = (1, 2);
+/// The first byte of an encoding of pairs without orders.
+const VERSION_WITHOUT_ORDERS: u8 = 1;
+/// The first byte of an encoding of pairs followed by orders. Written only where there are orders, so that nodes that know only
+/// the former version can read everything else.
+const VERSION_WITH_ORDERS: u8 = 2;
 
-/// The resolution in which attempts are encoded: few nodes send a whole attempt at a time to a zone that is given up.
+/// Attempts are encoded in fractions of one: each node has less than one at a time in a zone that is given up.
 pub const UNITS_PER_ATTEMPT: f64 = 8.0;
 /// A node with fewer recent attempts in a zone can't judge the zone.
 pub(crate) const MIN_ATTEMPTS: f64 = 3.0;
@@ -29,7 +31,7 @@
 
 impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("bytes of another version, or spoilt ones")
+        f.write_str("evidence or plan of an unknown version, or corrupted")
     }
 }
 
@@ -45,20 +47,20 @@
     if usize::from(*count) > MOST_ZONES || rest.len() < pairs {
         return Err(DecodeError);
     }
-    let (pairs, behind) = rest.split_at(pairs);
-    let orders = match (*version, behind) {
-        (version, []) if version == VERSIONS.0 => Vec::new(),
-        (version, orders) if version == VERSIONS.1 => OrderMessage::decode_all(orders)?,
+    let (pairs, order_bytes) = rest.split_at(pairs);
+    let orders = match (*version, order_bytes) {
+        (version, []) if version == VERSION_WITHOUT_ORDERS => Vec::new(),
+        (version, orders) if version == VERSION_WITH_ORDERS => OrderMessage::decode_all(orders)?,
         _ => return Err(DecodeError),
     };
     Ok((pairs.chunks_exact(2).map(|pair| (pair[0], pair[1])).collect(), orders))
 }
 
 fn encode(pairs: impl ExactSizeIterator<Item = (u8, u8)>, orders: &[OrderMessage]) -> Vec<u8> {
-    let version = if orders.is_empty() { VERSIONS.0 } else { VERSIONS.1 };
+    let version = if orders.is_empty() { VERSION_WITHOUT_ORDERS } else { VERSION_WITH_ORDERS };
     let mut bytes = vec![version, pairs.len().min(MOST_ZONES) as u8];
     bytes.extend(pairs.take(MOST_ZONES).flat_map(|(a, b)| [a, b]));
-    orders.iter().take(MOST_ZONES).for_each(|told| told.encode_into(&mut bytes));
+    orders.iter().take(MOST_ZONES).for_each(|order| order.encode_into(&mut bytes));
     bytes
 }
 
@@ -68,11 +70,14 @@
 
     /// From attempts and unanswered attempts by zone.
     pub fn from_counts(zones: impl Iterator<Item = (f64, f64)>) -> Evidence {
-        let byte = |figure: f64| figure.clamp(0.0, 255.0).round() as u8;
-        let one = |(all, silent): (f64, f64)| {
-            (byte(all * UNITS_PER_ATTEMPT), if all > 0.0 { byte(255.0 * silent / all) } else { 0 })
+        let byte = |value: f64| value.clamp(0.0, 255.0).round() as u8;
+        let pair = |(attempts, unanswered): (f64, f64)| {
+            (
+                byte(attempts * UNITS_PER_ATTEMPT),
+                if attempts > 0.0 { byte(255.0 * unanswered / attempts) } else { 0 },
+            )
         };
-        Evidence { zones: zones.map(one).collect(), orders: Vec::new() }
+        Evidence { zones: zones.map(pair).collect(), orders: Vec::new() }
     }
 
     /// Serializes the evidence.
@@ -168,17 +173,18 @@
 
     /// The order for a zone that has not expired, as far as the plan says.
     pub fn active_order(&self, zone: usize) -> Option<OrderKind> {
-        let order = self.orders.iter().find(|told| told.is_for(zone) && told.is_active())?;
+        let order = self.orders.iter().find(|order| order.is_for(zone) && order.is_active())?;
         Some(order.kind())
     }
 
     /// One line for operators: the zones that are not simply serving, by their names.
     pub fn describe(&self, names: &[String]) -> String {
-        let odd = self.zones.iter().enumerate();
-        let odd = odd.filter(|(i, z)| z.state != ZoneState::Serving || self.active_order(*i).is_some());
-        let one = |(i, z): (usize, &ZonePlan)| {
-            let name = names.get(i).map_or("?", String::as_str);
-            let what = match (self.active_order(i), z.state) {
+        let noteworthy = self.zones.iter().enumerate();
+        let noteworthy = noteworthy
+            .filter(|(index, zone)| zone.state != ZoneState::Serving || self.active_order(*index).is_some());
+        let describe_zone = |(index, zone): (usize, &ZonePlan)| {
+            let name = names.get(index).map_or("?", String::as_str);
+            let status = match (self.active_order(index), zone.state) {
                 (Some(OrderKind::KeepIn), _) => "is kept in by staff",
                 (Some(OrderKind::KeepOut), _) => "is kept out by staff",
                 (Some(OrderKind::Drain), _) => "is kept out by staff, its clients go elsewhere",
@@ -187,9 +193,9 @@
                 (_, ZoneState::GivenUp) => "is given up",
                 (_, ZoneState::Returning) => "is returning",
             };
-            format!("{name} {what}, {}% of its keys go there", z.open_percent)
+            format!("{name} {status}, {}% of its keys go there", zone.open_percent)
         };
-        let told: Vec<String> = odd.map(one).collect();
-        if told.is_empty() { "all zones serve".into() } else { told.join("; ") }
+        let descriptions: Vec<String> = noteworthy.map(describe_zone).collect();
+        if descriptions.is_empty() { "all zones serve".into() } else { descriptions.join("; ") }
     }
 }
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -10,12 +10,12 @@
 mod evidence;
 mod orders;
 mod planner;
-mod seen;
+mod recent_attempts;
 
 pub use evidence::{DecodeError, Evidence, Plan, UNITS_PER_ATTEMPT, ZonePlan, ZoneState};
 pub use orders::{MAX_ORDER_MS, OrderError, OrderKind, OrderMessage, ZoneOrder, ZoneOrders};
 pub use planner::{Planner, Tuning};
-pub use seen::{AttemptCounts, RecentAttempts};
+pub use recent_attempts::{AttemptCounts, RecentAttempts};
 
 /// A clock value or a duration, in milliseconds.
 pub type Millis = u64;
--- a/crates/plan/src/orders.rs
+++ b/crates/plan/src/orders.rs
@@ -14,10 +14,12 @@
 
 /// The longest duration of an order, in milliseconds: 18 hours, which its encoding can hold. For longer, order again.
 pub const MAX_ORDER_MS: Millis = 18 * 3600 * 1000;
-/// Plans tell spans that are longer than the second figure in steps of the first, rounded up, in milliseconds: else each second
-/// would be another plan. The last minute is told by the second, so that all come to the end together.
-const GRAIN: (Millis, Millis) = (15_000, 60_000);
-/// The step otherwise.
+/// The resolution of the time left of an order in a plan, in milliseconds, rounded up: with seconds each second would be
+/// another plan.
+const PLAN_RESOLUTION_MS: Millis = 15_000;
+/// With this much time left or less, in milliseconds, plans use seconds, so that the order expires everywhere at the same time.
+const FULL_RESOLUTION_BELOW_MS: Millis = 60_000;
+/// The resolution otherwise, in milliseconds.
 const SECOND_MS: Millis = 1_000;
 /// Order numbers from here on are invalid: operators do not order so often, and no higher number would be left.
 const MAX_NUMBER: u16 = 60_000;
@@ -82,9 +84,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             OrderError::UnknownZone => f.write_str("there is no such zone"),
-            OrderError::Duration => write!(f, "a span is between 1 and {} seconds", MAX_ORDER_MS / 1000),
-            OrderError::LastZone => f.write_str("every other zone is kept out already: none would be left"),
-            OrderError::NumbersExhausted => f.write_str("the numbers of this zone's orders are used up"),
+            OrderError::Duration => {
+                write!(f, "the duration is not between 1 and {} seconds", MAX_ORDER_MS / 1000)
+            }
+            OrderError::LastZone => {
+                f.write_str("every other zone is kept out already, so none would be left")
+            }
+            OrderError::NumbersExhausted => f.write_str("the order numbers of this zone are exhausted"),
         }
     }
 }
@@ -146,8 +152,8 @@
         if !bytes.len().is_multiple_of(ENCODED_BYTES) || bytes.len() > MOST_ZONES * ENCODED_BYTES {
             return Err(DecodeError);
         }
-        let one = |b: &[u8]| {
-            let how = match b[0] >> 4 {
+        let decode_one = |b: &[u8]| {
+            let kind = match b[0] >> 4 {
                 0 => OrderKind::Released,
                 1 => OrderKind::KeepIn,
                 2 => OrderKind::KeepOut,
@@ -155,15 +161,9 @@
                 _ => return Err(DecodeError),
             };
             let field = |at: usize| u16::from_le_bytes([b[at], b[at + 1]]);
-            Ok(OrderMessage {
-                zone: b[0] & 15,
-                number: field(1),
-                node: field(3),
-                kind: how,
-                left_s: field(5),
-            })
+            Ok(OrderMessage { zone: b[0] & 15, number: field(1), node: field(3), kind, left_s: field(5) })
         };
-        bytes.chunks_exact(ENCODED_BYTES).map(one).collect()
+        bytes.chunks_exact(ENCODED_BYTES).map(decode_one).collect()
     }
 }
 
@@ -192,8 +192,8 @@
             return Err(OrderError::Duration);
         }
         let zone = order.zone as u8;
-        let out = |z: usize| self.active(z, now).is_some_and(|(how, _)| how.is_out());
-        if order.kind.is_out() && (0..zones).all(|z| z == order.zone || out(z)) {
+        let is_kept_out = |z: usize| self.active(z, now).is_some_and(|(kind, _)| kind.is_out());
+        if order.kind.is_out() && (0..zones).all(|z| z == order.zone || is_kept_out(z)) {
             return Err(OrderError::LastZone);
         }
         let number = self.zones.get(&zone).map_or(0, |o| o.number) + 1;
@@ -218,33 +218,48 @@
 
     /// The orders that this node sends to others, releases and expired ones included.
     pub fn messages(&self, now: Millis) -> Vec<OrderMessage> {
-        self.messages_with_grain(now, |_| SECOND_MS)
+        self.messages_with_resolution(now, |_| SECOND_MS)
     }
 
     /// The orders for a plan, with a coarser time left: otherwise each second would be another plan.
     pub fn plan_messages(&self, now: Millis) -> Vec<OrderMessage> {
-        self.messages_with_grain(now, |left| if left > GRAIN.1 { GRAIN.0 } else { SECOND_MS })
+        self.messages_with_resolution(now, |left_ms| {
+            if left_ms > FULL_RESOLUTION_BELOW_MS { PLAN_RESOLUTION_MS } else { SECOND_MS }
+        })
     }
 
-    fn messages_with_grain(&self, now: Millis, step: impl Fn(Millis) -> Millis) -> Vec<OrderMessage> {
-        let one = |(zone, o): (&u8, &Order)| {
-            let left = if o.is_active(now) { o.expires_at - now } else { 0 };
-            let left_s = (left.next_multiple_of(step(left)) / 1000).min(u64::from(u16::MAX)) as u16;
+    fn messages_with_resolution(
+        &self,
+        now: Millis,
+        resolution_ms: impl Fn(Millis) -> Millis,
+    ) -> Vec<OrderMessage> {
+        let message = |(zone, o): (&u8, &Order)| {
+            let left_ms = if o.is_active(now) { o.expires_at - now } else { 0 };
+            let left_s =
+                (left_ms.next_multiple_of(resolution_ms(left_ms)) / 1000).min(u64::from(u16::MAX)) as u16;
             OrderMessage { zone: *zone, number: o.number, node: o.node, kind: o.kind, left_s }
         };
-        self.zones.iter().map(one).collect()
+        self.zones.iter().map(message).collect()
     }
 
     /// Merges the orders of a message. A newer order replaces an older one; of the same order the shorter time left holds.
     pub fn merge(&mut self, now: Millis, messages: &[OrderMessage], zones: usize) {
-        for t in messages {
-            let left = Millis::from(t.left_s) * 1000;
-            if usize::from(t.zone) >= zones || t.number >= MAX_NUMBER || left > MAX_ORDER_MS + GRAIN.0 {
+        for message in messages {
+            let left_ms = Millis::from(message.left_s) * 1000;
+            if usize::from(message.zone) >= zones
+                || message.number >= MAX_NUMBER
+                || left_ms > MAX_ORDER_MS + PLAN_RESOLUTION_MS
+            {
                 continue;
             }
-            let received = Order { number: t.number, node: t.node, kind: t.kind, expires_at: now + left };
+            let received = Order {
+                number: message.number,
+                node: message.node,
+                kind: message.kind,
+                expires_at: now + left_ms,
+            };
             self.zones
-                .entry(t.zone)
+                .entry(message.zone)
                 .and_modify(|known| {
                     if received.rank() > known.rank() {
                         *known = received;
@@ -258,9 +273,11 @@
 
     /// Whether an order is known that these messages lack.
     pub fn has_newer_than(&self, messages: &[OrderMessage]) -> bool {
-        let lacks = |(zone, o): (&u8, &Order)| {
-            !messages.iter().any(|t| t.zone == *zone && (t.number, t.node) >= o.rank())
+        let is_newer = |(zone, o): (&u8, &Order)| {
+            !messages
+                .iter()
+                .any(|message| message.zone == *zone && (message.number, message.node) >= o.rank())
         };
-        self.zones.iter().any(lacks)
+        self.zones.iter().any(is_newer)
     }
 }
--- a/crates/plan/src/planner.rs
+++ b/crates/plan/src/planner.rs
@@ -9,8 +9,10 @@
 use crate::orders::{OrderKind, ZoneOrders};
 use crate::{MOST_ZONES, Millis};
 
-/// All nodes together must have sent a zone that is given up so many to tell how it is, and a node that decides for itself.
-const ENOUGH_SCOUTS: (f64, f64) = (2.0, 0.5);
+/// The fewest recent attempts, of all nodes together, in a zone that is given up that suffice to judge it.
+const MIN_PROBES_ALL_NODES: f64 = 2.0;
+/// The same where one node plans for itself alone.
+const MIN_PROBES_SINGLE_NODE: f64 = 0.5;
 /// How long evidence of a node counts, in milliseconds.
 const EVIDENCE_VALIDITY_MS: Millis = 2_000;
 /// The longest hold before a return, as a multiple of the usual one.
@@ -73,7 +75,7 @@
     /// # Errors
     /// The first setting that is not: its key, and its value with the range.
     pub fn validate(&self) -> Result<(), (&'static str, String)> {
-        let figures = [
+        let ranges = [
             ("lost", self.lost_share, 0.1, 1.0),
             ("nodes", self.node_share, 0.01, 1.0),
             ("confirm_ms", self.confirm_ms as f64, 0.0, 60_000.0),
@@ -83,9 +85,9 @@
             ("hold_ms", self.hold_ms as f64, 100.0, 3_600_000.0),
             ("most", self.max_zone_share, 0.0, 1.0),
         ];
-        for (key, value, least, most) in figures {
-            if !(least..=most).contains(&value) {
-                return Err((key, format!("{value} is not between {least} and {most}")));
+        for (key, value, min, max) in ranges {
+            if !(min..=max).contains(&value) {
+                return Err((key, format!("{value} is not between {min} and {max}")));
             }
         }
         Ok(())
@@ -112,7 +114,7 @@
 #[derive(Debug)]
 pub struct Planner {
     tuning: Tuning,
-    courses: Vec<ZoneCourse>,
+    zones: Vec<ZoneCourse>,
     evidence: BTreeMap<u16, (Millis, Evidence)>,
     orders: ZoneOrders,
     /// Whether it plans for one node only.
@@ -124,7 +126,7 @@
 impl Planner {
     /// A planner for this many zones that continues a plan.
     pub fn new(tuning: Tuning, zones: usize, plan: &Plan, now: Millis) -> Planner {
-        let course = |i: usize| {
+        let zone_course = |i: usize| {
             let zone = plan
                 .zones
                 .get(i)
@@ -143,8 +145,8 @@
         };
         let mut orders = ZoneOrders::default();
         orders.merge(now, &plan.orders, zones);
-        let courses = (0..zones.min(MOST_ZONES)).map(course).collect();
-        Planner { tuning, courses, evidence: BTreeMap::new(), orders, single_node: false, announcement: None }
+        let zones = (0..zones.min(MOST_ZONES)).map(zone_course).collect();
+        Planner { tuning, zones, evidence: BTreeMap::new(), orders, single_node: false, announcement: None }
     }
 
     /// A planner for a new leader: until a time it only recovers its predecessor's plan, and it gives a zone up only when other
@@ -165,9 +167,9 @@
         if self.announcement.as_ref().is_none_or(|announcement| announcement.recovery_is_over(now)) {
             return false;
         }
-        for (course, zone) in self.courses.iter_mut().zip(&plan.zones) {
-            (course.planned, course.since, course.stepped_at) = (*zone, now, now);
-            course.announced = match zone.state {
+        for (zone_course, zone) in self.zones.iter_mut().zip(&plan.zones) {
+            (zone_course.planned, zone_course.since, zone_course.stepped_at) = (*zone, now, now);
+            zone_course.announced = match zone.state {
                 ZoneState::Suspected => Announced::ByPredecessor,
                 _ => Announced::No,
             };
@@ -177,8 +179,8 @@
 
     /// The present plan is sent to other nodes under a sequence number; this node acts on it at once.
     pub fn plan_published(&mut self, me: u16, sequence: u32) {
-        for course in &mut self.courses {
-            course.announced = match (course.planned.state, course.announced) {
+        for zone_course in &mut self.zones {
+            zone_course.announced = match (zone_course.planned.state, zone_course.announced) {
                 (ZoneState::Suspected, Announced::No) => Announced::InPlan(sequence),
                 (ZoneState::Suspected, announced) => announced,
                 _ => Announced::No,
@@ -197,15 +199,15 @@
     /// A planner for what one node does by itself about zones that the common plan keeps: too few nodes for the plan may have lost the
     /// zone, or no more zones may be given up. It waits until a plan would have moved, and keeps at least one zone.
     pub fn for_single_node(tuning: &Tuning, zones: usize, now: Millis) -> Planner {
-        let most = zones.saturating_sub(1) as f64 / zones.max(1) as f64;
-        let figures = Tuning {
+        let max_zone_share = zones.saturating_sub(1) as f64 / zones.max(1) as f64;
+        let tuning = Tuning {
             confirm_ms: SINGLE_NODE_CONFIRM_MS,
             probe_percent: SINGLE_NODE_PROBE_PERCENT,
             node_share: 1.0,
-            max_zone_share: most,
+            max_zone_share,
             ..tuning.clone()
         };
-        Planner { single_node: true, ..Planner::new(figures, zones, &Plan::default(), now) }
+        Planner { single_node: true, ..Planner::new(tuning, zones, &Plan::default(), now) }
     }
 
     /// The evidence that a node reports to others, where this is its own planner. To a zone that it has left by
@@ -214,11 +216,13 @@
     /// of unanswered ones does not, so less than half an attempt reports nothing any more.
     pub fn evidence_to_report(&self, measured: &Evidence, common: &Plan) -> Evidence {
         let mut reported = measured.clone();
-        for (zone, (course, told)) in self.courses.iter().zip(&mut reported.zones).enumerate() {
-            let (all, silent) = (f64::from(told.0), f64::from(told.1) / 255.0);
-            let still_lost = all >= ENOUGH_SCOUTS.1 * UNITS_PER_ATTEMPT && silent >= self.tuning.lost_share;
-            if still_lost && course.planned.state == ZoneState::GivenUp && common.open_share(zone) >= 1.0 {
-                *told = Evidence::LOST;
+        for (zone, (zone_course, report)) in self.zones.iter().zip(&mut reported.zones).enumerate() {
+            let (attempts, unanswered_share) = (f64::from(report.0), f64::from(report.1) / 255.0);
+            let still_lost = attempts >= MIN_PROBES_SINGLE_NODE * UNITS_PER_ATTEMPT
+                && unanswered_share >= self.tuning.lost_share;
+            if still_lost && zone_course.planned.state == ZoneState::GivenUp && common.open_share(zone) >= 1.0
+            {
+                *report = Evidence::LOST;
             }
         }
         reported
@@ -226,39 +230,36 @@
 
     /// Adds a node's evidence.
     pub fn add_evidence(&mut self, now: Millis, node: u16, evidence: Evidence) {
-        self.orders.merge(now, &evidence.orders, self.courses.len());
+        self.orders.merge(now, &evidence.orders, self.zones.len());
         self.evidence.insert(node, (now, evidence));
     }
 
     /// The present plan.
     pub fn plan(&self, now: Millis) -> Plan {
-        Plan {
-            zones: self.courses.iter().map(|c| c.planned).collect(),
-            orders: self.orders.plan_messages(now),
-        }
+        Plan { zones: self.zones.iter().map(|c| c.planned).collect(), orders: self.orders.plan_messages(now) }
     }
 
     /// How many nodes see a zone as lost, and how many see that it answers: the reason for the plan.
     pub fn vote_counts(&self, zone: usize) -> Option<(usize, usize)> {
-        (zone < self.courses.len()).then(|| self.votes(zone))
+        (zone < self.zones.len()).then(|| self.votes(zone))
     }
 
     /// Makes one step, from recent evidence and time.
     pub fn step(&mut self, now: Millis) -> Plan {
         self.evidence.retain(|_, (at, _)| *at + EVIDENCE_VALIDITY_MS >= now);
         // Shares such as two thirds are slightly less than exact in floating point.
-        let most = (self.tuning.max_zone_share * self.courses.len() as f64 + 1e-9).floor() as usize;
+        let max_given_up = (self.tuning.max_zone_share * self.zones.len() as f64 + 1e-9).floor() as usize;
         let may_choose = self.announcement.as_ref().is_none_or(|a| a.recovery_is_over(now));
-        for i in 0..self.courses.len() {
-            let (lost, well) = self.votes(i);
-            let room = self.others_given_up(i) < most;
-            let known = self.others_know(i, now);
+        for i in 0..self.zones.len() {
+            let (lost, answering) = self.votes(i);
+            let room = self.others_given_up(i) < max_given_up;
+            let others_know = self.others_know(i, now);
             match self.orders.active(i, now) {
-                Some((how, _)) => self.courses[i].apply_order(&self.tuning, now, how),
+                Some((kind, _)) => self.zones[i].apply_order(&self.tuning, now, kind),
                 None => {
-                    self.courses[i].apply_votes(&self.tuning, now, (lost, well));
+                    self.zones[i].apply_votes(&self.tuning, now, (lost, answering));
                     if may_choose {
-                        self.courses[i].step(&self.tuning, now, lost + well, room, known);
+                        self.zones[i].step(&self.tuning, now, lost + answering, room, others_know);
                     }
                 }
             }
@@ -269,45 +270,46 @@
     /// How many other zones are given up or about to be. Of several suspected zones (a plan of an earlier version may have them) the
     /// first ones go before the others.
     fn others_given_up(&self, zone: usize) -> usize {
-        let suspected = self.courses[zone].planned.state == ZoneState::Suspected;
-        let reserves = |(other, course): &(usize, &ZoneCourse)| match course.planned.state {
+        let suspected = self.zones[zone].planned.state == ZoneState::Suspected;
+        let counts = |(other, zone_course): &(usize, &ZoneCourse)| match zone_course.planned.state {
             _ if *other == zone => false,
             ZoneState::GivenUp | ZoneState::Returning => true,
             ZoneState::Suspected => !suspected || *other < zone,
             ZoneState::Serving => false,
         };
-        self.courses.iter().enumerate().filter(reserves).count()
+        self.zones.iter().enumerate().filter(counts).count()
     }
 
     /// Whether a zone may be given up, as far as other nodes must know of it first.
     fn others_know(&self, zone: usize, now: Millis) -> bool {
         let Some(announcement) = &self.announcement else { return true };
-        let course = &self.courses[zone];
-        now >= course.since + self.tuning.confirm_ms + MAX_ANNOUNCEMENT_MS
-            || announcement.is_known(course.announced, self.evidence.keys())
+        let zone_course = &self.zones[zone];
+        now >= zone_course.since + self.tuning.confirm_ms + MAX_ANNOUNCEMENT_MS
+            || announcement.is_known(zone_course.announced, self.evidence.keys())
     }
 
     /// How many nodes see a zone as lost, and how many see that it answers.
     fn votes(&self, zone: usize) -> (usize, usize) {
-        let figures = || self.evidence.values().filter_map(|(_, e)| e.zones.get(zone));
-        if self.courses[zone].planned.open_percent < ALL_KEYS_PERCENT {
+        let reports = || self.evidence.values().filter_map(|(_, e)| e.zones.get(zone));
+        if self.zones[zone].planned.open_percent < ALL_KEYS_PERCENT {
             // Few attempts go there: the sum over all nodes counts as one vote. The zone was given up for some of the nodes,
             // and must not come back while those still lose what they send.
-            let (all, silent) = figures().fold((0.0, 0.0), |(all, silent), (a, s)| {
-                (all + f64::from(*a), silent + f64::from(*a) * f64::from(*s) / 255.0)
+            let (attempts, unanswered) = reports().fold((0.0, 0.0), |(attempts, unanswered), (a, s)| {
+                (attempts + f64::from(*a), unanswered + f64::from(*a) * f64::from(*s) / 255.0)
             });
-            let is = silent >= self.tuning.lost_share.min(self.tuning.node_share) * all;
-            let enough = if self.single_node { ENOUGH_SCOUTS.1 } else { ENOUGH_SCOUTS.0 };
-            return if all < enough * UNITS_PER_ATTEMPT {
+            let lost = unanswered >= self.tuning.lost_share.min(self.tuning.node_share) * attempts;
+            let min_probes = if self.single_node { MIN_PROBES_SINGLE_NODE } else { MIN_PROBES_ALL_NODES };
+            return if attempts < min_probes * UNITS_PER_ATTEMPT {
                 (0, 0)
             } else {
-                (usize::from(is), usize::from(!is))
+                (usize::from(lost), usize::from(!lost))
             };
         }
-        let told = figures().filter(|(all, _)| f64::from(*all) >= MIN_ATTEMPTS * UNITS_PER_ATTEMPT);
-        told.fold((0, 0), |(lost, well), (_, silent)| {
-            let is = f64::from(*silent) / 255.0 >= self.tuning.lost_share;
-            (lost + usize::from(is), well + usize::from(!is))
+        let judging =
+            reports().filter(|(attempts, _)| f64::from(*attempts) >= MIN_ATTEMPTS * UNITS_PER_ATTEMPT);
+        judging.fold((0, 0), |(lost, answering), (_, unanswered)| {
+            let sees_lost = f64::from(*unanswered) / 255.0 >= self.tuning.lost_share;
+            (lost + usize::from(sees_lost), answering + usize::from(!sees_lost))
         })
     }
 }
@@ -320,37 +322,38 @@
     }
 
     /// Applies the votes. Where no node can judge the zone, only time changes anything.
-    fn apply_votes(&mut self, tuning: &Tuning, now: Millis, (lost, well): (usize, usize)) {
-        let told = lost + well;
-        self.lost = lost > 0 && lost as f64 >= tuning.node_share * told as f64;
-        let well = !self.lost && told > 0;
-        if well || !self.lost && self.planned.state == ZoneState::Serving {
+    fn apply_votes(&mut self, tuning: &Tuning, now: Millis, (lost, answering): (usize, usize)) {
+        let votes = lost + answering;
+        self.lost = lost > 0 && lost as f64 >= tuning.node_share * votes as f64;
+        let answering = !self.lost && votes > 0;
+        if answering || !self.lost && self.planned.state == ZoneState::Serving {
             self.lost_since = None;
         } else if self.lost {
             self.lost_since = self.lost_since.or(Some(now));
         }
-        self.answering_since = if self.lost { None } else { self.answering_since.or(well.then_some(now)) };
+        self.answering_since =
+            if self.lost { None } else { self.answering_since.or(answering.then_some(now)) };
     }
 
-    fn step(&mut self, tuning: &Tuning, now: Millis, told: usize, room: bool, known: bool) {
-        let bad = self.lost;
+    fn step(&mut self, tuning: &Tuning, now: Millis, votes: usize, room: bool, others_know: bool) {
+        let lost = self.lost;
         let confirmed = self.lost_since.is_some_and(|since| now >= since + tuning.confirm_ms);
         let due = now >= self.stepped_at + tuning.step_ms;
         match self.planned.state {
             // A suspected zone is the one that others know to be given up next: no more of them than there is room for.
-            ZoneState::Serving if bad && room => self.enter(now, ZoneState::Suspected),
+            ZoneState::Serving if lost && room => self.enter(now, ZoneState::Suspected),
             ZoneState::Serving => {
                 if now >= self.since + tuning.hold_ms * MAX_HOLD_FACTOR {
                     self.hold_factor = 1;
                 }
             }
-            ZoneState::Suspected if !bad && told > 0 => self.enter(now, ZoneState::Serving),
+            ZoneState::Suspected if !lost && votes > 0 => self.enter(now, ZoneState::Serving),
             // No node can judge it any more: it does not take the room of other zones.
-            ZoneState::Suspected if !bad && now >= self.since + tuning.confirm_ms + MAX_ANNOUNCEMENT_MS => {
+            ZoneState::Suspected if !lost && now >= self.since + tuning.confirm_ms + MAX_ANNOUNCEMENT_MS => {
                 self.enter(now, ZoneState::Serving);
             }
             ZoneState::Suspected => {
-                if bad && confirmed && room && known {
+                if lost && confirmed && room && others_know {
                     self.enter(now, ZoneState::GivenUp);
                     self.step_away(tuning, now);
                 }
@@ -371,7 +374,7 @@
                     self.step_away(tuning, now);
                 }
             }
-            ZoneState::Returning if bad => {
+            ZoneState::Returning if lost => {
                 self.hold_factor = (self.hold_factor * 2).min(MAX_HOLD_FACTOR);
                 self.enter(now, ZoneState::GivenUp);
                 self.planned.open_percent = tuning.probe_percent;
@@ -389,9 +392,9 @@
         let due = now >= self.stepped_at + tuning.step_ms;
         match kind {
             OrderKind::KeepOut | OrderKind::Drain => {
-                let first = self.planned.state != ZoneState::GivenUp;
+                let first_step = self.planned.state != ZoneState::GivenUp;
                 self.enter(now, ZoneState::GivenUp);
-                if self.planned.open_percent > 0 && (first || due) {
+                if self.planned.open_percent > 0 && (first_step || due) {
                     self.planned.open_percent = self.planned.open_percent.saturating_sub(tuning.step_percent);
                     self.stepped_at = now;
                 }
--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -186,7 +186,7 @@
     use super::*;
 
     #[test]
-    fn a_frame_is_taken_only_whole_and_bad_ones_are_told_apart() {
+    fn only_complete_frames_are_taken_and_malformed_ones_are_errors() {
         let whole = b"*2\r\n$3\r\nGET\r\n$1\r\nk\r\n";
         for cut in 0..whole.len() {
             assert_eq!(
@@ -219,17 +219,17 @@
     }
 
     #[test]
-    fn only_a_whole_frame_is_the_first_and_none_that_cannot_be_read() {
+    fn the_first_frame_is_complete_and_readable() {
         let frames = b"*1\r\n$1\r\nk\r\n-BUSY\r\n$2\r\nab\r\n";
-        let whole = |bytes: &[u8], most: usize| {
+        let whole = |bytes: &[u8], max_value: usize| {
             let (mut rest, mut taken) = (bytes, Vec::new());
-            while let Ok(Some(frame)) = first_frame(rest, most) {
+            while let Ok(Some(frame)) = first_frame(rest, max_value) {
                 taken.push(frame.len());
                 rest = &rest[frame.len()..];
             }
             assert_eq!(
-                take_bytes(&mut BytesMut::from(bytes), most).ok(),
-                first_frame(bytes, most).ok().map(|f| f.map(Bytes::copy_from_slice))
+                take_bytes(&mut BytesMut::from(bytes), max_value).ok(),
+                first_frame(bytes, max_value).ok().map(|f| f.map(Bytes::copy_from_slice))
             );
             taken
         };
@@ -250,7 +250,7 @@
     }
 
     #[test]
-    fn a_large_value_is_known_by_its_header_alone() {
+    fn a_large_value_is_recognized_by_its_header_alone() {
         let answer = |length: usize| format!("*3\r\n${length}\r\nabc");
         assert_eq!(
             large_value_header(answer(70_000).as_bytes()),
@@ -280,7 +280,7 @@
     }
 
     #[test]
-    fn the_extent_of_a_command_tells_what_is_still_to_come() {
+    fn the_extent_of_a_command_covers_bytes_still_to_arrive() {
         let command = b"*2\r\n$3\r\nSET\r\n$100\r\nabc";
         let last = FrameExtent::InValue { header: 13, end: 13 + 6 + 100 + 2, last: true };
         assert_eq!(frame_extent(command, MAX_BUFFERED_VALUE_BYTES), Ok(last));
--- a/crates/storm/src/door.rs
+++ b/crates/storm/src/connection_admission.rs
@@ -91,28 +91,28 @@
     }
 
     #[test]
-    fn a_wave_takes_the_rate_and_a_burst_and_the_rest_comes_back_one_by_one() {
-        let (taken, back) = wave(&mut admission(), 0);
-        assert!((108..=111).contains(&taken), "{taken} in a second: the rate and the burst");
-        let gaps: Vec<_> = back.windows(2).map(|two| two[1] - two[0]).collect();
+    fn a_wave_is_accepted_at_the_rate_and_the_rest_comes_back_one_by_one() {
+        let (accepted, come_back) = wave(&mut admission(), 0);
+        assert!((108..=111).contains(&accepted), "{accepted} in a second: the rate and the burst");
+        let gaps: Vec<_> = come_back.windows(2).map(|pair| pair[1] - pair[0]).collect();
         assert!(gaps.iter().all(|gap| *gap >= Duration::from_micros(9_900)), "{gaps:?}");
-        assert!(*back.last().unwrap() > 9 * SECOND, "over the time in which the door can take them");
+        assert!(*come_back.last().unwrap() > 9 * SECOND, "over the time that accepting them takes");
     }
 
     #[test]
-    fn those_that_say_nothing_cannot_fill_the_node() {
-        let (taken, back) = wave(&mut admission(), 20);
-        assert_eq!((taken, back.len()), (0, 1000), "half of 40 are half known already");
+    fn connections_without_a_command_cannot_fill_the_node() {
+        let (accepted, come_back) = wave(&mut admission(), 20);
+        assert_eq!((accepted, come_back.len()), (0, 1000), "half of 40 have not sent a command");
     }
 
     #[test]
     fn a_clock_that_stands_or_goes_back_gives_no_tokens() {
-        let mut door = admission();
-        let taken = |door: &mut ConnectionAdmission, now| {
-            (0..100).filter(|_| door.admit(now, 0) == Verdict::Accept).count()
+        let mut admission = admission();
+        let accepted = |admission: &mut ConnectionAdmission, now| {
+            (0..100).filter(|_| admission.admit(now, 0) == Verdict::Accept).count()
         };
-        assert_eq!(taken(&mut door, SECOND), 10);
-        assert_eq!(taken(&mut door, SECOND), 0);
-        assert_eq!(taken(&mut door, Duration::ZERO), 0);
+        assert_eq!(accepted(&mut admission, SECOND), 10);
+        assert_eq!(accepted(&mut admission, SECOND), 0);
+        assert_eq!(accepted(&mut admission, Duration::ZERO), 0);
     }
 }
--- a/crates/storm/src/detector.rs
+++ b/crates/storm/src/detector.rs
@@ -63,7 +63,7 @@
 impl fmt::Display for LoadState {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            LoadState::Normal => f.write_str("calm"),
+            LoadState::Normal => f.write_str("normal"),
             LoadState::Growth => f.write_str("growth"),
             LoadState::Burst { tenant } => write!(f, "burst of tenant {tenant}"),
             LoadState::Storm { tenant: None } => f.write_str("storm"),
@@ -142,27 +142,31 @@
 impl fmt::Display for LoadStateChange {
     /// One line for the log.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let g = &self.measurements;
-        write!(f, "weather: {}, was {}", self.to, self.from)?;
+        let measured = &self.measurements;
+        write!(f, "load state: {}, was {}", self.to, self.from)?;
         for (i, sign) in self.signs.iter().enumerate() {
             f.write_str(if i == 0 { " (" } else { ", " })?;
             match sign {
-                Sign::Repeats => write!(f, "{:.0}% of arrivals are repeats", g.repeat_share * 100.0)?,
+                Sign::Repeats => write!(f, "{:.0}% of arrivals are repeats", measured.repeat_share * 100.0)?,
                 Sign::Connections => {
                     write!(
                         f,
-                        "{:.0} new connections a second, {:.0} usual",
-                        g.connections.0, g.connections.1
+                        "{:.0} new connections/s, baseline {:.0}",
+                        measured.connections.0, measured.connections.1
                     )?;
                 }
-                Sign::WastedWork => {
-                    write!(f, "{:.0}% of the work was not wanted any more", g.wasted_share * 100.0)?
+                Sign::WastedWork => write!(
+                    f,
+                    "{:.0}% of the work was for requests that were over",
+                    measured.wasted_share * 100.0
+                )?,
+                Sign::Capacity => write!(f, "cache capacity at {:.0}%", measured.capacity * 100.0)?,
+                Sign::Unserved => {
+                    write!(f, "{:.0}% of requests end unserved", measured.unserved_share * 100.0)?
                 }
-                Sign::Capacity => write!(f, "the fleet can do {:.0}%", g.capacity * 100.0)?,
-                Sign::Unserved => write!(f, "{:.0}% end unserved", g.unserved_share * 100.0)?,
-                Sign::Peers => write!(f, "{:.0}% of the peers say so", g.peer_share * 100.0)?,
+                Sign::Peers => write!(f, "{:.0}% of peers report a storm", measured.peer_share * 100.0)?,
                 Sign::Arrivals => {
-                    write!(f, "{:.0} arrivals a second, {:.0} usual", g.arrivals.0, g.arrivals.1)?;
+                    write!(f, "{:.0} arrivals/s, baseline {:.0}", measured.arrivals.0, measured.arrivals.1)?;
                 }
             }
         }
@@ -179,12 +183,12 @@
 }
 
 impl EventRate {
-    fn update(&mut self, seconds: f64, learn: Option<f64>) {
+    fn update(&mut self, seconds: f64, baseline_weight: Option<f64>) {
         let rate = self.counted / seconds;
         self.counted = 0.0;
         self.present += (rate - self.present) * (seconds / RATE_TIME_CONSTANT.as_secs_f64()).min(1.0);
-        if let Some(part) = learn {
-            self.baseline += (rate - self.baseline) * part;
+        if let Some(weight) = baseline_weight {
+            self.baseline += (rate - self.baseline) * weight;
         }
     }
 }
@@ -296,7 +300,7 @@
     /// Reads the signs; to be called a few times a second. `capacity` is the present capacity of the cache servers relative to
     /// when they are warm. Returns a change of the load state, if any.
     pub fn evaluate(&mut self, now: Duration, capacity: f64) -> Option<LoadStateChange> {
-        let Some(began) = self.started_at else {
+        let Some(started_at) = self.started_at else {
             (self.started_at, self.evaluated_at, self.pending.1) = (Some(now), now, now);
             return None;
         };
@@ -305,7 +309,7 @@
             return None;
         }
         self.evaluated_at = now;
-        self.read_signs(now, now - began, seconds, capacity);
+        self.read_signs(now, now - started_at, seconds, capacity);
         let suggested = self.judge();
         if suggested != self.pending.0 {
             self.pending = (suggested, now);
@@ -316,88 +320,100 @@
             return None;
         }
         let from = std::mem::replace(&mut self.state, suggested);
-        let signs = SIGNS.into_iter().zip(self.present).filter(|(_, on)| *on).map(|(sign, _)| sign).collect();
+        let signs = SIGNS
+            .into_iter()
+            .zip(self.present)
+            .filter(|(_, present)| *present)
+            .map(|(sign, _)| sign)
+            .collect();
         Some(LoadStateChange { from, to: suggested, signs, measurements: self.measurements })
     }
 
     fn read_signs(&mut self, now: Duration, age: Duration, seconds: f64, capacity: f64) {
         // The mean of all measurements at first, then an exponentially weighted one. Unusual load must not become the baseline while
         // it lasts, but growth must in the end.
-        let span = Duration::from_millis(self.settings.baseline_ms).min(age).as_secs_f64().max(seconds);
-        let calm = matches!(self.state, LoadState::Normal | LoadState::Growth);
-        let learn = calm.then_some((seconds / span).min(1.0));
-        self.connections.update(seconds, learn);
+        let averaging_time =
+            Duration::from_millis(self.settings.baseline_ms).min(age).as_secs_f64().max(seconds);
+        let learns = matches!(self.state, LoadState::Normal | LoadState::Growth);
+        let baseline_weight = learns.then_some((seconds / averaging_time).min(1.0));
+        self.connections.update(seconds, baseline_weight);
         self.work.update(seconds, None);
         self.wasted.update(seconds, None);
         self.unserved.update(seconds, None);
         for t in &mut self.tenants {
-            t.first_attempts.update(seconds, learn);
+            t.first_attempts.update(seconds, baseline_weight);
             t.repeats.update(seconds, None);
         }
-        self.peers.retain(|_, (told, _)| *told + PEER_REPORT_VALIDITY >= now);
-        let known = age >= BASELINE_WARM_UP;
+        self.peers.retain(|_, (reported_at, _)| *reported_at + PEER_REPORT_VALIDITY >= now);
+        let baseline_known = age >= BASELINE_WARM_UP;
         let sum = |of: fn(&TenantRates) -> f64| self.tenants.iter().map(of).sum::<f64>();
-        let (first, repeats) = (sum(|t| t.first_attempts.present), sum(|t| t.repeats.present));
-        let usual = |usual: f64| if known { usual } else { 0.0 };
-        let part = |of: f64, all: f64| if all > 0.0 { of / all } else { 0.0 };
+        let (first_attempts, repeats) = (sum(|t| t.first_attempts.present), sum(|t| t.repeats.present));
+        let baseline = |baseline: f64| if baseline_known { baseline } else { 0.0 };
+        let share = |of: f64, total: f64| if total > 0.0 { of / total } else { 0.0 };
         self.measurements = Measurements {
-            arrivals: (first, usual(sum(|t| t.first_attempts.baseline))),
-            repeat_share: if first + repeats >= MIN_ARRIVALS_PER_S {
-                part(repeats, first + repeats)
+            arrivals: (first_attempts, baseline(sum(|t| t.first_attempts.baseline))),
+            repeat_share: if first_attempts + repeats >= MIN_ARRIVALS_PER_S {
+                share(repeats, first_attempts + repeats)
             } else {
                 0.0
             },
-            connections: (self.connections.present, usual(self.connections.baseline)),
-            wasted_share: part(self.wasted.present, self.work.present),
+            connections: (self.connections.present, baseline(self.connections.baseline)),
+            wasted_share: share(self.wasted.present, self.work.present),
             capacity,
-            unserved_share: if first + repeats >= MIN_ARRIVALS_PER_S {
-                part(self.unserved.present, first + repeats).min(1.0)
+            unserved_share: if first_attempts + repeats >= MIN_ARRIVALS_PER_S {
+                share(self.unserved.present, first_attempts + repeats).min(1.0)
             } else {
                 0.0
             },
-            peer_share: part(self.peers.values().filter(|(_, s)| *s).count() as f64, self.peers.len() as f64),
+            peer_share: share(
+                self.peers.values().filter(|(_, in_storm)| *in_storm).count() as f64,
+                self.peers.len() as f64,
+            ),
         };
-        let (f, s) = (self.measurements, &self.settings);
+        let (measured, settings) = (self.measurements, &self.settings);
         // Hysteresis: a sign appears at its threshold and disappears only well below it.
-        let disappears_below = |mark: f64, rest: f64| rest + (mark - rest) * s.clear_factor;
-        let ratio = |(is, usual): (f64, f64)| part(is, usual);
-        let reconnects =
-            ratio(f.connections) * f64::from(u8::from(f.connections.0 >= s.min_connections_per_s));
+        let disappears_below =
+            |threshold: f64, neutral: f64| neutral + (threshold - neutral) * settings.clear_factor;
+        let ratio = |(present, baseline): (f64, f64)| share(present, baseline);
+        let reconnects = ratio(measured.connections)
+            * f64::from(u8::from(measured.connections.0 >= settings.min_connections_per_s));
         let readings = [
-            (f.repeat_share, s.repeat_share, 0.0),
-            (reconnects, s.connection_factor, 1.0),
-            (f.wasted_share, s.wasted_share, 0.0),
-            (1.0 - f.capacity, 1.0 - s.min_capacity, 0.0),
-            (f.unserved_share, s.unserved_share, 0.0),
-            (f.peer_share, 0.5, 0.0),
-            (ratio(f.arrivals), s.arrival_factor, 1.0),
+            (measured.repeat_share, settings.repeat_share, 0.0),
+            (reconnects, settings.connection_factor, 1.0),
+            (measured.wasted_share, settings.wasted_share, 0.0),
+            (1.0 - measured.capacity, 1.0 - settings.min_capacity, 0.0),
+            (measured.unserved_share, settings.unserved_share, 0.0),
+            (measured.peer_share, 0.5, 0.0),
+            (ratio(measured.arrivals), settings.arrival_factor, 1.0),
         ];
-        for (on, (value, mark, rest)) in self.present.iter_mut().zip(readings) {
-            *on = value >= mark.max(1e-9) || (*on && value > disappears_below(mark, rest));
+        for (sign_present, (value, threshold, neutral)) in self.present.iter_mut().zip(readings) {
+            *sign_present = value >= threshold.max(1e-9)
+                || (*sign_present && value > disappears_below(threshold, neutral));
         }
     }
 
     fn judge(&self) -> LoadState {
-        let there = || SIGNS.into_iter().zip(self.present).filter(|(_, on)| *on).map(|(sign, _)| sign);
-        let storm_signs = there().filter(|sign| *sign != Sign::Arrivals).count();
+        let present_signs =
+            || SIGNS.into_iter().zip(self.present).filter(|(_, present)| *present).map(|(sign, _)| sign);
+        let storm_signs = present_signs().filter(|sign| *sign != Sign::Arrivals).count();
         // A storm lasts while any feedback lasts: its other signs may disappear before it does.
         let enough = if self.state.is_storm() { 1 } else { 2 };
-        if there().any(Sign::is_feedback) && storm_signs >= enough {
-            let all: f64 = self.tenants.iter().map(|t| t.repeats.present).sum();
-            return LoadState::Storm { tenant: self.dominant_tenant(all, |t| t.repeats.present) };
+        if present_signs().any(Sign::is_feedback) && storm_signs >= enough {
+            let total: f64 = self.tenants.iter().map(|t| t.repeats.present).sum();
+            return LoadState::Storm { tenant: self.dominant_tenant(total, |t| t.repeats.present) };
         }
-        if there().all(|sign| sign != Sign::Arrivals) {
+        if present_signs().all(|sign| sign != Sign::Arrivals) {
             return LoadState::Normal;
         }
-        let more = |t: &TenantRates| (t.first_attempts.present - t.first_attempts.baseline).max(0.0);
-        let all = self.tenants.iter().map(more).sum();
-        self.dominant_tenant(all, more).map_or(LoadState::Growth, |tenant| LoadState::Burst { tenant })
+        let excess = |t: &TenantRates| (t.first_attempts.present - t.first_attempts.baseline).max(0.0);
+        let total = self.tenants.iter().map(excess).sum();
+        self.dominant_tenant(total, excess).map_or(LoadState::Growth, |tenant| LoadState::Burst { tenant })
     }
 
-    /// The tenant with the share `one_tenant` of a quantity, where there are several tenants.
-    fn dominant_tenant(&self, all: f64, of: impl Fn(&TenantRates) -> f64) -> Option<usize> {
-        let mark = (all * self.settings.dominant_tenant_share).max(1e-9);
+    /// The tenant with the share `dominant_tenant_share` of a quantity, where there are several tenants.
+    fn dominant_tenant(&self, total: f64, quantity: impl Fn(&TenantRates) -> f64) -> Option<usize> {
+        let threshold = (total * self.settings.dominant_tenant_share).max(1e-9);
         let several = self.tenants.len() > 1;
-        self.tenants.iter().position(|t| of(t) >= mark).filter(|_| several)
+        self.tenants.iter().position(|tenant| quantity(tenant) >= threshold).filter(|_| several)
     }
 }
--- a/crates/storm/src/lib.rs
+++ b/crates/storm/src/lib.rs
@@ -5,10 +5,10 @@
 //! Which request is refused, and with which advice on retries, is up to the decision module; it receives the
 //! [`LoadState`] as one of its events.
 
+mod connection_admission;
 mod detector;
-mod door;
 mod settings;
 
+pub use connection_admission::{ConnectionAdmission, Verdict};
 pub use detector::{Detector, LoadState, LoadStateChange, Measurements, Sign};
-pub use door::{ConnectionAdmission, Verdict};
 pub use settings::{InvalidSetting, Settings};
--- a/crates/storm/src/settings.rs
+++ b/crates/storm/src/settings.rs
@@ -99,26 +99,26 @@
     /// # Errors
     /// The first setting that is not, with its value and its range.
     pub fn validate(&self) -> Result<(), InvalidSetting> {
-        let within = |key, value: f64, least: f64, most: f64| {
-            let allowed = (least, most);
-            if (least..=most).contains(&value) { Ok(()) } else { Err(InvalidSetting { key, value, allowed }) }
+        let check_range = |key, value: f64, min: f64, max: f64| {
+            let allowed = (min, max);
+            if (min..=max).contains(&value) { Ok(()) } else { Err(InvalidSetting { key, value, allowed }) }
         };
-        within("repeats", self.repeat_share, 0.01, 1.0)?;
-        within("connections", self.connection_factor, 1.1, 1000.0)?;
-        within("least_connections", self.min_connections_per_s, 1.0, 1e6)?;
-        within("wasted", self.wasted_share, 0.01, 1.0)?;
-        within("capacity", self.min_capacity, 0.01, 1.0)?;
-        within("unserved", self.unserved_share, 0.01, 1.0)?;
-        within("growth", self.arrival_factor, 1.05, 1000.0)?;
-        within("one_tenant", self.dominant_tenant_share, 0.5, 1.0)?;
-        within("gone_below", self.clear_factor, 0.05, 0.95)?;
-        within("enter_ms", self.enter_ms as f64, 100.0, 60_000.0)?;
-        within("leave_ms", self.leave_ms as f64, self.enter_ms as f64, 600_000.0)?;
-        within("usual_ms", self.baseline_ms as f64, 5_000.0, 3_600_000.0)?;
+        check_range("repeats", self.repeat_share, 0.01, 1.0)?;
+        check_range("connections", self.connection_factor, 1.1, 1000.0)?;
+        check_range("least_connections", self.min_connections_per_s, 1.0, 1e6)?;
+        check_range("wasted", self.wasted_share, 0.01, 1.0)?;
+        check_range("capacity", self.min_capacity, 0.01, 1.0)?;
+        check_range("unserved", self.unserved_share, 0.01, 1.0)?;
+        check_range("growth", self.arrival_factor, 1.05, 1000.0)?;
+        check_range("one_tenant", self.dominant_tenant_share, 0.5, 1.0)?;
+        check_range("gone_below", self.clear_factor, 0.05, 0.95)?;
+        check_range("enter_ms", self.enter_ms as f64, 100.0, 60_000.0)?;
+        check_range("leave_ms", self.leave_ms as f64, self.enter_ms as f64, 600_000.0)?;
+        check_range("usual_ms", self.baseline_ms as f64, 5_000.0, 3_600_000.0)?;
         if self.accepts_per_s != 0.0 {
-            within("accepts_per_s", self.accepts_per_s, 1.0, 1e6)?;
+            check_range("accepts_per_s", self.accepts_per_s, 1.0, 1e6)?;
         }
-        within("accepts_at_once", self.accept_burst, 1.0, 65_536.0)?;
-        within("half_known", self.awaiting_command_share, 0.05, 1.0)
+        check_range("accepts_at_once", self.accept_burst, 1.0, 65_536.0)?;
+        check_range("half_known", self.awaiting_command_share, 0.05, 1.0)
     }
 }
