--- a/crates/accord/src/member.rs
+++ b/crates/accord/src/member.rs
@@ -676,7 +676,7 @@
         earlier && self.recovery.should_query(self.now, member, number)
     }
 
-    /// Sends the known plan to a new leader that recovers it: with no time left on the lease nobody acts on it.
+    /// Sends the known plan to a new leader that recovers it: with no time left on the lease no member acts on it.
     fn send_applied_plan(&self, to: MemberId, (asked_at, incarnation): (Millis, u32), out: &mut Vec<Effect>) {
         let Some(AppliedPlan { number, plan, .. }) = self.applied.clone() else { return };
         if self.config.voters.contains(&to) {
--- a/crates/accord/tests/explore.rs
+++ b/crates/accord/tests/explore.rs
@@ -110,31 +110,34 @@
         }
     }
 
-    fn steps(&self, w: &ModelState<N>) -> Vec<Step> {
-        let mut steps: Vec<Step> =
-            w.messages.iter().map(|(from, to, m)| Step::Deliver(*from, *to, m.clone())).collect();
+    fn steps(&self, state: &ModelState<N>) -> Vec<Step> {
+        let mut steps: Vec<Step> = state
+            .messages
+            .iter()
+            .map(|(from, to, message)| Step::Deliver(*from, *to, message.clone()))
+            .collect();
         for i in 0..N {
-            if w.remaining.campaigns[i] > 0 {
+            if state.remaining.campaigns[i] > 0 {
                 steps.push(Step::Campaign(i));
             }
-            if w.remaining.plans > 0 && w.members[i].leader_ballot().is_some() {
+            if state.remaining.plans > 0 && state.members[i].leader_ballot().is_some() {
                 steps.push(Step::SetPlan(i));
             }
-            if w.remaining.restarts[i] > 0 {
+            if state.remaining.restarts[i] > 0 {
                 steps.push(Step::Restart(i));
             }
-            if w.remaining.queries[i] > 0 {
-                let others = (0..N).filter(|j| *j != i && w.members[*j].lease_ends().is_some());
+            if state.remaining.queries[i] > 0 {
+                let others = (0..N).filter(|j| *j != i && state.members[*j].lease_ends().is_some());
                 steps.extend(others.map(|j| Step::Query(i, j as u16)));
             }
-            if w.remaining.relays[i] > 0 {
-                let others = (0..N).filter(|j| *j != i && w.members[*j].lease_ends().is_none());
+            if state.remaining.relays[i] > 0 {
+                let others = (0..N).filter(|j| *j != i && state.members[*j].lease_ends().is_none());
                 steps.extend(others.map(|j| Step::Relay(i, j as u16)));
             }
         }
-        if w.time < self.bounds.time {
+        if state.time < self.bounds.time {
             steps.push(Step::Tick(None));
-            if w.remaining.clock_leaps > 0 {
+            if state.remaining.clock_leaps > 0 {
                 steps.extend((0..N).map(|i| Step::Tick(Some(i))));
             }
         }
@@ -142,103 +145,104 @@
     }
 
     /// The state after a step, or the rule that it violates.
-    fn after(&self, w: &ModelState<N>, step: &Step) -> Result<ModelState<N>, String> {
-        let mut w = w.clone();
+    fn after(&self, state: &ModelState<N>, step: &Step) -> Result<ModelState<N>, String> {
+        let mut state = state.clone();
         let mut out = Vec::new();
         let mut at = None;
         match step {
             Step::Tick(leap) => {
-                w.time += 1;
-                w.clocks.iter_mut().for_each(|c| *c += 1);
+                state.time += 1;
+                state.clocks.iter_mut().for_each(|c| *c += 1);
                 if let Some(i) = leap {
-                    w.clocks[*i] += 1;
-                    w.remaining.clock_leaps -= 1;
+                    state.clocks[*i] += 1;
+                    state.remaining.clock_leaps -= 1;
                 }
             }
             Step::Campaign(i) => {
-                w.remaining.campaigns[*i] -= 1;
+                state.remaining.campaigns[*i] -= 1;
                 at = Some(*i);
-                w.members[*i].start_campaign(w.clocks[*i], &mut out);
+                state.members[*i].start_campaign(state.clocks[*i], &mut out);
             }
             Step::Query(i, to) => {
-                w.remaining.queries[*i] -= 1;
+                state.remaining.queries[*i] -= 1;
                 at = Some(*i);
-                w.members[*i].send_query(w.clocks[*i], *to, &mut out);
+                state.members[*i].send_query(state.clocks[*i], *to, &mut out);
             }
             Step::Relay(i, to) => {
-                w.remaining.relays[*i] -= 1;
+                state.remaining.relays[*i] -= 1;
                 at = Some(*i);
-                w.members[*i].send_query_through(w.clocks[*i], *to, &mut out);
+                state.members[*i].send_query_through(state.clocks[*i], *to, &mut out);
             }
             Step::SetPlan(i) => {
-                w.remaining.plans -= 1;
+                state.remaining.plans -= 1;
                 at = Some(*i);
                 // A plan of its own: no other member ever sets this one.
-                w.members[*i].set_plan(
-                    w.clocks[*i],
-                    vec![*i as u8 + 1, w.remaining.plans, w.remaining.restarts[*i]],
+                state.members[*i].set_plan(
+                    state.clocks[*i],
+                    vec![*i as u8 + 1, state.remaining.plans, state.remaining.restarts[*i]],
                     &mut out,
                 );
             }
             Step::Restart(i) => {
-                w.remaining.restarts[*i] -= 1;
+                state.remaining.restarts[*i] -= 1;
                 let incarnation =
-                    100 * u32::from(self.bounds.restarts[*i] - w.remaining.restarts[*i]) + *i as u32;
+                    100 * u32::from(self.bounds.restarts[*i] - state.remaining.restarts[*i]) + *i as u32;
                 // Its clock starts anew with it.
-                w.clocks[*i] = 0;
-                w.members[*i] = self.member(*i, incarnation, 0);
+                state.clocks[*i] = 0;
+                state.members[*i] = self.member(*i, incarnation, 0);
             }
             Step::Deliver(from, to, message) => {
                 let i = usize::from(*to);
                 at = Some(i);
-                let before = w.members[i].highest_number();
-                w.members[i].handle(w.clocks[i], *from, message.clone(), &mut out);
-                self.check_follower(&w, i, message, before, &out)?;
+                let before = state.members[i].highest_number();
+                state.members[i].handle(state.clocks[i], *from, message.clone(), &mut out);
+                self.check_follower(&state, i, message, before, &out)?;
             }
         }
         if let Some(i) = at {
-            self.apply_effects(&mut w, i, out)?;
+            self.apply_effects(&mut state, i, out)?;
         }
-        let deciding: Vec<usize> = (0..N).filter(|i| self.holds_lease(&w, *i)).collect();
-        if deciding.len() > 1 {
-            return Err(format!("members {deciding:?} hold a lease at once"));
+        let leading: Vec<usize> = (0..N).filter(|i| self.holds_lease(&state, *i)).collect();
+        if leading.len() > 1 {
+            return Err(format!("members {leading:?} hold a lease at once"));
         }
         for i in 0..N {
-            w.members[i] = w.members[i].clone().normalized(w.clocks[i]);
+            state.members[i] = state.members[i].clone().normalized(state.clocks[i]);
         }
         // Messages without effect would make equal states differ. They are kept where ballots are reused.
-        let dead = |(_, to, message): &(u16, u16, Message)| !w.members[usize::from(*to)].can_affect(message);
-        if self.mutant != Some(Mutant::ReusesIncarnation) && w.messages.iter().any(dead) {
-            let alive = w.messages.iter().filter(|m| !dead(m)).cloned().collect();
-            w.messages = Rc::new(alive);
+        let dead =
+            |(_, to, message): &(u16, u16, Message)| !state.members[usize::from(*to)].can_affect(message);
+        if self.mutant != Some(Mutant::ReusesIncarnation) && state.messages.iter().any(dead) {
+            let alive = state.messages.iter().filter(|message| !dead(message)).cloned().collect();
+            state.messages = Rc::new(alive);
         }
-        Ok(w)
+        Ok(state)
     }
 
     /// By its own clock, whether or not it has noticed the end of the lease.
-    fn holds_lease(&self, w: &ModelState<N>, i: usize) -> bool {
-        w.members[i].lease_ends().is_some_and(|until| w.clocks[i] < until)
+    fn holds_lease(&self, state: &ModelState<N>, i: usize) -> bool {
+        state.members[i].lease_ends().is_some_and(|until| state.clocks[i] < until)
     }
 
     /// Checks a follower after a reply.
     fn check_follower(
         &self,
-        w: &ModelState<N>,
+        state: &ModelState<N>,
         i: usize,
         message: &Message,
         before: PlanNumber,
         out: &[Effect],
     ) -> Result<(), String> {
         let Message::Reply { number, .. } = message else { return Ok(()) };
-        let took = w.members[i].applied_plan().is_some_and(|(n, _)| n == *number)
-            && w.members[i].highest_number() == *number;
+        let took = state.members[i].applied_plan().is_some_and(|(n, _)| n == *number)
+            && state.members[i].highest_number() == *number;
         let acted = out.iter().any(|e| matches!(e, Effect::ApplyPlan(n, _) if n == number));
         if acted {
             if *number < before {
                 return Err(format!("member {i} went back from {before:?} to {number:?}"));
             }
-            let until = w.leases.get(&number.term).copied().unwrap_or(0);
-            if took && w.time >= until {
+            let until = state.leases.get(&number.term).copied().unwrap_or(0);
+            if took && state.time >= until {
                 return Err(format!("member {i} acts on {number:?} after its leader's lease has expired"));
             }
         }
@@ -246,17 +250,17 @@
     }
 
     /// Sends a member's messages, and checks the plan that it acts on.
-    fn apply_effects(&self, w: &mut ModelState<N>, i: usize, out: Vec<Effect>) -> Result<(), String> {
+    fn apply_effects(&self, state: &mut ModelState<N>, i: usize, out: Vec<Effect>) -> Result<(), String> {
         for effect in out {
             match effect {
                 Effect::Send(to, message) => {
-                    Rc::make_mut(&mut w.messages).insert((i as u16, to, message));
+                    Rc::make_mut(&mut state.messages).insert((i as u16, to, message));
                 }
                 Effect::ApplyPlan(number, plan) => {
-                    if !w.plans.contains_key(&number) {
-                        Rc::make_mut(&mut w.plans).insert(number, plan.clone());
+                    if !state.plans.contains_key(&number) {
+                        Rc::make_mut(&mut state.plans).insert(number, plan.clone());
                     }
-                    let known = &w.plans[&number];
+                    let known = &state.plans[&number];
                     if *known != plan {
                         return Err(format!("{number:?} is {known:?} for one and {plan:?} for another"));
                     }
@@ -264,17 +268,18 @@
                 _ => {}
             }
         }
-        if let (Some(began), Some(until)) = (w.members[i].leader_ballot(), w.members[i].lease_ends()) {
-            let until = w.time + until - w.clocks[i];
-            if w.leases.get(&began).is_none_or(|known| *known < until) {
-                Rc::make_mut(&mut w.leases).insert(began, until);
+        if let (Some(ballot), Some(until)) = (state.members[i].leader_ballot(), state.members[i].lease_ends())
+        {
+            let until = state.time + until - state.clocks[i];
+            if state.leases.get(&ballot).is_none_or(|known| *known < until) {
+                Rc::make_mut(&mut state.leases).insert(ballot, until);
             }
         }
-        if w.members[i].applied_plan().is_some() {
-            let mut looked = w.members[i].clone();
-            looked.tick(w.clocks[i] + self.bounds.timing.plan_validity, &mut Vec::new());
+        if state.members[i].applied_plan().is_some() {
+            let mut member = state.members[i].clone();
+            member.tick(state.clocks[i] + self.bounds.timing.plan_validity, &mut Vec::new());
             // It receives nothing from here on: a plan of another member, which it does not renew itself, must expire.
-            if looked.applied_plan().is_some() {
+            if member.applied_plan().is_some() {
                 return Err(format!("member {i} acts on a plan for ever"));
             }
         }
@@ -308,7 +313,7 @@
                         let acting = next
                             .members
                             .iter()
-                            .filter(|m| m.applied_plan().is_some_and(|(_, p)| !p.is_empty()));
+                            .filter(|message| message.applied_plan().is_some_and(|(_, p)| !p.is_empty()));
                         outcome.plan_applied |= acting.count() > 1;
                         outcome.states += 1;
                         parents.push((state_index, step_index as u16));
@@ -435,15 +440,17 @@
         for depth in 0..200 {
             let mut steps = explorer.steps(&state);
             steps.retain(|step| match step {
-                Step::Deliver(from, to, m) => deliveries.get(&(*from, *to, m.clone())).is_none_or(|n| *n < 2),
+                Step::Deliver(from, to, message) => {
+                    deliveries.get(&(*from, *to, message.clone())).is_none_or(|n| *n < 2)
+                }
                 _ => true,
             });
             if steps.is_empty() {
                 break;
             }
             let step = steps.swap_remove(rng.rand_range(0..steps.len() as u64) as usize);
-            if let Step::Deliver(from, to, m) = &step {
-                *deliveries.entry((*from, *to, m.clone())).or_default() += 1;
+            if let Step::Deliver(from, to, message) = &step {
+                *deliveries.entry((*from, *to, message.clone())).or_default() += 1;
             }
             match explorer.after(&state, &step) {
                 Ok(next) => state = next,
@@ -461,7 +468,7 @@
     assert_eq!(walk(None, FIVE_VOTERS, 40_000), None);
     for mutant in [Mutant::VotesAtOnce, Mutant::HidesGrant, Mutant::BreaksPromise, Mutant::LeaseFromGrant] {
         let what = walk(Some(mutant), FIVE_VOTERS, 40_000);
-        assert!(what.as_ref().is_some_and(|w| w.contains(TWO_LEADERS)), "{mutant:?}: {what:?}");
+        assert!(what.as_ref().is_some_and(|state| state.contains(TWO_LEADERS)), "{mutant:?}: {what:?}");
     }
 }
 
--- a/crates/accord/tests/fleet.rs
+++ b/crates/accord/tests/fleet.rs
@@ -72,7 +72,7 @@
     };
     let mut nodes: Vec<Node> = (0..members).map(begin).collect();
     let mut net: BinaryHeap<Reverse<InFlight>> = BinaryHeap::new();
-    let (mut sent, mut moves) = (0u64, 0);
+    let (mut next_sequence, mut moves) = (0u64, 0);
     for now in 0..seconds * 1000 {
         let mut due = Vec::new();
         while net.peek().is_some_and(|Reverse((at, ..))| *at <= now) {
@@ -139,14 +139,14 @@
                     }
                     Effect::ApplyPlan(_, bytes) => {
                         let plan = Plan::decode(bytes).unwrap();
-                        let away = plan.open_share(LOST_ZONE) < 0.5;
-                        if away
+                        let leaves_lost_zone = plan.open_share(LOST_ZONE) < 0.5;
+                        if leaves_lost_zone
                             && node.plan.open_share(LOST_ZONE) >= 0.5
                             && node.member.leader_ballot().is_some()
                         {
                             moves += 1;
                         }
-                        if away && now >= LOST_AT {
+                        if leaves_lost_zone && now >= LOST_AT {
                             node.applied_at.get_or_insert(now);
                         }
                         node.plan = plan;
@@ -180,8 +180,8 @@
                 node.cost.1 += bytes as u64;
                 // One message in a hundred is lost; the one-way delay is 20 ms.
                 if rng.rand_float() >= 0.01 {
-                    sent += 1;
-                    net.push(Reverse((now + 20 + rng.rand_range(0..3), sent, to, other, message)));
+                    next_sequence += 1;
+                    net.push(Reverse((now + 20 + rng.rand_range(0..3), next_sequence, to, other, message)));
                 }
             }
         }
--- a/crates/accord/tests/messages.rs
+++ b/crates/accord/tests/messages.rs
@@ -7,8 +7,8 @@
 };
 use oorandom::Rand64;
 
-fn draw(rng: &mut Rand64, most: u64) -> u64 {
-    rng.rand_range(0..most.max(1))
+fn draw(rng: &mut Rand64, bound: u64) -> u64 {
+    rng.rand_range(0..bound.max(1))
 }
 
 fn ballot(rng: &mut Rand64) -> Ballot {
--- a/crates/accord/tests/stable.rs
+++ b/crates/accord/tests/stable.rs
@@ -20,7 +20,7 @@
     /// The partition of each member; members of different partitions can't communicate.
     partition: Vec<u8>,
     queue: BinaryHeap<Reverse<InFlight>>,
-    sent: u64,
+    next_sequence: u64,
     rng: Rand64,
     now: Millis,
     loss: f64,
@@ -44,7 +44,7 @@
             stopped: vec![None; usize::from(members)],
             partition: vec![0; usize::from(members)],
             queue: BinaryHeap::new(),
-            sent: 0,
+            next_sequence: 0,
             now: 0,
             loss: 0.05,
             plans: BTreeMap::new(),
@@ -69,8 +69,8 @@
         Member::start(config, self.incarnations[i], self.clock(i))
     }
 
-    fn draw(&mut self, most: u64) -> u64 {
-        self.rng.rand_range(0..most)
+    fn draw(&mut self, bound: u64) -> u64 {
+        self.rng.rand_range(0..bound)
     }
 
     fn step(&mut self) {
@@ -80,8 +80,8 @@
             let i = usize::from(to);
             if self.stopped[i].is_some() {
                 // It waits in the socket buffer until the process continues.
-                self.sent += 1;
-                self.queue.push(Reverse((self.now + 50, self.sent, from, to, message)));
+                self.next_sequence += 1;
+                self.queue.push(Reverse((self.now + 50, self.next_sequence, from, to, message)));
                 continue;
             }
             let before = self.members[i].highest_number();
@@ -99,10 +99,10 @@
                 self.apply_effects(i, out);
             }
         }
-        let deciding: Vec<usize> = (0..self.members.len())
+        let leading: Vec<usize> = (0..self.members.len())
             .filter(|i| self.members[*i].lease_ends().is_some_and(|until| self.clock(*i) < until))
             .collect();
-        assert!(deciding.len() <= 1, "{deciding:?} at {}", self.now);
+        assert!(leading.len() <= 1, "{leading:?} at {}", self.now);
     }
 
     fn apply_effects(&mut self, i: usize, out: Vec<Effect>) {
@@ -119,8 +119,8 @@
                         // One in fifty is very late.
                         let late = if self.draw(50) == 0 { self.draw(4_000) } else { 0 };
                         let at = self.now + 5 + self.draw(40) + late;
-                        self.sent += 1;
-                        self.queue.push(Reverse((at, self.sent, i as u16, to, message.clone())));
+                        self.next_sequence += 1;
+                        self.queue.push(Reverse((at, self.next_sequence, i as u16, to, message.clone())));
                     }
                 }
                 Effect::ApplyPlan(number, plan) => {
@@ -192,17 +192,17 @@
                 }
             }
             for _ in 0..8 {
-                let span = 200 + net.draw(900);
-                net.run(span);
+                let duration = 200 + net.draw(900);
+                net.run(duration);
                 net.set_new_plan();
             }
             // Moderate loss, with a minority of voters cut off.
             net.loss = 0.1;
             net.partition.fill(0);
             net.stopped.fill(None);
-            let away = net.draw(u64::from(VOTERS)) as usize;
-            net.partition[away] = 9;
-            net.partition[(away + 2) % usize::from(VOTERS)] = 9;
+            let cut_off = net.draw(u64::from(VOTERS)) as usize;
+            net.partition[cut_off] = 9;
+            net.partition[(cut_off + 2) % usize::from(VOTERS)] = 9;
             let groups = net.partition.clone();
             let begin = net.now;
             net.set_new_plan();
--- a/crates/accord/tests/wall_clock.rs
+++ b/crates/accord/tests/wall_clock.rs
@@ -22,11 +22,11 @@
 struct Fleet {
     now: Millis,
     /// When each incarnation began: a process's own clock starts with it.
-    began: Vec<Millis>,
+    started_at: Vec<Millis>,
     members: Vec<Member>,
     net: VecDeque<(Millis, MemberId, MemberId, Message)>,
     /// Plan numbers acted on, with the member, in order.
-    acted: Vec<(MemberId, PlanNumber)>,
+    applied: Vec<(MemberId, PlanNumber)>,
 }
 
 fn start(me: usize, wall: i64) -> Member {
@@ -37,7 +37,7 @@
 impl Fleet {
     fn new() -> Fleet {
         let members = (0..MEMBERS).map(|me| start(me, BEGIN + me as i64)).collect();
-        Fleet { now: 0, began: vec![0; MEMBERS], members, net: VecDeque::new(), acted: Vec::new() }
+        Fleet { now: 0, started_at: vec![0; MEMBERS], members, net: VecDeque::new(), applied: Vec::new() }
     }
 
     fn carry_out(&mut self, me: usize, out: Vec<Effect>) {
@@ -46,7 +46,7 @@
                 Effect::Send(to, message) => {
                     self.net.push_back((self.now + DELAY, me as MemberId, to, message));
                 }
-                Effect::ApplyPlan(number, _) => self.acted.push((me as MemberId, number)),
+                Effect::ApplyPlan(number, _) => self.applied.push((me as MemberId, number)),
                 _ => {}
             }
         }
@@ -64,18 +64,18 @@
             while self.net.front().is_some_and(|(at, ..)| *at <= self.now) {
                 let Some((_, from, to, message)) = self.net.pop_front() else { break };
                 let (me, mut out) = (usize::from(to), Vec::new());
-                let own = self.now.saturating_sub(self.began[me]);
+                let local_time = self.now.saturating_sub(self.started_at[me]);
                 // Messages to a process that is down are lost.
-                if self.now >= self.began[me] {
-                    self.members[me].handle(own, from, message, &mut out);
+                if self.now >= self.started_at[me] {
+                    self.members[me].handle(local_time, from, message, &mut out);
                     self.carry_out(me, out);
                 }
             }
             for me in 0..MEMBERS {
-                if self.now >= self.began[me] {
-                    let (own, mut out) = (self.now - self.began[me], Vec::new());
-                    self.members[me].tick(own, &mut out);
-                    self.members[me].set_plan(own, plan.to_vec(), &mut out);
+                if self.now >= self.started_at[me] {
+                    let (local_time, mut out) = (self.now - self.started_at[me], Vec::new());
+                    self.members[me].tick(local_time, &mut out);
+                    self.members[me].set_plan(local_time, plan.to_vec(), &mut out);
                     self.carry_out(me, out);
                 }
             }
@@ -85,8 +85,8 @@
 
     /// Ends a member's process; it starts again after a step of the wall clock.
     fn restart(&mut self, me: usize, step: i64) {
-        self.began[me] = self.now + DOWN_TIME;
-        self.members[me] = start(me, BEGIN + self.began[me] as i64 + step);
+        self.started_at[me] = self.now + DOWN_TIME;
+        self.members[me] = start(me, BEGIN + self.started_at[me] as i64 + step);
     }
 
     fn all_act_on(&self, plan: &[u8]) -> bool {
@@ -123,7 +123,7 @@
         assert!(fleet.all_act_on(&[2]), "a step of {step} ms");
         assert!(fleet.members[3].highest_number() > before, "a step of {step} ms");
         let applied_by_follower: Vec<PlanNumber> =
-            fleet.acted.iter().filter(|(me, _)| *me == 3).map(|(_, n)| *n).collect();
+            fleet.applied.iter().filter(|(me, _)| *me == 3).map(|(_, n)| *n).collect();
         assert!(applied_by_follower.windows(2).all(|w| w[0] < w[1]), "{applied_by_follower:?}");
     }
 }
--- a/crates/host/src/interrupted.rs
+++ b/crates/host/src/interrupted.rs
@@ -15,7 +15,7 @@
     error.kind() == ErrorKind::Interrupted
 }
 
-/// Makes a call until it is not interrupted, up to [`TRIES`] times; returns the last error otherwise.
+/// Makes a call until it is not interrupted, up to [`MAX_TRIES`] times; returns the last error otherwise.
 pub(crate) fn retry<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     for _ in 1..MAX_TRIES {
         match call() {
@@ -26,7 +26,7 @@
     call()
 }
 
-/// Polls until the call is not interrupted; after [`TRIES`] times the task yields and is woken at once.
+/// Polls until the call is not interrupted; after [`MAX_TRIES`] times the task yields and is woken at once.
 pub(crate) fn poll_retry<T>(
     cx: &mut Context<'_>,
     mut poll: impl FnMut(&mut Context<'_>) -> Poll<io::Result<T>>,
--- a/crates/host/src/sockets.rs
+++ b/crates/host/src/sockets.rs
@@ -345,12 +345,12 @@
     }
 
     fn poll_accept(&self, cx: &mut Context<'_>) -> Poll<io::Result<(SystemStream, SocketAddr)>> {
-        let mut unwatched = self.unregistered.borrow_mut();
+        let mut unregistered = self.unregistered.borrow_mut();
         loop {
-            if let Some(waiting) = unwatched.as_mut() {
+            if let Some(waiting) = unregistered.as_mut() {
                 ready!(waiting.poll_retry_delay(cx));
             }
-            let registered = match unwatched.take() {
+            let registered = match unregistered.take() {
                 Some(waiting) => waiting.register_again()?,
                 None => {
                     let (stream, remote) = ready!(poll_retry(cx, |cx| self.poll_accept_unregistered(cx)))?;
@@ -361,7 +361,7 @@
                 Ok((connection, remote)) => {
                     return Poll::Ready(Ok((SystemStream::accepted(connection), remote)));
                 }
-                Err(waiting) => *unwatched = Some(waiting),
+                Err(waiting) => *unregistered = Some(waiting),
             }
         }
     }
--- a/crates/plan/tests/orders.rs
+++ b/crates/plan/tests/orders.rs
@@ -83,7 +83,7 @@
     for seed in 0..200 {
         let mut rng = Rand64::new(seed);
         let mut fleet = Fleet::new(4);
-        let mut draw = |most: u64| rng.rand_range(0..most);
+        let mut draw = |bound: u64| rng.rand_range(0..bound);
         let mut last_end = [0; 3];
         let mut time = 0;
         for _ in 0..400 {
--- a/crates/storm/tests/detector.rs
+++ b/crates/storm/tests/detector.rs
@@ -128,8 +128,8 @@
 #[test]
 fn a_node_that_starts_in_a_storm_detects_it_without_a_baseline() {
     let mut site = Site::new();
-    let weather = site.run(1.5, Load { repeats: [100.0; 4], wasted: 0.3, capacity: 0.3, ..USUAL });
-    assert!(weather.is_storm());
+    let state = site.run(1.5, Load { repeats: [100.0; 4], wasted: 0.3, capacity: 0.3, ..USUAL });
+    assert!(state.is_storm());
 }
 
 #[test]
