--- a/crates/chalksill/src/explore.rs
+++ b/crates/chalksill/src/explore.rs
@@ -11,14 +11,14 @@
 use chalksill_world::mutant::Mutant;
 use chalksill_world::report::Report;
 use chalksill_world::rules::Rule;
-use chalksill_world::sim::{Plan, run, run_recorded};
-use chalksill_world::tape::{Recording, Tape};
+use chalksill_world::sim::{RunPlan, run, run_recorded};
+use chalksill_world::tape::{RecordedSegment, RecordingOptions};
 use clap::Args;
 use indicatif::{ProgressBar, ProgressStyle};
 use mothpier_record::Segment;
 use mothpier_record::entry::{Body, Entry};
-use mothpier_record::replay::{self, Start};
-use mothpier_record::store::name;
+use mothpier_record::replay::{self, InitialState};
+use mothpier_record::store::segment_file_name;
 use serde::Serialize;
 
 use crate::Verdict;
@@ -151,17 +151,18 @@
 
 /// Plays the records of a run again, each with the state saved and restored at one random event. The error says what
 /// came out otherwise.
-fn check(plan: &Plan, tapes: &[Tape], keep: Option<&Path>) -> Result<Taped, String> {
+fn check(plan: &RunPlan, tapes: &[RecordedSegment], keep: Option<&Path>) -> Result<Taped, String> {
     let mut taped = Taped::default();
     for (i, tape) in tapes.iter().enumerate() {
-        let named =
-            |e: String| format!("node {}, segment {} of life {}: {e}", tape.node, tape.number, tape.life);
+        let named = |e: String| {
+            format!("node {}, segment {} of life {}: {e}", tape.node, tape.number, tape.incarnation)
+        };
         if let Some(folder) = keep {
             let name = format!(
                 "{}-{}-{}",
                 plan.scenario.name,
                 plan.seed,
-                name(&tape.node.to_string(), tape.life, tape.number)
+                segment_file_name(&tape.node.to_string(), tape.incarnation, tape.number)
             );
             files::write_bytes(&folder.join(name), &tape.bytes)?;
         }
@@ -183,25 +184,26 @@
             }
         };
         let mut inherited = 0;
-        let (outcome, policy) = replay::play(&mut open()?, Start::Recorded, swap, |step| {
-            inherited += u64::from(matches!(step.entry.body, Body::Told { event: Event::Inherited(_), .. }));
+        let (outcome, policy) = replay::replay_with(&mut open()?, InitialState::Recorded, swap, |step| {
+            inherited += u64::from(matches!(step.entry.body, Body::Event { event: Event::Inherited(_), .. }));
         })
         .map_err(named)?;
         if let Some(e) = unreadable {
             return Err(named(e));
         }
-        if let Some(d) = outcome.first {
+        if let Some(d) = outcome.first_difference {
             return Err(named(format!(
                 "entry {}: {:?} brought {:?} then and {:?} now",
-                d.entry, d.event, d.then, d.now
+                d.entry, d.event, d.recorded, d.replayed
             )));
         }
-        if let Some(torn) = outcome.torn {
+        if let Some(torn) = outcome.read_error {
             return Err(named(torn.to_string()));
         }
         // The next segment of the same life begins where this one has come to, bit by bit.
-        if let Some(next) =
-            tapes.iter().find(|t| (t.node, t.life, t.number) == (tape.node, tape.life, tape.number + 1))
+        if let Some(next) = tapes
+            .iter()
+            .find(|t| (t.node, t.incarnation, t.number) == (tape.node, tape.incarnation, tape.number + 1))
         {
             let first = Segment::open(&next.bytes).map_err(|t| named(t.to_string()))?.next();
             let here = postcard::to_allocvec(&policy).map_err(|e| named(e.to_string()))?;
@@ -238,11 +240,11 @@
 /// Plays the seeds of a range on several threads and gives what came of each as it comes; ends early when told
 /// `false`.
 pub fn play<T: Send>(
-    plan_of: impl Fn(u64) -> Plan + Sync,
+    plan_of: impl Fn(u64) -> RunPlan + Sync,
     (from, to): (u64, u64),
     jobs: usize,
-    run: impl Fn(&Plan) -> T + Sync,
-    mut each: impl FnMut(u64, Plan, T) -> bool,
+    run: impl Fn(&RunPlan) -> T + Sync,
+    mut each: impl FnMut(u64, RunPlan, T) -> bool,
 ) {
     let next = AtomicU64::new(from);
     std::thread::scope(|scope| {
@@ -277,7 +279,7 @@
 pub fn execute(args: &Explore) -> Result<Verdict, String> {
     let scenario = files::scenario(&args.scenario)?;
     let jobs = args.jobs.unwrap_or(cores()).clamp(1, 256);
-    let plan = |seed| Plan { scenario: scenario.clone(), seed, script: None, mutant: args.mutant };
+    let plan = |seed| RunPlan { scenario: scenario.clone(), seed, script: None, mutant: args.mutant };
     let count = args.seeds.1 - args.seeds.0;
     let bar = if std::io::stderr().is_terminal() { ProgressBar::new(count) } else { ProgressBar::hidden() };
     let style = ProgressStyle::with_template("{bar:40} {pos}/{len} seeds, {msg} broken, {eta} left");
@@ -291,11 +293,11 @@
     let (mut origin_calls, mut origin_over) = (0, 0);
     let (mut virtual_s, mut offered, mut tries, mut packets, mut in_time) = (0.0, 0, 0.0, 0, 0);
     let mut taped = Taped::default();
-    let ran = |plan: &Plan| {
+    let ran = |plan: &RunPlan| {
         if !args.record && !args.recover {
             return (run(plan, None), Ok(Taped::default()));
         }
-        let recording = Recording { recover: args.recover, ..Recording::default() };
+        let recording = RecordingOptions { recover: args.recover, ..RecordingOptions::default() };
         let (report, tapes) = run_recorded(plan, None, recording);
         (report, check(plan, &tapes, args.keep.as_deref()))
     };
--- a/crates/chalksill/src/files.rs
+++ b/crates/chalksill/src/files.rs
@@ -7,7 +7,7 @@
 use chalksill_world::report::Report;
 use chalksill_world::rules::Violation;
 use chalksill_world::scenario::Scenario;
-use chalksill_world::sim::Plan;
+use chalksill_world::sim::RunPlan;
 use serde::{Deserialize, Serialize};
 
 /// The version of replay files that this program writes and reads.
@@ -36,7 +36,7 @@
 
 impl Replay {
     /// The file of a run.
-    pub fn of(plan: &Plan, script: &[Fault], report: &Report) -> Replay {
+    pub fn of(plan: &RunPlan, script: &[Fault], report: &Report) -> Replay {
         Replay {
             version: VERSION,
             seed: plan.seed,
@@ -49,8 +49,8 @@
     }
 
     /// The run.
-    pub fn plan(&self) -> Plan {
-        Plan {
+    pub fn plan(&self) -> RunPlan {
+        RunPlan {
             scenario: self.scenario.clone(),
             seed: self.seed,
             script: Some(self.script.clone()),
@@ -90,7 +90,7 @@
     let boxes = replay.scenario.boxes.count;
     let nodes = replay.scenario.nodes.count;
     for (i, fault) in replay.script.iter().enumerate() {
-        fault.check(boxes, nodes).map_err(|e| format!("{}: script, fault {i}: {e}", path.display()))?;
+        fault.validate(boxes, nodes).map_err(|e| format!("{}: script, fault {i}: {e}", path.display()))?;
     }
     Ok(replay)
 }
--- a/crates/chalksill/src/load.rs
+++ b/crates/chalksill/src/load.rs
@@ -4,11 +4,11 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-use chalksill_world::live::Live;
+use chalksill_world::live::LoopbackEnvironment;
 use chalksill_world::report::Report;
 use chalksill_world::scenario::Scenario;
-use chalksill_world::sim::{Plan, run};
-use chalksill_world::storm::{Hit, Outage, Recovery};
+use chalksill_world::sim::{RunPlan, run};
+use chalksill_world::storm::{Outage, OutageTarget, Recovery};
 use clap::{Args, Subcommand, ValueEnum};
 use indicatif::{ProgressBar, ProgressStyle};
 use serde::Serialize;
@@ -184,16 +184,17 @@
 fn storm(args: &Storm) -> Result<Verdict, String> {
     let scenario = scenario(args)?;
     let hit = match args.hit {
-        What::Boxes => Hit::Boxes,
-        What::Nodes => Hit::Nodes,
-        What::Site => Hit::Site,
+        What::Boxes => OutageTarget::Boxes,
+        What::Nodes => OutageTarget::Nodes,
+        What::Site => OutageTarget::Site,
     };
     let outage = Outage { hit, at_ms: args.at_ms, for_ms: args.outage_ms };
     if args.real {
         return real(args, &scenario, &outage);
     }
     let script = outage.script(&scenario);
-    let plan = |seed| Plan { scenario: scenario.clone(), seed, script: Some(script.clone()), mutant: None };
+    let plan =
+        |seed| RunPlan { scenario: scenario.clone(), seed, script: Some(script.clone()), mutant: None };
     let count = args.seeds.1 - args.seeds.0;
     let bar = if std::io::stderr().is_terminal() { ProgressBar::new(count) } else { ProgressBar::hidden() };
     let style = ProgressStyle::with_template("{bar:40} {pos}/{len} seeds, {eta} left");
@@ -209,7 +210,7 @@
         |plan| run(plan, None),
         |seed, _, report| {
             bar.inc(1);
-            all.push(outage.judge(&report));
+            all.push(outage.measure_recovery(&report));
             broken.extend(report.violations.first().map(|v| format!("seed {seed}: BROKEN {v}")));
             if seed == args.seeds.0 {
                 shown = Some(report);
@@ -281,9 +282,11 @@
     let folder = world::folder(args.folder.as_ref());
     let cost = tokio::task::LocalSet::new().block_on(&runtime, async {
         let seen = world::Judged::begin(scenario, args.seeds.0);
-        let mut live = Live::start(scenario, args.seeds.0, &program, &folder, seen.witness.clone()).await?;
+        let mut live =
+            LoopbackEnvironment::start(scenario, args.seeds.0, &program, &folder, seen.witness.clone())
+                .await?;
         let nodes = live.nodes.iter().map(|n| n.address).collect();
-        let mut marks = vec![(live.cpu(), 0)];
+        let mut marks = vec![(live.cpu_time(), 0)];
         let mut descriptors = 0;
         let (fleet, collector) = (live.fleet.clone(), seen.collector.clone());
         let tries = || seen.collector.borrow().report().seconds.iter().map(|s| s.tries).sum::<u64>();
@@ -296,7 +299,7 @@
             done = &mut playing => return done.and(Err("the load ended before the outage".into())),
             () = tokio::time::sleep_until(strike) => {}
         }
-        marks.push((live.cpu(), tries()));
+        marks.push((live.cpu_time(), tries()));
         let mut end = None;
         {
             let striking = live.outage(outage.hit, Duration::from_millis(outage.for_ms));
@@ -312,13 +315,13 @@
                 () = tokio::time::sleep(Duration::from_millis(250)) => {
                     descriptors = descriptors.max(live.descriptors().unwrap_or(0));
                     if marks.len() == 2 && tokio::time::Instant::now() >= settled {
-                        marks.push((live.cpu(), tries()));
+                        marks.push((live.cpu_time(), tries()));
                     }
                 }
             }
         }
         end.unwrap_or(Ok(()))?;
-        marks.push((live.cpu(), tries()));
+        marks.push((live.cpu_time(), tries()));
         let memory_kib = live.memory_kib().unwrap_or(0);
         live.stop().await;
         let report = seen.end();
@@ -327,10 +330,10 @@
             cpu * 1e6 / (pair[1].1 - pair[0].1).max(1) as f64
         };
         let mut cpu_us = [0.0; 3];
-        if outage.hit == Hit::Boxes {
+        if outage.hit == OutageTarget::Boxes {
             cpu_us.iter_mut().zip(marks.windows(2)).for_each(|(of, pair)| *of = spent(pair));
         }
-        let recovery = outage.judge(&report);
+        let recovery = outage.measure_recovery(&report);
         Ok::<Cost, String>(Cost { recovery, cpu_us, memory_kib, descriptors, report })
     })?;
     if let Some(path) = &args.svg {
--- a/crates/chalksill/src/plot.rs
+++ b/crates/chalksill/src/plot.rs
@@ -36,7 +36,7 @@
         "{}, seed {}: {:.1}% of {} in time, {} rules broken",
         report.scenario,
         report.seed,
-        100.0 * report.all.share(),
+        100.0 * report.all.in_time_share(),
         report.all.offered,
         report.violations.len()
     );
@@ -91,7 +91,7 @@
     let middle = |i: usize| i as f64 + 0.5;
     let offered = || report.seconds.iter().enumerate().filter(|(_, s)| s.counts.offered > 0);
     chart.draw_series(LineSeries::new(
-        offered().map(|(i, s)| (middle(i), s.counts.share())),
+        offered().map(|(i, s)| (middle(i), s.counts.in_time_share())),
         PARTS[0].1.stroke_width(2),
     ))?;
     chart.draw_series(LineSeries::new(
--- a/crates/chalksill/src/record.rs
+++ b/crates/chalksill/src/record.rs
@@ -7,18 +7,18 @@
 use std::time::Instant;
 
 use brassrouter::Micros;
-use chalksill_inquest::cut::{Round, cut};
-use chalksill_inquest::differ::compare;
-use chalksill_inquest::merge::{Named, merge};
-use chalksill_inquest::parting::{Parting, part};
-use chalksill_inquest::tell;
-use chalksill_inquest::why::{Which, state, why};
+use chalksill_inquest::cut::{Selection, cut};
+use chalksill_inquest::describe;
+use chalksill_inquest::diff::compare;
+use chalksill_inquest::divergence::{Divergence, find_divergence};
+use chalksill_inquest::explain::{RequestSelector, describe_view, explain_request};
+use chalksill_inquest::merge::{NodeRecord, merge};
 use clap::{Args, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
 use mothpier_record::Segment;
 use mothpier_record::entry::{Body, Entry};
 use mothpier_record::replay::{Difference, Outcome, replay};
-use mothpier_record::store::ENDING;
+use mothpier_record::store::FILE_EXTENSION;
 use serde::Serialize;
 
 use crate::{Verdict, explore, files};
@@ -177,12 +177,12 @@
         let mut inside = Vec::new();
         for entry in std::fs::read_dir(path).map_err(unread)? {
             let file = entry.map_err(unread)?.path();
-            if file.extension().is_some_and(|e| e == ENDING) {
+            if file.extension().is_some_and(|e| e == FILE_EXTENSION) {
                 inside.push(file);
             }
         }
         if inside.is_empty() {
-            return Err(format!("{}: no segment (*.{ENDING}) in this folder", path.display()));
+            return Err(format!("{}: no segment (*.{FILE_EXTENSION}) in this folder", path.display()));
         }
         inside.sort();
         all.extend(inside);
@@ -198,8 +198,8 @@
     Segment::open(bytes).map_err(|torn| format!("{}: {torn}", path.display()))
 }
 
-fn which(text: &str) -> Which {
-    text.parse().map_or_else(|_| Which::Client(text.into()), Which::Number)
+fn which(text: &str) -> RequestSelector {
+    text.parse().map_or_else(|_| RequestSelector::ClientId(text.into()), RequestSelector::Number)
 }
 
 /// What a record says of itself.
@@ -232,14 +232,14 @@
     let bytes = bytes(path)?;
     let mut segment = open(path, &bytes)?;
     let (mut events, mut actions, mut requests, mut missing) = (0, 0, 0, 0);
-    let (mut last, mut ended, mut state_bytes) = (segment.header.at, false, 0);
+    let (mut last, mut ended, mut state_bytes) = (segment.header.started_at, false, 0);
     for entry in segment.by_ref() {
         last = entry.at;
         match entry.body {
             Body::State(state) => state_bytes = state.len(),
             Body::Gap { events } => missing += events,
             Body::End => ended = true,
-            Body::Told { event, actions: after, .. } => {
+            Body::Event { event, actions: after, .. } => {
                 events += 1;
                 actions += after.len() as u64;
                 requests += u64::from(matches!(event, brassrouter::Event::Request(_)));
@@ -250,16 +250,16 @@
     Ok(About {
         file: path.display().to_string(),
         node: h.node.clone(),
-        life: tell::clock(h.life),
+        life: describe::utc_time(h.incarnation),
         number: h.number,
         program: h.program.clone(),
-        state: h.state,
+        state: h.state_version,
         seed: format!("{:016x}", h.seed),
         secret_keys: h.secret_keys,
         servers: h.servers.len(),
-        begins: tell::clock(h.at),
-        ends: tell::clock(last),
-        seconds: (last - h.at) as f64 / 1e6,
+        begins: describe::utc_time(h.started_at),
+        ends: describe::utc_time(last),
+        seconds: (last - h.started_at) as f64 / 1e6,
         bytes: bytes.len(),
         state_bytes,
         events,
@@ -268,7 +268,7 @@
         bytes_a_request: (bytes.len() - state_bytes) as f64 / requests.max(1) as f64,
         missing,
         ended,
-        torn: segment.torn().map(ToString::to_string),
+        torn: segment.read_error().map(ToString::to_string),
     })
 }
 
@@ -302,7 +302,7 @@
     for path in segments(&args.files)? {
         let bytes = bytes(&path)?;
         let (entries, why) = match Segment::open(&bytes) {
-            Ok(mut segment) => (segment.by_ref().count(), segment.torn().map(ToString::to_string)),
+            Ok(mut segment) => (segment.by_ref().count(), segment.read_error().map(ToString::to_string)),
             Err(torn) => (0, Some(torn.to_string())),
         };
         if args.json {
@@ -337,11 +337,12 @@
                 continue;
             }
             // A reader that has seen enough closes the pipe.
-            if writeln!(out, "{} {}", tell::clock(entry.at), tell::entry(&header, &entry)).is_err() {
+            if writeln!(out, "{} {}", describe::utc_time(entry.at), describe::entry(&header, &entry)).is_err()
+            {
                 return Ok(Verdict::Good);
             }
         }
-        if let Some(torn) = segment.torn() {
+        if let Some(torn) = segment.read_error() {
             out.flush().map_err(|e| e.to_string())?;
             eprintln!("{}: torn at {torn}", path.display());
             return Ok(Verdict::Broken);
@@ -352,16 +353,18 @@
 }
 
 fn concerned(entry: &Entry, request: u64) -> bool {
-    matches!(&entry.body, Body::Told { actions, .. } if mothpier_record::replay::concerns(entry, actions, request))
+    matches!(&entry.body, Body::Event { actions, .. } if mothpier_record::replay::concerns(entry, actions, request))
 }
 
 /// A timer or a message of a peer of which nothing came but another timer or message.
 fn dull(entry: &Entry) -> bool {
     use brassrouter::Event;
-    use mothpier_record::entry::Noted;
-    let Body::Told { event, actions, .. } = &entry.body else { return false };
+    use mothpier_record::entry::RecordedAction;
+    let Body::Event { event, actions, .. } = &entry.body else { return false };
     matches!(event, Event::Timer(_) | Event::PeerMessage { .. })
-        && actions.iter().all(|a| matches!(a, Noted::Timer { .. } | Noted::Tell { .. }))
+        && actions
+            .iter()
+            .all(|a| matches!(a, RecordedAction::Timer { .. } | RecordedAction::SendToPeers { .. }))
 }
 
 /// Reads a time: as `cat` prints it (the date may be left out only with seconds), or seconds since 1970.
@@ -394,9 +397,9 @@
 fn cut_out(args: &Cut) -> Result<Verdict, String> {
     let bytes = bytes(&args.file)?;
     let round = match (&args.request, &args.at, args.server) {
-        (Some(request), ..) => Round::Request(which(request)),
-        (_, Some(at), _) => Round::Time(time(at)?),
-        (.., Some(server)) => Round::Server(server),
+        (Some(request), ..) => Selection::Request(which(request)),
+        (_, Some(at), _) => Selection::Time(time(at)?),
+        (.., Some(server)) => Selection::Server(server),
         _ => return Err("round what? --request, --at or --server".into()),
     };
     let margin = (args.margin.max(0.0) * 1000.0) as Micros;
@@ -407,8 +410,8 @@
         "{}: {} events, {} to {}, {} bytes",
         args.out.display(),
         part.events,
-        tell::clock(part.span.0),
-        tell::clock(part.span.1),
+        describe::utc_time(part.time_range.0),
+        describe::utc_time(part.time_range.1),
         part.bytes.len()
     );
     Ok(Verdict::Good)
@@ -477,24 +480,24 @@
         replay(&mut segment).map(|(outcome, _)| outcome).map_err(|e| format!("{}: {e}", path.display()))
     })?;
     let real_s = begin.elapsed().as_secs_f64();
-    let span = |o: &Outcome| o.span.map_or(0, |(first, last)| last - first);
+    let span = |o: &Outcome| o.time_range.map_or(0, |(first, last)| last - first);
     let seconds = played.iter().map(span).sum::<u64>() as f64 / 1e6;
     let events = played.iter().map(|o| o.events).sum();
     let torn = paths
         .iter()
         .zip(&played)
-        .filter_map(|(path, o)| o.torn.as_ref().map(|torn| format!("{}: {torn}", path.display())));
+        .filter_map(|(path, o)| o.read_error.as_ref().map(|torn| format!("{}: {torn}", path.display())));
     let sum = Replayed {
         segments: paths.len(),
         events,
         actions: played.iter().map(|o| o.actions).sum(),
         requests: played.iter().map(|o| o.requests).sum(),
-        missing: played.iter().map(|o| o.missing).sum(),
+        missing: played.iter().map(|o| o.missing_events).sum(),
         seconds,
         real_s,
         events_a_second: events as f64 / real_s,
         times_real_time: seconds / real_s,
-        identical: played.iter().all(|o| o.first.is_none()),
+        identical: played.iter().all(|o| o.first_difference.is_none()),
         torn: torn.collect(),
     };
     if args.json {
@@ -514,7 +517,7 @@
         );
     }
     if let Some((path, difference)) =
-        paths.iter().zip(&played).find_map(|(p, o)| o.first.as_ref().map(|d| (p, d)))
+        paths.iter().zip(&played).find_map(|(p, o)| o.first_difference.as_ref().map(|d| (p, d)))
         && !args.json
     {
         around(path, difference)?;
@@ -537,10 +540,10 @@
             break;
         }
         let mark = if number == difference.entry { "then" } else { "" };
-        println!("  {mark:>4} {} {}", tell::clock(entry.at), tell::entry(&header, &entry));
+        println!("  {mark:>4} {} {}", describe::utc_time(entry.at), describe::entry(&header, &entry));
         if number == difference.entry {
-            let now: Vec<_> = difference.now.iter().map(tell::action).collect();
-            println!("   now {} -> {}", tell::clock(entry.at), now.join("; "));
+            let now: Vec<_> = difference.replayed.iter().map(describe::action).collect();
+            println!("   now {} -> {}", describe::utc_time(entry.at), now.join("; "));
         }
     }
     Ok(())
@@ -548,18 +551,18 @@
 
 fn changed(args: &Replay) -> Result<Verdict, String> {
     let paths = segments(&args.files)?;
-    let parted: Vec<(Parting, Option<Difference>)> = each(&paths, args.jobs, |path, bytes| {
-        part(&mut open(path, bytes)?).map_err(|e| format!("{}: {e}", path.display()))
+    let parted: Vec<(Divergence, Option<Difference>)> = each(&paths, args.jobs, |path, bytes| {
+        find_divergence(&mut open(path, bytes)?).map_err(|e| format!("{}: {e}", path.display()))
     })?;
-    let mut sum = Parting::default();
+    let mut sum = Divergence::default();
     for (one, _) in &parted {
         sum.events += one.events;
         sum.requests += one.requests;
-        sum.parted += one.parted;
-        sum.advice += one.advice;
-        sum.first = sum.first.or(one.first);
-        for (kind, count) in &one.kinds {
-            *sum.kinds.entry(kind.clone()).or_default() += count;
+        sum.diverged_events += one.diverged_events;
+        sum.retry_after_difference += one.retry_after_difference;
+        sum.first_divergence_at = sum.first_divergence_at.or(one.first_divergence_at);
+        for (kind, count) in &one.changes {
+            *sum.changes.entry(kind.clone()).or_default() += count;
         }
     }
     if args.json {
@@ -567,18 +570,18 @@
     } else {
         println!(
             "{} of {} events come to other decisions now, of {} requests",
-            sum.parted, sum.events, sum.requests
+            sum.diverged_events, sum.events, sum.requests
         );
-        sum.kinds.iter().for_each(|(kind, count)| println!("  {count:>8}  {kind}"));
-        if let Some(at) = sum.first {
-            println!("they part at {}; what follows is told of the old choices", tell::clock(at));
+        sum.changes.iter().for_each(|(kind, count)| println!("  {count:>8}  {kind}"));
+        if let Some(at) = sum.first_divergence_at {
+            println!("they part at {}; what follows is told of the old choices", describe::utc_time(at));
         }
         if let Some((path, d)) = paths.iter().zip(&parted).find_map(|(p, (_, d))| d.as_ref().map(|d| (p, d)))
         {
             around(path, d)?;
         }
     }
-    Ok(if sum.parted == 0 { Verdict::Good } else { Verdict::Broken })
+    Ok(if sum.diverged_events == 0 { Verdict::Good } else { Verdict::Broken })
 }
 
 fn story(args: &Why) -> Result<Verdict, String> {
@@ -590,8 +593,8 @@
         if !open(&path, &bytes)?.any(|entry| wanted.arrival(&entry).is_some()) {
             continue;
         }
-        let moments =
-            why(&mut open(&path, &bytes)?, &wanted).map_err(|e| format!("{}: {e}", path.display()))?;
+        let moments = explain_request(&mut open(&path, &bytes)?, &wanted)
+            .map_err(|e| format!("{}: {e}", path.display()))?;
         told = true;
         if args.json {
             println!("{}", files::json(&moments)?);
@@ -599,12 +602,17 @@
         }
         println!("{}", path.display());
         for m in &moments {
-            println!("{} (+{}) {}", tell::clock(m.at), tell::ms(m.since), m.event);
-            m.decided.iter().for_each(|line| println!("    -> {line}"));
-            m.because.iter().for_each(|line| println!("       {line}"));
-            if !m.decided.is_empty() {
-                println!("       known then: {}", state(&m.known));
-                for s in m.known.servers.iter().filter(|s| !s.origin).take(args.servers) {
+            println!(
+                "{} (+{}) {}",
+                describe::utc_time(m.at),
+                describe::milliseconds(m.since_arrival),
+                m.event
+            );
+            m.decisions.iter().for_each(|line| println!("    -> {line}"));
+            m.reasons.iter().for_each(|line| println!("       {line}"));
+            if !m.decisions.is_empty() {
+                println!("       known then: {}", describe_view(&m.view));
+                for s in m.view.servers.iter().filter(|s| !s.origin).take(args.servers) {
                     println!(
                         "       server {:>4}: {:?}, {} in flight of {:.1}, {:.0}% of its keys, {:.0}% warm, backlog {}",
                         s.id,
@@ -613,7 +621,7 @@
                         s.load_bound,
                         s.key_share * 100.0,
                         s.capacity_share * 100.0,
-                        tell::ms(s.backlog)
+                        describe::milliseconds(s.backlog)
                     );
                 }
             }
@@ -629,18 +637,21 @@
 fn diff(args: &Two) -> Result<Verdict, String> {
     let (a, b) = (bytes(&args.a)?, bytes(&args.b)?);
     let found = compare(open(&args.a, &a)?, open(&args.b, &b)?);
-    let same = found.first.is_none();
+    let same = found.first_difference.is_none();
     if args.json {
         println!("{}", files::json(&found)?);
     } else {
-        if !found.headers.is_empty() {
-            println!("their headers differ in: {}", found.headers.join(", "));
+        if !found.differing_headers.is_empty() {
+            println!("their headers differ in: {}", found.differing_headers.join(", "));
         }
-        println!("the first {} entries are the same", found.same);
-        if let Some((one, other)) = &found.first {
+        println!("the first {} entries are the same", found.common_entries);
+        if let Some((one, other)) = &found.first_difference {
             println!("  {}: {}", args.a.display(), one.as_deref().unwrap_or("(its end)"));
             println!("  {}: {}", args.b.display(), other.as_deref().unwrap_or("(its end)"));
-            println!("{} events differ, {} have other actions", found.events, found.actions);
+            println!(
+                "{} events differ, {} have other actions",
+                found.differing_events, found.differing_actions
+            );
         }
     }
     Ok(if same { Verdict::Good } else { Verdict::Broken })
@@ -653,9 +664,12 @@
             segments(std::slice::from_ref(path))?.iter().map(|p| bytes(p)).collect::<Result<_, _>>()?;
         read.push((path.display().to_string(), all));
     }
-    let named: Vec<Named> = read
+    let named: Vec<NodeRecord> = read
         .iter()
-        .map(|(name, all)| Named { name: name.clone(), segments: all.iter().map(Vec::as_slice).collect() })
+        .map(|(name, all)| NodeRecord {
+            name: name.clone(),
+            segments: all.iter().map(Vec::as_slice).collect(),
+        })
         .collect();
     let (offsets, lines) = merge(&named, args.all)?;
     if args.json {
@@ -663,16 +677,21 @@
         return Ok(Verdict::Good);
     }
     for o in &offsets {
-        match o.within {
+        match o.uncertainty_us {
             Some(within) => {
-                println!("{}: clock {:+.3} ms, to within {}", o.name, o.add as f64 / 1000.0, tell::ms(within))
+                println!(
+                    "{}: clock {:+.3} ms, to within {}",
+                    o.name,
+                    o.offset_us as f64 / 1000.0,
+                    describe::milliseconds(within)
+                )
             }
             None => println!("{}: no messages went both ways; its clock is taken as it is", o.name),
         }
     }
     let mut out = std::io::BufWriter::new(std::io::stdout().lock());
     for l in lines {
-        if writeln!(out, "{} {}: {}", tell::clock(l.at), l.name, l.text).is_err() {
+        if writeln!(out, "{} {}: {}", describe::utc_time(l.at), l.name, l.text).is_err() {
             return Ok(Verdict::Good);
         }
     }
@@ -687,7 +706,7 @@
     #[test]
     fn a_time_is_read_as_it_is_printed() {
         for at in [0, 951_782_400_000_001, 1_700_000_000_123_456, 4_102_444_799_999_999] {
-            assert_eq!(time(&tell::clock(at)), Ok(at), "{}", tell::clock(at));
+            assert_eq!(time(&describe::utc_time(at)), Ok(at), "{}", describe::utc_time(at));
         }
         assert_eq!(time("12.5"), Ok(12_500_000));
         assert!(time("yesterday").is_err() && time("2026-13-01 00:00:00").is_err());
--- a/crates/chalksill/src/scale/fit.rs
+++ b/crates/chalksill/src/scale/fit.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use chalksill_scale::record::Run;
-use chalksill_scale::report::{FitJson, fit_all, terminal};
+use chalksill_scale::report::{FitJson, fit_all, terminal_table};
 use chalksill_scale::{plot, records};
 use clap::Args;
 
@@ -35,7 +35,7 @@
     if fits.is_empty() {
         return Err(format!("{}: no run with a figure in it", fit.runs[0].display()));
     }
-    print!("{}", terminal(&fits));
+    print!("{}", terminal_table(&fits));
     if let Some(path) = &fit.json {
         let fits: Vec<FitJson> = fits.iter().map(FitJson::from).collect();
         files::write(path, &files::json(&fits)?)?;
--- a/crates/chalksill/src/scale/real_sockets.rs
+++ b/crates/chalksill/src/scale/real_sockets.rs
@@ -59,5 +59,5 @@
 
 /// Is a worker process, until the command ends.
 pub fn work() -> Result<Verdict, String> {
-    real_sockets::work().map(|()| Verdict::Good).map_err(|e| e.to_string())
+    real_sockets::run_worker().map(|()| Verdict::Good).map_err(|e| e.to_string())
 }
--- a/crates/chalksill/src/scale/run.rs
+++ b/crates/chalksill/src/scale/run.rs
@@ -41,10 +41,10 @@
 
 /// Carries the subcommand out.
 pub fn execute(args: &Run) -> Result<Verdict, String> {
-    let scenario = Scenario::read(&files::text(&args.scenario)?)
+    let scenario = Scenario::parse(&files::text(&args.scenario)?)
         .map_err(|e| format!("{}: {e}", args.scenario.display()))?;
     if scenario.host == HostKind::RealSockets {
-        let plan = RealSocketsPlan::of_scenario(&scenario, &REAL_SOCKETS);
+        let plan = RealSocketsPlan::from_scenario(&scenario, &REAL_SOCKETS);
         return real_sockets::execute_plan(&plan, None, args.out.as_deref(), args.json);
     }
     let machine = usage::machine();
@@ -96,7 +96,7 @@
                 size.cache_servers,
                 size.changes_per_s
             );
-            let run = run_in_child(path, place, repetition, scenario.bounds.wall)?;
+            let run = run_in_child(path, place, repetition, scenario.bounds.max_wall_time)?;
             eprintln!("  took {:.1} s", run.wall_s);
             runs.push(run);
         }
--- a/crates/chalksill/src/sim.rs
+++ b/crates/chalksill/src/sim.rs
@@ -9,7 +9,7 @@
 use chalksill_world::faults::Fault;
 use chalksill_world::mutant::Mutant;
 use chalksill_world::report::{Counts, Report};
-use chalksill_world::sim::{Plan, run};
+use chalksill_world::sim::{RunPlan, run};
 use clap::{Args, Subcommand};
 
 use crate::files::{self, Replay};
@@ -114,7 +114,7 @@
 }
 
 /// Plays a plan, with all that is seen written to a file where one is named.
-pub fn traced(plan: &Plan, trace: Option<&PathBuf>) -> Result<Report, String> {
+pub fn traced(plan: &RunPlan, trace: Option<&PathBuf>) -> Result<Report, String> {
     let Some(path) = trace else { return Ok(run(plan, None)) };
     let failed = |e: std::io::Error| format!("cannot write {}: {e}", path.display());
     let file = Rc::new(RefCell::new(BufWriter::new(std::fs::File::create(path).map_err(failed)?)));
@@ -138,7 +138,7 @@
 fn one(args: &Run) -> Result<Verdict, String> {
     let scenario = files::scenario(&args.scenario)?;
     let script = args.calm.then(Vec::new);
-    let plan = Plan { scenario, seed: args.seed, script, mutant: args.mutant };
+    let plan = RunPlan { scenario, seed: args.seed, script, mutant: args.mutant };
     let begin = Instant::now();
     let report = traced(&plan, args.trace.as_ref())?;
     if let Some(path) = &args.record {
@@ -158,7 +158,7 @@
         println!(
             "{name:<16} {:>8} {:>8.1}% {:>7.1}% {:>8.1}% {:>7.1}% {:>10.1}%",
             c.offered,
-            100.0 * c.share(),
+            100.0 * c.in_time_share(),
             part(c.late, c.offered),
             part(c.refused, c.offered),
             part(c.failed, c.offered),
@@ -240,7 +240,7 @@
     };
     let mut script: Vec<Fault> = replay.script.clone();
     let (whole, mut runs) = (script.len(), 0);
-    let mut breaks = |plan: &mut Plan, script: &[Fault]| {
+    let mut breaks = |plan: &mut RunPlan, script: &[Fault]| {
         runs += 1;
         plan.script = Some(script.to_vec());
         run(plan, None).violations.iter().any(|v| v.rule == rule)
--- a/crates/chalksill/src/world.rs
+++ b/crates/chalksill/src/world.rs
@@ -8,8 +8,8 @@
 
 use chalksill_world::clients::Clients;
 use chalksill_world::fleet::Fleet;
-use chalksill_world::live::{HOST, Live};
-use chalksill_world::observe::{Seen, Witness};
+use chalksill_world::live::{HOST, LoopbackEnvironment};
+use chalksill_world::observe::{ObservedEvent, Observer};
 use chalksill_world::report::{Collector, Report};
 use chalksill_world::rules::Checker;
 use chalksill_world::scenario::Scenario;
@@ -142,7 +142,7 @@
 /// What is counted and judged of a world on real sockets.
 pub struct Judged {
     /// Where its stand-ins report.
-    pub witness: Witness,
+    pub witness: Observer,
     /// What counts.
     pub collector: Rc<RefCell<Collector>>,
     checker: Rc<RefCell<Checker>>,
@@ -151,14 +151,14 @@
 impl Judged {
     /// Begins to count and to judge.
     pub fn begin(scenario: &Scenario, seed: u64) -> Judged {
-        let witness = Witness::begin();
+        let witness = Observer::starting_now();
         let origin = scenario.boxes.count;
         let collector = Rc::new(RefCell::new(Collector::new(scenario, seed, origin)));
         let checker = Rc::new(RefCell::new(Checker::new(scenario, origin)));
         let (counts, judges) = (collector.clone(), checker.clone());
-        witness.give_to(move |o| {
-            counts.borrow_mut().saw(o);
-            judges.borrow_mut().saw(o);
+        witness.subscribe(move |o| {
+            counts.borrow_mut().observe(o);
+            judges.borrow_mut().observe(o);
         });
         Judged { witness, collector, checker }
     }
@@ -180,7 +180,8 @@
 async fn up(args: &Up) -> Result<Verdict, String> {
     let scenario = files::scenario(&args.common.scenario)?;
     let (program, folder) = (args.common.program()?, args.common.folder());
-    let start = Live::start(&scenario, args.common.seed, &program, &folder, Witness::begin());
+    let start =
+        LoopbackEnvironment::start(&scenario, args.common.seed, &program, &folder, Observer::starting_now());
     let mut live = tokio::select! {
         live = start => live?,
         told = interrupted() => return told.map(|()| Verdict::Good),
@@ -202,7 +203,7 @@
             told = interrupted() => break told.map(|()| Verdict::Good),
             () = tokio::time::sleep_until(end) => break Ok(Verdict::Good),
             () = sleep(Duration::from_millis(500)) => {
-                if let Some(what) = live.ended() {
+                if let Some(what) = live.first_exit() {
                     break Err(format!("{what}: see its log in {}", folder.display()));
                 }
             }
@@ -212,7 +213,7 @@
     verdict
 }
 
-fn addresses(live: &Live) -> String {
+fn addresses(live: &LoopbackEnvironment) -> String {
     live.nodes.iter().map(|n| n.address.to_string()).collect::<Vec<_>>().join(",")
 }
 
@@ -291,11 +292,11 @@
     let seed = args.common.seed + round;
     let seen = Judged::begin(scenario, seed);
     let folder = args.common.folder();
-    let live = Live::start(scenario, seed, program, &folder, seen.witness.clone()).await?;
+    let live = LoopbackEnvironment::start(scenario, seed, program, &folder, seen.witness.clone()).await?;
     let nodes = live.nodes.iter().map(|n| n.address).collect();
-    let before = live.cpu();
+    let before = live.cpu_time();
     play(scenario, &live.fleet, nodes, &seen.collector).await?;
-    let after = live.cpu();
+    let after = live.cpu_time();
     let memory_kib = live.memory_kib().unwrap_or(0);
     live.stop().await;
     let report = seen.end();
@@ -306,13 +307,13 @@
 
 /// Load on nodes that somebody else has started: only what clients see is known.
 async fn against(scenario: &Scenario, args: &Load) -> Result<Round, String> {
-    let witness = Witness::begin();
+    let witness = Observer::starting_now();
     let collector = Rc::new(RefCell::new(Collector::new(scenario, args.common.seed, usize::MAX)));
     let to = collector.clone();
-    witness.give_to(move |o| to.borrow_mut().saw(o));
+    witness.subscribe(move |o| to.borrow_mut().observe(o));
     let fleet = Fleet::new(scenario.clone(), args.common.seed, witness.clone());
     for node in 0..args.nodes.len() {
-        witness.saw(Seen::NodeUp { node });
+        witness.record(ObservedEvent::NodeStarted { node });
     }
     play(scenario, &fleet, args.nodes.clone(), &collector).await?;
     let mut report = collector.borrow().report();
@@ -328,10 +329,11 @@
     collector: &Rc<RefCell<Collector>>,
 ) -> Result<(), String> {
     let ended = collector.clone();
-    let clients = Clients::new(HOST, fleet, nodes, move |played| ended.borrow_mut().played(&played));
+    let clients = Clients::new(HOST, fleet, nodes, move |played| ended.borrow_mut().record_result(&played));
     let shown = std::io::stderr().is_terminal();
-    let bar = if shown { ProgressBar::new(scenario.span().as_secs()) } else { ProgressBar::hidden() };
-    let playing = clients.clone().play(scenario.span());
+    let bar =
+        if shown { ProgressBar::new(scenario.load_duration().as_secs()) } else { ProgressBar::hidden() };
+    let playing = clients.clone().generate_load(scenario.load_duration());
     let mut playing = std::pin::pin!(playing);
     loop {
         tokio::select! {
@@ -342,8 +344,8 @@
         }
     }
     bar.finish_and_clear();
-    let end = Instant::now() + scenario.longest() + Duration::from_secs(2);
-    while clients.under_way() > 0 && Instant::now() < end {
+    let end = Instant::now() + scenario.longest_deadline() + Duration::from_secs(2);
+    while clients.in_flight() > 0 && Instant::now() < end {
         sleep(Duration::from_millis(20)).await;
     }
     Ok(())
--- a/crates/chalksill/tests/scale.rs
+++ b/crates/chalksill/tests/scale.rs
@@ -74,7 +74,7 @@
         let path = entry.unwrap().path();
         if path.extension().is_some_and(|ending| ending == "toml") {
             let text = std::fs::read_to_string(&path).unwrap();
-            chalksill_scale::scenario::Scenario::read(&text).unwrap_or_else(|e| panic!("{path:?}: {e}"));
+            chalksill_scale::scenario::Scenario::parse(&text).unwrap_or_else(|e| panic!("{path:?}: {e}"));
             read += 1;
         }
     }
--- a/crates/inquest/src/cut.rs
+++ b/crates/inquest/src/cut.rs
@@ -2,17 +2,17 @@
 
 use brassrouter::{Event, Micros, Policy, ServerId};
 use mothpier_record::Segment;
-use mothpier_record::entry::{Body, Entry, Noted};
-use mothpier_record::replay::{Start, play};
+use mothpier_record::entry::{Body, Entry, RecordedAction};
+use mothpier_record::replay::{InitialState, replay_with};
 use mothpier_record::segment::{Header, Writer};
 
-use crate::why::Which;
+use crate::explain::RequestSelector;
 
 /// What to cut round.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Round {
+pub enum Selection {
     /// A request, from its arrival to its last trace.
-    Request(Which),
+    Request(RequestSelector),
     /// A time.
     Time(Micros),
     /// A server, from its first to its last trace.
@@ -21,20 +21,20 @@
 
 /// A part of a record.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Part {
+pub struct Excerpt {
     /// A segment that stands alone.
     pub bytes: Vec<u8>,
     /// Events in it.
     pub events: u64,
     /// The clock at its begin and end.
-    pub span: (Micros, Micros),
+    pub time_range: (Micros, Micros),
 }
 
 /// Cuts a part out of a segment, with a margin of time on both sides.
 ///
 /// # Errors
 /// A segment that can't be read, or nothing of what was asked for in it.
-pub fn cut(bytes: &[u8], round: &Round, margin: Micros) -> Result<Part, String> {
+pub fn cut(bytes: &[u8], round: &Selection, margin: Micros) -> Result<Excerpt, String> {
     let open = || Segment::open(bytes).map_err(|torn| torn.to_string());
     let (from, to) = span(open()?, round).ok_or("nothing of that is in this record")?;
     let (from, to) = (from.saturating_sub(margin), to.saturating_add(margin));
@@ -42,10 +42,10 @@
     let header = segment.header.clone();
     // The state just before the first event of the part; the rest is copied.
     let writer = std::cell::RefCell::new(None::<Result<Writer, String>>);
-    let mut part = Part { bytes: Vec::new(), events: 0, span: (0, 0) };
-    play(
+    let mut part = Excerpt { bytes: Vec::new(), events: 0, time_range: (0, 0) };
+    replay_with(
         &mut segment,
-        Start::Recorded,
+        InitialState::Recorded,
         |policy, entry| {
             if entry.at >= from && writer.borrow().is_none() {
                 *writer.borrow_mut() = Some(begin(&header, policy, entry.at));
@@ -55,8 +55,8 @@
             if let Some(Ok(writer)) = writer.borrow_mut().as_mut().filter(|_| step.entry.at <= to) {
                 writer.entry(step.entry.at, &step.entry.body);
                 part.events += 1;
-                part.span.0 = if part.events == 1 { step.entry.at } else { part.span.0 };
-                part.span.1 = step.entry.at;
+                part.time_range.0 = if part.events == 1 { step.entry.at } else { part.time_range.0 };
+                part.time_range.1 = step.entry.at;
             }
         },
     )?;
@@ -69,23 +69,27 @@
 }
 
 fn begin(header: &Header, policy: &Policy, at: Micros) -> Result<Writer, String> {
-    let mut writer =
-        Writer::begin(&Header { at, servers: policy.listed_servers(), monotonic: None, ..header.clone() })?;
+    let mut writer = Writer::begin(&Header {
+        started_at: at,
+        servers: policy.listed_servers(),
+        monotonic: None,
+        ..header.clone()
+    })?;
     writer.state(at, policy)?;
     Ok(writer)
 }
 
-fn span(segment: Segment<'_>, round: &Round) -> Option<(Micros, Micros)> {
-    if let Round::Time(time) = round {
+fn span(segment: Segment<'_>, round: &Selection) -> Option<(Micros, Micros)> {
+    if let Selection::Time(time) = round {
         return Some((*time, *time));
     }
     let mut span: Option<(Micros, Micros)> = None;
     let mut request = None;
     for entry in segment {
         let touches = match round {
-            Round::Time(_) => false,
-            Round::Server(server) => names(&entry, *server),
-            Round::Request(which) => {
+            Selection::Time(_) => false,
+            Selection::Server(server) => names(&entry, *server),
+            Selection::Request(which) => {
                 request = request.or(which.arrival(&entry));
                 request.is_some_and(|id| touches(&entry, id))
             }
@@ -98,17 +102,17 @@
 }
 
 fn touches(entry: &Entry, request: u64) -> bool {
-    let Body::Told { actions, .. } = &entry.body else { return false };
+    let Body::Event { actions, .. } = &entry.body else { return false };
     mothpier_record::replay::concerns(entry, actions, request)
 }
 
 fn names(entry: &Entry, server: ServerId) -> bool {
-    let Body::Told { event, actions, .. } = &entry.body else { return false };
+    let Body::Event { event, actions, .. } = &entry.body else { return false };
     let told = match event {
         Event::Outcome(o) => o.server == server,
         Event::ServerList { servers, .. } => servers.iter().any(|s| s.id == server),
         Event::Probed { server: probed, .. } => *probed == server,
         _ => false,
     };
-    told || actions.iter().any(|a| matches!(a, Noted::Send { server: to, .. } if *to == server))
+    told || actions.iter().any(|a| matches!(a, RecordedAction::Send { server: to, .. } if *to == server))
 }
--- a/crates/inquest/src/tell.rs
+++ b/crates/inquest/src/describe.rs
@@ -1,16 +1,16 @@
 //! Events and actions as lines for a person.
 
 use brassrouter::{Condition, Event, Micros};
-use mothpier_record::entry::{Body, Entry, Noted};
+use mothpier_record::entry::{Body, Entry, RecordedAction};
 use mothpier_record::segment::Header;
 
 /// A span in milliseconds, to the microsecond.
-pub fn ms(span: Micros) -> String {
+pub fn milliseconds(span: Micros) -> String {
     format!("{:.3} ms", span as f64 / 1000.0)
 }
 
 /// A clock value as the time of day, UTC.
-pub fn clock(at: Micros) -> String {
+pub fn utc_time(at: Micros) -> String {
     let (s, us) = (at / 1_000_000, at % 1_000_000);
     let (day, s) = (s / 86_400, s % 86_400);
     // Days to a date of the Gregorian calendar, counted from 1 March of year 0 (Hinnant's algorithm).
@@ -39,7 +39,7 @@
                 if r.is_retry { "repeated " } else { "" },
                 if r.is_write { "write" } else { "read" },
                 r.key,
-                ms(r.time_left)
+                milliseconds(r.time_left)
             )
         }
         Event::Outcome(o) => format!(
@@ -49,7 +49,7 @@
             o.server,
             o.status,
             if o.status.proves_not_run() { " (did not run)" } else { "" },
-            ms(o.duration),
+            milliseconds(o.duration),
             if o.request_finished { ", over" } else { "" }
         ),
         Event::Timer(_) => "timer".into(),
@@ -67,7 +67,11 @@
             format!("request {request}: attempt {attempt} begins to answer")
         }
         Event::Probed { server, succeeded: ok, duration: took, .. } => {
-            format!("probe of server {server}: {} after {}", if *ok { "well" } else { "not well" }, ms(*took))
+            format!(
+                "probe of server {server}: {} after {}",
+                if *ok { "well" } else { "not well" },
+                milliseconds(*took)
+            )
         }
         Event::Storm(on) => if *on { "a storm begins" } else { "the storm is over" }.into(),
         Event::ZoneRouting(None) => "all zones are near".into(),
@@ -83,7 +87,7 @@
             allowance.outstanding,
             allowance.calls_left,
             allowance.reserved_for_writes,
-            ms(allowance.expires_at)
+            milliseconds(allowance.expires_at)
         ),
         Event::ProcessCount(processes) => format!("{processes} processes are this node now"),
         Event::Inherited(left) => format!(
@@ -95,23 +99,23 @@
 }
 
 /// An action in words.
-pub fn action(action: &Noted) -> String {
+pub fn action(action: &RecordedAction) -> String {
     match action {
-        Noted::Send { request, server, .. } => format!("send {request} to server {server}"),
-        Noted::Refuse { request, retry_after } => {
-            format!("refuse {request}, come back after {}", ms(*retry_after))
+        RecordedAction::Send { request, server, .. } => format!("send {request} to server {server}"),
+        RecordedAction::Refuse { request, retry_after } => {
+            format!("refuse {request}, come back after {}", milliseconds(*retry_after))
         }
-        Noted::Fail(request) => format!("fail {request}"),
-        Noted::Cancel { request, attempt } => format!("call off attempt {attempt} of {request}"),
-        Noted::Timer { after, .. } => format!("timer in {}", ms(*after)),
-        Noted::Subscribe(on) => if *on { "subscribe" } else { "unsubscribe" }.into(),
-        Noted::FetchList => "ask for the list".into(),
-        Noted::Probe(server) => format!("probe server {server}"),
-        Noted::CloseIdle(server) => format!("close idle connections to server {server}"),
-        Noted::Tell { to: Some(to), .. } => format!("tell node {to}"),
-        Noted::Tell { to: None, .. } => "tell all nodes".into(),
-        Noted::Log(sum) => format!("log ({sum:08x})"),
-        Noted::Fault(sum) => format!("fault ({sum:08x})"),
+        RecordedAction::Fail(request) => format!("fail {request}"),
+        RecordedAction::Cancel { request, attempt } => format!("call off attempt {attempt} of {request}"),
+        RecordedAction::Timer { after, .. } => format!("timer in {}", milliseconds(*after)),
+        RecordedAction::Subscribe(on) => if *on { "subscribe" } else { "unsubscribe" }.into(),
+        RecordedAction::FetchList => "ask for the list".into(),
+        RecordedAction::Probe(server) => format!("probe server {server}"),
+        RecordedAction::CloseIdle(server) => format!("close idle connections to server {server}"),
+        RecordedAction::SendToPeers { to: Some(to), .. } => format!("tell node {to}"),
+        RecordedAction::SendToPeers { to: None, .. } => "tell all nodes".into(),
+        RecordedAction::Log(sum) => format!("log ({sum:08x})"),
+        RecordedAction::Fault(sum) => format!("fault ({sum:08x})"),
     }
 }
 
@@ -121,7 +125,7 @@
         Body::State(bytes) => format!("state of the module, {} bytes", bytes.len()),
         Body::Gap { events } => format!("GAP: {events} events are missing"),
         Body::End => "the node ends in order".into(),
-        Body::Told { event: told, reference, actions } => {
+        Body::Event { event: told, reference, actions } => {
             let actions: Vec<_> = actions.iter().map(action).collect();
             let told = event(header, told, *reference);
             if actions.is_empty() { told } else { format!("{told} -> {}", actions.join("; ")) }
--- a/crates/inquest/src/parting.rs
+++ b/crates/inquest/src/divergence.rs
@@ -9,43 +9,47 @@
 
 use brassrouter::Micros;
 use mothpier_record::Segment;
-use mothpier_record::entry::Noted;
-use mothpier_record::replay::{Difference, Outcome, Start, play};
+use mothpier_record::entry::RecordedAction;
+use mothpier_record::replay::{Difference, InitialState, Outcome, replay_with};
 use serde::Serialize;
 
 /// How the present module's choices differ from those recorded.
 #[derive(Debug, Clone, Default, Serialize)]
-pub struct Parting {
+pub struct Divergence {
     /// Events told.
     pub events: u64,
     /// Requests among them.
     pub requests: u64,
     /// Events whose decisions differ.
-    pub parted: u64,
+    #[serde(rename = "parted")]
+    pub diverged_events: u64,
     /// By what was decided then and now.
-    pub kinds: BTreeMap<String, u64>,
+    #[serde(rename = "kinds")]
+    pub changes: BTreeMap<String, u64>,
     /// Sum of the differences of advice where both refuse, microseconds.
-    pub advice: Micros,
+    #[serde(rename = "advice")]
+    pub retry_after_difference: Micros,
     /// Clock of the first parting.
-    pub first: Option<Micros>,
+    #[serde(rename = "first")]
+    pub first_divergence_at: Option<Micros>,
 }
 
 /// Plays a segment through the present module; with the first decision that differs, timers and words to peers aside.
 ///
 /// # Errors
 /// A segment that can't be read.
-pub fn part(segment: &mut Segment<'_>) -> Result<(Parting, Option<Difference>), String> {
-    let mut parting = Parting::default();
+pub fn find_divergence(segment: &mut Segment<'_>) -> Result<(Divergence, Option<Difference>), String> {
+    let mut parting = Divergence::default();
     let mut first = None;
-    let (outcome, _): (Outcome, _) = play(
+    let (outcome, _): (Outcome, _) = replay_with(
         segment,
-        Start::Best,
+        InitialState::Best,
         |_, _| {},
         |step| {
-            let mothpier_record::entry::Body::Told { event, actions: then, .. } = &step.entry.body else {
+            let mothpier_record::entry::Body::Event { event, actions: then, .. } = &step.entry.body else {
                 return;
             };
-            let decided = |all: &[Noted]| -> Vec<Noted> {
+            let decided = |all: &[RecordedAction]| -> Vec<RecordedAction> {
                 all.iter().filter(|a| a.request().is_some()).cloned().collect()
             };
             let (then, now) = (decided(then), decided(step.now));
@@ -53,35 +57,38 @@
                 return;
             }
             if first.is_none() {
-                parting.first = Some(step.entry.at);
+                parting.first_divergence_at = Some(step.entry.at);
                 first = Some(Difference {
                     entry: step.number,
                     at: step.entry.at,
                     event: event.clone(),
-                    then: then.clone(),
-                    now: now.clone(),
+                    recorded: then.clone(),
+                    replayed: now.clone(),
                 });
             }
             for (was, is) in then.iter().zip(&now) {
-                if let (Noted::Refuse { retry_after: a, .. }, Noted::Refuse { retry_after: b, .. }) =
-                    (was, is)
+                if let (
+                    RecordedAction::Refuse { retry_after: a, .. },
+                    RecordedAction::Refuse { retry_after: b, .. },
+                ) = (was, is)
                 {
-                    parting.advice += a.abs_diff(*b);
+                    parting.retry_after_difference += a.abs_diff(*b);
                 }
             }
             let kind = format!("{} -> {}", kinds(&then), kinds(&now));
-            *parting.kinds.entry(kind).or_default() += 1;
+            *parting.changes.entry(kind).or_default() += 1;
         },
     )?;
-    (parting.events, parting.requests, parting.parted) = (outcome.events, outcome.requests, outcome.parted);
+    (parting.events, parting.requests, parting.diverged_events) =
+        (outcome.events, outcome.requests, outcome.parted);
     Ok((parting, first))
 }
 
-fn kinds(actions: &[Noted]) -> String {
-    let name = |a: &Noted| match a {
-        Noted::Send { .. } => "send",
-        Noted::Refuse { .. } => "refuse",
-        Noted::Fail(_) => "fail",
+fn kinds(actions: &[RecordedAction]) -> String {
+    let name = |a: &RecordedAction| match a {
+        RecordedAction::Send { .. } => "send",
+        RecordedAction::Refuse { .. } => "refuse",
+        RecordedAction::Fail(_) => "fail",
         _ => "call off",
     };
     let mut names: Vec<_> = actions.iter().map(name).collect();
--- a/crates/inquest/src/why.rs
+++ b/crates/inquest/src/explain.rs
@@ -2,28 +2,28 @@
 
 use brassrouter::{Condition, Event, Micros, RequestId, ServerView, View};
 use mothpier_record::Segment;
-use mothpier_record::entry::{Body, Entry, Noted, reference};
-use mothpier_record::replay::{Start, concerns, play};
+use mothpier_record::entry::{Body, Entry, RecordedAction, client_id_checksum};
+use mothpier_record::replay::{InitialState, concerns, replay_with};
 use serde::Serialize;
 
-use crate::tell;
+use crate::describe;
 
 /// Which request is meant.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Which {
+pub enum RequestSelector {
     /// By the module's number of it.
     Number(RequestId),
     /// By the id that its client gave it.
-    Client(String),
+    ClientId(String),
 }
 
-impl Which {
+impl RequestSelector {
     /// Whether an entry is the arrival of that request; its number.
     pub fn arrival(&self, entry: &Entry) -> Option<RequestId> {
-        let Body::Told { event: Event::Request(r), reference: known, .. } = &entry.body else { return None };
+        let Body::Event { event: Event::Request(r), reference: known, .. } = &entry.body else { return None };
         let meant = match self {
-            Which::Number(number) => r.id == *number,
-            Which::Client(id) => *known == Some(reference(id.as_bytes())),
+            RequestSelector::Number(number) => r.id == *number,
+            RequestSelector::ClientId(id) => *known == Some(client_id_checksum(id.as_bytes())),
         };
         meant.then_some(r.id)
     }
@@ -31,33 +31,40 @@
 
 /// One moment of a request's story.
 #[derive(Debug, Clone, Serialize)]
-pub struct Moment {
+pub struct RequestStep {
     /// The clock.
     pub at: Micros,
     /// Since the request arrived.
-    pub since: Micros,
+    #[serde(rename = "since")]
+    pub since_arrival: Micros,
     /// What happened.
     pub event: String,
     /// What was decided.
-    pub decided: Vec<String>,
+    #[serde(rename = "decided")]
+    pub decisions: Vec<String>,
     /// Why, as far as the module's state tells.
-    pub because: Vec<String>,
+    #[serde(rename = "because")]
+    pub reasons: Vec<String>,
     /// What the module knew after the event, with servers in the request's order.
-    pub known: View,
+    #[serde(rename = "known")]
+    pub view: View,
 }
 
 /// Tells the story of a request.
 ///
 /// # Errors
 /// A segment that can't be replayed, or no such request in it.
-pub fn why(segment: &mut Segment<'_>, which: &Which) -> Result<Vec<Moment>, String> {
+pub fn explain_request(
+    segment: &mut Segment<'_>,
+    which: &RequestSelector,
+) -> Result<Vec<RequestStep>, String> {
     let header = segment.header.clone();
     let mut moments = Vec::new();
     let mut request: Option<(RequestId, Micros)> = None;
     let counts = std::cell::RefCell::new(Vec::new());
-    play(
+    replay_with(
         segment,
-        Start::Recorded,
+        InitialState::Recorded,
         |policy, _| *counts.borrow_mut() = policy.refusal_counts().collect(),
         |step| {
             if request.is_none() {
@@ -66,32 +73,32 @@
             let Some((id, came)) = request.filter(|(id, _)| concerns(step.entry, step.now, *id)) else {
                 return;
             };
-            let Body::Told { event, reference, .. } = &step.entry.body else { return };
+            let Body::Event { event, reference, .. } = &step.entry.body else { return };
             let about = step.now.iter().filter(|a| a.request() == Some(id));
             let known = step.policy.view(Some(id));
             let mut because = Vec::new();
             for action in about.clone() {
                 match action {
-                    Noted::Send { server, .. } => because.extend(chosen(&known, *server)),
-                    Noted::Refuse { .. } | Noted::Fail(_) => {
+                    RecordedAction::Send { server, .. } => because.extend(chosen(&known, *server)),
+                    RecordedAction::Refuse { .. } | RecordedAction::Fail(_) => {
                         let before = counts.borrow();
                         // Its line about them resets the counts: then the reason can't be told apart.
                         let reasons = before.iter().zip(step.policy.refusal_counts());
                         let reason =
                             reasons.filter(|((_, was), (_, is))| is > was).map(|(_, (name, _))| name);
                         because.push(format!("because: {}", reason.collect::<Vec<_>>().join(", ")));
-                        because.push(state(&known));
+                        because.push(describe_view(&known));
                     }
                     _ => {}
                 }
             }
-            moments.push(Moment {
+            moments.push(RequestStep {
                 at: step.entry.at,
-                since: step.entry.at - came,
-                event: tell::event(&header, event, *reference),
-                decided: about.map(tell::action).collect(),
-                because,
-                known,
+                since_arrival: step.entry.at - came,
+                event: describe::event(&header, event, *reference),
+                decisions: about.map(describe::action).collect(),
+                reasons: because,
+                view: known,
             });
         },
     )?;
@@ -99,7 +106,7 @@
 }
 
 /// What is known of the whole, in a line.
-pub fn state(known: &View) -> String {
+pub fn describe_view(known: &View) -> String {
     format!(
         "level {:.2}, strain {:.3}{}, retries {:.1}, gate {} of {:.1} out ({} in this window), {} open",
         known.admission_level,
@@ -124,7 +131,7 @@
         lines.push(format!("passed over server {}: {}", s.id, against(s)));
     }
     // At the origin, or at one that the list has dropped since: the order does not tell.
-    vec![state(known)]
+    vec![describe_view(known)]
 }
 
 fn server_line(s: &ServerView) -> String {
@@ -134,7 +141,7 @@
         s.load_bound,
         s.key_share * 100.0,
         s.capacity_share * 100.0,
-        tell::ms(s.backlog)
+        describe::milliseconds(s.backlog)
     )
 }
 
--- a/crates/inquest/src/merge.rs
+++ b/crates/inquest/src/merge.rs
@@ -9,13 +9,13 @@
 
 use brassrouter::{Event, Micros};
 use mothpier_record::Segment;
-use mothpier_record::entry::{Body, Noted};
+use mothpier_record::entry::{Body, RecordedAction};
 use serde::Serialize;
 
-use crate::tell;
+use crate::describe;
 
 /// A record among others.
-pub struct Named<'a> {
+pub struct NodeRecord<'a> {
     /// What to call it.
     pub name: String,
     /// Its segments, in order.
@@ -28,14 +28,16 @@
     /// The record.
     pub name: String,
     /// To add to its clock, microseconds.
-    pub add: i64,
+    #[serde(rename = "add")]
+    pub offset_us: i64,
     /// The offset is known to within so many microseconds; `None` where no messages went both ways.
-    pub within: Option<u64>,
+    #[serde(rename = "within")]
+    pub uncertainty_us: Option<u64>,
 }
 
 /// One line of the timeline.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Line {
+pub struct TimelineEntry {
     /// The clock, corrected to that of the first record.
     pub at: Micros,
     /// Whose it is.
@@ -57,7 +59,7 @@
 ///
 /// # Errors
 /// A segment whose header can't be read.
-pub fn merge(records: &[Named<'_>], all: bool) -> Result<(Vec<Offset>, Vec<Line>), String> {
+pub fn merge(records: &[NodeRecord<'_>], all: bool) -> Result<(Vec<Offset>, Vec<TimelineEntry>), String> {
     let open = |name: &str, bytes| Segment::open(bytes).map_err(|torn| format!("{name}: {torn}"));
     let mut talks = Vec::new();
     for record in records {
@@ -80,7 +82,11 @@
     let offsets: Vec<Offset> = records
         .iter()
         .zip(offsets)
-        .map(|(r, o)| Offset { name: r.name.clone(), add: o.map_or(0, |o| o.0), within: o.and_then(|o| o.1) })
+        .map(|(r, o)| Offset {
+            name: r.name.clone(),
+            offset_us: o.map_or(0, |o| o.0),
+            uncertainty_us: o.and_then(|o| o.1),
+        })
         .collect();
     let mut lines = Vec::new();
     for (record, offset) in records.iter().zip(&offsets) {
@@ -88,15 +94,15 @@
             let mut segment = open(&record.name, bytes)?;
             let header = segment.header.clone();
             for entry in segment.by_ref().filter(|e| all || tells(&e.body)) {
-                lines.push(Line {
-                    at: entry.at.saturating_add_signed(offset.add),
+                lines.push(TimelineEntry {
+                    at: entry.at.saturating_add_signed(offset.offset_us),
                     name: record.name.clone(),
-                    text: tell::entry(&header, &entry),
+                    text: describe::entry(&header, &entry),
                 });
             }
-            if let Some(torn) = segment.torn() {
-                let at = lines.last().map_or(header.at, |l| l.at);
-                lines.push(Line {
+            if let Some(torn) = segment.read_error() {
+                let at = lines.last().map_or(header.started_at, |l| l.at);
+                lines.push(TimelineEntry {
                     at,
                     name: record.name.clone(),
                     text: format!("the record is torn at {torn}"),
@@ -109,9 +115,16 @@
 }
 
 fn tells(body: &Body) -> bool {
-    let Body::Told { event, actions, .. } = body else { return true };
-    let failed =
-        |a: &Noted| matches!(a, Noted::Refuse { .. } | Noted::Fail(_) | Noted::Log(_) | Noted::Fault(_));
+    let Body::Event { event, actions, .. } = body else { return true };
+    let failed = |a: &RecordedAction| {
+        matches!(
+            a,
+            RecordedAction::Refuse { .. }
+                | RecordedAction::Fail(_)
+                | RecordedAction::Log(_)
+                | RecordedAction::Fault(_)
+        )
+    };
     matches!(
         event,
         Event::ServerList { .. }
@@ -129,12 +142,12 @@
         known.1 += 1;
     };
     for entry in segment {
-        let Body::Told { event, actions, .. } = &entry.body else { continue };
+        let Body::Event { event, actions, .. } = &entry.body else { continue };
         if let Event::PeerMessage { from, bytes } = event {
-            count(&mut talk.got, (*from, mothpier_record::entry::reference(bytes)), entry.at);
+            count(&mut talk.got, (*from, mothpier_record::entry::client_id_checksum(bytes)), entry.at);
         }
         for action in actions {
-            if let Noted::Tell { to: Some(to), sum } = action {
+            if let RecordedAction::SendToPeers { to: Some(to), sum } = action {
                 count(&mut talk.sent, (*to, *sum), entry.at);
             }
         }
--- a/crates/inquest/tests/known.rs
+++ b/crates/inquest/tests/known.rs
@@ -1,7 +1,7 @@
 //! Failures that were found and mended, each kept as a record of what the old module decided: the present module must
 //! come to another choice at the same place, and to the same one up to there.
 
-use chalksill_inquest::parting::part;
+use chalksill_inquest::divergence::find_divergence;
 use mothpier_record::Segment;
 use serde::Deserialize;
 
@@ -50,14 +50,14 @@
         let bytes = std::fs::read(format!("{folder}/{file}")).expect("the record");
         let mut segment = Segment::open(&bytes).expect("a header");
         assert_eq!(
-            segment.header.state,
+            segment.header.state_version,
             brassrouter::STATE_VERSION,
             "{file}: made by a module of another layout"
         );
-        let (parting, first) = part(&mut segment).expect("it can be played");
-        assert_eq!(segment.torn(), None, "{file}");
+        let (parting, first) = find_divergence(&mut segment).expect("it can be played");
+        assert_eq!(segment.read_error(), None, "{file}");
         let first = first.unwrap_or_else(|| panic!("{file}: nothing differs: {what} is back"));
         assert_eq!(first.entry, entry, "{file}: the choices part elsewhere: {first:?}");
-        assert!(parting.kinds.contains_key(&parts), "{file}: {:?}", parting.kinds);
+        assert!(parting.changes.contains_key(&parts), "{file}: {:?}", parting.changes);
     }
 }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -239,7 +239,7 @@
     /// Runs until all senders of inputs are dropped or the node is shut down.
     pub async fn run(mut self, known: Option<ServerList>, mut inputs: mpsc::Receiver<Input>) {
         // State left by an earlier incarnation must be known before the first decision.
-        if let Some(inherited) = self.components.recorder.as_mut().and_then(Recorder::legacy) {
+        if let Some(inherited) = self.components.recorder.as_mut().and_then(Recorder::take_inherited_state) {
             self.events.push_back(Event::Inherited(inherited));
         }
         if let Some(inherited) = self.components.predecessor.take() {
@@ -408,7 +408,7 @@
             let now = self.clock.now();
             self.record_event(now, &event);
             self.policy.handle(now, event, &mut actions);
-            let notice = self.components.recorder.as_mut().and_then(|r| r.after(now, &actions));
+            let notice = self.components.recorder.as_mut().and_then(|r| r.record_actions(now, &actions));
             self.log_notice(notice);
             actions.drain(..).for_each(|action| self.execute(action));
             self.actions = actions;
@@ -416,18 +416,20 @@
     }
 
     fn record_event(&mut self, now: Micros, event: &Event) {
-        let Some(recorder) = self.components.recorder.as_mut().filter(|r| r.is_on()) else { return };
+        let Some(recorder) = self.components.recorder.as_mut().filter(|r| r.is_enabled()) else { return };
         let reference = match event {
-            Event::Request(r) => self.pending.get(&r.id).map(|pending| entry::reference(&pending.command.id)),
+            Event::Request(r) => {
+                self.pending.get(&r.id).map(|pending| entry::client_id_checksum(&pending.command.id))
+            }
             _ => None,
         };
-        let notice = recorder.before(now, &self.policy, event, reference);
+        let notice = recorder.record_event(now, &self.policy, event, reference);
         self.log_notice(notice);
     }
 
     fn finish_recording(&mut self) {
         let now = self.clock.now();
-        let notice = self.components.recorder.as_mut().and_then(|r| r.end(now));
+        let notice = self.components.recorder.as_mut().and_then(|r| r.finish(now));
         self.log_notice(notice);
     }
 
@@ -441,7 +443,7 @@
         match input {
             Input::SetRecording(on) => {
                 let now = self.clock.now();
-                let notice = self.components.recorder.as_mut().and_then(|r| r.switch(on, now));
+                let notice = self.components.recorder.as_mut().and_then(|r| r.set_enabled(on, now));
                 self.log_notice(notice);
             }
             Input::JoinAgreement => self.with_agreement(|agreement, locality| {
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -4,7 +4,7 @@
 use brassrouter::StormMitigation;
 use brassrouter::settings::DeploymentSettings;
 use mothpier_places::Places;
-use mothpier_record::Figures;
+use mothpier_record::Tuning;
 use mothpier_storm::Settings;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -126,12 +126,12 @@
     pub key_file: Option<PathBuf>,
     /// Tuning of the recorder.
     #[serde(rename = "figures")]
-    pub tuning: Figures,
+    pub tuning: Tuning,
 }
 
 impl Default for RecordConfig {
     fn default() -> Self {
-        RecordConfig { on: false, folder: None, recover: true, key_file: None, tuning: Figures::default() }
+        RecordConfig { on: false, folder: None, recover: true, key_file: None, tuning: Tuning::default() }
     }
 }
 
@@ -176,7 +176,7 @@
     })?;
     let located = |table, key: &str, message| with_line(text, table, key, message);
     operator.storm.tuning.validate().map_err(|e| located("storm", e.key, format!("storm.figures.{e}")))?;
-    operator.record.tuning.check().map_err(|e| located("record", e.key, format!("record.figures.{e}")))?;
+    operator.record.tuning.validate().map_err(|e| located("record", e.key, format!("record.figures.{e}")))?;
     operator.places.validate().map_err(|e| located("places", &e.key, format!("places.{e}")))?;
     operator.agreement.check().map_err(|(key, e)| located("accord", &key, format!("accord.{key}: {e}")))?;
     if operator.record.on && operator.record.folder.is_none() {
--- a/crates/node/src/service/assembly.rs
+++ b/crates/node/src/service/assembly.rs
@@ -225,7 +225,7 @@
     components.storm_monitor =
         StormMonitor::new(&storm, settings.tenant_names.len(), clients.total_connections());
     if let Some(recorder) = &mut recorder {
-        recorder.born(&config.name, config.seed, &settings, clock.now());
+        recorder.start(&config.name, config.seed, &settings, clock.now());
     }
     components.recorder = recorder;
     let inputs_sender = events.clone();
--- a/crates/record/examples/layouts.rs
+++ b/crates/record/examples/layouts.rs
@@ -24,7 +24,7 @@
             // Length and checksum are needed in any layout; here they are left out of all.
             let framed = segment.position() - from;
             from = segment.position();
-            let Body::Told { event, .. } = &entry.body else { continue };
+            let Body::Event { event, .. } = &entry.body else { continue };
             events += 1;
             own += framed - 4 - if framed > 132 { 2 } else { 1 };
             postcard_bytes += postcard::to_allocvec(&(entry.at, event)).map_or(0, |b| b.len());
--- a/crates/record/src/entry.rs
+++ b/crates/record/src/entry.rs
@@ -20,7 +20,7 @@
 
 /// An action as it is recorded: what is said to people and peers only by its checksum (CRC-32).
 #[derive(Debug, Clone, PartialEq)]
-pub enum Noted {
+pub enum RecordedAction {
     /// As [`Action::Send`].
     Send {
         /// The request.
@@ -62,7 +62,7 @@
     /// As [`Action::CloseIdle`].
     CloseIdle(ServerId),
     /// As [`Action::SendToPeers`].
-    Tell {
+    SendToPeers {
         /// The peer; `None` for all.
         to: Option<u32>,
         /// Checksum of the bytes.
@@ -74,42 +74,46 @@
     Fault(u32),
 }
 
-impl From<&Action> for Noted {
+impl From<&Action> for RecordedAction {
     fn from(action: &Action) -> Self {
         match action {
             Action::Send { request, server, timeout: give_up_after } => {
-                Noted::Send { request: *request, server: *server, give_up_after: *give_up_after }
+                RecordedAction::Send { request: *request, server: *server, give_up_after: *give_up_after }
             }
             Action::Refuse { request, retry_after } => {
-                Noted::Refuse { request: *request, retry_after: *retry_after }
+                RecordedAction::Refuse { request: *request, retry_after: *retry_after }
             }
-            Action::Fail(request) => Noted::Fail(*request),
-            Action::Cancel { request, attempt } => Noted::Cancel { request: *request, attempt: *attempt },
-            Action::Timer { after, token } => Noted::Timer { after: *after, token: *token },
-            Action::Subscribe(on) => Noted::Subscribe(*on),
-            Action::FetchList => Noted::FetchList,
-            Action::Probe(server) => Noted::Probe(*server),
-            Action::CloseIdle(server) => Noted::CloseIdle(*server),
-            Action::SendToPeers { to, bytes } => Noted::Tell { to: *to, sum: crc32fast::hash(bytes) },
-            Action::Log(text) => Noted::Log(crc32fast::hash(text.as_bytes())),
-            Action::Fault(text) => Noted::Fault(crc32fast::hash(text.as_bytes())),
+            Action::Fail(request) => RecordedAction::Fail(*request),
+            Action::Cancel { request, attempt } => {
+                RecordedAction::Cancel { request: *request, attempt: *attempt }
+            }
+            Action::Timer { after, token } => RecordedAction::Timer { after: *after, token: *token },
+            Action::Subscribe(on) => RecordedAction::Subscribe(*on),
+            Action::FetchList => RecordedAction::FetchList,
+            Action::Probe(server) => RecordedAction::Probe(*server),
+            Action::CloseIdle(server) => RecordedAction::CloseIdle(*server),
+            Action::SendToPeers { to, bytes } => {
+                RecordedAction::SendToPeers { to: *to, sum: crc32fast::hash(bytes) }
+            }
+            Action::Log(text) => RecordedAction::Log(crc32fast::hash(text.as_bytes())),
+            Action::Fault(text) => RecordedAction::Fault(crc32fast::hash(text.as_bytes())),
         }
     }
 }
 
-impl Noted {
+impl RecordedAction {
     /// The request that it is about, where it is about one.
     pub fn request(&self) -> Option<RequestId> {
         match self {
-            Noted::Send { request, .. } | Noted::Refuse { request, .. } => Some(*request),
-            Noted::Fail(request) | Noted::Cancel { request, .. } => Some(*request),
+            RecordedAction::Send { request, .. } | RecordedAction::Refuse { request, .. } => Some(*request),
+            RecordedAction::Fail(request) | RecordedAction::Cancel { request, .. } => Some(*request),
             _ => None,
         }
     }
 }
 
 /// What stands for a client's id of a request: its checksum (CRC-32), for ids are long and need not be kept.
-pub fn reference(id: &[u8]) -> u32 {
+pub fn client_id_checksum(id: &[u8]) -> u32 {
     crc32fast::hash(id)
 }
 
@@ -126,13 +130,13 @@
     /// The node ended in order; nothing follows.
     End,
     /// An event, and the actions that it called for.
-    Told {
+    Event {
         /// The event.
         event: Event,
-        /// Of a request: the checksum of the id that its client gave it ([`reference`]).
+        /// Of a request: the checksum of the id that its client gave it ([`client_id_checksum`]).
         reference: Option<u32>,
         /// The actions, in order.
-        actions: Vec<Noted>,
+        actions: Vec<RecordedAction>,
     },
 }
 
@@ -149,10 +153,11 @@
     /// The request that its event is about, where it is about one.
     pub fn request(&self) -> Option<RequestId> {
         match &self.body {
-            Body::Told { event: Event::Request(r), .. } => Some(r.id),
-            Body::Told { event: Event::Outcome(o), .. } => Some(o.request),
-            Body::Told {
-                event: Event::ResponseStarted { request, .. } | Event::ClientGone(request), ..
+            Body::Event { event: Event::Request(r), .. } => Some(r.id),
+            Body::Event { event: Event::Outcome(o), .. } => Some(o.request),
+            Body::Event {
+                event: Event::ResponseStarted { request, .. } | Event::ClientGone(request),
+                ..
             } => Some(*request),
             _ => None,
         }
@@ -266,7 +271,7 @@
                 out.push(END);
                 self.time(out, at);
             }
-            Body::Told { event, reference, actions } => {
+            Body::Event { event, reference, actions } => {
                 let begin = out.len();
                 self.event(out, at, event, *reference);
                 self.actions(out, begin, actions.iter().cloned());
@@ -398,7 +403,7 @@
         &mut self,
         out: &mut Vec<u8>,
         begin: usize,
-        actions: impl ExactSizeIterator<Item = Noted>,
+        actions: impl ExactSizeIterator<Item = RecordedAction>,
     ) {
         let count = actions.len();
         out[begin] |= (count.min(15) as u8) << 4;
@@ -407,51 +412,51 @@
         }
         for action in actions {
             match action {
-                Noted::Send { request, server, give_up_after } => {
+                RecordedAction::Send { request, server, give_up_after } => {
                     out.push(0);
                     self.request(out, request);
                     self.server(out, server);
                     put(out, give_up_after);
                 }
-                Noted::Refuse { request, retry_after } => {
+                RecordedAction::Refuse { request, retry_after } => {
                     out.push(1);
                     self.request(out, request);
                     put(out, retry_after);
                 }
-                Noted::Fail(request) => {
+                RecordedAction::Fail(request) => {
                     out.push(2);
                     self.request(out, request);
                 }
-                Noted::Cancel { request, attempt } => {
+                RecordedAction::Cancel { request, attempt } => {
                     out.push(3);
                     self.request(out, request);
                     put(out, u64::from(attempt));
                 }
-                Noted::Timer { after, token } => {
+                RecordedAction::Timer { after, token } => {
                     out.push(4);
                     put(out, after);
                     put(out, u64::from(token));
                 }
-                Noted::Subscribe(on) => out.extend([5, u8::from(on)]),
-                Noted::FetchList => out.push(6),
-                Noted::Probe(server) => {
+                RecordedAction::Subscribe(on) => out.extend([5, u8::from(on)]),
+                RecordedAction::FetchList => out.push(6),
+                RecordedAction::Probe(server) => {
                     out.push(7);
                     self.server(out, server);
                 }
-                Noted::CloseIdle(server) => {
+                RecordedAction::CloseIdle(server) => {
                     out.push(8);
                     self.server(out, server);
                 }
-                Noted::Tell { to, sum } => {
+                RecordedAction::SendToPeers { to, sum } => {
                     out.push(9);
                     put(out, to.map_or(0, |to| u64::from(to) + 1));
                     out.extend(sum.to_le_bytes());
                 }
-                Noted::Log(sum) => {
+                RecordedAction::Log(sum) => {
                     out.push(10);
                     out.extend(sum.to_le_bytes());
                 }
-                Noted::Fault(sum) => {
+                RecordedAction::Fault(sum) => {
                     out.push(11);
                     out.extend(sum.to_le_bytes());
                 }
@@ -476,7 +481,7 @@
                 for _ in 0..count {
                     actions.push(self.read_action(&mut input)?);
                 }
-                Body::Told { event, reference, actions }
+                Body::Event { event, reference, actions }
             }
         };
         if input.0.is_empty() { Ok(Entry { at, body }) } else { Err("there is more than its fields") }
@@ -600,30 +605,30 @@
         Ok((event, reference))
     }
 
-    fn read_action(&mut self, input: &mut Input) -> Result<Noted, Bad> {
+    fn read_action(&mut self, input: &mut Input) -> Result<RecordedAction, Bad> {
         Ok(match input.byte()? {
-            0 => Noted::Send {
+            0 => RecordedAction::Send {
                 request: self.read_request(input)?,
                 server: self.read_server(input)?,
                 give_up_after: input.number()?,
             },
-            1 => Noted::Refuse { request: self.read_request(input)?, retry_after: input.number()? },
-            2 => Noted::Fail(self.read_request(input)?),
-            3 => Noted::Cancel { request: self.read_request(input)?, attempt: input.below()? },
-            4 => Noted::Timer { after: input.number()?, token: input.below()? },
-            5 => Noted::Subscribe(input.byte()? != 0),
-            6 => Noted::FetchList,
-            7 => Noted::Probe(self.read_server(input)?),
-            8 => Noted::CloseIdle(self.read_server(input)?),
+            1 => RecordedAction::Refuse { request: self.read_request(input)?, retry_after: input.number()? },
+            2 => RecordedAction::Fail(self.read_request(input)?),
+            3 => RecordedAction::Cancel { request: self.read_request(input)?, attempt: input.below()? },
+            4 => RecordedAction::Timer { after: input.number()?, token: input.below()? },
+            5 => RecordedAction::Subscribe(input.byte()? != 0),
+            6 => RecordedAction::FetchList,
+            7 => RecordedAction::Probe(self.read_server(input)?),
+            8 => RecordedAction::CloseIdle(self.read_server(input)?),
             9 => {
                 let to = match input.number()? {
                     0 => None,
                     to => Some(u32::try_from(to - 1).map_err(|_| "a peer's number is too large")?),
                 };
-                Noted::Tell { to, sum: u32::from_le_bytes(input.word()?) }
+                RecordedAction::SendToPeers { to, sum: u32::from_le_bytes(input.word()?) }
             }
-            10 => Noted::Log(u32::from_le_bytes(input.word()?)),
-            11 => Noted::Fault(u32::from_le_bytes(input.word()?)),
+            10 => RecordedAction::Log(u32::from_le_bytes(input.word()?)),
+            11 => RecordedAction::Fault(u32::from_le_bytes(input.word()?)),
             _ => return Err("an action of an unknown kind"),
         })
     }
--- a/crates/record/src/folder.rs
+++ b/crates/record/src/folder.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 
 /// The ending of a segment's file.
-pub const ENDING: &str = "rec";
+pub const FILE_EXTENSION: &str = "rec";
 /// A call that a signal interrupts is tried so often: signals come singly, and no call may go on for ever.
 const INTERRUPTED_TRIES: u32 = 16;
 
@@ -94,18 +94,20 @@
 }
 
 /// The file of a segment.
-pub fn name(node: &str, life: u64, number: u32) -> String {
+pub fn segment_file_name(node: &str, life: u64, number: u32) -> String {
     let plain: String = node.chars().map(|c| if c.is_ascii_alphanumeric() { c } else { '_' }).collect();
-    format!("{plain}-{life:016x}-{number:08x}.{ENDING}")
+    format!("{plain}-{life:016x}-{number:08x}.{FILE_EXTENSION}")
 }
 
 /// The segments of a node among the files of a folder, oldest first: in the order of incarnations and numbers.
 pub fn of_node(node: &str, files: Vec<(String, u64)>) -> Vec<(String, u64)> {
-    let pattern = name(node, 0, 0);
+    let pattern = segment_file_name(node, 0, 0);
     let prefix = &pattern[..pattern.len() - NAME_TAIL];
     let mut own: Vec<_> = files
         .into_iter()
-        .filter(|(name, _)| name.len() == pattern.len() && name.starts_with(prefix) && name.ends_with(ENDING))
+        .filter(|(name, _)| {
+            name.len() == pattern.len() && name.starts_with(prefix) && name.ends_with(FILE_EXTENSION)
+        })
         .collect();
     own.sort();
     own
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -28,5 +28,5 @@
 pub mod store;
 mod wire;
 
-pub use recorder::{Figures, Recorder};
+pub use recorder::{Recorder, Tuning};
 pub use segment::{Header, Segment};
--- a/crates/record/src/recorder.rs
+++ b/crates/record/src/recorder.rs
@@ -10,14 +10,14 @@
 use brassrouter::{Action, Event, InheritedState, Micros, Policy, STATE_VERSION};
 use serde::Deserialize;
 
-use crate::entry::{Body, Noted};
-use crate::monotonic::{Now, Reading};
+use crate::entry::{Body, RecordedAction};
+use crate::monotonic::{ClockReading, MonotonicReading};
 use crate::segment::{Header, Writer};
 
 /// Figures of a recorder.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Figures {
+pub struct Tuning {
     /// A segment ends when it has grown to so many mebibytes.
     pub segment_mib: f64,
     /// The oldest segments go when all of the node's together would exceed so many mebibytes.
@@ -32,9 +32,9 @@
     pub again_ms: f64,
 }
 
-impl Default for Figures {
+impl Default for Tuning {
     fn default() -> Self {
-        Figures {
+        Tuning {
             segment_mib: 16.0,
             most_mib: 1024.0,
             hand_over_ms: 100.0,
@@ -60,12 +60,12 @@
     }
 }
 
-impl Figures {
+impl Tuning {
     /// Checks every figure against its range.
     ///
     /// # Errors
     /// The first one outside.
-    pub fn check(&self) -> Result<(), OutOfRange> {
+    pub fn validate(&self) -> Result<(), OutOfRange> {
         let most = self.most_mib.max(0.0);
         for (key, value, range) in [
             ("most_mib", self.most_mib, (2.0, 1_048_576.0)),
@@ -89,14 +89,14 @@
     ///
     /// # Errors
     /// Why it could not be taken, or an earlier one not kept; the rest of its segment is not given then.
-    fn piece(&mut self, header: &Header, first: bool, piece: Piece) -> Result<(), String>;
+    fn write(&mut self, header: &Header, first: bool, piece: Chunk) -> Result<(), String>;
 
     /// Events of pieces that were taken and not kept after all, since the last call.
-    fn dropped(&mut self) -> u64;
+    fn take_dropped_events(&mut self) -> u64;
 }
 
 /// A part of a segment.
-pub struct Piece {
+pub struct Chunk {
     /// Whole entries, except that the first piece of a segment begins with the header.
     pub bytes: Vec<u8>,
     /// Events among them.
@@ -137,7 +137,7 @@
 
 /// Makes segments of what a node's module is told.
 pub struct Recorder {
-    figures: Figures,
+    figures: Tuning,
     sink: Box<dyn Sink>,
     legacy: Option<InheritedState>,
     header: Option<Header>,
@@ -158,9 +158,9 @@
     /// The largest incarnation in the folder.
     largest: Option<u64>,
     /// Reads the monotonic clock.
-    monotonic: Box<dyn Fn() -> Option<Reading>>,
+    monotonic: Box<dyn Fn() -> Option<MonotonicReading>>,
     /// Both clocks when the node began.
-    begun: Now,
+    begun: ClockReading,
     /// The clock in which the times of `legacy` are told, where it is not the node's own.
     recovered_at: Option<Micros>,
 }
@@ -168,7 +168,7 @@
 impl Recorder {
     /// A recorder that gives its pieces to a sink. `legacy` is what an earlier life's record says that this one must
     /// count.
-    pub fn new(figures: Figures, on: bool, sink: Box<dyn Sink>, legacy: Option<InheritedState>) -> Self {
+    pub fn new(figures: Tuning, on: bool, sink: Box<dyn Sink>, legacy: Option<InheritedState>) -> Self {
         Recorder {
             figures,
             sink,
@@ -186,7 +186,7 @@
             secret_keys: false,
             largest: None,
             monotonic: Box::new(|| None),
-            begun: Now { clock: 0, monotonic: None },
+            begun: ClockReading { clock: 0, monotonic: None },
             recovered_at: None,
         }
     }
@@ -198,7 +198,7 @@
     }
 
     /// Reads the monotonic clock when the node begins, so that the age of its segments can be proven later.
-    pub fn monotonic(mut self, read: impl Fn() -> Option<Reading> + 'static) -> Self {
+    pub fn with_monotonic_clock(mut self, read: impl Fn() -> Option<MonotonicReading> + 'static) -> Self {
         self.monotonic = Box::new(read);
         self
     }
@@ -211,24 +211,24 @@
     }
 
     /// Says which program records, and whether keys were hashed with a secret.
-    pub fn about(mut self, program: &str, secret_keys: bool) -> Self {
+    pub fn with_program(mut self, program: &str, secret_keys: bool) -> Self {
         (self.program, self.secret_keys) = (program.into(), secret_keys);
         self
     }
 
     /// The node begins: its name, its seed, its settings and its clock.
-    pub fn born(&mut self, node: &str, seed: u64, site: &DeploymentSettings, now: Micros) {
-        self.begun = Now { clock: now, monotonic: (self.monotonic)() };
+    pub fn start(&mut self, node: &str, seed: u64, site: &DeploymentSettings, now: Micros) {
+        self.begun = ClockReading { clock: now, monotonic: (self.monotonic)() };
         if let (Some(then), Some(legacy)) = (self.recovered_at.take(), &mut self.legacy) {
             move_times(legacy, then, now);
         }
         self.header = Some(Header {
             node: node.into(),
-            life: self.largest.map_or(now, |largest| now.max(largest.saturating_add(1))),
+            incarnation: self.largest.map_or(now, |largest| now.max(largest.saturating_add(1))),
             number: 0,
-            at: now,
+            started_at: now,
             program: self.program.clone(),
-            state: STATE_VERSION,
+            state_version: STATE_VERSION,
             seed,
             secret_keys: self.secret_keys,
             settings: site.policy.clone(),
@@ -240,7 +240,7 @@
     }
 
     /// What this life must count of an earlier one; told once.
-    pub fn legacy(&mut self) -> Option<InheritedState> {
+    pub fn take_inherited_state(&mut self) -> Option<InheritedState> {
         self.legacy.take()
     }
 
@@ -250,7 +250,7 @@
     }
 
     /// Switches recording on or off.
-    pub fn switch(&mut self, on: bool, now: Micros) -> Notice {
+    pub fn set_enabled(&mut self, on: bool, now: Micros) -> Notice {
         if on == self.on {
             return None;
         }
@@ -266,12 +266,18 @@
     }
 
     /// Whether events are wanted at all.
-    pub fn is_on(&self) -> bool {
+    pub fn is_enabled(&self) -> bool {
         self.on
     }
 
     /// An event is about to be told to the module; of a request, the `reference` of its client's id.
-    pub fn before(&mut self, now: Micros, policy: &Policy, event: &Event, reference: Option<u32>) -> Notice {
+    pub fn record_event(
+        &mut self,
+        now: Micros,
+        policy: &Policy,
+        event: &Event,
+        reference: Option<u32>,
+    ) -> Notice {
         self.half = false;
         if !self.on {
             return None;
@@ -300,12 +306,12 @@
     }
 
     /// What the module wants after that event.
-    pub fn after(&mut self, now: Micros, actions: &[Action]) -> Notice {
+    pub fn record_actions(&mut self, now: Micros, actions: &[Action]) -> Notice {
         if !std::mem::take(&mut self.half) {
             return None;
         }
         let open = self.open.as_mut()?;
-        open.writer.actions(actions.iter().map(Noted::from));
+        open.writer.actions(actions.iter().map(RecordedAction::from));
         open.events += 1;
         if open.events == 1 {
             open.since = now;
@@ -315,7 +321,7 @@
     }
 
     /// The node ends in order.
-    pub fn end(&mut self, now: Micros) -> Notice {
+    pub fn finish(&mut self, now: Micros) -> Notice {
         if let Some(open) = &mut self.open {
             open.writer.entry(now, &Body::End);
         }
@@ -325,7 +331,7 @@
     fn begin(&mut self, now: Micros, policy: &Policy) -> Notice {
         self.late_losses();
         let header = self.header.as_mut()?;
-        (header.at, header.servers) = (now, policy.listed_servers());
+        (header.started_at, header.servers) = (now, policy.listed_servers());
         let since_birth = now.saturating_sub(self.begun.clock);
         header.monotonic = self.begun.monotonic.map(|reading| reading.later(since_birth));
         let begun = Writer::begin(header).and_then(|mut writer| {
@@ -366,9 +372,9 @@
     }
 
     fn give(&mut self, open: &mut Open) -> Result<(), String> {
-        let piece = Piece { bytes: open.writer.take(), events: std::mem::take(&mut open.events) };
+        let piece = Chunk { bytes: open.writer.take(), events: std::mem::take(&mut open.events) };
         let (bytes, events) = (piece.bytes.len() as u64, piece.events);
-        self.sink.piece(&open.header, std::mem::take(&mut open.first), piece)?;
+        self.sink.write(&open.header, std::mem::take(&mut open.first), piece)?;
         self.counts.bytes += bytes;
         self.counts.events += events;
         Ok(())
@@ -405,7 +411,7 @@
 
     /// Takes in what the sink had taken and did not keep.
     fn late_losses(&mut self) {
-        let dropped = self.sink.dropped();
+        let dropped = self.sink.take_dropped_events();
         self.counts.events = self.counts.events.saturating_sub(dropped);
         self.lose(dropped);
     }
--- a/crates/record/src/recover.rs
+++ b/crates/record/src/recover.rs
@@ -9,7 +9,7 @@
 use brassrouter::interface::Class;
 use brassrouter::{InheritedState, Micros, Policy, STATE_VERSION, Settings};
 
-use crate::monotonic::Now;
+use crate::monotonic::ClockReading;
 use crate::replay::{Outcome, replay};
 use crate::segment::Segment;
 
@@ -22,16 +22,16 @@
 
 /// Calls a second that a balancer may make in the part of its last moments that was not handed to the disk.
 #[derive(Debug, Clone, Copy)]
-pub struct Unseen {
+pub struct UnrecordedTail {
     /// How long that part is at the most, while the disk works.
-    pub span: Micros,
+    pub duration: Micros,
 }
 
 /// What was found.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Found {
     /// What the earlier life left behind, and a line for the log.
-    Legacy(InheritedState, String),
+    Inherited(InheritedState, String),
     /// Nothing that could be used, and why.
     Nothing(String),
 }
@@ -44,9 +44,9 @@
     /// The settings that it will act on.
     pub settings: &'a Settings,
     /// Its clocks.
-    pub now: Now,
+    pub now: ClockReading,
     /// What a kill may have cost of the record.
-    pub unseen: Unseen,
+    pub unrecorded_tail: UnrecordedTail,
 }
 
 /// Why a segment gives nothing.
@@ -65,7 +65,7 @@
     /// let through in that time are counted as made.
     pub fn recover(&self, bytes: &[u8]) -> Found {
         match self.read(bytes, 0) {
-            Ok((legacy, line)) => Found::Legacy(legacy, line),
+            Ok((legacy, line)) => Found::Inherited(legacy, line),
             Err(Unusable::Unreadable(why) | Unusable::Foreign(why)) => unused(&why),
         }
     }
@@ -81,13 +81,13 @@
         for (passed_over, name) in newest_first.iter().take(MOST_UNREADABLE).enumerate() {
             let bytes = read(name).map_err(|e| Unusable::Unreadable(format!("cannot read it: {e}")));
             match bytes.and_then(|bytes| self.read(&bytes, passed_over)) {
-                Ok((legacy, line)) => return Found::Legacy(legacy, line),
+                Ok((legacy, line)) => return Found::Inherited(legacy, line),
                 Err(Unusable::Foreign(why)) => return unused(&why),
                 Err(Unusable::Unreadable(why)) => first_failure.get_or_insert(format!("{name}: {why}")),
             };
         }
         match first_failure {
-            Some(why) => self.assume_most(&why),
+            Some(why) => self.assume_maximum(&why),
             None => Found::Nothing("there is no record of an earlier incarnation".into()),
         }
     }
@@ -96,14 +96,14 @@
         let mut segment = Segment::open(bytes).map_err(|torn| Unusable::Unreadable(torn.to_string()))?;
         self.is_own(&segment).map_err(Unusable::Foreign)?;
         let (outcome, policy) = replay(&mut segment).map_err(Unusable::Unreadable)?;
-        if let Some(difference) = &outcome.first {
+        if let Some(difference) = &outcome.first_difference {
             let why = format!("entry {} does not come to the same actions here", difference.entry);
             return Err(Unusable::Foreign(why));
         }
         let ending = Ending {
             at: policy.now(),
             age: self.age(&segment, &policy),
-            whole: outcome.ended && outcome.torn.is_none() && passed_over == 0,
+            whole: outcome.clean_shutdown && outcome.read_error.is_none() && passed_over == 0,
         };
         if let Some(age) = ending.age.filter(|age| ending.whole && *age > self.longest_memory()) {
             let age = age as f64 / 1e6;
@@ -120,8 +120,8 @@
         if header.node != self.node {
             return Err(format!("it is of node {:?}", header.node));
         }
-        if header.state != STATE_VERSION {
-            return Err(format!("its state is of layout {}, not {STATE_VERSION}", header.state));
+        if header.state_version != STATE_VERSION {
+            return Err(format!("its state is of layout {}, not {STATE_VERSION}", header.state_version));
         }
         if header.settings != *self.settings {
             return Err("it was made with other settings".into());
@@ -132,7 +132,7 @@
     /// How long ago the last entry was, where the monotonic clock proves it.
     fn age(&self, segment: &Segment<'_>, policy: &Policy) -> Option<Micros> {
         let header = &segment.header;
-        let last = header.monotonic?.later(policy.now().saturating_sub(header.at));
+        let last = header.monotonic?.later(policy.now().saturating_sub(header.started_at));
         self.now.monotonic?.since(last)
     }
 
@@ -191,10 +191,10 @@
         let longest = self.longest_deadline();
         let most = left.outstanding_limit.ceil().clamp(1.0, MOST_ASSUMED);
         let span = match ending.age {
-            Some(age) if age < longest => age.max(self.unseen.span),
+            Some(age) if age < longest => age.max(self.unrecorded_tail.duration),
             _ => return most as usize,
         };
-        let in_window = ending.at.saturating_sub(left.window_start).max(self.unseen.span).max(1);
+        let in_window = ending.at.saturating_sub(left.window_start).max(self.unrecorded_tail.duration).max(1);
         let of_window = f64::from(left.calls_in_window[0]) / in_window as f64;
         let of_calls_out = left.origin_calls.len() as f64 / longest.max(1) as f64;
         let begun = (of_window.max(of_calls_out) * span as f64).ceil();
@@ -202,7 +202,7 @@
     }
 
     /// There was an earlier incarnation, and nothing is known of it: as many calls as the gate lets be out may run.
-    pub fn assume_most(&self, why: &str) -> Found {
+    pub fn assume_maximum(&self, why: &str) -> Found {
         let now = self.now.clock;
         let mut left = Policy::new(self.settings.clone(), 0).inheritable_state();
         let most = left.outstanding_limit.ceil().clamp(1.0, MOST_ASSUMED) as usize;
@@ -211,7 +211,7 @@
         let line = format!(
             "the record is not used: {why}; {most} calls at the origin are taken to run until the longest deadline"
         );
-        Found::Legacy(left, line)
+        Found::Inherited(left, line)
     }
 }
 
@@ -230,12 +230,12 @@
 }
 
 fn line(legacy: &InheritedState, ending: &Ending, outcome: &Outcome, passed_over: usize) -> String {
-    let order = if outcome.ended { "in order" } else { "without its end" };
+    let order = if outcome.clean_shutdown { "in order" } else { "without its end" };
     let ago = match ending.age {
         Some(age) => format!("{:.3} s ago", age as f64 / 1e6),
         None => "at a time that is not known".into(),
     };
-    let torn = outcome.torn.as_ref().map_or(String::new(), |t| format!("; torn at {t}"));
+    let torn = outcome.read_error.as_ref().map_or(String::new(), |t| format!("; torn at {t}"));
     let passed_over = match passed_over {
         0 => String::new(),
         count => format!("; {count} newer segments can't be read"),
--- a/crates/record/src/segment.rs
+++ b/crates/record/src/segment.rs
@@ -5,8 +5,8 @@
 use brassrouter::{Event, Micros, Policy, ServerEntry, Settings};
 use serde::{Deserialize, Serialize};
 
-use crate::entry::{Body, Context, Entry, Noted};
-use crate::monotonic::Reading;
+use crate::entry::{Body, Context, Entry, RecordedAction};
+use crate::monotonic::MonotonicReading;
 use crate::wire::{Input, put};
 
 /// The first bytes of every segment.
@@ -25,15 +25,15 @@
     pub node: String,
     /// Names this incarnation of the node: its clock when it began, microseconds since the start of 1970, or one more
     /// than the largest in the folder where the clock was set back.
-    pub life: Micros,
+    pub incarnation: Micros,
     /// Number of the segment within the life, from 0.
     pub number: u32,
     /// The clock at the segment's begin.
-    pub at: Micros,
+    pub started_at: Micros,
     /// Version of the node's program.
     pub program: String,
     /// Layout of the state, [`brassrouter::STATE_VERSION`].
-    pub state: u32,
+    pub state_version: u32,
     /// Seed of the module's random numbers.
     pub seed: u64,
     /// Whether keys were hashed with a secret of the operator's.
@@ -49,7 +49,7 @@
     /// The monotonic clock at the segment's begin, where it was read. Written behind the other fields, where programs
     /// that don't know it don't look, and absent from records of earlier programs.
     #[serde(skip)]
-    pub monotonic: Option<Reading>,
+    pub monotonic: Option<MonotonicReading>,
 }
 
 impl Header {
@@ -108,7 +108,7 @@
         out.extend(fields);
         let sum = crc32fast::hash(&out);
         out.extend(sum.to_le_bytes());
-        Ok(Writer { context: Context::new(header.at), sum, body: Vec::new(), out, written: 0 })
+        Ok(Writer { context: Context::new(header.started_at), sum, body: Vec::new(), out, written: 0 })
     }
 
     /// Adds an entry whole.
@@ -140,7 +140,7 @@
     }
 
     /// Ends the entry of an event with the actions that it called for.
-    pub fn actions(&mut self, actions: impl ExactSizeIterator<Item = Noted>) {
+    pub fn actions(&mut self, actions: impl ExactSizeIterator<Item = RecordedAction>) {
         self.context.actions(&mut self.body, 0, actions);
         self.close();
     }
@@ -215,7 +215,7 @@
         }
         let header =
             Header::read(fields).map_err(|_| torn(14, "its header can't be read by this program"))?;
-        let context = Context::new(header.at);
+        let context = Context::new(header.started_at);
         Ok(Segment { header, bytes, at: 18 + length, sum, context, torn: None })
     }
 
@@ -225,7 +225,7 @@
     }
 
     /// What stopped the reading, once [`Segment::next`] has given `None`; `None` where it came to the end.
-    pub fn torn(&self) -> Option<&Torn> {
+    pub fn read_error(&self) -> Option<&Torn> {
         self.torn.as_ref()
     }
 
--- a/crates/record/src/store.rs
+++ b/crates/record/src/store.rs
@@ -16,10 +16,12 @@
 use std::time::{Duration, Instant};
 
 use crate::folder::{incarnation, uninterrupted};
-use crate::recorder::{Figures, Piece, Sink};
+use crate::recorder::{Chunk, Sink, Tuning};
 use crate::segment::Header;
 
-pub use crate::folder::{ENDING, Files, Folder, Output, largest_incarnation, name, newest_first, of_node};
+pub use crate::folder::{
+    FILE_EXTENSION, Files, Folder, Output, largest_incarnation, newest_first, of_node, segment_file_name,
+};
 
 /// A node that ends waits no longer than this for the rest to be written.
 const LAST_WAIT: Duration = Duration::from_secs(1);
@@ -29,7 +31,7 @@
     life: u64,
     number: u32,
     first: bool,
-    piece: Piece,
+    piece: Chunk,
 }
 
 #[derive(Default)]
@@ -60,7 +62,7 @@
     ///
     /// # Errors
     /// Where the machine gives no thread.
-    pub fn start(files: impl Files, figures: &Figures) -> io::Result<Store> {
+    pub fn start(files: impl Files, figures: &Tuning) -> io::Result<Store> {
         let (pieces, inbox) = sync_channel(4096);
         let (end, ended) = sync_channel(1);
         let shared = Arc::new(Mutex::new(Shared::default()));
@@ -79,7 +81,7 @@
 }
 
 impl Sink for Store {
-    fn piece(&mut self, header: &Header, first: bool, piece: Piece) -> Result<(), String> {
+    fn write(&mut self, header: &Header, first: bool, piece: Chunk) -> Result<(), String> {
         let length = piece.bytes.len();
         {
             let mut shared = self.shared();
@@ -91,7 +93,8 @@
             }
             shared.waiting += length;
         }
-        let job = Job { node: header.node.clone(), life: header.life, number: header.number, first, piece };
+        let job =
+            Job { node: header.node.clone(), life: header.incarnation, number: header.number, first, piece };
         let sent = self.pieces.as_ref().map(|pieces| pieces.try_send(job));
         match sent {
             Some(Ok(())) => Ok(()),
@@ -103,7 +106,7 @@
         }
     }
 
-    fn dropped(&mut self) -> u64 {
+    fn take_dropped_events(&mut self) -> u64 {
         std::mem::take(&mut self.shared().dropped)
     }
 }
@@ -125,19 +128,19 @@
 
 impl<F: Files> Direct<F> {
     /// Into a folder.
-    pub fn new(files: F, figures: &Figures) -> Self {
+    pub fn new(files: F, figures: &Tuning) -> Self {
         Direct(Writing::new(files, Arc::default(), figures))
     }
 }
 
 impl<F: Files> Sink for Direct<F> {
-    fn piece(&mut self, header: &Header, first: bool, piece: Piece) -> Result<(), String> {
-        let (node, life, number) = (header.node.clone(), header.life, header.number);
+    fn write(&mut self, header: &Header, first: bool, piece: Chunk) -> Result<(), String> {
+        let (node, life, number) = (header.node.clone(), header.incarnation, header.number);
         let done = self.0.write(&Job { node, life, number, first, piece });
         done.map(drop).inspect_err(|_| self.0.abandon())
     }
 
-    fn dropped(&mut self) -> u64 {
+    fn take_dropped_events(&mut self) -> u64 {
         0
     }
 }
@@ -166,7 +169,7 @@
 }
 
 impl<F: Files> Writing<F> {
-    fn new(files: F, shared: Arc<Mutex<Shared>>, figures: &Figures) -> Self {
+    fn new(files: F, shared: Arc<Mutex<Shared>>, figures: &Tuning) -> Self {
         Writing {
             files,
             shared,
@@ -242,7 +245,7 @@
         }
         self.list(job)?;
         self.make_room()?;
-        let name = name(&job.node, self.raised.unwrap_or(job.life), job.number);
+        let name = segment_file_name(&job.node, self.raised.unwrap_or(job.life), job.number);
         let created = uninterrupted(|| self.files.create(&name));
         let file = created.map_err(|e| format!("cannot create {name}: {e}"))?;
         self.current = Some(Current { name, file, size: 0, unsynced: None, readable: false });
--- a/crates/record/tests/allowance.rs
+++ b/crates/record/tests/allowance.rs
@@ -8,10 +8,10 @@
 
 use brassrouter::{Event, OriginAllowance};
 use mothpier_record::entry::Body;
-use mothpier_record::recorder::{Piece, Sink};
+use mothpier_record::recorder::{Chunk, Sink};
 use mothpier_record::replay::replay;
 use mothpier_record::segment::Writer;
-use mothpier_record::{Figures, Header, Recorder, Segment};
+use mothpier_record::{Header, Recorder, Segment, Tuning};
 
 fn allowances() -> Vec<Option<OriginAllowance>> {
     let most = OriginAllowance {
@@ -36,12 +36,12 @@
     let read: Vec<_> = segment
         .by_ref()
         .filter_map(|entry| match entry.body {
-            Body::Told { event: Event::OriginAllowance(allowance), .. } => Some(allowance),
+            Body::Event { event: Event::OriginAllowance(allowance), .. } => Some(allowance),
             _ => None,
         })
         .collect();
     assert_eq!(read, allowances());
-    assert_eq!(segment.torn(), None);
+    assert_eq!(segment.read_error(), None);
 }
 
 /// Keeps each segment in memory.
@@ -49,7 +49,7 @@
 struct Memory(Rc<RefCell<Vec<Vec<u8>>>>);
 
 impl Sink for Memory {
-    fn piece(&mut self, _: &Header, first: bool, piece: Piece) -> Result<(), String> {
+    fn write(&mut self, _: &Header, first: bool, piece: Chunk) -> Result<(), String> {
         let mut segments = self.0.borrow_mut();
         if first {
             segments.push(Vec::new());
@@ -58,20 +58,20 @@
         Ok(())
     }
 
-    fn dropped(&mut self) -> u64 {
+    fn take_dropped_events(&mut self) -> u64 {
         0
     }
 }
 
 #[test]
 fn a_segment_that_begins_under_an_allowance_is_played_again_identically() {
-    let figures = Figures { segment_mib: 0.05, ..Figures::default() };
+    let figures = Tuning { segment_mib: 0.05, ..Tuning::default() };
     for seed in 0..6 {
         let memory = Memory::default();
         let mut recorder = Recorder::new(figures.clone(), true, Box::new(memory.clone()), None);
         let mut policy = common::policy(seed);
         let mut day = common::Day::new(seed).without_pools();
-        recorder.born("n1", seed, &common::site(), common::BEGIN);
+        recorder.start("n1", seed, &common::site(), common::BEGIN);
         let mut under_allowance = 0;
         for number in 0..12_000u32 {
             let event = match number % 40 {
@@ -83,19 +83,19 @@
                 _ => day.next(),
             };
             let mut actions = Vec::new();
-            recorder.before(day.now, &policy, &event, None);
+            recorder.record_event(day.now, &policy, &event, None);
             under_allowance += u32::from(policy.origin_allowance().is_some());
             policy.handle(day.now, event, &mut actions);
             day.take(&actions);
-            recorder.after(day.now, &actions);
+            recorder.record_actions(day.now, &actions);
         }
-        recorder.end(day.now);
+        recorder.finish(day.now);
         let segments = memory.0.borrow();
         assert!(segments.len() > 3 && under_allowance > 6_000, "{} segments", segments.len());
         for (number, bytes) in segments.iter().enumerate() {
             let (outcome, _) = replay(&mut Segment::open(bytes).expect("a header")).expect("a record");
-            assert_eq!(outcome.first, None, "seed {seed}, segment {number}");
-            assert_eq!(outcome.torn, None);
+            assert_eq!(outcome.first_difference, None, "seed {seed}, segment {number}");
+            assert_eq!(outcome.read_error, None);
         }
     }
 }
--- a/crates/record/tests/common/mod.rs
+++ b/crates/record/tests/common/mod.rs
@@ -8,7 +8,7 @@
     ServerEntry, Status,
 };
 use mothpier_record::Header;
-use mothpier_record::entry::{Body, Noted, reference};
+use mothpier_record::entry::{Body, RecordedAction, client_id_checksum};
 use mothpier_record::segment::Writer;
 
 /// A clock value at which the made-up days begin.
@@ -185,11 +185,11 @@
     let site = site();
     Header {
         node: "n1".into(),
-        life: BEGIN,
+        incarnation: BEGIN,
         number: 0,
-        at: BEGIN,
+        started_at: BEGIN,
         program: "test".into(),
-        state: brassrouter::STATE_VERSION,
+        state_version: brassrouter::STATE_VERSION,
         seed: 7,
         secret_keys: false,
         settings: site.policy,
@@ -212,10 +212,14 @@
     for _ in 0..events {
         let event = day.next();
         actions.clear();
-        writer.event(day.now, &event, matches!(event, Event::Request(_)).then(|| reference(b"client")));
+        writer.event(
+            day.now,
+            &event,
+            matches!(event, Event::Request(_)).then(|| client_id_checksum(b"client")),
+        );
         policy.handle(day.now, event, &mut actions);
         day.take(&actions);
-        writer.actions(actions.iter().map(Noted::from));
+        writer.actions(actions.iter().map(RecordedAction::from));
         ends.push(writer.len());
     }
     (writer.take(), ends)
--- a/crates/record/tests/failing_folder.rs
+++ b/crates/record/tests/failing_folder.rs
@@ -11,7 +11,7 @@
 use mothpier_record::recorder::Counts;
 use mothpier_record::replay::{Outcome, replay};
 use mothpier_record::store::{Direct, Files, Output, Store, newest_first};
-use mothpier_record::{Figures, Recorder, Segment};
+use mothpier_record::{Recorder, Segment, Tuning};
 
 /// A call to the folder or to a file in it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -184,8 +184,8 @@
 /// Of those for a while; some 15 s later at the day's pace.
 const FAULT_ENDS: usize = 5000;
 
-fn figures() -> Figures {
-    Figures { again_ms: 200.0, sync_ms: 0.0, segment_mib: 0.02, most_mib: 0.07, ..Figures::default() }
+fn figures() -> Tuning {
+    Tuning { again_ms: 200.0, sync_ms: 0.0, segment_mib: 0.02, most_mib: 0.07, ..Tuning::default() }
 }
 
 /// Plays a made-up day; what was counted, and the lines of the log.
@@ -197,17 +197,17 @@
     // The pool is no part of the state that a segment begins with.
     let mut day = common::Day::new(1).without_pools();
     let mut notices = Vec::new();
-    recorder.born("n1", 1, &common::site(), common::BEGIN);
+    recorder.start("n1", 1, &common::site(), common::BEGIN);
     for i in 0..EVENTS {
         let event = day.next();
         each(i, recorder, day.now);
         let mut actions = Vec::new();
-        notices.extend(recorder.before(day.now, &policy, &event, None));
+        notices.extend(recorder.record_event(day.now, &policy, &event, None));
         policy.handle(day.now, event, &mut actions);
         day.take(&actions);
-        notices.extend(recorder.after(day.now, &actions));
+        notices.extend(recorder.record_actions(day.now, &actions));
     }
-    notices.extend(recorder.end(day.now));
+    notices.extend(recorder.finish(day.now));
     (recorder.counts(), notices)
 }
 
@@ -238,11 +238,11 @@
     );
     assert_eq!(folder.misplaced(), 0, "{case}: nothing is written behind a sync that failed");
     let outcomes = folder.readable();
-    let differs: Vec<_> = outcomes.iter().filter_map(|o| o.first.as_ref()).collect();
+    let differs: Vec<_> = outcomes.iter().filter_map(|o| o.first_difference.as_ref()).collect();
     assert!(differs.is_empty(), "{case}: what was written replays identically: {differs:?}");
     let last = outcomes.last().expect("a segment");
     assert!(
-        last.ended && last.torn.is_none(),
+        last.clean_shutdown && last.read_error.is_none(),
         "{case}: it records again, in a segment that is whole: {last:?}"
     );
     let gaps = notices.iter().filter(|n| n.contains("gap")).count();
@@ -333,7 +333,10 @@
         assert_eq!(counts.events + counts.lost, EVENTS as u64, "{call:?}");
         assert!(notices.iter().any(|n| n.contains("recording again")), "{call:?}: {notices:?}");
         assert_eq!(folder.misplaced(), 0, "{call:?}");
-        assert!(folder.readable().last().is_some_and(|o| o.ended && o.torn.is_none()), "{call:?}");
+        assert!(
+            folder.readable().last().is_some_and(|o| o.clean_shutdown && o.read_error.is_none()),
+            "{call:?}"
+        );
     }
 }
 
@@ -341,10 +344,10 @@
 #[test]
 fn a_new_incarnation_comes_after_all_others_though_its_clock_is_behind() {
     let mut folder = FailingFolder::default();
-    let ahead = mothpier_record::store::name("n1", common::BEGIN + 3_600_000_000, 5);
+    let ahead = mothpier_record::store::segment_file_name("n1", common::BEGIN + 3_600_000_000, 5);
     folder.0.lock().unwrap().files.insert(ahead.clone(), Vec::new());
-    let store = Direct::new(folder.clone(), &Figures::default());
-    let mut recorder = Recorder::new(Figures::default(), true, Box::new(store), None);
+    let store = Direct::new(folder.clone(), &Tuning::default());
+    let mut recorder = Recorder::new(Tuning::default(), true, Box::new(store), None);
     play(&mut recorder, |_, _, _| {});
     let names = newest_first(&mut folder, "n1").expect("it can be listed");
     assert!(names.len() > 1 && names.last() == Some(&ahead), "{names:?}");
--- a/crates/record/tests/format.rs
+++ b/crates/record/tests/format.rs
@@ -12,7 +12,7 @@
 fn whole(bytes: &[u8]) -> Vec<Entry> {
     let mut segment = Segment::open(bytes).expect("a header");
     let entries: Vec<Entry> = segment.by_ref().collect();
-    assert_eq!(segment.torn(), None);
+    assert_eq!(segment.read_error(), None);
     entries
 }
 
@@ -23,7 +23,11 @@
         let entries = whole(&bytes);
         assert_eq!(entries.len(), ends.len() - 1, "seed {seed}");
         let (outcome, _) = replay(&mut Segment::open(&bytes).unwrap()).unwrap();
-        assert_eq!((outcome.events, outcome.first, outcome.torn), (600, None, None), "seed {seed}");
+        assert_eq!(
+            (outcome.events, outcome.first_difference, outcome.read_error),
+            (600, None, None),
+            "seed {seed}"
+        );
         assert!(
             outcome.actions > 300 && outcome.requests > 100,
             "a day in which little happens shows little"
@@ -62,13 +66,13 @@
         let mut writer = Writer::begin(&common::header()).expect("a header");
         let mut bytes = writer.take();
         let begin = bytes.len();
-        writer.event(common::header().at, &event, None);
+        writer.event(common::header().started_at, &event, None);
         writer.actions([].into_iter());
         bytes.extend(writer.take());
         // The entry's length, its kind, and no steps of time and of the request's id come before it.
         assert_eq!(usize::from(bytes[begin + 4]), number, "{status:?}");
-        let body = Body::Told { event, reference: None, actions: Vec::new() };
-        assert_eq!(whole(&bytes), [Entry { at: common::header().at, body }], "{status:?}");
+        let body = Body::Event { event, reference: None, actions: Vec::new() };
+        assert_eq!(whole(&bytes), [Entry { at: common::header().started_at, body }], "{status:?}");
     }
 }
 
@@ -86,7 +90,7 @@
         let read: Vec<Entry> = segment.by_ref().collect();
         let held = ends[1..].iter().filter(|end| **end <= length).count();
         assert_eq!(read[..], entries[..held], "cut at byte {length}");
-        match segment.torn() {
+        match segment.read_error() {
             None => assert!(ends.contains(&length), "a cut at byte {length} went unnoticed"),
             Some(torn) => assert_eq!(torn.at, ends[held], "cut at byte {length}"),
         }
@@ -102,7 +106,7 @@
         spoilt[bit / 8] ^= 1 << (bit % 8);
         let Ok(mut segment) = Segment::open(&spoilt) else { continue };
         let read: Vec<Entry> = segment.by_ref().collect();
-        assert!(segment.torn().is_some(), "bit {bit} flipped unnoticed");
+        assert!(segment.read_error().is_some(), "bit {bit} flipped unnoticed");
         assert!(read.len() < entries.len() && read[..] == entries[..read.len()], "bit {bit}");
     }
 }
@@ -119,7 +123,7 @@
     {
         let mut segment = Segment::open(&spoilt).unwrap();
         assert_eq!(segment.by_ref().count(), good, "{what}");
-        assert!(segment.torn().is_some(), "{what}");
+        assert!(segment.read_error().is_some(), "{what}");
     }
 }
 
@@ -135,16 +139,16 @@
 
 #[test]
 fn a_state_of_another_layout_is_refused_unless_the_module_may_differ() {
-    use mothpier_record::replay::{Start, play};
+    use mothpier_record::replay::{InitialState, replay_with};
     let mut header = common::header();
-    header.state += 1;
+    header.state_version += 1;
     let mut writer = mothpier_record::segment::Writer::begin(&header).unwrap();
     writer.entry(common::BEGIN, &Body::State(vec![1, 2, 3]));
     let bytes = writer.take();
     let mut segment = Segment::open(&bytes).unwrap();
     assert!(replay(&mut segment).err().is_some_and(|e| e.contains("layout")));
     let mut segment = Segment::open(&bytes).unwrap();
-    assert!(play(&mut segment, Start::Best, |_, _| {}, |_| {}).is_ok());
+    assert!(replay_with(&mut segment, InitialState::Best, |_, _| {}, |_| {}).is_ok());
 }
 
 /// The same bytes with a body changed and the checksums made good: what a checksum can't keep out.
--- a/crates/record/tests/recorder.rs
+++ b/crates/record/tests/recorder.rs
@@ -12,10 +12,10 @@
 
 use brassrouter::{Event, Micros};
 use mothpier_record::entry::Body;
-use mothpier_record::recorder::{Counts, Piece, Sink};
+use mothpier_record::recorder::{Chunk, Counts, Sink};
 use mothpier_record::replay::{Outcome, replay};
 use mothpier_record::store::{Direct, Files, Output, Store, of_node};
-use mothpier_record::{Figures, Header, Recorder, Segment};
+use mothpier_record::{Header, Recorder, Segment, Tuning};
 
 /// Plays a made-up day with a recorder; the lines that it gave for the log.
 fn play(
@@ -27,23 +27,23 @@
     let mut policy = common::policy(seed);
     let mut day = common::Day::new(seed);
     let mut notices = Vec::new();
-    recorder.born("n1", seed, &common::site(), common::BEGIN);
+    recorder.start("n1", seed, &common::site(), common::BEGIN);
     for i in 0..events {
         let event = day.next();
         each(i, recorder, day.now);
         let mut actions = Vec::new();
-        notices.extend(recorder.before(day.now, &policy, &event, None));
+        notices.extend(recorder.record_event(day.now, &policy, &event, None));
         policy.handle(day.now, event, &mut actions);
         day.take(&actions);
-        notices.extend(recorder.after(day.now, &actions));
+        notices.extend(recorder.record_actions(day.now, &actions));
     }
-    notices.extend(recorder.end(day.now));
+    notices.extend(recorder.finish(day.now));
     notices
 }
 
 fn replayed(bytes: &[u8]) -> Outcome {
     let (outcome, _) = replay(&mut Segment::open(bytes).expect("a header")).expect("a record");
-    assert_eq!(outcome.first, None, "what was recorded is played again identically");
+    assert_eq!(outcome.first_difference, None, "what was recorded is played again identically");
     outcome
 }
 
@@ -57,7 +57,7 @@
 }
 
 impl Sink for Choosy {
-    fn piece(&mut self, header: &Header, first: bool, piece: Piece) -> Result<(), String> {
+    fn write(&mut self, header: &Header, first: bool, piece: Chunk) -> Result<(), String> {
         self.number += 1;
         if self.refuse.contains(&self.number) {
             return Err("no room".into());
@@ -71,13 +71,13 @@
         Ok(())
     }
 
-    fn dropped(&mut self) -> u64 {
+    fn take_dropped_events(&mut self) -> u64 {
         0
     }
 }
 
-fn figures() -> Figures {
-    Figures { again_ms: 200.0, ..Figures::default() }
+fn figures() -> Tuning {
+    Tuning { again_ms: 200.0, ..Tuning::default() }
 }
 
 #[test]
@@ -95,15 +95,15 @@
     let kept = kept.borrow();
     let played: Vec<Outcome> = kept.iter().map(|(_, bytes)| replayed(bytes)).collect();
     assert_eq!(played.iter().map(|o| o.events).sum::<u64>(), events);
-    assert_eq!(played.iter().map(|o| o.missing).sum::<u64>(), lost, "the gap says how much it is");
-    assert!(played.last().is_some_and(|o| o.ended));
+    assert_eq!(played.iter().map(|o| o.missing_events).sum::<u64>(), lost, "the gap says how much it is");
+    assert!(played.last().is_some_and(|o| o.clean_shutdown));
 }
 
 #[test]
 fn segments_end_when_they_have_grown_and_each_can_be_read_alone() {
     let kept = Kept::default();
     let sink = Choosy { number: 0, refuse: 0..0, kept: kept.clone() };
-    let figures = Figures { segment_mib: 0.05, most_mib: 2.0, ..figures() };
+    let figures = Tuning { segment_mib: 0.05, most_mib: 2.0, ..figures() };
     let mut recorder = Recorder::new(figures, true, Box::new(sink), None);
     assert_eq!(play(&mut recorder, 12_000, 2, |_, _, _| {}), Vec::<String>::new());
     let kept = kept.borrow();
@@ -119,14 +119,14 @@
     let mut recorder = Recorder::new(figures(), false, Box::new(sink), None);
     let mut said = Vec::new();
     play(&mut recorder, 1000, 3, |i, recorder, now| match i {
-        300 => said.extend(recorder.switch(true, now)),
-        600 => said.extend(recorder.switch(false, now)),
+        300 => said.extend(recorder.set_enabled(true, now)),
+        600 => said.extend(recorder.set_enabled(false, now)),
         _ => {}
     });
     let kept = kept.borrow();
     assert_eq!((said.len(), kept.len()), (2, 1), "{said:?}");
     let outcome = replayed(&kept[0].1);
-    assert_eq!((outcome.events, outcome.ended, outcome.missing), (300, true, 0));
+    assert_eq!((outcome.events, outcome.clean_shutdown, outcome.missing_events), (300, true, 0));
 }
 
 /// A folder in memory with room for so many bytes, where a test holds the writing up.
@@ -200,7 +200,7 @@
 
 fn record(
     shelf: &Shelf,
-    figures: Figures,
+    figures: Tuning,
     events: usize,
     each: impl FnMut(usize, &mut Recorder, Micros),
 ) -> (Counts, Vec<String>) {
@@ -215,7 +215,7 @@
     let shelf = Shelf::default();
     let (counts, notices) = record(&shelf, figures(), 4000, |_, _, _| {});
     let outcomes = shelf.outcomes();
-    assert_eq!((outcomes.len(), outcomes[0].events, outcomes[0].ended), (1, 4000, true));
+    assert_eq!((outcomes.len(), outcomes[0].events, outcomes[0].clean_shutdown), (1, 4000, true));
     assert_eq!((counts.events, counts.lost, notices.len()), (4000, 0, 0), "{notices:?}");
 }
 
@@ -225,7 +225,7 @@
     *shelf.room.lock().unwrap() = Some(20_000);
     let (counts, notices) = record(&shelf, figures(), 12_000, |_, _, _| {});
     let outcomes = shelf.outcomes();
-    assert!(outcomes[0].events > 100 && !outcomes[0].ended, "{outcomes:?}");
+    assert!(outcomes[0].events > 100 && !outcomes[0].clean_shutdown, "{outcomes:?}");
     assert_eq!(counts.events + counts.lost, 12_000);
     assert_eq!(notices.len(), 1, "said once: {notices:?}");
     assert!(notices[0].contains("no storage space"), "{notices:?}");
@@ -247,7 +247,7 @@
     assert!(notices[0].contains("cannot write") && notices[1].contains("recording again"), "{notices:?}");
     assert_eq!(counts.events + counts.lost, 30_000);
     let last = outcomes.last().expect("a segment");
-    assert_eq!((last.ended, last.missing), (true, counts.lost), "the gap is marked");
+    assert_eq!((last.clean_shutdown, last.missing_events), (true, counts.lost), "the gap is marked");
 }
 
 /// On the store's own thread: the writing hangs, and goes on at a moment that the test chooses.
@@ -255,7 +255,7 @@
 fn a_disk_that_hangs_holds_nobody_up_and_its_gap_is_marked_once_it_goes_on() {
     let (hold, gate): (Sender<()>, Receiver<()>) = channel();
     let shelf = Shelf { gate: Some(Arc::new(Mutex::new(gate))), ..Shelf::default() };
-    let figures = Figures { wait_mib: 0.25, ..figures() };
+    let figures = Tuning { wait_mib: 0.25, ..figures() };
     let store = Store::start(shelf.clone(), &figures).expect("a thread");
     let mut recorder = Recorder::new(figures, true, Box::new(store), None);
     let (mut hold, mut told) = (Some(hold), 0);
@@ -277,7 +277,7 @@
     assert!(notices[0].contains("wait for the disk"), "{notices:?}");
     let outcomes = shelf.outcomes();
     assert!(outcomes.len() >= 2, "a new segment begins once it goes on");
-    assert!(outcomes.iter().map(|o| o.missing).sum::<u64>() >= told, "the gap says how much it is");
+    assert!(outcomes.iter().map(|o| o.missing_events).sum::<u64>() >= told, "the gap says how much it is");
 }
 
 #[test]
@@ -286,7 +286,7 @@
     // Of an earlier life, and of another node with a longer name.
     shelf.files.lock().unwrap().insert("n1-0000000000000001-00000000.rec".into(), vec![0; 1 << 20]);
     shelf.files.lock().unwrap().insert("n1-b-0000000000000001-00000000.rec".into(), vec![0; 1 << 20]);
-    let figures = Figures { segment_mib: 0.1, most_mib: 0.5, ..figures() };
+    let figures = Tuning { segment_mib: 0.1, most_mib: 0.5, ..figures() };
     let (counts, _) = record(&shelf, figures, 60_000, |_, _, _| {});
     assert!(counts.segments > 6, "{counts:?}");
     let own = of_node("n1", shelf.clone().list().unwrap());
@@ -303,7 +303,7 @@
     // What is left reads to its end, the newest ones in a row.
     let files = shelf.files.lock().unwrap();
     let last = files.iter().rfind(|(name, _)| name.starts_with("n1-0006")).map(|(_, bytes)| bytes.clone());
-    assert!(last.is_some_and(|bytes| replayed(&bytes).ended));
+    assert!(last.is_some_and(|bytes| replayed(&bytes).clean_shutdown));
 }
 
 #[test]
@@ -328,7 +328,7 @@
     let (bytes, _) = common::record(8, 400);
     let told = Segment::open(&bytes)
         .unwrap()
-        .filter(|e| matches!(&e.body, Body::Told { event: Event::Request(_), .. }));
+        .filter(|e| matches!(&e.body, Body::Event { event: Event::Request(_), .. }));
     assert!(told.count() > 50);
     // The id that the driver gives for every client is there by its checksum only.
     assert!(!bytes.windows(6).any(|w| w == b"client"));
--- a/crates/record/tests/recover.rs
+++ b/crates/record/tests/recover.rs
@@ -4,22 +4,22 @@
 
 use brassrouter::{Action, Event, InheritedState, ListKind, Micros, Policy, Request, ServerEntry, Settings};
 use mothpier_record::Header;
-use mothpier_record::entry::{Body, Noted};
-use mothpier_record::monotonic::{Now, Reading};
-use mothpier_record::recover::{Found, Recovery, Unseen};
+use mothpier_record::entry::{Body, RecordedAction};
+use mothpier_record::monotonic::{ClockReading, MonotonicReading};
+use mothpier_record::recover::{Found, Recovery, UnrecordedTail};
 use mothpier_record::segment::Writer;
 
-const UNSEEN: Unseen = Unseen { span: 20_000 };
+const UNSEEN: UnrecordedTail = UnrecordedTail { duration: 20_000 };
 /// The monotonic clock when the records begin.
-const BOOTED: Reading = Reading { boot: 7, at: 50_000_000 };
+const BOOTED: MonotonicReading = MonotonicReading { boot_id: 7, at: 50_000_000 };
 
 /// Both clocks, where the wall clock was not stepped.
-fn both(clock: Micros) -> Now {
-    Now { clock, monotonic: Some(BOOTED.later(clock - common::BEGIN)) }
+fn both(clock: Micros) -> ClockReading {
+    ClockReading { clock, monotonic: Some(BOOTED.later(clock - common::BEGIN)) }
 }
 
-fn recover(bytes: &[u8], node: &str, settings: &Settings, now: Now) -> Found {
-    Recovery { node, settings, now, unseen: UNSEEN }.recover(bytes)
+fn recover(bytes: &[u8], node: &str, settings: &Settings, now: ClockReading) -> Found {
+    Recovery { node, settings, now, unrecorded_tail: UNSEEN }.recover(bytes)
 }
 
 fn settings() -> Settings {
@@ -38,7 +38,7 @@
         let mut actions: Vec<Action> = Vec::new();
         writer.event(now, &event, None);
         policy.handle(now, event, &mut actions);
-        writer.actions(actions.iter().map(Noted::from));
+        writer.actions(actions.iter().map(RecordedAction::from));
         actions.iter().filter(|a| matches!(a, Action::Send { .. })).count()
     };
     tell(now, Event::ServerList { kind: ListKind::Full, servers: vec![origin] });
@@ -64,16 +64,16 @@
     left_at(bytes, both(now))
 }
 
-fn left_at(bytes: &[u8], now: Now) -> InheritedState {
+fn left_at(bytes: &[u8], now: ClockReading) -> InheritedState {
     match recover(bytes, "n1", &settings(), now) {
-        Found::Legacy(left, _) => left,
+        Found::Inherited(left, _) => left,
         Found::Nothing(why) => panic!("{why}"),
     }
 }
 
 fn refused(bytes: &[u8], node: &str, settings: &Settings, now: Micros) -> String {
     match recover(bytes, node, settings, both(now)) {
-        Found::Legacy(left, _) => panic!("{left:?}"),
+        Found::Inherited(left, _) => panic!("{left:?}"),
         Found::Nothing(why) => why,
     }
 }
@@ -111,7 +111,7 @@
         out
     };
     // The longer the node was away, the more calls may be missing in the record: with the second, all that the cap allows.
-    for (writes, away) in [(2, UNSEEN.span), (6, 200_000)] {
+    for (writes, away) in [(2, UNSEEN.duration), (6, 200_000)] {
         let (bytes, end) = life(writes, false);
         let now = end + away;
         let left = left(&bytes, now);
@@ -120,7 +120,10 @@
         let (with, without) = (sent(Some(left), now), sent(None, now));
         assert!(without > 6);
         let still_run = writes as usize + unseen;
-        assert!(away > UNSEEN.span || without > still_run, "{without} of new ones, {still_run} still run");
+        assert!(
+            away > UNSEEN.duration || without > still_run,
+            "{without} of new ones, {still_run} still run"
+        );
         assert_eq!(
             with,
             without.saturating_sub(still_run),
@@ -177,7 +180,7 @@
     let (bytes, end) = life(5, true);
     let mut most = 0;
     for length in 0..bytes.len() {
-        if let Found::Legacy(left, line) = recover(&bytes[..length], "n1", &settings(), both(end)) {
+        if let Found::Inherited(left, line) = recover(&bytes[..length], "n1", &settings(), both(end)) {
             assert!(
                 left.keyed_writes.len() <= 5 && left.origin_calls.len() >= left.keyed_writes.len(),
                 "cut to {length}: {line}"
@@ -194,7 +197,7 @@
 fn a_clock_that_was_set_back_makes_nothing_last_longer() {
     let (bytes, end) = life(4, true);
     let now = end - 3_600_000_000;
-    let found = left_at(&bytes, Now { clock: now, ..both(end + 100_000) });
+    let found = left_at(&bytes, ClockReading { clock: now, ..both(end + 100_000) });
     assert_eq!(found.origin_calls.len(), 4);
     assert!(found.origin_calls.iter().all(|(_, until)| *until <= now + 3_000_000));
     assert!(found.keyed_writes.iter().all(|(_, first)| *first <= now) && found.window_start <= now);
--- a/crates/record/tests/restart.rs
+++ b/crates/record/tests/restart.rs
@@ -8,15 +8,15 @@
 use std::rc::Rc;
 
 use brassrouter::{Action, Event, InheritedState, ListKind, Micros, Policy, Request, ServerEntry, Settings};
-use mothpier_record::entry::{Body, Noted};
-use mothpier_record::monotonic::{Now, Reading};
-use mothpier_record::recorder::{Piece, Sink};
-use mothpier_record::recover::{Found, Recovery, Unseen};
+use mothpier_record::entry::{Body, RecordedAction};
+use mothpier_record::monotonic::{ClockReading, MonotonicReading};
+use mothpier_record::recorder::{Chunk, Sink};
+use mothpier_record::recover::{Found, Recovery, UnrecordedTail};
 use mothpier_record::replay::replay;
 use mothpier_record::segment::{Segment, Writer};
-use mothpier_record::{Figures, Header, Recorder};
+use mothpier_record::{Header, Recorder, Tuning};
 
-const BOOTED: Reading = Reading { boot: 7, at: 50_000_000 };
+const BOOTED: MonotonicReading = MonotonicReading { boot_id: 7, at: 50_000_000 };
 const LONGEST_DEADLINE: Micros = 3_000_000;
 const SECOND: i64 = 1_000_000;
 const STEPS: [i64; 4] = [2 * SECOND, -2 * SECOND, 3600 * SECOND, -3600 * SECOND];
@@ -53,7 +53,7 @@
     ended: bool,
 ) -> (Vec<u8>, Micros) {
     let monotonic = Some(BOOTED.later(begin - common::BEGIN));
-    let header = Header { settings: settings(), number, at: begin, monotonic, ..common::header() };
+    let header = Header { settings: settings(), number, started_at: begin, monotonic, ..common::header() };
     let mut writer = Writer::begin(&header).unwrap();
     writer.state(begin, policy).unwrap();
     let mut now = begin;
@@ -62,7 +62,7 @@
         let mut actions = Vec::new();
         writer.event(now, &event, None);
         policy.handle(now, event, &mut actions);
-        writer.actions(actions.iter().map(Noted::from));
+        writer.actions(actions.iter().map(RecordedAction::from));
     }
     if ended {
         writer.entry(now, &Body::End);
@@ -74,16 +74,21 @@
     segment(&mut Policy::new(settings(), 1), 0, common::BEGIN, 1..WRITES + 1, ended)
 }
 
-fn found(segments: &[&[u8]], now: Now) -> (InheritedState, String) {
+fn found(segments: &[&[u8]], now: ClockReading) -> (InheritedState, String) {
     let names: Vec<String> = (0..segments.len()).map(|i| i.to_string()).collect();
     let settings = settings();
-    let recovery = Recovery { node: "n1", settings: &settings, now, unseen: Unseen { span: 20_000 } };
+    let recovery = Recovery {
+        node: "n1",
+        settings: &settings,
+        now,
+        unrecorded_tail: UnrecordedTail { duration: 20_000 },
+    };
     let read = |name: &str| match segments[name.parse::<usize>().unwrap()] {
         b"EIO" => Err(io::Error::from_raw_os_error(5)),
         bytes => Ok(bytes.to_vec()),
     };
     match recovery.recover_newest(&names, read) {
-        Found::Legacy(legacy, line) => (legacy, line),
+        Found::Inherited(legacy, line) => (legacy, line),
         Found::Nothing(why) => panic!("{why}"),
     }
 }
@@ -98,14 +103,14 @@
     let (bytes, end) = record(true);
     let now = end + 500_000;
     let monotonic = Some(BOOTED.later(now - common::BEGIN));
-    let (expected, _) = found(&[&bytes], Now { clock: now, monotonic });
+    let (expected, _) = found(&[&bytes], ClockReading { clock: now, monotonic });
     assert_eq!(
         (expected.origin_calls.len(), expected.keyed_writes.len()),
         (WRITES as usize, WRITES as usize)
     );
     for step in STEPS {
         let clock = stepped(now, step);
-        let (left, _) = found(&[&bytes], Now { clock, monotonic });
+        let (left, _) = found(&[&bytes], ClockReading { clock, monotonic });
         let moved = |time: Micros| stepped(time, step);
         assert_eq!(
             left.origin_calls,
@@ -123,11 +128,11 @@
 #[test]
 fn without_a_proof_of_age_calls_count_to_the_longest_deadline_and_repeats_fail() {
     let (bytes, end) = record(true);
-    let other_boot = Some(Reading { boot: 8, at: 1 });
+    let other_boot = Some(MonotonicReading { boot_id: 8, at: 1 });
     for step in STEPS.into_iter().chain([0]) {
         for monotonic in [None, other_boot] {
             let clock = stepped(end + 500_000, step);
-            let (left, line) = found(&[&bytes], Now { clock, monotonic });
+            let (left, line) = found(&[&bytes], ClockReading { clock, monotonic });
             assert!(line.contains("not known"), "{line}");
             assert_eq!(left.origin_calls.len(), WRITES as usize, "step {step}");
             let bound = clock + 1..=clock + LONGEST_DEADLINE;
@@ -156,7 +161,8 @@
     let mut policy = Policy::new(settings(), 1);
     let (older, end) = segment(&mut policy, 0, common::BEGIN, 1..3, false);
     let (newest, end) = segment(&mut policy, 1, end + 1000, 3..5, false);
-    let now = Now { clock: end + 100_000, monotonic: Some(BOOTED.later(end + 100_000 - common::BEGIN)) };
+    let now =
+        ClockReading { clock: end + 100_000, monotonic: Some(BOOTED.later(end + 100_000 - common::BEGIN)) };
     for length in 0..newest.len() {
         let cut = &newest[..length];
         let (left, line) = found(&[cut, &older], now);
@@ -169,7 +175,11 @@
                     left.origin_calls.len() > known.origin_calls.len(),
                     "cut at {length}: some may be missing"
                 );
-                assert_eq!(line.contains("torn at byte"), outcome.torn.is_some(), "cut at {length}: {line}");
+                assert_eq!(
+                    line.contains("torn at byte"),
+                    outcome.read_error.is_some(),
+                    "cut at {length}: {line}"
+                );
             }
             None => {
                 assert_eq!(left.keyed_writes.len(), 2, "cut at {length}");
@@ -185,7 +195,8 @@
 #[test]
 fn segments_that_can_not_be_read_are_passed_over() {
     let (bytes, end) = record(true);
-    let now = Now { clock: end + 100_000, monotonic: Some(BOOTED.later(end + 100_000 - common::BEGIN)) };
+    let now =
+        ClockReading { clock: end + 100_000, monotonic: Some(BOOTED.later(end + 100_000 - common::BEGIN)) };
     for newest in [&b""[..], b"EIO", b"chalkrec", &[0xff; 300], &bytes[..40]] {
         let (left, line) = found(&[newest, newest, &bytes], now);
         assert_eq!(left.keyed_writes.len(), WRITES as usize, "{line}");
@@ -200,8 +211,10 @@
     let (bytes, end) = record(false);
     let late = end + 10_000_000;
     for segments in [&[&bytes[..]][..], &[b"EIO"], &[b""]] {
-        let (left, _) =
-            found(segments, Now { clock: late, monotonic: Some(BOOTED.later(late - common::BEGIN)) });
+        let (left, _) = found(
+            segments,
+            ClockReading { clock: late, monotonic: Some(BOOTED.later(late - common::BEGIN)) },
+        );
         assert!(left.origin_calls.len() >= limit, "{} of {limit}", left.origin_calls.len());
         assert!(left.origin_calls.iter().all(|(_, until)| *until <= late + LONGEST_DEADLINE));
     }
@@ -210,12 +223,12 @@
 struct Headers(Rc<RefCell<Vec<Header>>>);
 
 impl Sink for Headers {
-    fn piece(&mut self, header: &Header, _: bool, _: Piece) -> Result<(), String> {
+    fn write(&mut self, header: &Header, _: bool, _: Chunk) -> Result<(), String> {
         self.0.borrow_mut().push(header.clone());
         Ok(())
     }
 
-    fn dropped(&mut self) -> u64 {
+    fn take_dropped_events(&mut self) -> u64 {
         0
     }
 }
@@ -231,21 +244,21 @@
             ..InheritedState::default()
         };
         let sink = Box::new(Headers(headers.clone()));
-        let mut recorder = Recorder::new(Figures::default(), true, sink, Some(legacy))
+        let mut recorder = Recorder::new(Tuning::default(), true, sink, Some(legacy))
             .recovered_at(common::BEGIN)
-            .monotonic(|| Some(BOOTED))
+            .with_monotonic_clock(|| Some(BOOTED))
             .after_incarnation(Some(common::BEGIN));
-        recorder.born("n1", 1, &common::site(), begin);
+        recorder.start("n1", 1, &common::site(), begin);
         assert_eq!(
-            recorder.legacy().map(|l| l.origin_calls),
+            recorder.take_inherited_state().map(|l| l.origin_calls),
             Some(vec![(true, begin + 700_000)]),
             "step {step}"
         );
-        recorder.before(begin + 5_000_000, &Policy::new(settings(), 1), &origin(), None);
-        recorder.after(begin + 5_000_000, &[]);
-        recorder.end(begin + 5_000_000);
+        recorder.record_event(begin + 5_000_000, &Policy::new(settings(), 1), &origin(), None);
+        recorder.record_actions(begin + 5_000_000, &[]);
+        recorder.finish(begin + 5_000_000);
         let headers = headers.borrow();
-        assert_eq!(headers[0].life, begin.max(common::BEGIN + 1), "step {step}");
+        assert_eq!(headers[0].incarnation, begin.max(common::BEGIN + 1), "step {step}");
         assert_eq!(headers[0].monotonic, Some(BOOTED.later(5_000_000)), "step {step}");
     }
 }
--- a/crates/scale/src/real_sockets.rs
+++ b/crates/scale/src/real_sockets.rs
@@ -33,7 +33,7 @@
 pub use error::{Bound, BoundExceeded, RealSocketsError};
 pub use plan::{RealSocketsOptions, RealSocketsPlan, SizePlan};
 pub use processes::Programs;
-pub use worker::work;
+pub use worker::run_worker;
 
 /// Beside the times that it names, a run has this long: for its start, its looks and the return of watches.
 const BESIDE: Duration = Duration::from_secs(240);
--- a/crates/scale/src/real_sockets/counting.rs
+++ b/crates/scale/src/real_sockets/counting.rs
@@ -216,7 +216,7 @@
 
     /// Lines are not written: hundreds of nodes would fill a disk. What they tell of the agreement is kept.
     fn log(&self, line: fmt::Arguments<'_>) {
-        if let Some(leads) = agreement::decides(&line.to_string()) {
+        if let Some(leads) = agreement::leadership_change(&line.to_string()) {
             self.counters.leads.set(leads);
         }
     }
--- a/crates/scale/src/real_sockets/hollow.rs
+++ b/crates/scale/src/real_sockets/hollow.rs
@@ -84,15 +84,15 @@
 fn configuration(plan: &HollowPlan, node: u32) -> Result<Config, RealSocketsError> {
     let bad = |what: String| RealSocketsError::Plan(format!("node {node}: {what}"));
     let peers = plan.fleet.peers();
-    let at = process::Addresses {
+    let at = process::NodeAddresses {
         listen: plan.fleet.network.client(node),
         discovery: plan.discovery,
         peers: &peers,
-        staff: None,
+        operations: None,
     };
     let seed = plan.fleet.seed.wrapping_add(u64::from(node));
     let world = plan.fleet.world()?;
-    let file = process::configuration(&world, node as usize, &at, seed, plan.known.clone());
+    let file = process::node_configuration(&world, node as usize, &at, seed, plan.known.clone());
     let text = serde_json::to_vec(&file).map_err(|e| bad(e.to_string()))?;
     let mut config = config::read(&text, Environment::default(), Precedence::File).map_err(bad)?;
     let text = plan.fleet.operator(node)?;
--- a/crates/scale/src/real_sockets/plan.rs
+++ b/crates/scale/src/real_sockets/plan.rs
@@ -86,7 +86,7 @@
 
 impl RealSocketsPlan {
     /// The plan of a scenario.
-    pub fn of_scenario(scenario: &Scenario, options: &RealSocketsOptions) -> RealSocketsPlan {
+    pub fn from_scenario(scenario: &Scenario, options: &RealSocketsOptions) -> RealSocketsPlan {
         let real = |size: &FleetSize| options.real_nodes.min(size.nodes);
         let plan = |size: &FleetSize| SizePlan {
             hollow_nodes: size.nodes - real(size),
@@ -274,7 +274,7 @@
         let voters: Vec<u32> = (0..voters).collect();
         text += &format!("[accord]\non = true\nvoters = {voters:?}\n");
         let members: Vec<SocketAddr> = (0..self.size.nodes()).map(|n| self.network.agreement(n)).collect();
-        let operator = agreement::operator(&text, self.network.agreement(node), &members);
+        let operator = agreement::operator_config(&text, self.network.agreement(node), &members);
         operator.map_err(RealSocketsError::Plan)
     }
 
--- a/crates/scale/src/real_sockets/real_nodes.rs
+++ b/crates/scale/src/real_sockets/real_nodes.rs
@@ -54,7 +54,7 @@
             tokio::select! {
                 _ = command.next() => return Err(worker("real nodes count nothing".into())),
                 () = sleep(LOOK) => {
-                    if let Some(status) = nodes.lock().iter_mut().find_map(Process::ended) {
+                    if let Some(status) = nodes.lock().iter_mut().find_map(Process::exit_status) {
                         return Err(worker(format!("a real node has ended: {status}")));
                     }
                 }
@@ -76,16 +76,17 @@
     std::fs::create_dir_all(&plan.folder).map_err(|e| worker(e.to_string()))?;
     for node in plan.fleet.real_nodes() {
         let listen = plan.fleet.network.client(node);
-        let at = process::Addresses { listen, discovery: plan.discovery, peers: &peers, staff: None };
+        let at =
+            process::NodeAddresses { listen, discovery: plan.discovery, peers: &peers, operations: None };
         let seed = plan.fleet.seed.wrapping_add(u64::from(node));
-        let config = process::configuration(&world, node as usize, &at, seed, plan.known.clone());
+        let config = process::node_configuration(&world, node as usize, &at, seed, plan.known.clone());
         let files = plan.folder.join(format!("n{node}"));
         process::write_files(&files, &config, &plan.fleet.operator(node)?).map_err(worker)?;
         let mut started = nodes.lock();
         started.push(Process::start(&plan.program, files, listen).map_err(worker)?);
     }
     for node in plan.fleet.real_nodes() {
-        process::ready(plan.fleet.network.client(node)).await.map_err(worker)?;
+        process::wait_until_ready(plan.fleet.network.client(node)).await.map_err(worker)?;
     }
     Ok(())
 }
--- a/crates/scale/src/real_sockets/stage.rs
+++ b/crates/scale/src/real_sockets/stage.rs
@@ -5,7 +5,7 @@
 
 use chalksill_world::clients::Clients;
 use chalksill_world::fleet::Fleet;
-use chalksill_world::observe::Witness;
+use chalksill_world::observe::Observer;
 use mothpier_host::SystemHost;
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{Instant, sleep};
@@ -145,10 +145,10 @@
     /// A plan that makes no world.
     pub fn load_real_nodes(&mut self, span: Duration) -> Result<(), RealSocketsError> {
         let world = self.plan.world()?;
-        let fleet = Fleet::new(world, self.plan.seed, Witness::begin());
+        let fleet = Fleet::new(world, self.plan.seed, Observer::starting_now());
         let nodes = self.plan.real_nodes().map(|node| self.plan.network.client(node)).collect();
         let clients = Clients::new(MACHINE, &fleet, nodes, |_| {});
-        self.load = Some(spawn_local(clients.play(span)).abort_handle());
+        self.load = Some(spawn_local(clients.generate_load(span)).abort_handle());
         Ok(())
     }
 
--- a/crates/scale/src/real_sockets/stand_ins.rs
+++ b/crates/scale/src/real_sockets/stand_ins.rs
@@ -6,10 +6,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use chalksill_world::cache::Cache;
+use chalksill_world::cache::CacheServer;
 use chalksill_world::discovery::Discovery;
 use chalksill_world::fleet::{Fleet, Member};
-use chalksill_world::observe::{NodeNo, Phase, Seen, Witness};
+use chalksill_world::observe::{NodeIndex, ObservedEvent, Observer, Phase};
 use chalksill_world::origin::Origin;
 use mothpier_host::{Host, Listener, SystemHost};
 use tokio::task::{AbortHandle, LocalSet, spawn_local};
@@ -24,9 +24,9 @@
 /// The machine of a stand-in.
 const MACHINE: SystemHost = SystemHost { program: "chalksill" };
 /// Hollow nodes are this one to stand-ins, all together.
-const HOLLOW: NodeNo = 0;
+const HOLLOW: NodeIndex = 0;
 /// Real nodes are this one.
-const REAL: NodeNo = 1;
+const REAL: NodeIndex = 1;
 /// A port that is free.
 const ANY: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
@@ -80,16 +80,21 @@
     plan: FleetPlan,
     mut command: Command,
 ) -> Result<(), RealSocketsError> {
-    let fleet = Fleet::new(plan.world()?, plan.seed, Witness::begin());
+    let fleet = Fleet::new(plan.world()?, plan.seed, Observer::starting_now());
     let hosts = Hosts::new();
     let origin = plan.size.cache_servers as usize;
     let mut addresses = Vec::new();
     for number in 0..origin {
         let listeners = hosts.listen().await?;
         addresses.push(listeners.addresses()?);
-        let cache = Cache::new(&fleet, number, 0, false);
-        fleet.witness.saw(Seen::BoxUp { at: number, start: 0, power: cache.power(), cold: false });
-        fleet.add(number, cache.clone());
+        let cache = CacheServer::new(&fleet, number, 0, false);
+        fleet.observer.record(ObservedEvent::CacheServerStarted {
+            server: number,
+            started_ms: 0,
+            capacity: cache.capacity(),
+            cold: false,
+        });
+        fleet.add_cache_server(number, cache.clone());
         spawn_local(cache.clone().serve::<CountingHost<SystemHost>>(listeners.hollow, |_| HOLLOW));
         spawn_local(cache.serve::<CountingHost<SystemHost>>(listeners.real, |_| REAL));
     }
@@ -98,7 +103,7 @@
     let all = Origin::new(&fleet, origin);
     spawn_local(all.clone().serve::<CountingHost<SystemHost>>(listeners.hollow, |_| HOLLOW));
     spawn_local(all.serve::<CountingHost<SystemHost>>(listeners.real, |_| REAL));
-    fleet.fill(&(0..origin).collect::<Vec<_>>());
+    fleet.warm_caches(&(0..origin).collect::<Vec<_>>());
     reply(&Reply::CacheServersReady(addresses));
     loop {
         match command.next().await {
@@ -118,7 +123,7 @@
     plan: DiscoveryPlan,
     mut command: Command,
 ) -> Result<(), RealSocketsError> {
-    let fleet = Fleet::new(plan.fleet.world()?, plan.fleet.seed, Witness::begin());
+    let fleet = Fleet::new(plan.fleet.world()?, plan.fleet.seed, Observer::starting_now());
     let hosts = Hosts::new();
     let discovery = Discovery::new(&fleet, members(&plan));
     let listeners = hosts.listen().await?;
@@ -127,8 +132,8 @@
     reply(&Reply::DiscoveryReady(DiscoveryReady {
         hollow: at.hollow,
         real: at.real,
-        known_hollow: discovery.known(HOLLOW),
-        known_real: discovery.known(REAL),
+        known_hollow: discovery.known_list(HOLLOW),
+        known_real: discovery.known_list(REAL),
     }));
     spawn_local(change_list(discovery.clone(), plan.fleet.size.changes_per_s));
     loop {
@@ -160,9 +165,9 @@
             id: format!("s-{number:04}"),
             addresses: vec![server.hollow, server.real],
             zone: number % zones,
-            origin: number == origin,
+            is_origin: number == origin,
             phase: Phase::Ready,
-            started: 0,
+            started_ms: 0,
         };
         (number, member)
     };
@@ -172,7 +177,7 @@
 /// Changes an entry of the list every so often: one cache server after the other is told to drain, and is ready again with the
 /// change after it.
 async fn change_list(discovery: Rc<Discovery>, changes_per_s: f64) {
-    let servers = discovery.ready();
+    let servers = discovery.ready_servers();
     if changes_per_s <= 0.0 || servers.is_empty() {
         return pending().await;
     }
@@ -184,7 +189,7 @@
         let number = servers[change / 2 % servers.len()];
         if let Some(mut member) = discovery.member(number) {
             member.phase = if change % 2 == 0 { Phase::Draining } else { Phase::Ready };
-            discovery.set_after(number, member, Duration::ZERO);
+            discovery.update_after(number, member, Duration::ZERO);
         }
     }
 }
--- a/crates/scale/src/real_sockets/worker.rs
+++ b/crates/scale/src/real_sockets/worker.rs
@@ -42,7 +42,7 @@
 ///
 /// # Errors
 /// Why it can't go on, which the command is told, too.
-pub fn work() -> Result<(), RealSocketsError> {
+pub fn run_worker() -> Result<(), RealSocketsError> {
     let ended = begin();
     if let Err(e) = &ended {
         reply(&Reply::Failed(e.to_string()));
--- a/crates/scale/src/report.rs
+++ b/crates/scale/src/report.rs
@@ -180,7 +180,7 @@
 ];
 
 /// A table for a terminal.
-pub fn terminal(fits: &[Fitted]) -> String {
+pub fn terminal_table(fits: &[Fitted]) -> String {
     let heads: Vec<String> = HEADS.iter().map(|head| (*head).into()).collect();
     let rows: Vec<Vec<String>> = std::iter::once(heads).chain(fits.iter().map(Fitted::cells)).collect();
     let width = |column: usize| rows.iter().map(|row| row[column].chars().count()).max().unwrap_or(0);
--- a/crates/scale/src/scenario.rs
+++ b/crates/scale/src/scenario.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use chalksill_world::scenario::{Fault, line_of_key, parse};
+use chalksill_world::scenario::{ScenarioError, line_of_key, parse};
 use serde::Deserialize;
 
 use crate::record::{FleetSize, FleetState, HostKind};
@@ -61,7 +61,7 @@
     /// The part of the machine's memory that a run may be expected to need, at most half.
     pub memory_part: f64,
     /// The longest real time of one run.
-    pub wall: Duration,
+    pub max_wall_time: Duration,
 }
 
 /// The file as it is written. Figures are read as floating point numbers, so that one which is out of its range is met by
@@ -183,9 +183,13 @@
     ///
     /// # Errors
     /// The first thing that is wrong, with its line, its key and what is allowed.
-    pub fn read(text: &str) -> Result<Scenario, Fault> {
+    pub fn parse(text: &str) -> Result<Scenario, ScenarioError> {
         let file: File = parse(text)?;
-        file.check().map_err(|(key, what)| Fault { line: line_of_key(text, &key), key, what })
+        file.check().map_err(|(key, what)| ScenarioError {
+            line: line_of_key(text, &key),
+            key,
+            message: what,
+        })
     }
 
     /// The seed of a repetition.
@@ -252,7 +256,7 @@
     fn check(&self) -> Result<Bounds, Wrong> {
         Ok(Bounds {
             memory_part: figure("bounds.memory_part", self.memory_part, 0.01, 0.5)?,
-            wall: Duration::from_secs_f64(figure("bounds.wall_s", self.wall_s, 1.0, 3600.0)?),
+            max_wall_time: Duration::from_secs_f64(figure("bounds.wall_s", self.wall_s, 1.0, 3600.0)?),
         })
     }
 }
--- a/crates/scale/src/virtual_clock.rs
+++ b/crates/scale/src/virtual_clock.rs
@@ -93,7 +93,7 @@
         spawn_local(keep_changing(fleet.clone(), scenario.measured));
     }
     let state = spawn_local(states::happen(fleet.clone(), scenario.state));
-    fleet.net.begin_tally();
+    fleet.net.count_traffic();
     let before = ProcessorTime::now();
     let looked = look_over(&fleet, scenario.measured).await;
     let used = ProcessorTime::now().since(before);
--- a/crates/scale/src/virtual_clock/costs.rs
+++ b/crates/scale/src/virtual_clock/costs.rs
@@ -5,7 +5,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-use chalksill_simnet::{Traffic, Way};
+use chalksill_simnet::{Traffic, TrafficKind};
 use chalksill_world::agreement;
 
 use super::fleet::SimulatedFleet;
@@ -71,12 +71,12 @@
 
 fn hollow_nodes(fleet: &SimulatedFleet, measured: &Measured) -> RoleCost {
     let mut ways = vec![
-        Way::Datagrams(layout::PEER_PORT),
-        Way::Datagrams(agreement::PORT),
-        Way::Opened(layout::DISCOVERY.port()),
+        TrafficKind::Datagrams(layout::PEER_PORT),
+        TrafficKind::Datagrams(agreement::PORT),
+        TrafficKind::Opened(layout::DISCOVERY.port()),
     ];
     if measured.hollow {
-        ways.push(Way::Opened(layout::DATA_PORT));
+        ways.push(TrafficKind::Opened(layout::DATA_PORT));
     }
     let nodes = fleet.size.nodes as usize;
     let mut cost = mean(fleet, (0..nodes).map(layout::node_ip).collect(), &ways, measured.span);
@@ -93,14 +93,14 @@
 }
 
 fn discovery(fleet: &SimulatedFleet, measured: &Measured) -> RoleCost {
-    let ways = [Way::Accepted(layout::DISCOVERY.port())];
+    let ways = [TrafficKind::Accepted(layout::DISCOVERY.port())];
     let cost = mean(fleet, vec![layout::DISCOVERY.ip()], &ways, measured.span);
     RoleCost { connections: measured.connections.discovery as f64, ..cost }
 }
 
 fn cache_servers(fleet: &SimulatedFleet, measured: &Measured) -> RoleCost {
     let servers = fleet.origin();
-    let ways = [Way::Accepted(layout::DATA_PORT)];
+    let ways = [TrafficKind::Accepted(layout::DATA_PORT)];
     let cost = mean(fleet, (0..servers).map(layout::cache_ip).collect(), &ways, measured.span);
     RoleCost { connections: measured.connections.cache_servers as f64 / servers as f64, ..cost }
 }
@@ -111,7 +111,7 @@
     let leader = (0..fleet.size.nodes as usize).filter(leads);
     let others = voters.iter().copied().filter(|node| !leads(node));
     let followers = (0..fleet.size.nodes as usize).filter(|node| !voters.contains(node));
-    let ways = [Way::Datagrams(agreement::PORT)];
+    let ways = [TrafficKind::Datagrams(agreement::PORT)];
     let mut insert = |role, members: Vec<usize>| {
         if !members.is_empty() {
             let machines = members.into_iter().map(layout::node_ip).collect();
@@ -124,7 +124,7 @@
 }
 
 /// The mean traffic of machines on some ways.
-fn mean(fleet: &SimulatedFleet, machines: Vec<IpAddr>, ways: &[Way], span: Duration) -> RoleCost {
+fn mean(fleet: &SimulatedFleet, machines: Vec<IpAddr>, ways: &[TrafficKind], span: Duration) -> RoleCost {
     let of_machine = |ip: &IpAddr| {
         let traffic = ways.iter().map(|way| fleet.net.traffic(*ip, *way));
         traffic.fold(Traffic::default(), Traffic::plus)
--- a/crates/scale/src/virtual_clock/fleet.rs
+++ b/crates/scale/src/virtual_clock/fleet.rs
@@ -8,11 +8,11 @@
 use std::time::Duration;
 
 use chalksill_simnet::{Links, Net, SimHost};
-use chalksill_world::cache::Cache;
+use chalksill_world::cache::CacheServer;
 use chalksill_world::clients::Clients;
 use chalksill_world::discovery::Discovery;
 use chalksill_world::fleet::{Fleet, Member};
-use chalksill_world::observe::{Phase, Witness};
+use chalksill_world::observe::{Observer, Phase};
 use chalksill_world::origin::Origin;
 use mothpier_host::Host;
 use mothpier_node::{Control, StartOptions};
@@ -52,7 +52,7 @@
     /// The network.
     pub net: Net,
     /// Where stand-ins report.
-    pub witness: Witness,
+    pub witness: Observer,
     /// What discovery lists.
     pub discovery: Rc<Discovery>,
     /// How large the fleet is.
@@ -72,9 +72,9 @@
     pub async fn start(scenario: &Scenario, size: FleetSize, seed: u64) -> Result<Rc<Self>, String> {
         let layout = Layout::new(size, scenario.agreement);
         let world = settings::world(scenario, size, &layout)?;
-        let net = Net::new(seed, EPOCH, Links { lost: LOST, ..Links::default() });
-        spawn_local(net.clone().wire());
-        let witness = Witness::begin();
+        let net = Net::new(seed, EPOCH, Links { datagram_loss: LOST, ..Links::default() });
+        spawn_local(net.clone().deliver_packets());
+        let witness = Observer::starting_now();
         let fleet = Fleet::new(world, seed, witness.clone());
         let origin = size.cache_servers as usize;
         let members =
@@ -87,7 +87,7 @@
         for number in 0..origin {
             simulated.start_cache(number).await;
         }
-        simulated.fleet.fill(&simulated.discovery.ready());
+        simulated.fleet.warm_caches(&simulated.discovery.ready_servers());
         simulated.start_origin().await;
         simulated.start_discovery().await;
         Ok(simulated)
@@ -101,9 +101,9 @@
     async fn start_cache(&self, number: usize) {
         let ip = layout::cache_ip(number);
         let zone = self.layout.cache_zone(number) as u8;
-        let host = self.net.process(ip, zone, &format!("cache server {number}"));
-        let cache = Cache::new(&self.fleet, number, number as u64, false);
-        self.fleet.add(number, cache.clone());
+        let host = self.net.start_process(ip, zone, &format!("cache server {number}"));
+        let cache = CacheServer::new(&self.fleet, number, number as u64, false);
+        self.fleet.add_cache_server(number, cache.clone());
         if let Ok(listener) = host.listen(SocketAddr::new(ip, layout::DATA_PORT)).await {
             spawn_local(cache.serve::<SimHost>(listener, layout::node_of));
         }
@@ -111,7 +111,7 @@
 
     async fn start_origin(&self) {
         let ip = layout::cache_ip(self.origin());
-        let host = self.net.process(ip, 0, "origin");
+        let host = self.net.start_process(ip, 0, "origin");
         let origin = Origin::new(&self.fleet, self.origin());
         if let Ok(listener) = host.listen(SocketAddr::new(ip, layout::DATA_PORT)).await {
             spawn_local(origin.serve::<SimHost>(listener, layout::node_of));
@@ -120,7 +120,7 @@
 
     /// Discovery begins to answer.
     pub async fn start_discovery(&self) {
-        let host = self.net.process(layout::DISCOVERY.ip(), 0, "discovery");
+        let host = self.net.start_process(layout::DISCOVERY.ip(), 0, "discovery");
         let Ok(listener) = host.listen(layout::DISCOVERY).await else { return };
         let serving = self.discovery.clone().serve::<SimHost>(listener, layout::node_of);
         let local = LocalSet::new();
@@ -158,9 +158,9 @@
     /// Starts a node; a life later than its first draws other random numbers.
     pub fn start_node(&self, node: usize, life: u64, configurations: &Configurations) {
         let zone = self.layout.node_zone(node) as u8;
-        let host = self.net.process(layout::node_ip(node), zone, &format!("node {node}"));
+        let host = self.net.start_process(layout::node_ip(node), zone, &format!("node {node}"));
         let lives = u64::from(self.size.nodes) * life + node as u64;
-        let seed: u64 = self.fleet.random("node", lives).random();
+        let seed: u64 = self.fleet.rng("node", lives).random();
         let config = configurations.of(node, seed);
         let desk = OpsEndpoint::new(&config.site.class_names);
         let (control, told) = mpsc::channel(4);
@@ -192,12 +192,12 @@
 
     /// Lets clients send requests until the span of the scenario's measurement is over.
     pub fn start_clients(&self) {
-        let host = self.net.process(layout::CLIENTS, 0, "clients");
+        let host = self.net.start_process(layout::CLIENTS, 0, "clients");
         let addresses = (0..self.size.nodes as usize)
             .map(|node| SocketAddr::new(layout::node_ip(node), layout::DATA_PORT))
             .collect();
         let clients = Clients::new(host, &self.fleet, addresses, |_| {});
-        spawn_local(clients.play(self.fleet.scenario.span()));
+        spawn_local(clients.generate_load(self.fleet.scenario.load_duration()));
     }
 
     /// Looks at each node that runs.
@@ -207,8 +207,8 @@
 
     /// Lists one more cache server, and tells the revision of the list that has it.
     pub fn list_one_more(&self) -> u64 {
-        let number = self.discovery.next_number();
-        self.discovery.set_after(number, member(number, false, &self.layout), Duration::ZERO);
+        let number = self.discovery.next_index();
+        self.discovery.update_after(number, member(number, false, &self.layout), Duration::ZERO);
         self.discovery.revision()
     }
 
@@ -216,13 +216,13 @@
     pub fn toggle(&self, number: usize) {
         if let Some(mut member) = self.discovery.member(number) {
             member.phase = if member.phase == Phase::Ready { Phase::Draining } else { Phase::Ready };
-            self.discovery.set_after(number, member, Duration::ZERO);
+            self.discovery.update_after(number, member, Duration::ZERO);
         }
     }
 
     /// The end of the fleet: cache servers and fleet know each other, and would keep each other for good.
     pub fn end(&self) {
-        self.fleet.end();
+        self.fleet.clear();
     }
 }
 
@@ -231,8 +231,8 @@
         id: format!("s-{number:04}"),
         addresses: vec![SocketAddr::new(layout::cache_ip(number), layout::DATA_PORT)],
         zone: layout.settings_zone(layout.cache_zone(number)),
-        origin,
+        is_origin: origin,
         phase: Phase::Ready,
-        started: 0,
+        started_ms: 0,
     }
 }
--- a/crates/scale/src/virtual_clock/origin_sums.rs
+++ b/crates/scale/src/virtual_clock/origin_sums.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use chalksill_world::observe::{Observation, Seen};
+use chalksill_world::observe::{Observation, ObservedEvent};
 
 use super::fleet::SimulatedFleet;
 use super::settings;
@@ -46,7 +46,7 @@
         };
         let calls = OriginCalls(Rc::new(RefCell::new(counts)));
         let counts = calls.0.clone();
-        fleet.witness.give_to(move |observation| counts.borrow_mut().saw(observation));
+        fleet.witness.subscribe(move |observation| counts.borrow_mut().saw(observation));
         calls
     }
 
@@ -78,9 +78,14 @@
 
 impl Counts {
     fn saw(&mut self, observation: &Observation) {
-        match observation.seen {
-            Seen::Arrived { at, .. } if at == self.origin => self.arrived(observation.at),
-            Seen::Ended { at, .. } | Seen::Abandoned { at, .. } if at == self.origin => {
+        match observation.event {
+            ObservedEvent::AttemptArrived { server: at, .. } if at == self.origin => {
+                self.arrived(observation.at)
+            }
+            ObservedEvent::AttemptEnded { server: at, .. }
+            | ObservedEvent::AttemptAbandoned { server: at, .. }
+                if at == self.origin =>
+            {
                 self.out = self.out.saturating_sub(1);
             }
             _ => {}
--- a/crates/scale/src/virtual_clock/settings.rs
+++ b/crates/scale/src/virtual_clock/settings.rs
@@ -4,7 +4,7 @@
 
 use chalksill_world::agreement;
 use chalksill_world::discovery::Discovery;
-use chalksill_world::process::{Addresses, configuration};
+use chalksill_world::process::{NodeAddresses, node_configuration};
 use chalksill_world::scenario::{Scenario as World, parse};
 use mothpier_node::config::{self, Config};
 use mothpier_node::operator;
@@ -134,12 +134,13 @@
         let peers: Vec<_> = (0..nodes).map(layout::peer_address).collect();
         let listen = SocketAddr::new(layout::node_ip(0), layout::DATA_PORT);
         let staff = Some(layout::staff_address(0));
-        let addresses = Addresses { listen, discovery: layout::DISCOVERY, peers: &peers, staff };
-        let text = configuration(world, 0, &addresses, 0, discovery.known(0));
+        let addresses =
+            NodeAddresses { listen, discovery: layout::DISCOVERY, peers: &peers, operations: staff };
+        let text = node_configuration(world, 0, &addresses, 0, discovery.known_list(0));
         let environment = config::Environment::default();
         let config = config::read(text.to_string().as_bytes(), environment, config::Precedence::Environment)?;
         let members: Vec<_> = (0..nodes).map(agreement_address).collect();
-        let operator = agreement::operator(&world.nodes.operator, agreement_address(0), &members)?;
+        let operator = agreement::operator_config(&world.nodes.operator, agreement_address(0), &members)?;
         Ok(Configurations { first: Config { operator: operator::read(&operator)?, ..config }, layout })
     }
 
--- a/crates/scale/src/virtual_clock/spread.rs
+++ b/crates/scale/src/virtual_clock/spread.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use chalksill_world::agreement::{self, Told};
+use chalksill_world::agreement::{self, ReportedPlan};
 use mothpier_node::Control;
 use mothpier_plan::{OrderKind, ZoneOrder};
 use tokio::time::{Instant, sleep};
@@ -35,7 +35,7 @@
     pub fn watch(fleet: &SimulatedFleet) -> AgreementLog {
         let log = AgreementLog::default();
         let told = log.0.clone();
-        fleet.net.log_to(move |at, name, line| {
+        fleet.net.set_log_sink(move |at, name, line| {
             let Some(node) = name.strip_prefix("node ").and_then(|number| number.parse().ok()) else {
                 return;
             };
@@ -61,10 +61,10 @@
 
 impl Agreed {
     fn read(&mut self, at: Instant, node: usize, line: &str) {
-        if Told::read(line).is_some() {
+        if ReportedPlan::parse(line).is_some() {
             self.acted.entry(node).or_insert(at);
         }
-        match agreement::decides(line) {
+        match agreement::leadership_change(line) {
             Some(true) => self.leader = Some(node),
             Some(false) if self.leader == Some(node) => self.leader = None,
             _ => {}
--- a/crates/scale/src/virtual_clock/states.rs
+++ b/crates/scale/src/virtual_clock/states.rs
@@ -62,9 +62,9 @@
 async fn part_regions(fleet: &SimulatedFleet) {
     let regions = fleet.size.regions as usize;
     let (left, right) = (fleet.layout.zones_of(regions - 2), fleet.layout.zones_of(regions - 1));
-    fleet.net.cut_zones(&left, &right);
+    fleet.net.partition_zones(&left, &right);
     sleep(APART).await;
-    fleet.net.mend_zones(&left, &right);
+    fleet.net.heal_zones(&left, &right);
 }
 
 /// One node in ten is killed at once, and started again after a while.
--- a/crates/scale/tests/page.rs
+++ b/crates/scale/tests/page.rs
@@ -8,7 +8,7 @@
 use chalksill_scale::page::{BEGIN, END, MarkerError, difference, tables, with_tables};
 use chalksill_scale::plot;
 use chalksill_scale::record::{FleetState, RunRecord};
-use chalksill_scale::report::{fit_all, terminal};
+use chalksill_scale::report::{fit_all, terminal_table};
 
 fn records(sizes: &[u32]) -> Vec<(PathBuf, RunRecord)> {
     vec![("made-up.json".into(), common::record(sizes))]
@@ -102,7 +102,7 @@
     let record = common::record(&[50, 100, 200]);
     let fits = fit_all(&record.runs.iter().collect::<Vec<_>>());
     assert!(!fits.is_empty() && fits.iter().all(|fitted| fitted.outcome.is_err()));
-    assert!(terminal(&fits).contains("no fit: 3 of at least 4 sizes"), "{}", terminal(&fits));
+    assert!(terminal_table(&fits).contains("no fit: 3 of at least 4 sizes"), "{}", terminal_table(&fits));
     assert!(plot::svg(&fits).is_err(), "there is nothing to draw");
     let page = tables(&records(&[50, 100, 200]));
     assert!(
@@ -116,7 +116,7 @@
     let mut record = common::record(&[50, 100, 200, 400]);
     record.runs[3].spreads[0].acted -= 1;
     let fits = fit_all(&record.runs.iter().collect::<Vec<_>>());
-    assert!(terminal(&fits).contains("in 1 of 12 runs not all acted"), "{}", terminal(&fits));
+    assert!(terminal_table(&fits).contains("in 1 of 12 runs not all acted"), "{}", terminal_table(&fits));
 }
 
 #[test]
@@ -137,9 +137,9 @@
 #[test]
 fn zones_that_grow_along_are_told_beside_the_axis() {
     let mut record = common::record(&[50, 100, 200, 400]);
-    let even = terminal(&fit_all(&record.runs.iter().collect::<Vec<_>>()));
+    let even = terminal_table(&fit_all(&record.runs.iter().collect::<Vec<_>>()));
     record.runs[0].size.zones = 2;
-    let along = terminal(&fit_all(&record.runs.iter().collect::<Vec<_>>()));
+    let along = terminal_table(&fit_all(&record.runs.iter().collect::<Vec<_>>()));
     assert!(along.contains("0.5 changes a second; 2 to 4 zones along)"), "{along}");
     assert!(!even.contains("zones along"), "{even}");
 }
--- a/crates/scale/tests/scenarios.rs
+++ b/crates/scale/tests/scenarios.rs
@@ -15,7 +15,7 @@
 
 #[test]
 fn the_target_size_grows_from_its_nodes_alone() {
-    let scenario = Scenario::read(GOOD).unwrap();
+    let scenario = Scenario::parse(GOOD).unwrap();
     assert_eq!((scenario.host, scenario.state), (HostKind::VirtualClock, FleetState::Calm));
     assert_eq!(scenario.repetitions, 3);
     let size = scenario.sizes[0];
@@ -24,7 +24,7 @@
 
 #[test]
 fn each_repetition_has_a_seed_of_its_own() {
-    let scenario = Scenario::read(&format!("seed = 7\n{GOOD}")).unwrap();
+    let scenario = Scenario::parse(&format!("seed = 7\n{GOOD}")).unwrap();
     assert_eq!([scenario.seed_of(0), scenario.seed_of(2)], [7, 9]);
 }
 
@@ -67,7 +67,7 @@
     for (from, to, says) in BAD {
         let text = GOOD.replacen(from, to, 1);
         assert_ne!(text, GOOD, "{from} is not in the good file");
-        let told = Scenario::read(&text).unwrap_err().to_string();
+        let told = Scenario::parse(&text).unwrap_err().to_string();
         assert!(told.starts_with(says), "{to:?}: {told:?} does not begin with {says:?}");
     }
 }
@@ -76,7 +76,7 @@
 fn states_and_agreements_need_places_to_part() {
     let small = GOOD.replace("nodes = 6600", "nodes = 20");
     let apart = format!("state = \"regions-apart\"\n{small}");
-    assert!(Scenario::read(&apart).unwrap_err().to_string().contains("regions-apart needs 2 or more"));
+    assert!(Scenario::parse(&apart).unwrap_err().to_string().contains("regions-apart needs 2 or more"));
     let agreement = format!("agreement = true\n{small}");
-    assert!(Scenario::read(&agreement).unwrap_err().to_string().contains("an agreement needs 2 or more"));
+    assert!(Scenario::parse(&agreement).unwrap_err().to_string().contains("an agreement needs 2 or more"));
 }
--- a/crates/scale/tests/virtual_clock.rs
+++ b/crates/scale/tests/virtual_clock.rs
@@ -19,7 +19,7 @@
 "#;
 
 fn scenario(head: &str, tail: &str) -> Scenario {
-    Scenario::read(&format!("{head}\n{}{tail}", TINY)).unwrap()
+    Scenario::parse(&format!("{head}\n{}{tail}", TINY)).unwrap()
 }
 
 fn run(scenario: &Scenario, repetition: u32) -> Run {
@@ -104,7 +104,7 @@
 fn the_target_size_fits_into_half_of_16_gb_and_not_into_half_of_8() {
     let size = "[[size]]\nnodes = 6600\ncache_servers = 980\n";
     let scenario =
-        Scenario::read(&format!("name = \"target\"\nhost = \"virtual-clock\"\nmeasured_s = 5\n{size}"));
+        Scenario::parse(&format!("name = \"target\"\nhost = \"virtual-clock\"\nmeasured_s = 5\n{size}"));
     let scenario = scenario.unwrap();
     virtual_clock::check(&scenario, 16_000_000_000).unwrap();
     let told = virtual_clock::check(&scenario, 8_000_000_000).unwrap_err();
--- a/crates/simnet/src/lib.rs
+++ b/crates/simnet/src/lib.rs
@@ -22,7 +22,7 @@
 
 pub use net::{Links, Net, ProcessId};
 pub use socket::{SimDatagrams, SimHost, SimListener, SimReading, SimStream};
-pub use tally::{Traffic, Way};
+pub use tally::{Traffic, TrafficKind};
 
 /// Runs a world to its end on a virtual clock: time passes only when everything waits.
 ///
--- a/crates/simnet/src/net.rs
+++ b/crates/simnet/src/net.rs
@@ -18,7 +18,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::socket::SimHost;
-use crate::tally::{Tally, Traffic, Way};
+use crate::tally::{Tally, Traffic, TrafficKind};
 use crate::{BACKLOG, DATAGRAMS, LONG};
 
 /// Names one run of a program on a machine.
@@ -30,23 +30,23 @@
 #[derive(Clone, Debug)]
 pub struct Links {
     /// One way between machines of the same zone.
-    pub within: (Duration, Duration),
+    pub within_zone: (Duration, Duration),
     /// One way between zones.
-    pub across: (Duration, Duration),
+    pub between_zones: (Duration, Duration),
     /// One way for datagrams.
     pub datagrams: (Duration, Duration),
     /// The part of the datagrams that is lost, 0 to 1.
-    pub lost: f64,
+    pub datagram_loss: f64,
 }
 
 impl Default for Links {
     fn default() -> Self {
         let us = Duration::from_micros;
         Links {
-            within: (us(150), us(600)),
-            across: (us(5_600), us(10_000)),
+            within_zone: (us(150), us(600)),
+            between_zones: (us(5_600), us(10_000)),
             datagrams: (us(2_600), us(18_000)),
-            lost: 0.0,
+            datagram_loss: 0.0,
         }
     }
 }
@@ -194,7 +194,7 @@
 
 impl Net {
     /// A network whose delays and losses follow from a seed, at a time of day. Its wire must be run with
-    /// [`wire`](Self::wire).
+    /// [`deliver_packets`](Self::deliver_packets).
     pub fn new(seed: u64, unix: Duration, links: Links) -> Net {
         let now = Instant::now();
         let state = State {
@@ -228,12 +228,12 @@
     }
 
     /// Where lines of logs go: the time, the machine's name, the line. Without one they are dropped unformatted.
-    pub fn log_to(&self, sink: impl FnMut(Instant, &str, fmt::Arguments<'_>) + 'static) {
+    pub fn set_log_sink(&self, sink: impl FnMut(Instant, &str, fmt::Arguments<'_>) + 'static) {
         self.state.borrow_mut().log = Some(Box::new(sink));
     }
 
     /// Starts a program on a machine, which is put into a zone the first time that it is named.
-    pub fn process(&self, ip: IpAddr, zone: u8, name: &str) -> SimHost {
+    pub fn start_process(&self, ip: IpAddr, zone: u8, name: &str) -> SimHost {
         let mut s = self.state.borrow_mut();
         s.machines.entry(ip).or_insert(Machine { zone, silent: false });
         let process = s.next_process;
@@ -287,12 +287,12 @@
     }
 
     /// Cuts all links between two groups of zones, in both directions.
-    pub fn cut_zones(&self, left: &[u8], right: &[u8]) {
+    pub fn partition_zones(&self, left: &[u8], right: &[u8]) {
         self.state.borrow_mut().zone_cuts.extend(both_ways(left, right));
     }
 
     /// Mends all links between two groups of zones; what waited for them goes on.
-    pub fn mend_zones(&self, left: &[u8], right: &[u8]) {
+    pub fn heal_zones(&self, left: &[u8], right: &[u8]) {
         let mut s = self.state.borrow_mut();
         both_ways(left, right).for_each(|pair| {
             s.zone_cuts.remove(&pair);
@@ -308,12 +308,12 @@
     }
 
     /// Counts traffic from now on, from 0. Without this call none is counted.
-    pub fn begin_tally(&self) {
+    pub fn count_traffic(&self) {
         self.state.borrow_mut().tally = Some(Tally::default());
     }
 
     /// The traffic of a machine on one way since the tally began; none without a tally.
-    pub fn traffic(&self, ip: IpAddr, way: Way) -> Traffic {
+    pub fn traffic(&self, ip: IpAddr, way: TrafficKind) -> Traffic {
         self.state.borrow().tally.as_ref().map(|tally| tally.traffic(ip, way)).unwrap_or_default()
     }
 
@@ -328,7 +328,7 @@
 
     /// Changes the part of the datagrams that is lost, 0 to 1.
     pub fn lose_datagrams(&self, part: f64) {
-        self.state.borrow_mut().links.lost = part;
+        self.state.borrow_mut().links.datagram_loss = part;
     }
 
     /// Resets the connections between two machines, with what is on its way.
@@ -380,7 +380,7 @@
     }
 
     /// Carries packets for as long as it is polled.
-    pub async fn wire(self) {
+    pub async fn deliver_packets(self) {
         loop {
             let next = {
                 let mut s = self.state.borrow_mut();
@@ -487,14 +487,14 @@
             return false;
         }
         let datagram = matches!(packet, Packet::Datagram { .. });
-        if datagram && self.links.lost > 0.0 && self.rng.random::<f64>() < self.links.lost {
+        if datagram && self.links.datagram_loss > 0.0 && self.rng.random::<f64>() < self.links.datagram_loss {
             return false;
         }
         let zone = |ip: &IpAddr| self.machines.get(ip).map(|m| m.zone);
         let range = match (datagram, zone(&from) == zone(&to)) {
             (true, _) => self.links.datagrams,
-            (false, true) => self.links.within,
-            (false, false) => self.links.across,
+            (false, true) => self.links.within_zone,
+            (false, false) => self.links.between_zones,
         };
         let mut at = Instant::now() + range.0 + (range.1 - range.0).mul_f64(self.rng.random::<f64>());
         // TCP keeps the order of what one side sends.
@@ -523,9 +523,9 @@
     }
 
     /// The way of a connection's side.
-    fn way(ends: &[End; 2], side: usize) -> Way {
+    fn way(ends: &[End; 2], side: usize) -> TrafficKind {
         let port = ends[1].address.port();
-        if side == 0 { Way::Opened(port) } else { Way::Accepted(port) }
+        if side == 0 { TrafficKind::Opened(port) } else { TrafficKind::Accepted(port) }
     }
 
     fn tally_sent(&mut self, packet: &Packet) {
@@ -537,7 +537,7 @@
                 tally.sent(from, Self::way(&connection.ends, 1 - to), bytes.len());
             }
             Packet::Datagram { from, to, bytes } => {
-                tally.sent(from.ip(), Way::Datagrams(to.port()), bytes.len());
+                tally.sent(from.ip(), TrafficKind::Datagrams(to.port()), bytes.len());
             }
             _ => {}
         }
@@ -648,7 +648,7 @@
                 self.mix(at, 7, 0, &bytes);
                 if let Some(m) = self.mailboxes.get_mut(&to).filter(|m| m.queue.len() < DATAGRAMS) {
                     if let Some(tally) = &mut self.tally {
-                        tally.received(to.ip(), Way::Datagrams(to.port()), bytes.len());
+                        tally.received(to.ip(), TrafficKind::Datagrams(to.port()), bytes.len());
                     }
                     m.queue.push_back((from, bytes));
                     wake(&mut m.waker);
--- a/crates/simnet/src/tally.rs
+++ b/crates/simnet/src/tally.rs
@@ -6,7 +6,7 @@
 
 /// A kind of traffic of a machine, by the port of the side that is called.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Way {
+pub enum TrafficKind {
     /// TCP connections that the machine opened to this port elsewhere.
     Opened(u16),
     /// TCP connections that it accepted on this port of its own.
@@ -44,22 +44,22 @@
 
 /// All traffic since the tally began.
 #[derive(Default)]
-pub(crate) struct Tally(HashMap<(IpAddr, Way), Traffic>);
+pub(crate) struct Tally(HashMap<(IpAddr, TrafficKind), Traffic>);
 
 impl Tally {
-    pub fn sent(&mut self, ip: IpAddr, way: Way, bytes: usize) {
+    pub fn sent(&mut self, ip: IpAddr, way: TrafficKind, bytes: usize) {
         let traffic = self.0.entry((ip, way)).or_default();
         traffic.messages_out += 1;
         traffic.bytes_out += bytes as u64;
     }
 
-    pub fn received(&mut self, ip: IpAddr, way: Way, bytes: usize) {
+    pub fn received(&mut self, ip: IpAddr, way: TrafficKind, bytes: usize) {
         let traffic = self.0.entry((ip, way)).or_default();
         traffic.messages_in += 1;
         traffic.bytes_in += bytes as u64;
     }
 
-    pub fn traffic(&self, ip: IpAddr, way: Way) -> Traffic {
+    pub fn traffic(&self, ip: IpAddr, way: TrafficKind) -> Traffic {
         self.0.get(&(ip, way)).copied().unwrap_or_default()
     }
 }
--- a/crates/simnet/tests/network.rs
+++ b/crates/simnet/tests/network.rs
@@ -25,8 +25,8 @@
 
 fn two() -> Two {
     let net = Net::new(1, Duration::from_secs(1000), Links::default());
-    spawn_local(net.clone().wire());
-    let (a, b) = (net.process(A, 0, "a"), net.process(B, 0, "b"));
+    spawn_local(net.clone().deliver_packets());
+    let (a, b) = (net.start_process(A, 0, "a"), net.start_process(B, 0, "b"));
     Two { net, a, b }
 }
 
@@ -194,8 +194,8 @@
     let digest = |seed: u64, word: &'static [u8]| {
         run(move || async move {
             let net = Net::new(seed, Duration::from_secs(1000), Links::default());
-            spawn_local(net.clone().wire());
-            let two = Two { a: net.process(A, 0, "a"), b: net.process(B, 0, "b"), net };
+            spawn_local(net.clone().deliver_packets());
+            let two = Two { a: net.start_process(A, 0, "a"), b: net.start_process(B, 0, "b"), net };
             let (mut near, mut far, _listener) = joined(&two).await;
             near.write_all(word).await.unwrap();
             far.read_exact(&mut vec![0; word.len()]).await.unwrap();
@@ -212,7 +212,7 @@
     run(|| async {
         let two = two();
         let first = two.b.listen(AT).await.unwrap();
-        let other = two.net.process(B, 0, "b again");
+        let other = two.net.start_process(B, 0, "b again");
         assert!(other.listen(AT).await.is_err(), "bound a second time");
         let second = other.inherit(AT).unwrap();
         let _near = two.a.connect(AT).await.unwrap();
@@ -222,7 +222,7 @@
         let _waits = two.a.connect(AT).await.unwrap();
         drop(first);
         let (_taken, _) = timeout(SOON, second.accept()).await.expect("lost with the first").unwrap();
-        let third = two.net.process(B, 0, "b for the third time");
+        let third = two.net.start_process(B, 0, "b for the third time");
         let last = third.inherit(AT).unwrap();
         let mut kept = two.a.connect(AT).await.unwrap();
         two.net.kill(other.process());
--- a/crates/simnet/tests/tally.rs
+++ b/crates/simnet/tests/tally.rs
@@ -4,7 +4,7 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-use chalksill_simnet::{Links, Net, SimHost, Traffic, Way, run};
+use chalksill_simnet::{Links, Net, SimHost, Traffic, TrafficKind, run};
 use mothpier_host::{Datagrams, Host, Listener};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::task::spawn_local;
@@ -18,8 +18,8 @@
 /// Two machines, in zones 1 and 2.
 fn two() -> (Net, SimHost, SimHost) {
     let net = Net::new(1, Duration::from_secs(1000), Links::default());
-    spawn_local(net.clone().wire());
-    let (a, b) = (net.process(A, 1, "a"), net.process(B, 2, "b"));
+    spawn_local(net.clone().deliver_packets());
+    let (a, b) = (net.start_process(A, 1, "a"), net.start_process(B, 2, "b"));
     (net, a, b)
 }
 
@@ -45,14 +45,14 @@
 fn messages_and_bytes_are_counted_by_machine_and_way() {
     run(|| async {
         let (net, a, b) = two();
-        net.begin_tally();
+        net.count_traffic();
         talk(&a, &b).await;
-        assert_eq!(net.traffic(A, Way::Opened(80)), traffic(1, 1, 6, 8));
-        assert_eq!(net.traffic(B, Way::Accepted(80)), traffic(1, 1, 8, 6));
-        assert_eq!(net.traffic(A, Way::Datagrams(9)), traffic(0, 1, 0, 5));
-        assert_eq!(net.traffic(B, Way::Datagrams(9)), traffic(0, 0, 0, 0), "nobody listens there");
-        net.begin_tally();
-        assert_eq!(net.traffic(A, Way::Opened(80)), Traffic::default());
+        assert_eq!(net.traffic(A, TrafficKind::Opened(80)), traffic(1, 1, 6, 8));
+        assert_eq!(net.traffic(B, TrafficKind::Accepted(80)), traffic(1, 1, 8, 6));
+        assert_eq!(net.traffic(A, TrafficKind::Datagrams(9)), traffic(0, 1, 0, 5));
+        assert_eq!(net.traffic(B, TrafficKind::Datagrams(9)), traffic(0, 0, 0, 0), "nobody listens there");
+        net.count_traffic();
+        assert_eq!(net.traffic(A, TrafficKind::Opened(80)), Traffic::default());
     });
 }
 
@@ -62,10 +62,10 @@
         run(|| async {
             let (net, a, b) = two();
             if tallied {
-                net.begin_tally();
+                net.count_traffic();
             }
             talk(&a, &b).await;
-            assert_eq!(net.traffic(A, Way::Opened(80)) != Traffic::default(), tallied);
+            assert_eq!(net.traffic(A, TrafficKind::Opened(80)) != Traffic::default(), tallied);
             net.digest()
         })
     };
@@ -96,13 +96,13 @@
         let inbox = b.datagrams(SocketAddr::new(B, 9)).await.unwrap();
         let outbox = a.datagrams(SocketAddr::new(A, 7)).await.unwrap();
 
-        net.cut_zones(&[0, 1], &[2, 3]);
+        net.partition_zones(&[0, 1], &[2, 3]);
         near.write_all(b"held").await.unwrap();
         outbox.try_send_to(b"lost", SocketAddr::new(B, 9)).unwrap();
         let mut read = [0; 4];
         assert!(timeout(Duration::from_secs(60), far.read_exact(&mut read)).await.is_err());
 
-        net.mend_zones(&[0, 1], &[2, 3]);
+        net.heal_zones(&[0, 1], &[2, 3]);
         far.read_exact(&mut read).await.unwrap();
         assert_eq!(&read, b"held");
         assert!(timeout(Duration::from_secs(60), inbox.recv_from(&mut [0; 8])).await.is_err());
