--- a/crates/trial/src/account.rs
+++ b/crates/trial/src/account.rs
@@ -3,8 +3,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use chalksill_world::clients::{End, Played};
-use chalksill_world::observe::{BoxNo, How, NodeNo, Observation, RequestNo, Seen};
+use chalksill_world::clients::{CompletedRequest, FinalOutcome};
+use chalksill_world::observe::{
+    AttemptOutcome, NodeIndex, Observation, ObservedEvent, RequestId, ServerIndex,
+};
 
 use crate::party::Map;
 use crate::plan::Figure;
@@ -35,7 +37,7 @@
 /// One try of a client at a node.
 struct Try {
     asked: Duration,
-    node: NodeNo,
+    node: NodeIndex,
     /// When the first box or origin got it, or its client its answer: the end of waiting for nothing.
     moved: Option<Duration>,
     ended: bool,
@@ -43,8 +45,8 @@
 
 struct Attempt {
     at: Duration,
-    node: NodeNo,
-    server: BoxNo,
+    node: NodeIndex,
+    server: ServerIndex,
 }
 
 /// What became of all requests.
@@ -78,13 +80,13 @@
 /// Collects what is seen.
 pub struct Account {
     map: Map,
-    origin: BoxNo,
+    origin: ServerIndex,
     waits: Duration,
     aims: Vec<Duration>,
-    tries: BTreeMap<RequestNo, Try>,
+    tries: BTreeMap<RequestId, Try>,
     attempts: Vec<Attempt>,
     reads: Vec<(Duration, bool)>,
-    played: Vec<Played>,
+    played: Vec<CompletedRequest>,
     fallen: Vec<Duration>,
     sums: Sums,
 }
@@ -111,40 +113,42 @@
 
     /// Takes something that was seen.
     pub fn saw(&mut self, o: &Observation) {
-        match &o.seen {
-            Seen::Asked { request, node, .. } => {
+        match &o.event {
+            ObservedEvent::RequestSent { request, node, .. } => {
                 self.sums.asked += 1;
                 let entry = Try { asked: o.at, node: *node, moved: None, ended: false };
                 self.tries.insert(*request, entry);
             }
-            Seen::Arrived { at, node, request, .. } => {
+            ObservedEvent::AttemptArrived { server: at, node, request, .. } => {
                 if let Some(t) = self.tries.get_mut(request) {
                     t.moved.get_or_insert(o.at);
                 }
                 self.attempts.push(Attempt { at: o.at, node: *node, server: *at });
             }
-            Seen::Ended { at, how, .. } if *at != self.origin => match how {
-                How::Value(_) => self.reads.push((o.at, true)),
-                How::Miss => self.reads.push((o.at, false)),
+            ObservedEvent::AttemptEnded { server: at, outcome: how, .. } if *at != self.origin => match how {
+                AttemptOutcome::Value(_) => self.reads.push((o.at, true)),
+                AttemptOutcome::Miss => self.reads.push((o.at, false)),
                 _ => {}
             },
-            Seen::Answered { request, .. } => {
+            ObservedEvent::ReplyReceived { request, .. } => {
                 if let Some(t) = self.tries.get_mut(request) {
                     t.moved.get_or_insert(o.at);
                 }
                 self.end(*request, |sums| &mut sums.answered);
             }
-            Seen::Garbled { request } | Seen::Cut { request } | Seen::Lost { request, .. } => {
+            ObservedEvent::MalformedReply { request }
+            | ObservedEvent::TruncatedReply { request }
+            | ObservedEvent::ConnectionLost { request, .. } => {
                 self.end(*request, |sums| &mut sums.lost);
             }
-            Seen::Left { request, .. } => self.end(*request, |sums| &mut sums.left),
-            Seen::Crossed { request } => self.end(*request, |sums| &mut sums.crossed),
-            Seen::BoxFell { .. } => self.fallen.push(o.at),
+            ObservedEvent::ClientLeft { request, .. } => self.end(*request, |sums| &mut sums.left),
+            ObservedEvent::RacedWithClose { request } => self.end(*request, |sums| &mut sums.crossed),
+            ObservedEvent::CacheServerCollapsed { .. } => self.fallen.push(o.at),
             _ => {}
         }
     }
 
-    fn end(&mut self, request: RequestNo, count: impl FnOnce(&mut Sums) -> &mut u64) {
+    fn end(&mut self, request: RequestId, count: impl FnOnce(&mut Sums) -> &mut u64) {
         let Some(t) = self.tries.get_mut(&request) else { return };
         if std::mem::replace(&mut t.ended, true) {
             self.sums.twice += 1;
@@ -154,7 +158,7 @@
     }
 
     /// Takes a first try that has ended.
-    pub fn played(&mut self, played: Played) {
+    pub fn played(&mut self, played: CompletedRequest) {
         self.played.push(played);
     }
 
@@ -165,7 +169,7 @@
     }
 
     /// Nodes at which a try that was asked since then has been answered or sent on.
-    pub fn served(&self, node: NodeNo, since: Duration) -> bool {
+    pub fn served(&self, node: NodeIndex, since: Duration) -> bool {
         self.tries
             .values()
             .rev()
@@ -174,7 +178,7 @@
     }
 
     /// Whether a box or the origin has got an attempt since then.
-    pub fn reached(&self, server: BoxNo, since: Duration) -> bool {
+    pub fn reached(&self, server: ServerIndex, since: Duration) -> bool {
         self.attempts.iter().rev().take_while(|a| a.at >= since).any(|a| a.server == server)
     }
 
@@ -184,7 +188,7 @@
 
     /// When a node acts on what happened at a time: from when on, for a span, its requests do not wait for nothing. What
     /// is younger than the wait itself can't be told yet. `None` where it does not by `now`.
-    fn acts(&self, node: NodeNo, since: Duration, now: Duration) -> Option<Duration> {
+    fn acts(&self, node: NodeIndex, since: Duration, now: Duration) -> Option<Duration> {
         let told = now.saturating_sub(self.waits);
         let tries: Vec<(Duration, bool)> = self
             .tries
@@ -214,7 +218,7 @@
 
     /// When each node acted on what happened at a time, in order; those that have not by `now` are left out.
     pub fn acting(&self, since: Duration, now: Duration) -> Vec<Duration> {
-        let nodes: std::collections::BTreeSet<NodeNo> = self.tries.values().map(|t| t.node).collect();
+        let nodes: std::collections::BTreeSet<NodeIndex> = self.tries.values().map(|t| t.node).collect();
         let mut times: Vec<Duration> = nodes.into_iter().filter_map(|n| self.acts(n, since, now)).collect();
         times.sort();
         times
@@ -232,20 +236,22 @@
 
     fn in_time_of(&self, class: Option<usize>, from: Duration, until: Duration) -> Option<f64> {
         let (mut all, mut good) = (0, 0);
-        let within = |p: &&Played| p.due >= from && p.due < until && class.is_none_or(|c| c == p.class);
+        let within = |p: &&CompletedRequest| {
+            p.due_at >= from && p.due_at < until && class.is_none_or(|c| c == p.class)
+        };
         for p in self.played.iter().filter(within) {
             all += 1;
-            good += u64::from(p.end == End::Served && p.took <= self.aims[p.class]);
+            good += u64::from(p.outcome == FinalOutcome::Served && p.latency <= self.aims[p.class]);
         }
         (all > 0).then(|| good as f64 / all as f64)
     }
 
     /// Per second since the beginning: first tries, and the part of them that was served in time.
     pub fn seconds(&self) -> Vec<(u64, f64)> {
-        let last = self.played.iter().map(|p| p.due.as_secs() + 1).max().unwrap_or(0);
+        let last = self.played.iter().map(|p| p.due_at.as_secs() + 1).max().unwrap_or(0);
         let second = |s: u64| {
             let (from, until) = (Duration::from_secs(s), Duration::from_secs(s + 1));
-            let all = self.played.iter().filter(|p| p.due >= from && p.due < until).count() as u64;
+            let all = self.played.iter().filter(|p| p.due_at >= from && p.due_at < until).count() as u64;
             (all, self.in_time(from, until).unwrap_or(1.0))
         };
         (0..last).map(second).collect()
@@ -260,9 +266,9 @@
         until: Duration,
     ) -> Option<f64> {
         let within = |at: Duration| at >= from && at < until;
-        let meant = |p: &&Played| within(p.due) && class.is_none_or(|c| c == p.class);
-        let played: Vec<&Played> = self.played.iter().filter(meant).collect();
-        let part = |of: &dyn Fn(&Played) -> bool| {
+        let meant = |p: &&CompletedRequest| within(p.due_at) && class.is_none_or(|c| c == p.class);
+        let played: Vec<&CompletedRequest> = self.played.iter().filter(meant).collect();
+        let part = |of: &dyn Fn(&CompletedRequest) -> bool| {
             (!played.is_empty()).then(|| played.iter().filter(|p| of(p)).count() as f64 / played.len() as f64)
         };
         let sent = || self.attempts.iter().filter(|a| within(a.at) && a.server != self.origin);
@@ -273,8 +279,8 @@
             (all > 0).then(|| out as f64 / all as f64)
         };
         let quantile = |q: f64| {
-            let served = played.iter().filter(|p| p.end == End::Served);
-            let mut took: Vec<f64> = served.map(|p| p.took.as_secs_f64() * 1e3).collect();
+            let served = played.iter().filter(|p| p.outcome == FinalOutcome::Served);
+            let mut took: Vec<f64> = served.map(|p| p.latency.as_secs_f64() * 1e3).collect();
             took.sort_by(f64::total_cmp);
             took.get(((took.len() as f64 * q) as usize).min(took.len().saturating_sub(1))).copied()
         };
@@ -285,8 +291,8 @@
         };
         match figure {
             Figure::InTime => self.in_time_of(class, from, until),
-            Figure::Refused => part(&|p| p.end == End::Refused),
-            Figure::Failed => part(&|p| matches!(p.end, End::Failed | End::Unanswered)),
+            Figure::Refused => part(&|p| p.outcome == FinalOutcome::Refused),
+            Figure::Failed => part(&|p| matches!(p.outcome, FinalOutcome::Failed | FinalOutcome::Unanswered)),
             Figure::P50Ms => quantile(0.5),
             Figure::P99Ms => quantile(0.99),
             Figure::LeavesZone => leaves(&|a, b| a != b),
@@ -330,7 +336,7 @@
     /// The part of the nodes that has given a zone up, or that has not, whichever is less.
     fn split(&self, zone: usize, from: Duration, until: Duration) -> f64 {
         let share = |node, since, to| self.share(zone, |a| a.node == node, since, to).unwrap_or(0.0);
-        let nodes: std::collections::BTreeSet<NodeNo> = self.attempts.iter().map(|a| a.node).collect();
+        let nodes: std::collections::BTreeSet<NodeIndex> = self.attempts.iter().map(|a| a.node).collect();
         let (mut all, mut gave_up) = (0u64, 0u64);
         for node in nodes {
             let before = share(node, Duration::ZERO, from);
@@ -424,24 +430,32 @@
         Duration::from_millis(at)
     }
 
-    fn asked(a: &mut Account, at: u64, request: RequestNo, node: NodeNo) {
+    fn asked(a: &mut Account, at: u64, request: RequestId, node: NodeIndex) {
         let (first, patience) = (request, ms(1000));
-        let seen = Seen::Asked { request, first, node, class: 0, tenant: 0, key: 7, patience };
-        a.saw(&Observation { at: ms(at), seen });
+        let seen = ObservedEvent::RequestSent {
+            request,
+            first_try: first,
+            node,
+            class: 0,
+            tenant: 0,
+            key: 7,
+            timeout: patience,
+        };
+        a.saw(&Observation { at: ms(at), event: seen });
     }
 
-    fn arrived(a: &mut Account, at: u64, request: RequestNo, node: NodeNo, server: BoxNo) {
-        let seen = Seen::Arrived {
-            at: server,
+    fn arrived(a: &mut Account, at: u64, request: RequestId, node: NodeIndex, server: ServerIndex) {
+        let seen = ObservedEvent::AttemptArrived {
+            server,
             node,
             request,
-            write: false,
+            is_write: false,
             work: 1.0,
             running: 0,
-            came: ms(at),
-            until: ms(at),
+            received_at: ms(at),
+            deadline: ms(at),
         };
-        a.saw(&Observation { at: ms(at), seen });
+        a.saw(&Observation { at: ms(at), event: seen });
     }
 
     #[test]
@@ -473,7 +487,10 @@
         }
         let answered = |request| {
             let reply = chalksill_world::observe::Reply::Failed;
-            Observation { at: ms(3000), seen: Seen::Answered { request, reply, slow: false } }
+            Observation {
+                at: ms(3000),
+                event: ObservedEvent::ReplyReceived { request, reply, slow_reader: false },
+            }
         };
         (0..199).for_each(|i| a.saw(&answered(i)));
         a.saw(&answered(7));
--- a/crates/trial/src/plan.rs
+++ b/crates/trial/src/plan.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use chalksill_world::scenario::{Fault, Scenario, figure, line_of_key, parse};
+use chalksill_world::scenario::{Scenario, ScenarioError, check_range, line_of_key, parse};
 use serde::{Deserialize, Serialize};
 
 use crate::party::{Kind, Map, Parties};
@@ -360,7 +360,7 @@
     pub fn read(path: &Path) -> Result<Trial, String> {
         let text =
             std::fs::read_to_string(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
-        let fault = |f: Fault| format!("{}: {f}", path.display());
+        let fault = |f: ScenarioError| format!("{}: {f}", path.display());
         let file: File = parse(&text).map_err(fault)?;
         let under = path.parent().unwrap_or(Path::new(".")).join(&file.world);
         let below = std::fs::read_to_string(&under)
@@ -370,15 +370,19 @@
         Trial::of(&text, file, &below).map_err(fault)
     }
 
-    fn of(text: &str, file: File, world: &str) -> Result<Trial, Fault> {
-        let located = |(key, what): (String, String)| Fault { line: line_of_key(text, &key), key, what };
+    fn of(text: &str, file: File, world: &str) -> Result<Trial, ScenarioError> {
+        let located = |(key, what): (String, String)| ScenarioError {
+            line: line_of_key(text, &key),
+            key,
+            message: what,
+        };
         let mut table: toml::Table =
             toml::from_str(world).map_err(|e| located(("world".into(), e.to_string())))?;
         lay(&file.with, &mut table);
         let world: Scenario = table
             .try_into()
             .map_err(|e: toml::de::Error| located(("with".into(), e.message().trim().replace('\n', " "))))?;
-        world.validate().map_err(|f| located((format!("with.{}", f.key), f.what)))?;
+        world.validate().map_err(|f| located((format!("with.{}", f.key), f.message)))?;
         let map = Map::new(&world, &file.regions, file.origin.as_deref()).map_err(located)?;
         let before = file.before.as_ref().map_or(Ok(Vec::new()), |word| {
             let parties = map.parties(word).map_err(|what| located(("before".into(), what)))?;
@@ -415,9 +419,9 @@
         for (key, value) in
             [("zone_ms", ways.zone_ms), ("region_ms", ways.region_ms), ("across_ms", ways.across_ms)]
         {
-            figure(&format!("ways.{key}"), value, 0.0, 1000.0)?;
+            check_range(&format!("ways.{key}"), value, 0.0, 1000.0)?;
         }
-        figure("ways.jitter", ways.jitter, 0.0, 10.0)?;
+        check_range("ways.jitter", ways.jitter, 0.0, 10.0)?;
         let mut names = BTreeSet::new();
         for (i, step) in self.steps.iter().enumerate() {
             self.check_step(&format!("step.{i}"), step)?;
@@ -438,9 +442,9 @@
 
     fn check_step(&self, at: &str, step: &Step) -> Result<(), (String, String)> {
         let key = |name: &str| format!("{at}.{name}");
-        figure(&key("at_s"), step.at_s, 0.0, 3600.0)?;
+        check_range(&key("at_s"), step.at_s, 0.0, 3600.0)?;
         if let Some(within) = step.within_s {
-            figure(&key("within_s"), within, 0.1, 3600.0)?;
+            check_range(&key("within_s"), within, 0.1, 3600.0)?;
         }
         if let Some(fact) = &step.after {
             let told = fact.names().count() + usize::from(fact.acts.is_some());
@@ -461,7 +465,7 @@
                 }
             }
             if let Some(part) = fact.acts {
-                figure(&key("after.acts"), part, 0.01, 1.0)?;
+                check_range(&key("after.acts"), part, 0.01, 1.0)?;
             }
         }
         match step.act {
@@ -482,8 +486,8 @@
             Act::Flap => {
                 self.parties(&key("from"), step.from.as_ref())?;
                 self.parties(&key("to"), step.to.as_ref())?;
-                figure(&key("every_s"), step.every_s.unwrap_or(f64::NAN), 0.05, 600.0)?;
-                figure(&key("times"), step.times.unwrap_or(f64::NAN), 1.0, 10_000.0)?;
+                check_range(&key("every_s"), step.every_s.unwrap_or(f64::NAN), 0.05, 600.0)?;
+                check_range(&key("times"), step.times.unwrap_or(f64::NAN), 1.0, 10_000.0)?;
             }
             Act::List => {
                 let parties = self.parties(&key("who"), step.who.as_ref())?;
@@ -492,7 +496,7 @@
                 }
                 step.says.ok_or((key("says"), "is missing".to_owned()))?;
             }
-            Act::Load => figure(&key("times"), step.times.unwrap_or(f64::NAN), 0.0, 100.0)?,
+            Act::Load => check_range(&key("times"), step.times.unwrap_or(f64::NAN), 0.0, 100.0)?,
             Act::Discovery => {
                 if step.answers.is_none() {
                     return Err((key("answers"), "is missing".into()));
@@ -508,19 +512,19 @@
                 if step.act == Act::Hold {
                     let how = step.how.as_deref().filter(|how| ["in", "out", "drain"].contains(how));
                     how.ok_or((key("how"), "in, out or drain is needed".to_owned()))?;
-                    figure(&key("for_s"), step.for_s.map_or(f64::NAN, f64::from), 1.0, 64_800.0)?;
+                    check_range(&key("for_s"), step.for_s.map_or(f64::NAN, f64::from), 1.0, 64_800.0)?;
                 }
             }
         }
         let shares = [("lost", step.lost), ("twice", step.twice), ("late", step.late)];
         for (name, value) in shares {
-            figure(&key(name), value.unwrap_or(0.0), 0.0, 1.0)?;
+            check_range(&key(name), value.unwrap_or(0.0), 0.0, 1.0)?;
         }
-        figure(&key("jitter"), step.jitter.unwrap_or(0.0), 0.0, 10.0)?;
+        check_range(&key("jitter"), step.jitter.unwrap_or(0.0), 0.0, 10.0)?;
         for (name, value) in [("delay_ms", step.delay_ms), ("late_ms", step.late_ms)] {
-            figure(&key(name), value.unwrap_or(0.0), 0.0, 60_000.0)?;
+            check_range(&key(name), value.unwrap_or(0.0), 0.0, 60_000.0)?;
         }
-        figure(&key("rate"), step.rate.unwrap_or(0.0), 0.0, 1e9)
+        check_range(&key("rate"), step.rate.unwrap_or(0.0), 0.0, 1e9)
     }
 
     fn check_must(&self, at: &str, must: &Must, names: &BTreeSet<&str>) -> Result<(), (String, String)> {
@@ -530,13 +534,13 @@
             }
         }
         for (key, value) in [("from_s", must.from_s), ("until_s", must.until_s)] {
-            figure(&format!("{at}.{key}"), value, 0.0, 3600.0)?;
+            check_range(&format!("{at}.{key}"), value, 0.0, 3600.0)?;
         }
         if must.at_most.is_none() && must.at_least.is_none() {
             return Err((at.to_owned(), "neither at_most nor at_least".into()));
         }
         for (key, value) in [("at_most", must.at_most), ("at_least", must.at_least)] {
-            figure(&format!("{at}.{key}"), value.unwrap_or(0.0), 0.0, 1e9)?;
+            check_range(&format!("{at}.{key}"), value.unwrap_or(0.0), 0.0, 1e9)?;
         }
         let from_a_step =
             [Figure::ActsHalfS, Figure::ActsMostS, Figure::BackS, Figure::ReturnedS].contains(&must.figure);
--- a/crates/trial/src/play.rs
+++ b/crates/trial/src/play.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use chalksill_world::agreement::Told;
-use chalksill_world::observe::{Phase, Seen, Witness};
+use chalksill_world::agreement::ReportedPlan;
+use chalksill_world::observe::{ObservedEvent, Observer, Phase};
 use chalksill_world::report::Collector;
 use chalksill_world::rules::Checker;
 use tokio::signal::unix::{SignalKind, signal};
@@ -35,7 +35,7 @@
 
 /// What judges and counts while a trial runs.
 pub(crate) struct Watch {
-    pub(crate) witness: Witness,
+    pub(crate) witness: Observer,
     account: Rc<RefCell<Account>>,
     pub(crate) collector: Rc<RefCell<Collector>>,
     pub(crate) checker: Rc<RefCell<Checker>>,
@@ -44,21 +44,22 @@
 
 impl Watch {
     pub(crate) fn begin(trial: &Trial, seed: u64, late_ways: Duration) -> Watch {
-        let witness = Witness::begin();
+        let witness = Observer::starting_now();
         let origin = trial.world.boxes.count;
         let account = Rc::new(RefCell::new(Account::new(trial)));
         let collector = Rc::new(RefCell::new(Collector::new(&trial.world, seed, origin)));
         let checker = Checker::new(&trial.world, origin);
-        let checker = Rc::new(RefCell::new(checker.with_unbounded_ways().with_late_ways(late_ways)));
+        let checker =
+            Rc::new(RefCell::new(checker.with_unbounded_delay().with_extra_server_delay(late_ways)));
         let line = Rc::new(RefCell::new(Vec::new()));
         let (a, c, j, l) = (account.clone(), collector.clone(), checker.clone(), line.clone());
-        witness.give_to(move |o| {
+        witness.subscribe(move |o| {
             a.borrow_mut().saw(o);
-            c.borrow_mut().saw(o);
-            j.borrow_mut().saw(o);
-            let told = match &o.seen {
-                Seen::Fault(what) => Some(what.clone()),
-                Seen::BoxFell { at } => Some(format!("box {at} fell over")),
+            c.borrow_mut().observe(o);
+            j.borrow_mut().observe(o);
+            let told = match &o.event {
+                ObservedEvent::Fault(what) => Some(what.clone()),
+                ObservedEvent::CacheServerCollapsed { server: at } => Some(format!("box {at} fell over")),
                 _ => None,
             };
             l.borrow_mut().extend(told.map(|what| (o.at.as_secs_f64(), what)));
@@ -84,7 +85,7 @@
     let (account, collector) = (watch.account.clone(), watch.collector.clone());
     let played = move |played| {
         account.borrow_mut().played(played);
-        collector.borrow_mut().played(&played);
+        collector.borrow_mut().record_result(&played);
     };
     let set = Stage::set(trial, seed, program, folder, &watch.witness, played);
     // Dropped halfway, a stage ends the processes that it has started.
@@ -128,12 +129,12 @@
         .abort_handle()
     };
     let begin = watch.witness.elapsed();
-    let span = stage.trial.world.span();
-    let load = spawn_local(stage.clients.clone().play(span));
+    let span = stage.trial.world.load_duration();
+    let load = spawn_local(stage.clients.clone().generate_load(span));
     let mut steps = vec![None; stage.trial.steps.len()];
     let mut before = begin;
     for (i, step) in stage.trial.steps.iter().enumerate() {
-        sleep_until(watch.witness.start() + begin + Duration::from_secs_f64(step.at_s)).await;
+        sleep_until(watch.witness.started_at() + begin + Duration::from_secs_f64(step.at_s)).await;
         if let Some(fact) = &step.after
             && let Err(what) = wait_for(stage, watch, fact, before, step.patience()).await
         {
@@ -150,8 +151,8 @@
     }
     let _ = load.await;
     let end = begin + span;
-    let until = Instant::now() + stage.trial.world.longest() + LAST;
-    while stage.clients.under_way() > 0 && Instant::now() < until {
+    let until = Instant::now() + stage.trial.world.longest_deadline() + LAST;
+    while stage.clients.in_flight() > 0 && Instant::now() < until {
         sleep(LOOK).await;
     }
     looks.abort();
@@ -283,15 +284,15 @@
             }
         }
         Act::Term => who.iter().for_each(|p| stage.end(p.number)),
-        Act::Load => stage.fleet.knobs.burst.set(step.times.unwrap_or(1.0).max(1e-3)),
+        Act::Load => stage.fleet.fault_settings.load_factor.set(step.times.unwrap_or(1.0).max(1e-3)),
         Act::Discovery => {
-            let knobs = &stage.fleet.knobs;
+            let knobs = &stage.fleet.fault_settings;
             let answers = step.answers.unwrap_or(Answers::Well);
-            knobs.list_down.set(answers == Answers::Down);
-            knobs.list_empty.set(answers == Answers::Empty);
+            knobs.discovery_down.set(answers == Answers::Down);
+            knobs.empty_list.set(answers == Answers::Empty);
             let late = step.delay_ms.unwrap_or(1000.0) as u64;
-            knobs.list_late_ms.set(if answers == Answers::Late { late } else { 0 });
-            knobs.list_old.set((answers == Answers::Old).then(|| stage.revision()));
+            knobs.list_delay_ms.set(if answers == Answers::Late { late } else { 0 });
+            knobs.pinned_revision.set((answers == Answers::Old).then(|| stage.revision()));
         }
     }
     Ok(())
@@ -300,12 +301,12 @@
 /// How often nodes began to give a zone up, by their logs: each plan is told by many and counts once, as does a zone that stays away.
 fn moves(log: &[Line], from: Duration, until: Duration) -> usize {
     let within = |at: f64| at >= from.as_secs_f64() && at < until.as_secs_f64();
-    let told = log.iter().filter(|l| within(l.at_s)).filter_map(|l| Told::read(&l.text));
+    let told = log.iter().filter(|l| within(l.at_s)).filter_map(|l| ReportedPlan::parse(&l.text));
     let plans: BTreeMap<_, _> = told.map(|plan| (plan.number, plan)).collect();
     let (mut away, mut count) = (BTreeSet::new(), 0);
     for plan in plans.values() {
-        count += plan.away().difference(&away).count();
-        away = plan.away();
+        count += plan.given_up_zones().difference(&away).count();
+        away = plan.given_up_zones();
     }
     count
 }
@@ -315,8 +316,8 @@
 fn agree(log: &[Line], nodes: usize, at: Duration) -> f64 {
     let mut acts_on = vec![None; nodes];
     for line in log.iter().filter(|l| l.at_s < at.as_secs_f64()) {
-        if let Some(plan) = Told::read(&line.text) {
-            acts_on[line.node] = Some(plan.says);
+        if let Some(plan) = ReportedPlan::parse(&line.text) {
+            acts_on[line.node] = Some(plan.description);
         } else if line.text.contains("accord: nothing heard for too long") {
             acts_on[line.node] = None;
         }
--- a/crates/trial/src/soak.rs
+++ b/crates/trial/src/soak.rs
@@ -7,9 +7,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use chalksill_world::observe::{NodeNo, Seen};
+use chalksill_world::observe::{NodeIndex, ObservedEvent};
 use chalksill_world::rules::Violation;
-use chalksill_world::users::{Held, Users};
+use chalksill_world::users::{PersistentClients, RetainedConnections};
 use mothpier_host::SystemHost;
 use nix::sys::signal::Signal;
 use tokio::task::spawn_local;
@@ -86,11 +86,13 @@
     let trial = plan.trial()?;
     let watch = Watch::begin(&trial, seed, plan.latest_words());
     let collector = watch.collector.clone();
-    let played = move |played| collector.borrow_mut().played(&played);
+    let played = move |played| collector.borrow_mut().record_result(&played);
     let stage = Stage::set(trial, seed, program, folder, &watch.witness, played).await?;
     let delays = Delays::watch();
     let crossing = delays.clone();
-    let users = Users::with_crossing(stage.clients.clone(), move || CROSSING + 2 * crossing.lately());
+    let users = PersistentClients::with_close_race_window(stage.clients.clone(), move || {
+        CROSSING + 2 * crossing.lately()
+    });
     let soak =
         Rc::new(Soak { stage: stage.clone(), users, events: RefCell::default(), broken: RefCell::default() });
     soak.clone().run(&plan).await;
@@ -103,7 +105,7 @@
         seed,
         events: soak.events.take(),
         tries: report.all.offered,
-        in_time: report.all.share(),
+        in_time: report.all.in_time_share(),
         held_up: delays.most.get(),
         violations,
         broken: soak.broken.take(),
@@ -141,7 +143,7 @@
 /// One seed that is being played.
 struct Soak {
     stage: Rc<Stage>,
-    users: Rc<Users<SystemHost>>,
+    users: Rc<PersistentClients<SystemHost>>,
     events: RefCell<Vec<String>>,
     broken: RefCell<Vec<String>>,
 }
@@ -150,10 +152,10 @@
     async fn run(self: Rc<Self>, plan: &Plan) {
         let begin = Instant::now();
         let until = begin + plan.span;
-        self.users.play(until);
-        let load = spawn_local(self.stage.clients.clone().play(plan.span));
+        self.users.start(until);
+        let load = spawn_local(self.stage.clients.clone().generate_load(plan.span));
         if let Some(per_s) = plan.crowd {
-            spawn_local(self.stage.clients.clone().crowd(per_s, plan.span));
+            spawn_local(self.stage.clients.clone().open_stalled_connections(per_s, plan.span));
         }
         let mut stories = Vec::new();
         for (node, events) in plan.nodes.iter().enumerate() {
@@ -171,8 +173,8 @@
             let _ = story.await;
         }
         let _ = load.await;
-        let last = Instant::now() + self.stage.trial.world.longest() + LAST;
-        while self.stage.clients.under_way() + self.users.under_way() > 0 && Instant::now() < last {
+        let last = Instant::now() + self.stage.trial.world.longest_deadline() + LAST;
+        while self.stage.clients.in_flight() + self.users.open_connections() > 0 && Instant::now() < last {
             sleep(TICK).await;
         }
         self.broken.borrow_mut().extend(self.stage.look_at_nodes());
@@ -184,7 +186,7 @@
     }
 
     /// What happens to one node.
-    async fn story(self: Rc<Self>, node: NodeNo, begin: Instant, events: Vec<(Duration, Event)>) {
+    async fn story(self: Rc<Self>, node: NodeIndex, begin: Instant, events: Vec<(Duration, Event)>) {
         let mut drained: Option<Instant> = None;
         for (at, event) in events {
             sleep_until(begin + at).await;
@@ -233,7 +235,7 @@
     }
 
     /// Calls a node as staff; whether it did what it was told. One that has ended says nothing.
-    async fn call(&self, node: NodeNo, call: &str) -> bool {
+    async fn call(&self, node: NodeIndex, call: &str) -> bool {
         let running = self.stage.life(node).is_some();
         match self.stage.staff(node, call).await {
             Ok(status) => status == 200,
@@ -247,17 +249,17 @@
     }
 
     /// Judges what a drained node holds four seconds after it was told.
-    async fn judge(&self, node: NodeNo, drained: Option<Instant>) {
+    async fn judge(&self, node: NodeIndex, drained: Option<Instant>) {
         let Some(told) = drained else { return };
         let life = self.stage.life(node);
         sleep_until(told + HELD_AT_MOST).await;
         if life.is_none() || self.stage.life(node) != life {
             return;
         }
-        let Held { idle, recent } =
-            self.users.held(node, told + NEW_CONNECTIONS, told + HELD_AT_MOST - RECENT);
+        let RetainedConnections { idle, recent } =
+            self.users.retained_connections(node, told + NEW_CONNECTIONS, told + HELD_AT_MOST - RECENT);
         if idle + recent > 0 {
-            self.stage.fleet.witness.saw(Seen::HeldAfterDrain { node, idle, recent });
+            self.stage.fleet.observer.record(ObservedEvent::ConnectionsAfterDrain { node, idle, recent });
         }
         if self.stage.ready(node).await {
             self.broken.borrow_mut().push(format!("node {node} says yes 4 s after its drain"));
@@ -283,9 +285,9 @@
                 stage.weather(&nodes, &boxes, |weather| weather.delay = weather.delay.saturating_sub(by));
             }
             Fault::DiscoveryDown { span } => {
-                stage.fleet.knobs.list_down.set(true);
+                stage.fleet.fault_settings.discovery_down.set(true);
                 sleep(span).await;
-                stage.fleet.knobs.list_down.set(false);
+                stage.fleet.fault_settings.discovery_down.set(false);
             }
         }
     }
--- a/crates/trial/src/stage.rs
+++ b/crates/trial/src/stage.rs
@@ -10,11 +10,11 @@
 use std::time::Duration;
 
 use chalksill_world::agreement;
-use chalksill_world::clients::{Clients, Played};
+use chalksill_world::clients::{Clients, CompletedRequest};
 use chalksill_world::discovery::Discovery;
 use chalksill_world::fleet::{Fleet, Member};
 use chalksill_world::live::{self, HOST};
-use chalksill_world::observe::{BoxNo, NodeNo, Phase, Seen, Witness};
+use chalksill_world::observe::{NodeIndex, ObservedEvent, Observer, Phase, ServerIndex};
 use chalksill_world::origin::Origin;
 use chalksill_world::process::{self, Platform, Process};
 use mothpier_host::{Host, Listener, SystemHost};
@@ -107,7 +107,7 @@
     /// Seconds since the beginning.
     pub at_s: f64,
     /// The node.
-    pub node: NodeNo,
+    pub node: NodeIndex,
     /// What it wrote.
     pub text: String,
 }
@@ -126,11 +126,11 @@
     pub log: RefCell<Vec<Line>>,
     discoveries: Vec<Rc<Discovery>>,
     nodes: Vec<NodeRun>,
-    boxes: RefCell<BTreeMap<BoxNo, BoxRun>>,
+    boxes: RefCell<BTreeMap<ServerIndex, BoxRun>>,
     /// Boxes, and the origin, to which some way is cut.
-    away: RefCell<BTreeSet<BoxNo>>,
+    away: RefCell<BTreeSet<ServerIndex>>,
     /// Nodes that their clients are cut off from.
-    shut: RefCell<BTreeSet<NodeNo>>,
+    shut: RefCell<BTreeSet<NodeIndex>>,
     folder: PathBuf,
     program: PathBuf,
     peers: Vec<Vec<SocketAddr>>,
@@ -166,8 +166,8 @@
         seed: u64,
         program: &Path,
         folder: &Path,
-        witness: &Witness,
-        played: impl Fn(Played) + 'static,
+        witness: &Observer,
+        played: impl Fn(CompletedRequest) + 'static,
     ) -> Result<Rc<Stage>, String> {
         let (net, at) = take_net()?;
         let fleet = Fleet::new(trial.world.clone(), seed, witness.clone());
@@ -177,7 +177,7 @@
         std::fs::create_dir_all(folder).map_err(|e| format!("cannot make {}: {e}", folder.display()))?;
         let _ = std::fs::remove_file(folder.join(PROCESSES));
         let mut ways: Vec<Way> = Vec::new();
-        let mut seeds = fleet.random("ways", 0);
+        let mut seeds = fleet.rng("ways", 0);
         let fair = |from: Party, to: Party| {
             let ms =
                 if from.kind == Kind::Clients { 0.0 } else { map.distance(&trial.ways, from.zone, to.zone) };
@@ -214,20 +214,20 @@
                     spawn_local(origin.clone().serve::<SystemHost>(listener, move |_| node));
                 }
             } else {
-                let task = live::serve(&fleet, number, 0, cold.then_some(started), listeners);
+                let task = live::serve_cache(&fleet, number, 0, cold.then_some(started), listeners);
                 runs.insert(number, BoxRun { listens, task: Some(task), life: 0 });
             }
             let member = Member {
                 id: format!("s-{number:04}"),
                 addresses,
                 zone: party.zone,
-                origin: party.kind == Kind::Origin,
+                is_origin: party.kind == Kind::Origin,
                 phase: Phase::Ready,
-                started,
+                started_ms: started,
             };
             members.insert(number, member);
         }
-        fleet.fill((0..boxes).collect::<Vec<BoxNo>>().as_slice());
+        fleet.warm_caches((0..boxes).collect::<Vec<ServerIndex>>().as_slice());
         let count = if trial.discovery == PerRegion::One { 1 } else { map.regions.len() };
         let discoveries: Vec<_> = (0..count).map(|_| Discovery::new(&fleet, members.clone())).collect();
         let mut discovery_for = Vec::new();
@@ -247,7 +247,7 @@
             fronts.push(relay(clients, party, (at(NODES + node as u8), CLIENTS).into())?);
         }
         let peers = datagrams(&trial, &fleet, &mut ways, &at, &fair, PEERS).await?;
-        let accord = match trial.world.agrees() {
+        let accord = match trial.world.agreement_enabled() {
             true => datagrams(&trial, &fleet, &mut ways, &at, &fair, agreement::PORT).await?,
             false => Vec::new(),
         };
@@ -279,7 +279,7 @@
             let staff = SocketAddr::new(address.ip(), STAFF);
             let platform = stage.trial.held_sockets.then(|| stage.hold_socket(node, address)).transpose()?;
             let process = match &platform {
-                Some(platform) => Process::start_on(platform, staff, program, files, address)?,
+                Some(platform) => Process::start_with_socket(platform, staff, program, files, address)?,
                 None => Process::start(program, files, address)?,
             };
             stage.note_process(&process)?;
@@ -289,8 +289,8 @@
         }
         for (node, run) in stage.nodes.iter().enumerate() {
             let address = run.process.borrow().address;
-            process::ready(address).await?;
-            witness.saw(Seen::NodeUp { node });
+            process::wait_until_ready(address).await?;
+            witness.record(ObservedEvent::NodeStarted { node });
         }
         let stage = Rc::new(stage);
         for node in 0..nodes {
@@ -300,18 +300,19 @@
     }
 
     /// Writes what a life of a node is started by: a seed of its own, and the list that it last had.
-    fn write_files(&self, node: NodeNo, life: u64, address: SocketAddr) -> Result<(), String> {
+    fn write_files(&self, node: NodeIndex, life: u64, address: SocketAddr) -> Result<(), String> {
         let world = &self.trial.world;
-        let seed: u64 = self.fleet.random("node", node as u64 * 1000 + life).random();
+        let seed: u64 = self.fleet.rng("node", node as u64 * 1000 + life).random();
         let map = &self.trial.map;
         let place = if self.discoveries.len() == 1 { 0 } else { map.region_of[map.zone_of(node)] };
-        let at = process::Addresses {
+        let at = process::NodeAddresses {
             listen: address,
             discovery: self.discovery_for[node],
             peers: &self.peers[node],
-            staff: self.trial.staffed.then(|| SocketAddr::new(address.ip(), STAFF)),
+            operations: self.trial.staffed.then(|| SocketAddr::new(address.ip(), STAFF)),
         };
-        let config = process::configuration(world, node, &at, seed, self.discoveries[place].known(node));
+        let config =
+            process::node_configuration(world, node, &at, seed, self.discoveries[place].known_list(node));
         let mut operator = world.nodes.operator.clone();
         if self.trial.before.iter().any(|p| p.number == node) {
             let mut table: toml::Table = toml::from_str(&operator).map_err(|e| e.to_string())?;
@@ -319,13 +320,13 @@
             operator = toml::to_string(&table).map_err(|e| e.to_string())?;
         } else if let Some(members) = self.accord.get(node) {
             // Each node sees the others at addresses of its own.
-            operator = agreement::operator(&operator, members[node], members)?;
+            operator = agreement::operator_config(&operator, members[node], members)?;
         }
         process::write_files(&self.folder.join(format!("n{node}")), &config, &operator)
     }
 
     /// Opens a node's clients' socket for its processes, and the folder that they share.
-    fn hold_socket(&self, node: NodeNo, address: SocketAddr) -> Result<Platform, String> {
+    fn hold_socket(&self, node: NodeIndex, address: SocketAddr) -> Result<Platform, String> {
         let listener = StdListener::bind(address).map_err(|e| format!("cannot listen on {address}: {e}"))?;
         let folder = self.folder.join(format!("n{node}-shared"));
         std::fs::create_dir_all(&folder).map_err(|e| format!("cannot make {}: {e}", folder.display()))?;
@@ -343,14 +344,14 @@
     }
 
     /// The front asks a node again and again, and believes what it hears; what it does not hear for a while as well.
-    async fn front(self: Rc<Self>, node: NodeNo) {
-        let mut rng = self.fleet.random("front", node as u64);
+    async fn front(self: Rc<Self>, node: NodeIndex) {
+        let mut rng = self.fleet.rng("front", node as u64);
         let [least, most] = self.trial.world.nodes.front_notices_ms;
         let (mut heard, mut believes) = (Instant::now(), true);
         let mut notices = Duration::from_millis(rng.random_range(least..=most));
         loop {
             sleep(FRONT).await;
-            let yes = process::answers(self.nodes[node].front).await;
+            let yes = process::answers_ping(self.nodes[node].front).await;
             if yes {
                 heard = Instant::now();
                 notices = Duration::from_millis(rng.random_range(least..=most));
@@ -363,7 +364,7 @@
             let there = yes || believes && heard.elapsed() < notices;
             if there != believes {
                 believes = there;
-                self.clients.believe(node, there);
+                self.clients.set_reachable(node, there);
                 let what = if there { "again" } else { "no longer" };
                 self.tell(format!("the front sends to node {node} {what}"));
             }
@@ -372,18 +373,18 @@
 
     /// Puts something on the line of time.
     pub fn tell(&self, what: String) {
-        self.fleet.witness.saw(Seen::Fault(what));
+        self.fleet.observer.record(ObservedEvent::Fault(what));
     }
 
     /// What a node's process is doing.
-    pub fn doing(&self, node: NodeNo) -> Doing {
+    pub fn doing(&self, node: NodeIndex) -> Doing {
         self.nodes[node].doing.get()
     }
 
     /// Whether a node answers its clients with yes now, whatever the relays do.
-    pub async fn ready(&self, node: NodeNo) -> bool {
+    pub async fn ready(&self, node: NodeIndex) -> bool {
         let address = self.nodes[node].process.borrow().address;
-        process::answers(address).await
+        process::answers_ping(address).await
     }
 
     /// Kills a node, or a box: without a word to anybody.
@@ -395,9 +396,9 @@
             let mut boxes = self.boxes.borrow_mut();
             let Some(run) = boxes.get_mut(&party.number) else { return Ok(()) };
             if let Some(task) = run.task.take() {
-                self.fleet.witness.saw(Seen::BoxDown { at: party.number });
+                self.fleet.observer.record(ObservedEvent::CacheServerEnded { server: party.number });
                 task.abort();
-                self.fleet.remove(party.number);
+                self.fleet.remove_cache_server(party.number);
                 self.refuse_all(party, true);
             }
             return Ok(());
@@ -407,12 +408,12 @@
             return Ok(());
         }
         // Said first: clients see their connections end before the process is gone.
-        self.fleet.witness.saw(Seen::NodeDown { node, planned: false });
+        self.fleet.observer.record(ObservedEvent::NodeEnded { node, planned: false });
         run.doing.set(Doing::Ended);
         run.process.borrow().signal(Signal::SIGKILL);
         self.refuse_all(party, true);
         // A moment later it is gone: nothing else can come of this signal.
-        while run.process.borrow_mut().ended().is_none() {
+        while run.process.borrow_mut().exit_status().is_none() {
             sleep(Duration::from_millis(1)).await;
         }
         Ok(())
@@ -444,10 +445,11 @@
         let address = run.process.borrow().address;
         self.write_files(node, run.life.get(), address)?;
         let started = match &run.platform {
-            None => run.process.borrow_mut().start_again(),
+            None => run.process.borrow_mut().restart(),
             Some(platform) => {
                 let files = run.process.borrow().files().to_path_buf();
-                let process = Process::start_on(platform, run.staff.get(), &self.program, files, address);
+                let process =
+                    Process::start_with_socket(platform, run.staff.get(), &self.program, files, address);
                 process.map(|process| drop(run.process.replace(process)))
             }
         };
@@ -456,10 +458,10 @@
         run.doing.set(Doing::Runs);
         let (stage, life) = (self.clone(), run.life.get());
         spawn_local(async move {
-            let up = process::ready(address).await.is_ok();
+            let up = process::wait_until_ready(address).await.is_ok();
             let run = &stage.nodes[node];
             if up && run.life.get() == life && run.doing.get() == Doing::Runs {
-                stage.fleet.witness.saw(Seen::NodeUp { node });
+                stage.fleet.observer.record(ObservedEvent::NodeStarted { node });
                 stage.refuse_all(party, false);
             }
         });
@@ -482,12 +484,12 @@
             listeners.push(listener.map_err(|e| format!("box {number} cannot listen again: {e}"))?);
         }
         let started = HOST.unix_time().as_millis() as u64;
-        let task = live::serve(&self.fleet, number, life, Some(started), listeners);
+        let task = live::serve_cache(&self.fleet, number, life, Some(started), listeners);
         self.boxes.borrow_mut().insert(number, BoxRun { listens, task: Some(task), life });
         for discovery in &self.discoveries {
             if let Some(mut member) = discovery.member(number) {
-                member.started = started;
-                discovery.set(number, member);
+                member.started_ms = started;
+                discovery.update(number, member);
             }
         }
         self.refuse_all(party, false);
@@ -495,11 +497,11 @@
     }
 
     /// Discovery says something of a box from now on, whatever it is.
-    pub fn list(&self, number: BoxNo, phase: Phase) {
+    pub fn list(&self, number: ServerIndex, phase: Phase) {
         for discovery in &self.discoveries {
             if let Some(mut member) = discovery.member(number) {
                 member.phase = phase;
-                discovery.set(number, member);
+                discovery.update(number, member);
             }
         }
     }
@@ -508,7 +510,7 @@
     ///
     /// # Errors
     /// What the node says to it, or that it says nothing.
-    pub async fn order(&self, node: NodeNo, target: &str) -> Result<(), String> {
+    pub async fn order(&self, node: NodeIndex, target: &str) -> Result<(), String> {
         let address = self.nodes[node].process.borrow().address;
         let call = timeout(ORDERED, async {
             let mut stream = TcpStream::connect(SocketAddr::new(address.ip(), STAFF)).await?;
@@ -528,50 +530,50 @@
     }
 
     /// Stops a node's process in its midst: it holds all that it has open, and says nothing.
-    pub fn stop(&self, node: NodeNo) {
+    pub fn stop(&self, node: NodeIndex) {
         let run = &self.nodes[node];
         if run.doing.get() == Doing::Runs {
-            self.fleet.witness.saw(Seen::NodeDown { node, planned: false });
+            self.fleet.observer.record(ObservedEvent::NodeEnded { node, planned: false });
             run.doing.set(Doing::Stopped);
             run.process.borrow().signal(Signal::SIGSTOP);
         }
     }
 
     /// Lets a stopped process go on.
-    pub fn go_on(&self, node: NodeNo) {
+    pub fn go_on(&self, node: NodeIndex) {
         let run = &self.nodes[node];
         if run.doing.get() == Doing::Stopped {
-            self.fleet.witness.saw(Seen::NodeUp { node });
+            self.fleet.observer.record(ObservedEvent::NodeStarted { node });
             run.doing.set(Doing::Runs);
             run.process.borrow().signal(Signal::SIGCONT);
         }
     }
 
     /// Tells a node to end as at a planned restart; it is killed when its time is up.
-    pub fn end(self: &Rc<Self>, node: NodeNo) {
+    pub fn end(self: &Rc<Self>, node: NodeIndex) {
         let run = &self.nodes[node];
         if run.doing.get() != Doing::Runs {
             return;
         }
-        self.fleet.witness.saw(Seen::NodeStopping { node });
+        self.fleet.observer.record(ObservedEvent::NodeStopping { node });
         run.doing.set(Doing::Ending);
         run.process.borrow().signal(Signal::SIGTERM);
         let stage = self.clone();
         spawn_local(async move {
-            let until = Instant::now() + stage.trial.world.longest() + STOP;
+            let until = Instant::now() + stage.trial.world.longest_deadline() + STOP;
             let turns_away = Instant::now() + TURNS_AWAY;
             let run = &stage.nodes[node];
             loop {
-                let over = run.process.borrow_mut().ended().is_some();
+                let over = run.process.borrow_mut().exit_status().is_some();
                 if over || Instant::now() >= until {
                     break;
                 }
                 if Instant::now() >= turns_away {
-                    stage.clients.stop_using(node);
+                    stage.clients.stop_new_connections(node);
                 }
                 sleep(Duration::from_millis(20)).await;
             }
-            stage.fleet.witness.saw(Seen::NodeDown { node, planned: true });
+            stage.fleet.observer.record(ObservedEvent::NodeEnded { node, planned: true });
             run.process.borrow().signal(Signal::SIGKILL);
             run.doing.set(Doing::Ended);
             stage.refuse_all(stage.trial.map.node(node), true);
@@ -633,8 +635,8 @@
             if way.from.kind == Kind::Clients {
                 // What its clients lose is not the node's doing.
                 let node = way.to.number;
-                self.fleet.witness.saw(Seen::NodeDown { node, planned: false });
-                self.fleet.witness.saw(Seen::NodeUp { node });
+                self.fleet.observer.record(ObservedEvent::NodeEnded { node, planned: false });
+                self.fleet.observer.record(ObservedEvent::NodeStarted { node });
             }
             way.relay.change(|w| w.refused |= refuse);
             way.relay.reset();
@@ -662,14 +664,19 @@
                 _ => {}
             }
         }
-        let saw = |seen| self.fleet.witness.saw(seen);
+        let saw = |seen| self.fleet.observer.record(seen);
         let before = self.away.replace(away.clone());
-        away.difference(&before).for_each(|at| saw(Seen::BoxAway { at: *at, away: true }));
-        before.difference(&away).for_each(|at| saw(Seen::BoxAway { at: *at, away: false }));
+        away.difference(&before)
+            .for_each(|at| saw(ObservedEvent::ReachabilityChanged { server: *at, unreachable: true }));
+        before
+            .difference(&away)
+            .for_each(|at| saw(ObservedEvent::ReachabilityChanged { server: *at, unreachable: false }));
         let before = self.shut.replace(nodes.clone());
-        nodes.difference(&before).for_each(|node| saw(Seen::NodeDown { node: *node, planned: false }));
+        nodes
+            .difference(&before)
+            .for_each(|node| saw(ObservedEvent::NodeEnded { node: *node, planned: false }));
         for node in before.difference(&nodes).filter(|n| self.nodes[**n].doing.get() == Doing::Runs) {
-            saw(Seen::NodeUp { node: *node });
+            saw(ObservedEvent::NodeStarted { node: *node });
         }
     }
 
@@ -680,7 +687,7 @@
 
     /// Reads what nodes have written since the last look, and says which have ended that should not have.
     pub fn look_at_nodes(&self) -> Vec<String> {
-        let at_s = self.fleet.witness.elapsed().as_secs_f64();
+        let at_s = self.fleet.observer.elapsed().as_secs_f64();
         let mut ended = Vec::new();
         for (node, run) in self.nodes.iter().enumerate() {
             let path = run.process.borrow().files().with_extension("log");
@@ -698,10 +705,10 @@
                 log.extend(lines.map(|line| Line { at_s, node, text: line.to_owned() }));
             }
             if matches!(run.doing.get(), Doing::Runs | Doing::Stopped)
-                && let Some(status) = run.process.borrow_mut().ended()
+                && let Some(status) = run.process.borrow_mut().exit_status()
             {
                 run.doing.set(Doing::Ended);
-                self.fleet.witness.saw(Seen::NodeDown { node, planned: false });
+                self.fleet.observer.record(ObservedEvent::NodeEnded { node, planned: false });
                 ended.push(format!("node {node} has ended by itself: {status}"));
             }
         }
@@ -710,7 +717,7 @@
 
     /// CPU time and most memory (KiB) of the nodes that run, where the kernel tells.
     pub fn cost(&self) -> (Duration, u64) {
-        let cpu = self.nodes.iter().filter_map(|n| n.process.borrow().cpu()).sum();
+        let cpu = self.nodes.iter().filter_map(|n| n.process.borrow().cpu_time()).sum();
         let memory = self.nodes.iter().filter_map(|n| n.process.borrow().memory_kib()).max();
         (cpu, memory.unwrap_or(0))
     }
@@ -724,9 +731,9 @@
                 process.signal(Signal::SIGTERM);
             }
         }
-        let until = Instant::now() + self.trial.world.longest() + STOP;
+        let until = Instant::now() + self.trial.world.longest_deadline() + STOP;
         for run in &self.nodes {
-            while run.process.borrow_mut().ended().is_none() {
+            while run.process.borrow_mut().exit_status().is_none() {
                 if Instant::now() >= until {
                     run.process.borrow().signal(Signal::SIGKILL);
                 }
@@ -734,7 +741,7 @@
             }
             run.doing.set(Doing::Ended);
         }
-        self.fleet.end();
+        self.fleet.clear();
     }
 }
 
@@ -759,7 +766,7 @@
         }
         views.push(seen);
     }
-    let mut seeds = fleet.random("datagrams", port.into());
+    let mut seeds = fleet.rng("datagrams", port.into());
     let mut told = Vec::new();
     for (i, seen_by_i) in views.iter().enumerate() {
         let mut seen = Vec::new();
--- a/crates/trial/src/stage/lifecycle.rs
+++ b/crates/trial/src/stage/lifecycle.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use chalksill_world::observe::{NodeNo, Seen};
+use chalksill_world::observe::{NodeIndex, ObservedEvent};
 use chalksill_world::process::{self, Process};
 use nix::sys::signal::Signal;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -29,7 +29,7 @@
     ///
     /// # Errors
     /// That it says nothing.
-    pub async fn staff(&self, node: NodeNo, call: &str) -> Result<u16, String> {
+    pub async fn staff(&self, node: NodeIndex, call: &str) -> Result<u16, String> {
         let address = self.nodes[node].staff.get();
         let asked = timeout(ORDERED, async {
             let mut stream = TcpStream::connect(address).await?;
@@ -49,7 +49,7 @@
     }
 
     /// Sends a signal to a node's process, where that runs.
-    pub fn signal(&self, node: NodeNo, signal: Signal) {
+    pub fn signal(&self, node: NodeIndex, signal: Signal) {
         let run = &self.nodes[node];
         if run.doing.get() == Doing::Runs {
             run.process.borrow().signal(signal);
@@ -57,34 +57,34 @@
     }
 
     /// Which life of a node's process this is; `None` where it has ended or is to.
-    pub fn life(&self, node: NodeNo) -> Option<u64> {
+    pub fn life(&self, node: NodeIndex) -> Option<u64> {
         let run = &self.nodes[node];
         (run.doing.get() == Doing::Runs).then(|| run.life.get())
     }
 
     /// The span from SIGTERM to the earliest SIGKILL.
     pub fn earliest_kill(&self) -> Duration {
-        self.trial.world.longest().min(LONGEST_COUNTED) + KILL_AFTER
+        self.trial.world.longest_deadline().min(LONGEST_COUNTED) + KILL_AFTER
     }
 
     /// Tells a node to end and kills it at the earliest time; whether it had ended by itself by then.
-    pub async fn end_early(self: &Rc<Self>, node: NodeNo) -> bool {
+    pub async fn end_early(self: &Rc<Self>, node: NodeIndex) -> bool {
         let run = &self.nodes[node];
         if run.doing.get() != Doing::Runs {
             return true;
         }
-        self.fleet.witness.saw(Seen::NodeStopping { node });
+        self.fleet.observer.record(ObservedEvent::NodeStopping { node });
         run.doing.set(Doing::Ending);
         run.process.borrow().signal(Signal::SIGTERM);
         let told = Instant::now();
         let mut in_order = false;
         while told.elapsed() < self.earliest_kill() {
-            if let Some(status) = run.process.borrow_mut().ended() {
+            if let Some(status) = run.process.borrow_mut().exit_status() {
                 in_order = status.success();
                 break;
             }
             if told.elapsed() >= TURNS_AWAY {
-                self.clients.stop_using(node);
+                self.clients.stop_new_connections(node);
             }
             sleep(LOOK).await;
         }
@@ -92,9 +92,9 @@
         // What has ended by itself is judged by what its clients saw, which has to reach them first.
         sleep(if in_order { SETTLES } else { Duration::ZERO }).await;
         if !in_order {
-            self.fleet.witness.saw(Seen::EndOverdue { node });
+            self.fleet.observer.record(ObservedEvent::StopOverdue { node });
         }
-        self.fleet.witness.saw(Seen::NodeDown { node, planned: true });
+        self.fleet.observer.record(ObservedEvent::NodeEnded { node, planned: true });
         run.doing.set(Doing::Ended);
         self.refuse_all(self.trial.map.node(node), true);
         in_order
@@ -104,7 +104,7 @@
     ///
     /// # Errors
     /// A new version that does not come up.
-    pub async fn upgrade(self: &Rc<Self>, node: NodeNo) -> Result<(), String> {
+    pub async fn upgrade(self: &Rc<Self>, node: NodeIndex) -> Result<(), String> {
         let run = &self.nodes[node];
         let Some(platform) = run.platform.as_ref().filter(|_| run.doing.get() == Doing::Runs) else {
             return Ok(());
@@ -113,10 +113,10 @@
         let mut staff = before;
         staff.set_port(if before.port() == STAFF { STAFF + 1 } else { STAFF });
         let files = run.process.borrow().files().to_path_buf();
-        let new = Process::start_on(platform, staff, &self.program, files, address)?;
+        let new = Process::start_with_socket(platform, staff, &self.program, files, address)?;
         self.note_process(&new)?;
         let begun = Instant::now();
-        while !process::says_ready(staff).await {
+        while !process::reports_ready(staff).await {
             if begun.elapsed() > TAKES_OVER {
                 return Err(format!("the new version of node {node} does not say yes"));
             }
@@ -132,12 +132,12 @@
         old.signal(Signal::SIGTERM);
         let told = Instant::now();
         while told.elapsed() < self.earliest_kill() {
-            if old.ended().is_some() {
+            if old.exit_status().is_some() {
                 return Ok(());
             }
             sleep(LOOK).await;
         }
-        self.fleet.witness.saw(Seen::EndOverdue { node });
+        self.fleet.observer.record(ObservedEvent::StopOverdue { node });
         old.kill().await.map_err(|e| format!("cannot kill the old version of node {node}: {e}"))
     }
 }
--- a/crates/world/src/agreement.rs
+++ b/crates/world/src/agreement.rs
@@ -8,33 +8,33 @@
 
 /// A plan as a node's log tells it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Told {
+pub struct ReportedPlan {
     /// The round of the decider's tenure, the plan's number in it, and the decider.
     pub number: (u32, u32, u16),
     /// What it says.
-    pub says: String,
+    pub description: String,
 }
 
-impl Told {
+impl ReportedPlan {
     /// Reads a line of a log; `None` where it tells of no plan.
-    pub fn read(line: &str) -> Option<Told> {
+    pub fn parse(line: &str) -> Option<ReportedPlan> {
         let (_, told) = line.split_once("accord: plan ")?;
         let (number, rest) = told.split_once(" of node ")?;
         let (round, sequence) = number.split_once('.')?;
         let (voter, says) = rest.split_once(": ")?;
         let number = (round.parse().ok()?, sequence.parse().ok()?, voter.parse().ok()?);
-        Some(Told { number, says: says.to_owned() })
+        Some(ReportedPlan { number, description: says.to_owned() })
     }
 
     /// The zones that it gives up.
-    pub fn away(&self) -> BTreeSet<&str> {
-        let zones = self.says.split("; ").filter_map(|zone| zone.split_once(" is given up"));
+    pub fn given_up_zones(&self) -> BTreeSet<&str> {
+        let zones = self.description.split("; ").filter_map(|zone| zone.split_once(" is given up"));
         zones.map(|(zone, _)| zone).collect()
     }
 }
 
 /// Whether a line of a log says that its node decides from now on, or no longer.
-pub fn decides(line: &str) -> Option<bool> {
+pub fn leadership_change(line: &str) -> Option<bool> {
     if line.contains("accord: this node decides from now on") {
         return Some(true);
     }
@@ -46,7 +46,7 @@
 ///
 /// # Errors
 /// A file that is no TOML.
-pub fn operator(text: &str, own: SocketAddr, members: &[SocketAddr]) -> Result<String, String> {
+pub fn operator_config(text: &str, own: SocketAddr, members: &[SocketAddr]) -> Result<String, String> {
     let mut table: toml::Table = toml::from_str(text).map_err(|e| format!("the operator's file: {e}"))?;
     let Some(accord) = table.get_mut("accord").and_then(toml::Value::as_table_mut) else {
         return Ok(text.to_owned());
@@ -67,16 +67,16 @@
     #[test]
     fn lines_of_plans_are_read_and_others_are_not() {
         let line = "mothpier: accord: plan 6.3 of node 1: south is given up, 40% of its keys go there; east is suspected, 100% of its keys go there";
-        let told = Told::read(line).unwrap();
+        let told = ReportedPlan::parse(line).unwrap();
         assert_eq!(told.number, (6, 3, 1));
-        assert_eq!(told.away(), BTreeSet::from(["south"]));
+        assert_eq!(told.given_up_zones(), BTreeSet::from(["south"]));
         for other in
             ["accord: plan x.3 of node 1: all zones serve", "accord: this node decides from now on (round 6)"]
         {
-            assert_eq!(Told::read(other), None);
+            assert_eq!(ReportedPlan::parse(other), None);
         }
-        assert_eq!(decides("accord: this node decides from now on (round 6)"), Some(true));
-        assert_eq!(decides("accord: this node no longer decides"), Some(false));
-        assert_eq!(decides(line), None);
+        assert_eq!(leadership_change("accord: this node decides from now on (round 6)"), Some(true));
+        assert_eq!(leadership_change("accord: this node no longer decides"), Some(false));
+        assert_eq!(leadership_change(line), None);
     }
 }
--- a/crates/world/src/cache.rs
+++ b/crates/world/src/cache.rs
@@ -19,7 +19,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use crate::fleet::Fleet;
-use crate::observe::{BoxNo, How, NodeNo, RequestNo, Seen};
+use crate::observe::{AttemptOutcome, NodeIndex, ObservedEvent, RequestId, ServerIndex};
 
 pub mod second_answers;
 
@@ -82,9 +82,9 @@
 }
 
 /// One life of a box.
-pub struct Cache {
+pub struct CacheServer {
     /// Its number.
-    pub number: BoxNo,
+    pub number: ServerIndex,
     fleet: Rc<Fleet>,
     speed: f64,
     cold_since: Option<Instant>,
@@ -108,7 +108,7 @@
 
 /// The figures of an attempt, read off its command.
 struct Asked {
-    request: RequestNo,
+    request: RequestId,
     key: u64,
     class: usize,
     write: bool,
@@ -124,7 +124,7 @@
 
 /// An answer that is due on a connection, in the order of the commands.
 enum Due {
-    Attempt(RequestNo, oneshot::Receiver<(Bytes, How)>),
+    Attempt(RequestId, oneshot::Receiver<(Bytes, AttemptOutcome)>),
     Line(&'static [u8]),
 }
 
@@ -132,21 +132,21 @@
 struct Answer {
     bytes: Bytes,
     /// The attempt that it answers and what became of that; `None` for a command that is no attempt.
-    of: Option<(RequestNo, How)>,
+    of: Option<(RequestId, AttemptOutcome)>,
 }
 
 /// The connection that waits for an attempt's answer.
 struct Waiter {
-    done: oneshot::Sender<(Bytes, How)>,
+    done: oneshot::Sender<(Bytes, AttemptOutcome)>,
     /// Closed when the connection is.
     closed: Rc<Semaphore>,
 }
 
-impl Cache {
+impl CacheServer {
     /// A box that starts now; a cold one holds nothing.
-    pub fn new(fleet: &Rc<Fleet>, number: BoxNo, life: u64, cold: bool) -> Rc<Cache> {
+    pub fn new(fleet: &Rc<Fleet>, number: ServerIndex, life: u64, cold: bool) -> Rc<CacheServer> {
         let boxes = &fleet.scenario.boxes;
-        Rc::new(Cache {
+        Rc::new(CacheServer {
             number,
             fleet: fleet.clone(),
             speed: boxes.speeds[number % boxes.speeds.len()],
@@ -161,13 +161,13 @@
             fell: Notify::new(),
             spoil: Spoil::default(),
             draining: Cell::new(false),
-            rng: RefCell::new(fleet.random("box", number as u64 * 1000 + life)),
-            second_answers_rng: RefCell::new(fleet.random("second answers", number as u64 * 1000 + life)),
+            rng: RefCell::new(fleet.rng("box", number as u64 * 1000 + life)),
+            second_answers_rng: RefCell::new(fleet.rng("second answers", number as u64 * 1000 + life)),
         })
     }
 
     /// What it can do when warm: core-milliseconds of speed 1 in a millisecond.
-    pub fn power(&self) -> f64 {
+    pub fn capacity(&self) -> f64 {
         self.speed * self.fleet.scenario.boxes.cores as f64
     }
 
@@ -197,7 +197,11 @@
     }
 
     /// Serves connections until its tasks are dropped. `node` tells who asks, by the address of the other side.
-    pub async fn serve<H: Host>(self: Rc<Self>, listener: H::Listener, node: impl Fn(SocketAddr) -> NodeNo) {
+    pub async fn serve<H: Host>(
+        self: Rc<Self>,
+        listener: H::Listener,
+        node: impl Fn(SocketAddr) -> NodeIndex,
+    ) {
         loop {
             let Ok((stream, from)) = listener.accept().await else { continue };
             let (cache, node) = (self.clone(), node(from));
@@ -209,7 +213,7 @@
         }
     }
 
-    async fn connection<S: Stream>(self: Rc<Self>, stream: S, node: NodeNo) {
+    async fn connection<S: Stream>(self: Rc<Self>, stream: S, node: NodeIndex) {
         let (reading, mut writing) = stream.into_halves();
         let crowded = self.connections.get() > self.fleet.scenario.boxes.connections;
         let handshake = self.fleet.scenario.boxes.handshake_ms;
@@ -225,7 +229,11 @@
             closed.close();
             for due in pending.drain(..) {
                 if let Due::Attempt(request, _) = due {
-                    self.fleet.witness.saw(Seen::Abandoned { at: self.number, node, request });
+                    self.fleet.observer.record(ObservedEvent::AttemptAbandoned {
+                        server: self.number,
+                        node,
+                        request,
+                    });
                 }
             }
         };
@@ -239,7 +247,7 @@
                             let waiter = Waiter { done, closed: closed.clone() };
                             pending.push_back(Due::Attempt(asked.request, answer));
                             let extra = if std::mem::take(&mut first) { handshake } else { 0.0 };
-                            let came = self.fleet.witness.since_beginning(came);
+                            let came = self.fleet.observer.since_start(came);
                             self.clone().begin(asked, node, came, extra, crowded, waiter);
                         }
                         Ok(Command::Other(line)) => pending.push_back(Due::Line(line)),
@@ -259,7 +267,7 @@
                 biased;
                 repeat = second_answers.next() => {
                     let second_answers::Repeat { request, bytes } = repeat;
-                    self.fleet.witness.saw(Seen::SecondAnswer { at: self.number, node, request, waiting });
+                    self.fleet.observer.record(ObservedEvent::DuplicateResponse { server: self.number, node, request, pending: waiting });
                     if !write_in_pieces(&mut writing, &bytes).await {
                         return lost(&mut pending);
                     }
@@ -271,9 +279,9 @@
                         let draw: f64 = self.rng.borrow_mut().random();
                         let (resets, stalls) = (self.spoil.resets.get(), self.spoil.stalls.get());
                         let spoilt = draw < resets + stalls;
-                        self.fleet.witness.saw(Seen::Ended {
-                            at: self.number, node, request,
-                            how: if spoilt { How::Silent { begun: true } } else { how },
+                        self.fleet.observer.record(ObservedEvent::AttemptEnded {
+                            server: self.number, node, request,
+                            outcome: if spoilt { AttemptOutcome::Dropped { started: true } } else { how },
                         });
                         if spoilt {
                             let _ = writing.write_all(&bytes[..bytes.len() / 2]).await;
@@ -337,7 +345,7 @@
     fn begin(
         self: Rc<Self>,
         asked: Asked,
-        node: NodeNo,
+        node: NodeIndex,
         came: Duration,
         extra: f64,
         crowded: bool,
@@ -351,10 +359,19 @@
         let work = extra + if held { whole } else { whole * boxes.miss_work };
         let Asked { request, write, .. } = asked;
         let until = came + asked.wait;
-        let arrived = Seen::Arrived { at: self.number, node, request, write, work, running: 0, came, until };
-        self.fleet.witness.saw(arrived);
+        let arrived = ObservedEvent::AttemptArrived {
+            server: self.number,
+            node,
+            request,
+            is_write: write,
+            work,
+            running: 0,
+            received_at: came,
+            deadline: until,
+        };
+        self.fleet.observer.record(arrived);
         self.press(work);
-        let busy = || (resp::encode_error("BUSY"), How::Busy);
+        let busy = || (resp::encode_error("BUSY"), AttemptOutcome::Busy);
         let full = self.waiting.get() >= boxes.room && self.cores.available_permits() == 0;
         if crowded || full || self.draining.get() || self.fallen.get() {
             let _ = done.send(busy());
@@ -377,14 +394,14 @@
         });
     }
 
-    fn look(&self, asked: &Asked) -> (Bytes, How) {
+    fn look(&self, asked: &Asked) -> (Bytes, AttemptOutcome) {
         let word = |w: &str| BytesFrame::BulkString(Bytes::copy_from_slice(w.as_bytes()));
         let answer =
             |value, how: &str| resp::encode(&BytesFrame::Array(vec![value, word(how), BytesFrame::Null]));
         if !asked.write && self.memory.borrow_mut().touch(asked.key) {
             let value = self.fleet.value(asked.key, asked.request, self.number);
             let bytes = value.bytes(self.fleet.filling(asked.key));
-            return (answer(BytesFrame::BulkString(bytes), "hit"), How::Value(value));
+            return (answer(BytesFrame::BulkString(bytes), "hit"), AttemptOutcome::Value(value));
         }
         self.fleet.missed(asked.request, self.number);
         let now = Instant::now();
@@ -394,7 +411,7 @@
             fetching.retain(|_, until| *until > now);
             fetching.insert(asked.key, now + Duration::from_millis(300));
         }
-        (answer(BytesFrame::Null, if pending { "pending" } else { "miss" }), How::Miss)
+        (answer(BytesFrame::Null, if pending { "pending" } else { "miss" }), AttemptOutcome::Miss)
     }
 
     /// All work that reaches a cold box presses on it, also what it turns away. Sent more than the stated multiple of
@@ -413,9 +430,9 @@
             sent.pop_front();
         }
         let all: f64 = sent.iter().map(|(_, w)| w).sum();
-        if all > rules.fall_multiple * warmth * self.power() * rules.fall_ms as f64 + 4.0 * work {
+        if all > rules.fall_multiple * warmth * self.capacity() * rules.fall_ms as f64 + 4.0 * work {
             self.fallen.set(true);
-            self.fleet.witness.saw(Seen::BoxFell { at: self.number });
+            self.fleet.observer.record(ObservedEvent::CacheServerCollapsed { server: self.number });
             self.fell.notify_one();
         }
     }
--- a/crates/world/src/cache/second_answers.rs
+++ b/crates/world/src/cache/second_answers.rs
@@ -10,7 +10,7 @@
 use rand_pcg::Pcg64Mcg;
 use tokio::time::{Instant, sleep_until};
 
-use crate::observe::RequestNo;
+use crate::observe::RequestId;
 
 /// The part of the second answers that follow the first ones at once.
 const AT_ONCE: f64 = 0.2;
@@ -38,7 +38,7 @@
 /// An answer that is to be given again, byte by byte the same.
 pub struct Repeat {
     /// What it answered; `None` for a command that is no attempt.
-    pub request: Option<RequestNo>,
+    pub request: Option<RequestId>,
     /// The answer.
     pub bytes: Bytes,
 }
@@ -52,7 +52,7 @@
 
 impl Queue {
     /// Plans a second answer, where one is drawn, for an answer that was given just now.
-    pub fn plan(&mut self, figures: &Figures, rng: &mut Pcg64Mcg, request: Option<RequestNo>, bytes: &Bytes) {
+    pub fn plan(&mut self, figures: &Figures, rng: &mut Pcg64Mcg, request: Option<RequestId>, bytes: &Bytes) {
         let Some(late) = figures.draw(rng) else { return };
         self.planned += 1;
         let repeat = Repeat { request, bytes: bytes.clone() };
--- a/crates/world/src/clients.rs
+++ b/crates/world/src/clients.rs
@@ -22,7 +22,7 @@
 
 pub(crate) use crate::cache::read;
 use crate::fleet::Fleet;
-use crate::observe::{NodeNo, Reply, RequestNo, Seen, Witness};
+use crate::observe::{NodeIndex, ObservedEvent, Observer, Reply, RequestId};
 use crate::scenario::{Effect, Habit};
 use crate::values::Value;
 
@@ -48,7 +48,7 @@
 
 /// How one first try ended, all its tries together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum FinalOutcome {
     /// Served.
     Served,
     /// Refused at last.
@@ -61,17 +61,17 @@
 
 /// One first try and what became of it.
 #[derive(Clone, Copy, Debug)]
-pub struct Played {
+pub struct CompletedRequest {
     /// When it was due, from the beginning.
-    pub due: Duration,
+    pub due_at: Duration,
     /// Its class.
     pub class: usize,
     /// Its tenant.
     pub tenant: usize,
     /// Its end.
-    pub end: End,
+    pub outcome: FinalOutcome,
     /// From when it was due to that end.
-    pub took: Duration,
+    pub latency: Duration,
     /// How many tries there were.
     pub tries: u32,
 }
@@ -90,13 +90,13 @@
 impl<S: Stream> Kept<S> {
     /// Whether it is still open and nothing has come on it; what has come is told of, for nothing was owed. Only a
     /// connection that was never used may be told why it is closed.
-    fn good(&mut self, node: NodeNo, witness: &Witness) -> bool {
+    fn good(&mut self, node: NodeIndex, witness: &Observer) -> bool {
         self.buffer.reserve(64);
         match self.reading.try_read_buf(&mut self.buffer) {
             Err(e) => e.kind() == std::io::ErrorKind::WouldBlock,
             Ok(read) => {
                 if read > 0 && (self.used || self.buffer.first() != Some(&b'-')) {
-                    witness.saw(Seen::Unasked { node });
+                    witness.record(ObservedEvent::UnsolicitedReply { node });
                 }
                 false
             }
@@ -113,18 +113,18 @@
     zones: usize,
     /// Whether the front believes that a node is there.
     believed: RefCell<Vec<bool>>,
-    kept: RefCell<BTreeMap<NodeNo, Vec<Kept<H::Stream>>>>,
+    kept: RefCell<BTreeMap<NodeIndex, Vec<Kept<H::Stream>>>>,
     /// What may be open to each node: clients use a third of a node's descriptors at most.
     places: Vec<Rc<Semaphore>>,
     callers: RefCell<Vec<Caller<H::Stream>>>,
-    next: Cell<RequestNo>,
+    next: Cell<RequestId>,
     under_way: Cell<usize>,
-    played: Box<dyn Fn(Played)>,
+    played: Box<dyn Fn(CompletedRequest)>,
 }
 
 /// One of many clients that have a connection of their own each.
 struct Caller<S: Stream> {
-    own: Option<(NodeNo, Kept<S>)>,
+    own: Option<(NodeIndex, Kept<S>)>,
     /// Tries of it that are under way, one of which may have its connection.
     busy: usize,
     zone: usize,
@@ -158,12 +158,12 @@
         host: H,
         fleet: &Rc<Fleet>,
         nodes: Vec<SocketAddr>,
-        played: impl Fn(Played) + 'static,
+        played: impl Fn(CompletedRequest) + 'static,
     ) -> Rc<Self> {
         let zones = fleet.scenario.zones.len().min(nodes.len());
         let load = &fleet.scenario.load;
         let caller = |number: usize| {
-            let mut rng = fleet.random("caller", number as u64);
+            let mut rng = fleet.rng("caller", number as u64);
             Caller {
                 own: None,
                 busy: 0,
@@ -191,7 +191,7 @@
     }
 
     /// The front notices that a node is gone or there again.
-    pub fn believe(&self, node: NodeNo, there: bool) {
+    pub fn set_reachable(&self, node: NodeIndex, there: bool) {
         self.believed.borrow_mut()[node] = there;
         if !there {
             self.kept.borrow_mut().remove(&node);
@@ -202,7 +202,7 @@
     }
 
     /// A node is stopping: no new connections to it, those that are kept stay in use for as long as they are open.
-    pub fn stop_using(&self, node: NodeNo) {
+    pub fn stop_new_connections(&self, node: NodeIndex) {
         self.believed.borrow_mut()[node] = false;
     }
 
@@ -212,24 +212,24 @@
     }
 
     /// A new connection to a node.
-    pub(crate) async fn open(&self, node: NodeNo) -> Option<H::Stream> {
+    pub(crate) async fn open(&self, node: NodeIndex) -> Option<H::Stream> {
         self.host.connect(self.nodes[node]).await.ok()
     }
 
     /// A node that the front believes in, for a client of any zone.
-    pub(crate) fn choose_any(&self, rng: &mut Pcg64Mcg) -> Option<NodeNo> {
+    pub(crate) fn choose_any(&self, rng: &mut Pcg64Mcg) -> Option<NodeIndex> {
         self.choose(rng.random_range(0..self.zones), rng)
     }
 
     /// Requests without an end yet.
-    pub fn under_way(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.under_way.get()
     }
 
     /// Lets requests arrive for a time, open loop.
-    pub async fn play(self: Rc<Self>, span: Duration) {
+    pub async fn generate_load(self: Rc<Self>, span: Duration) {
         let scenario = self.fleet.scenario.clone();
-        let mut rng = self.fleet.random("arrivals", 0);
+        let mut rng = self.fleet.rng("arrivals", 0);
         let begin = Instant::now();
         let mut due = begin;
         let popular = Zipf::new(scenario.load.keys as f64, scenario.load.zipf).ok();
@@ -239,10 +239,10 @@
             spawn_local(self.clone().stay_connected(number, after, begin + span));
         }
         loop {
-            let rate = scenario.load.rate * self.fleet.knobs.burst.get();
+            let rate = scenario.load.rate * self.fleet.fault_settings.load_factor.get();
             let pause: f64 = Exp::new(rate).map_or(1.0, |e| e.sample(&mut rng));
             due += Duration::from_secs_f64(pause);
-            if let Some(quiet_until) = self.fleet.knobs.quiet_until.get() {
+            if let Some(quiet_until) = self.fleet.fault_settings.quiet_until.get() {
                 due = due.max(quiet_until);
             }
             if due - begin >= span {
@@ -271,14 +271,14 @@
 
     /// A caller that connects again when its connection is lost, as libraries do that keep one open.
     async fn stay_connected(self: Rc<Self>, number: usize, after: Duration, until: Instant) {
-        let mut rng = self.fleet.random("eager", number as u64);
+        let mut rng = self.fleet.rng("eager", number as u64);
         sleep(after).await;
         let (mut tries, mut failed) = (0, false);
         while Instant::now() < until {
             let brief;
             let zone = {
                 let caller = &mut self.callers.borrow_mut()[number];
-                let witness = &self.fleet.witness;
+                let witness = &self.fleet.observer;
                 let lost = caller.own.take_if(|(node, kept)| !kept.good(*node, witness));
                 brief = lost.is_some_and(|(_, kept)| kept.made.elapsed() < BRIEF);
                 (caller.own.is_none() && caller.busy == 0).then_some(caller.zone)
@@ -300,10 +300,11 @@
     }
 
     /// Connections that never finish a command, so many a second, for a time: half send nothing, half a first piece.
-    pub async fn crowd(self: Rc<Self>, per_s: f64, span: Duration) {
+    pub async fn open_stalled_connections(self: Rc<Self>, per_s: f64, span: Duration) {
         let begin = Instant::now();
-        let mut rng =
-            self.fleet.random("crowd", begin.duration_since(self.fleet.witness.start()).as_millis() as u64);
+        let mut rng = self
+            .fleet
+            .rng("crowd", begin.duration_since(self.fleet.observer.started_at()).as_millis() as u64);
         let apart = Duration::from_secs_f64(1.0 / per_s);
         while begin.elapsed() < span {
             let node = rng.random_range(0..self.nodes.len());
@@ -315,15 +316,15 @@
     }
 
     /// A connection that finishes no command, until it is closed or its time is up.
-    async fn hang(&self, node: NodeNo, says: bool) {
+    async fn hang(&self, node: NodeIndex, says: bool) {
         let Some(mut kept) = self.connect(node, CONNECT).await else { return };
         if says && kept.writing.write_all(b"*4\r\n$9\r\nCAC").await.is_err() {
             return;
         }
         let told = timeout(HANGING, read(&kept.reading, &mut kept.buffer)).await;
         if told.is_err() && self.believed.borrow()[node] {
-            let made = kept.made.duration_since(self.fleet.witness.start());
-            self.fleet.witness.saw(Seen::Hanging { node, made });
+            let made = kept.made.duration_since(self.fleet.observer.started_at());
+            self.fleet.observer.record(ObservedEvent::StalledConnectionKept { node, connected_at: made });
         }
     }
 
@@ -333,18 +334,18 @@
         self.fleet.scenario.load.habits.get(place)
     }
 
-    async fn connect(&self, node: NodeNo, within: Duration) -> Option<Kept<H::Stream>> {
+    async fn connect(&self, node: NodeIndex, within: Duration) -> Option<Kept<H::Stream>> {
         let begun = Instant::now();
         let stream = timeout(within, self.host.connect(self.nodes[node])).await.ok()?.ok()?;
         if self.fleet.scenario.load.callers > 0 {
-            self.fleet.witness.saw(Seen::Connected { node });
+            self.fleet.observer.record(ObservedEvent::ClientConnected { node });
         }
         let (reading, writing) = stream.into_halves();
         Some(Kept { reading, writing, buffer: BytesMut::new(), used: false, made: Instant::now(), begun })
     }
 
     /// One first try with its retries.
-    async fn one(&self, first: First) -> Played {
+    async fn one(&self, first: First) -> CompletedRequest {
         let First { due, class, tenant, key, zone, seed, caller } = first;
         let scenario = &self.fleet.scenario;
         let mut rng = <Pcg64Mcg as rand::SeedableRng>::seed_from_u64(seed);
@@ -354,7 +355,7 @@
         let heeds = rng.random::<f64>() < scenario.load.heeds_advice;
         let token: u64 = rng.random();
         let first = self.next.get();
-        let (mut tries, mut end) = (0, End::Unanswered);
+        let (mut tries, mut end) = (0, FinalOutcome::Unanswered);
         while tries <= scenario.load.retries {
             let left = ends.saturating_duration_since(Instant::now());
             let part = least + (most - least) * rng.random::<f64>();
@@ -365,7 +366,7 @@
             let own = caller.and_then(|n| self.callers.borrow()[n].own.as_ref().map(|(node, _)| *node));
             let own = own.filter(|node| self.believed.borrow()[*node]);
             let Some(node) = own.or_else(|| self.choose(zone, &mut rng)) else {
-                end = End::Unanswered;
+                end = FinalOutcome::Unanswered;
                 break;
             };
             tries += 1;
@@ -376,25 +377,25 @@
             };
             match self.ask(&ask, &mut rng).await {
                 Outcome::Served => {
-                    end = End::Served;
+                    end = FinalOutcome::Served;
                     break;
                 }
                 Outcome::Refused(ms) => {
-                    end = End::Refused;
+                    end = FinalOutcome::Refused;
                     if heeds && ms > 0 {
                         wait = ms.min(scenario.rules.max_retry_after_ms);
                     }
                 }
                 Outcome::Failed if c.effect == Effect::SideEffect => {
-                    end = End::Failed;
+                    end = FinalOutcome::Failed;
                     break;
                 }
-                Outcome::Failed => end = End::Failed,
+                Outcome::Failed => end = FinalOutcome::Failed,
                 Outcome::None if c.effect == Effect::SideEffect => {
-                    end = End::Unanswered;
+                    end = FinalOutcome::Unanswered;
                     break;
                 }
-                Outcome::None => end = End::Unanswered,
+                Outcome::None => end = FinalOutcome::Unanswered,
             }
             // A keyed write is repeated within its window only.
             if c.effect == Effect::Token
@@ -406,17 +407,17 @@
                 sleep(Duration::from_millis(wait)).await;
             }
         }
-        let due_at = due.saturating_duration_since(self.fleet.witness.start());
-        Played { due: due_at, class, tenant, end, took: due.elapsed(), tries }
+        let due_at = due.saturating_duration_since(self.fleet.observer.started_at());
+        CompletedRequest { due_at, class, tenant, outcome: end, latency: due.elapsed(), tries }
     }
 
     /// The front deals connections out over the nodes of the zone, or of all when none there is believed alive.
-    fn choose(&self, zone: usize, rng: &mut Pcg64Mcg) -> Option<NodeNo> {
+    fn choose(&self, zone: usize, rng: &mut Pcg64Mcg) -> Option<NodeIndex> {
         let believed = self.believed.borrow();
-        let there = |n: &NodeNo| believed[*n];
-        let near: Vec<NodeNo> =
+        let there = |n: &NodeIndex| believed[*n];
+        let near: Vec<NodeIndex> =
             (0..self.nodes.len()).filter(|n| n % self.zones == zone).filter(there).collect();
-        let all: Vec<NodeNo> = (0..self.nodes.len()).filter(there).collect();
+        let all: Vec<NodeIndex> = (0..self.nodes.len()).filter(there).collect();
         let from = if near.is_empty() { all } else { near };
         (!from.is_empty()).then(|| from[rng.random_range(0..from.len())])
     }
@@ -454,7 +455,7 @@
             kept.used = true;
             let patience = ask.patience.saturating_sub(begin.elapsed());
             let command = self.command(ask, request, patience);
-            let part = self.fleet.knobs.slow_heads.get();
+            let part = self.fleet.fault_settings.slow_heads.get();
             let in_pieces = part > 0.0 && rng.random::<f64>() < part;
             let written = match in_pieces {
                 true => write_slowly(&mut kept.writing, &command, rng).await,
@@ -466,11 +467,19 @@
                 }
                 continue;
             }
-            let saw = |seen| self.fleet.witness.saw(seen);
+            let saw = |seen| self.fleet.observer.record(seen);
             let &Ask { first, node, class, tenant, key, .. } = ask;
-            saw(Seen::Asked { request, first, node, class, tenant, key, patience });
+            saw(ObservedEvent::RequestSent {
+                request,
+                first_try: first,
+                node,
+                class,
+                tenant,
+                key,
+                timeout: patience,
+            });
             let sent = Instant::now();
-            let knobs = &self.fleet.knobs;
+            let knobs = &self.fleet.fault_settings;
             let early = rng.random::<f64>() < knobs.leavers.get();
             let wait = if early { patience.mul_f64(rng.random::<f64>()) } else { patience + LATE };
             let slow = rng.random::<f64>() < knobs.slow_readers.get();
@@ -482,7 +491,7 @@
                     Ok(Some(frame)) => break Some(frame),
                     Ok(None) => {}
                     Err(_) => {
-                        saw(Seen::Garbled { request });
+                        saw(ObservedEvent::MalformedReply { request });
                         return Outcome::Failed;
                     }
                 }
@@ -492,39 +501,39 @@
                     Err(_) => {
                         // A value that has begun was in time; how long the rest takes is its server's affair.
                         let early = early || passed_on(&kept.buffer);
-                        saw(Seen::Left { request, early });
+                        saw(ObservedEvent::ClientLeft { request, early });
                         return Outcome::None;
                     }
                 }
             };
             let Some(frame) = frame else {
                 if passed_on(&kept.buffer) {
-                    saw(Seen::Cut { request });
+                    saw(ObservedEvent::TruncatedReply { request });
                     return Outcome::Failed;
                 }
                 // One that was not looking can't know when the close came.
                 let crossed = slow || in_pieces || sent.elapsed() <= CROSSING;
                 if !fresh && kept.buffer.is_empty() && crossed {
-                    saw(Seen::Crossed { request });
+                    saw(ObservedEvent::RacedWithClose { request });
                     continue;
                 }
                 // The first request of a connection that is closed without a word has failed.
                 if in_pieces && kept.buffer.is_empty() {
-                    saw(Seen::Crossed { request });
+                    saw(ObservedEvent::RacedWithClose { request });
                     return Outcome::None;
                 }
-                let begun = kept.begun.duration_since(self.fleet.witness.start());
-                saw(Seen::Lost { request, begun });
+                let begun = kept.begun.duration_since(self.fleet.observer.started_at());
+                saw(ObservedEvent::ConnectionLost { request, connect_started: begun });
                 return Outcome::None;
             };
             let reply = reply(&frame);
             let Some(reply) = reply else {
-                saw(Seen::Garbled { request });
+                saw(ObservedEvent::MalformedReply { request });
                 return Outcome::Failed;
             };
-            saw(Seen::Answered { request, reply, slow });
+            saw(ObservedEvent::ReplyReceived { request, reply, slow_reader: slow });
             if !kept.buffer.is_empty() {
-                saw(Seen::Unasked { node });
+                saw(ObservedEvent::UnsolicitedReply { node });
             } else {
                 self.keep(node, ask.caller, kept);
             }
@@ -537,7 +546,7 @@
         Outcome::None
     }
 
-    fn command(&self, ask: &Ask, request: RequestNo, patience: Duration) -> bytes::Bytes {
+    fn command(&self, ask: &Ask, request: RequestId, patience: Duration) -> bytes::Bytes {
         let scenario = &self.fleet.scenario;
         let class = &scenario.class[ask.class];
         let mut extras = format!("c={}", class.name);
@@ -559,22 +568,22 @@
     }
 
     /// A kept connection that is still good; the one used last first.
-    fn take(&self, node: NodeNo, caller: Option<usize>) -> Option<Kept<H::Stream>> {
+    fn take(&self, node: NodeIndex, caller: Option<usize>) -> Option<Kept<H::Stream>> {
         if let Some(number) = caller {
             let (at, mut kept) = self.callers.borrow_mut()[number].own.take()?;
-            return (at == node && kept.good(node, &self.fleet.witness)).then_some(kept);
+            return (at == node && kept.good(node, &self.fleet.observer)).then_some(kept);
         }
         let mut all = self.kept.borrow_mut();
         let kept = all.get_mut(&node)?;
         while let Some(mut connection) = kept.pop() {
-            if connection.good(node, &self.fleet.witness) {
+            if connection.good(node, &self.fleet.observer) {
                 return Some(connection);
             }
         }
         None
     }
 
-    fn keep(&self, node: NodeNo, caller: Option<usize>, connection: Kept<H::Stream>) {
+    fn keep(&self, node: NodeIndex, caller: Option<usize>, connection: Kept<H::Stream>) {
         if let Some(number) = caller {
             self.callers.borrow_mut()[number].own.get_or_insert((node, connection));
             return;
@@ -631,11 +640,11 @@
 }
 
 struct Ask {
-    first: RequestNo,
+    first: RequestId,
     class: usize,
     tenant: usize,
     key: u64,
-    node: NodeNo,
+    node: NodeIndex,
     patience: Duration,
     token: u64,
     repeat: bool,
--- a/crates/world/src/failing_host.rs
+++ b/crates/world/src/failing_host.rs
@@ -19,7 +19,7 @@
 use tokio::time::{Sleep, sleep};
 
 use crate::mutant::Mutant;
-use crate::observe::NodeNo;
+use crate::observe::NodeIndex;
 use crate::system_calls::{FailingCalls, Failure, GRAIN, SystemCall};
 
 /// A short write takes so many bytes at most.
@@ -31,14 +31,14 @@
 #[derive(Clone)]
 pub struct FailingHost {
     host: SimHost,
-    node: NodeNo,
+    node: NodeIndex,
     calls: FailingCalls,
     mutant: Option<Mutant>,
 }
 
 impl FailingHost {
     /// The machine of a node, with a fault of how errors are told where there is one.
-    pub fn new(host: SimHost, node: NodeNo, calls: FailingCalls, mutant: Option<Mutant>) -> FailingHost {
+    pub fn new(host: SimHost, node: NodeIndex, calls: FailingCalls, mutant: Option<Mutant>) -> FailingHost {
         FailingHost { host, node, calls, mutant }
     }
 
--- a/crates/world/src/faults.rs
+++ b/crates/world/src/faults.rs
@@ -5,7 +5,7 @@
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
 
-use crate::observe::{BoxNo, NodeNo};
+use crate::observe::{NodeIndex, ServerIndex};
 use crate::scenario::Scenario;
 use crate::system_calls::{self, Failure, SystemCall};
 use crate::wall_clock::WallClockStep;
@@ -134,7 +134,7 @@
     /// These boxes die at once and come back cold.
     Crash {
         /// Which.
-        boxes: Vec<BoxNo>,
+        boxes: Vec<ServerIndex>,
         /// After how long each is back.
         down_ms: u64,
     },
@@ -150,7 +150,7 @@
     /// A node ends and starts again.
     Node {
         /// Which.
-        node: NodeNo,
+        node: NodeIndex,
         /// Told to stop first, or killed.
         planned: bool,
         /// How long it is away.
@@ -202,16 +202,16 @@
     /// A box's machine is cut off.
     CutOff {
         /// Which.
-        at: BoxNo,
+        at: ServerIndex,
         /// For how long.
         for_ms: u64,
     },
     /// A link is cut in one direction.
     OneWay {
         /// The node.
-        node: NodeNo,
+        node: NodeIndex,
         /// The box.
-        at: BoxNo,
+        at: ServerIndex,
         /// From the node to the box, or back.
         to_box: bool,
         /// For how long.
@@ -220,7 +220,7 @@
     /// A box spoils answers.
     Spoil {
         /// Which.
-        at: BoxNo,
+        at: ServerIndex,
         /// The part that ends in a reset.
         resets: f64,
         /// The part that stalls.
@@ -231,7 +231,7 @@
     /// A box answers commands a second time, byte by byte the same: between other answers, never within one.
     SecondAnswers {
         /// Which.
-        at: BoxNo,
+        at: ServerIndex,
         /// The part of the commands.
         part: f64,
         /// So long after the first answer at most.
@@ -258,21 +258,21 @@
     /// A box loses power and comes back cold.
     PowerLoss {
         /// Which.
-        at: BoxNo,
+        at: ServerIndex,
         /// After how long.
         down_ms: u64,
     },
     /// Staff drain a node.
     Drain {
         /// Which.
-        node: NodeNo,
+        node: NodeIndex,
         /// For how long.
         for_ms: u64,
     },
     /// Staff drain a node and bring it back in a row; it stays drained behind the last.
     DrainSeries {
         /// Which.
-        node: NodeNo,
+        node: NodeIndex,
         /// How often it is brought back before.
         times: u32,
         /// Between two calls.
@@ -283,7 +283,7 @@
     /// A new process takes over from the one that runs.
     Upgrade {
         /// Which node.
-        node: NodeNo,
+        node: NodeIndex,
         /// What happens to the two.
         ends: Ends,
     },
@@ -331,14 +331,14 @@
     /// These nodes are killed at once and start from nothing.
     NodesKilled {
         /// Which.
-        nodes: Vec<NodeNo>,
+        nodes: Vec<NodeIndex>,
         /// After how long.
         down_ms: u64,
     },
     /// A part of the system calls of a node fails.
     SystemCalls {
         /// Which node.
-        node: NodeNo,
+        node: NodeIndex,
         /// Which call. Where it opens a socket the node is killed, and starts while it fails.
         call: SystemCall,
         /// How it fails.
@@ -351,7 +351,7 @@
     /// A box is declared gone, and listed so at once, when so many packets have been carried.
     GoneAtPacket {
         /// Which.
-        at: BoxNo,
+        at: ServerIndex,
         /// The number of the packet.
         packet: u64,
         /// Whether it drains only.
@@ -384,9 +384,9 @@
     ///
     /// # Errors
     /// What names something that is not there, or is no possible figure.
-    pub fn check(&self, boxes: usize, nodes: usize) -> Result<(), String> {
-        let is_box = |at: BoxNo| if at < boxes { Ok(()) } else { Err(format!("there is no box {at}")) };
-        let is_node = |at: NodeNo| if at < nodes { Ok(()) } else { Err(format!("there is no node {at}")) };
+    pub fn validate(&self, boxes: usize, nodes: usize) -> Result<(), String> {
+        let is_box = |at: ServerIndex| if at < boxes { Ok(()) } else { Err(format!("there is no box {at}")) };
+        let is_node = |at: NodeIndex| if at < nodes { Ok(()) } else { Err(format!("there is no node {at}")) };
         let part = |p: f64| if (0.0..=1.0).contains(&p) { Ok(()) } else { Err(format!("{p} is no part")) };
         match &self.what {
             What::Crash { boxes, .. } => boxes.iter().try_for_each(|b| is_box(*b)),
@@ -452,8 +452,8 @@
     match kind {
         Kind::Crash => {
             let many = rng.random_range(1..=(boxes / 4).max(1));
-            let all: Vec<BoxNo> = (0..boxes).collect();
-            let mut hit: Vec<BoxNo> = all.choose_multiple(rng, many).copied().collect();
+            let all: Vec<ServerIndex> = (0..boxes).collect();
+            let mut hit: Vec<ServerIndex> = all.choose_multiple(rng, many).copied().collect();
             hit.sort_unstable();
             What::Crash { boxes: hit, down_ms }
         }
--- a/crates/world/src/lib.rs
+++ b/crates/world/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! The stand-ins ([`cache`], [`origin`], [`discovery`], [`clients`]) are written against
 //! [`Host`](mothpier_host::Host), as the node is: they run on the simulated network under a virtual clock ([`sim`])
-//! and on loopback sockets ([`live`]). What they see goes to a [`Witness`](observe::Witness); [`rules`] judges by
+//! and on loopback sockets ([`live`]). What they see goes to a [`Observer`](observe::Observer); [`rules`] judges by
 //! that alone, [`report`] counts it. [`scenario`] says what a world consists of, [`faults`] what goes wrong in it, [`storm`] an outage and the way back.
 
 pub mod agreement;
--- a/crates/world/src/live.rs
+++ b/crates/world/src/live.rs
@@ -15,14 +15,14 @@
 use tokio::task::{AbortHandle, LocalSet, spawn_local};
 use tokio::time::sleep;
 
-use crate::cache::Cache;
+use crate::cache::CacheServer;
 use crate::discovery::Discovery;
 use crate::fleet::{Fleet, Member};
-use crate::observe::{BoxNo, NodeNo, Phase, Seen, Witness};
+use crate::observe::{NodeIndex, ObservedEvent, Observer, Phase, ServerIndex};
 use crate::origin::Origin;
 use crate::process::{self, Process};
 use crate::scenario::Scenario;
-use crate::storm::Hit;
+use crate::storm::OutageTarget;
 
 /// The machine that stand-ins run on.
 pub const HOST: SystemHost = SystemHost { program: "chalksill" };
@@ -36,14 +36,14 @@
 }
 
 /// A world on loopback sockets.
-pub struct Live {
+pub struct LoopbackEnvironment {
     /// What its stand-ins share.
     pub fleet: Rc<Fleet>,
     /// Its discovery.
     pub discovery: Rc<Discovery>,
     /// Its nodes.
     pub nodes: Vec<Process>,
-    boxes: RefCell<BTreeMap<BoxNo, BoxRun>>,
+    boxes: RefCell<BTreeMap<ServerIndex, BoxRun>>,
     /// Where the configurations of the nodes are.
     pub folder: PathBuf,
     longest: Duration,
@@ -51,9 +51,9 @@
 
 /// Lets a box serve each node at a listener of its own; it started cold at a time, or long ago. Dropping its task ends
 /// the box with all that it has open.
-pub fn serve<L>(
+pub fn serve_cache<L>(
     fleet: &Rc<Fleet>,
-    number: BoxNo,
+    number: ServerIndex,
     life: u64,
     started: Option<u64>,
     listeners: Vec<L>,
@@ -63,10 +63,15 @@
     L: 'static,
 {
     let cold = started.is_some();
-    let cache = Cache::new(fleet, number, life, cold);
+    let cache = CacheServer::new(fleet, number, life, cold);
     let start = started.unwrap_or(0);
-    fleet.witness.saw(Seen::BoxUp { at: number, start, power: cache.power(), cold });
-    fleet.add(number, cache.clone());
+    fleet.observer.record(ObservedEvent::CacheServerStarted {
+        server: number,
+        started_ms: start,
+        capacity: cache.capacity(),
+        cold,
+    });
+    fleet.add_cache_server(number, cache.clone());
     let local = LocalSet::new();
     for (node, listener) in listeners.into_iter().enumerate() {
         local.spawn_local(cache.clone().serve::<SystemHost>(listener, move |_| node));
@@ -85,7 +90,7 @@
     found.map_err(|e| format!("no free port: {e}"))
 }
 
-impl Live {
+impl LoopbackEnvironment {
     /// Starts stand-ins and nodes of a scenario; the nodes run `program`. Must run inside a `LocalSet`.
     ///
     /// # Errors
@@ -95,8 +100,8 @@
         seed: u64,
         program: &Path,
         folder: &Path,
-        witness: Witness,
-    ) -> Result<Live, String> {
+        witness: Observer,
+    ) -> Result<LoopbackEnvironment, String> {
         let fleet = Fleet::new(scenario.clone(), seed, witness.clone());
         let nodes = scenario.nodes.count;
         let origin = scenario.boxes.count;
@@ -120,28 +125,28 @@
                     spawn_local(all.clone().serve::<SystemHost>(listener, move |_| node));
                 }
             } else {
-                let task = serve(&fleet, number, 0, cold.then_some(started), listeners);
+                let task = serve_cache(&fleet, number, 0, cold.then_some(started), listeners);
                 boxes.insert(number, BoxRun { addresses: addresses.clone(), task });
             }
             let member = Member {
                 id: format!("s-{number:04}"),
                 addresses,
                 zone: number % scenario.zones.len(),
-                origin: number == origin,
+                is_origin: number == origin,
                 phase: Phase::Ready,
-                started,
+                started_ms: started,
             };
             members.insert(number, member);
         }
-        fleet.fill((0..origin).collect::<Vec<BoxNo>>().as_slice());
+        fleet.warm_caches((0..origin).collect::<Vec<ServerIndex>>().as_slice());
         let discovery = Discovery::new(&fleet, members);
-        let mut live = Live {
+        let mut live = LoopbackEnvironment {
             fleet,
             discovery,
             nodes: Vec::new(),
             boxes: RefCell::new(boxes),
             folder: folder.into(),
-            longest: scenario.longest(),
+            longest: scenario.longest_deadline(),
         };
         std::fs::create_dir_all(folder).map_err(|e| format!("cannot make {}: {e}", folder.display()))?;
         let mut peers = Vec::new();
@@ -153,27 +158,27 @@
             let at = Listener::local_addr(&listener).map_err(|e| e.to_string())?;
             spawn_local(live.discovery.clone().serve::<SystemHost>(listener, move |_| node));
             let process = live.start_node(node, at, &peers, program).await?;
-            witness.saw(Seen::NodeUp { node });
+            witness.record(ObservedEvent::NodeStarted { node });
             live.nodes.push(process);
         }
         for node in &live.nodes {
-            process::ready(node.address).await?;
+            process::wait_until_ready(node.address).await?;
         }
         Ok(live)
     }
 
     async fn start_node(
         &self,
-        node: NodeNo,
+        node: NodeIndex,
         discovery: SocketAddr,
         peers: &[SocketAddr],
         program: &Path,
     ) -> Result<Process, String> {
         let scenario = &self.fleet.scenario;
         let address = free_port(false).await?;
-        let seed: u64 = self.fleet.random("node", node as u64).random();
-        let at = process::Addresses { listen: address, discovery, peers, staff: None };
-        let config = process::configuration(scenario, node, &at, seed, self.discovery.known(node));
+        let seed: u64 = self.fleet.rng("node", node as u64).random();
+        let at = process::NodeAddresses { listen: address, discovery, peers, operations: None };
+        let config = process::node_configuration(scenario, node, &at, seed, self.discovery.known_list(node));
         let files = self.folder.join(format!("n{node}"));
         process::write_files(&files, &config, &scenario.nodes.operator)?;
         let _ = std::fs::remove_file(files.with_extension("log"));
@@ -185,27 +190,27 @@
     ///
     /// # Errors
     /// A node or a box that does not come back.
-    pub async fn outage(&mut self, hit: Hit, down: Duration) -> Result<(), String> {
-        let fault = |text: String| self.fleet.witness.saw(Seen::Fault(text));
+    pub async fn outage(&mut self, hit: OutageTarget, down: Duration) -> Result<(), String> {
+        let fault = |text: String| self.fleet.observer.record(ObservedEvent::Fault(text));
         fault(format!("begins: outage of {hit:?}"));
-        let hit_boxes = hit != Hit::Nodes;
-        let hit_nodes = hit != Hit::Boxes;
+        let hit_boxes = hit != OutageTarget::Nodes;
+        let hit_nodes = hit != OutageTarget::Boxes;
         if hit_boxes {
             for (number, run) in self.boxes.borrow().iter() {
                 run.task.abort();
-                self.fleet.remove(*number);
+                self.fleet.remove_cache_server(*number);
             }
         }
         if hit_nodes {
             for (node, process) in self.nodes.iter_mut().enumerate() {
                 // Said first: clients see their connections end before the process is gone.
-                self.fleet.witness.saw(Seen::NodeDown { node, planned: false });
+                self.fleet.observer.record(ObservedEvent::NodeEnded { node, planned: false });
                 process.kill().await.map_err(|e| format!("cannot kill node {node}: {e}"))?;
             }
         }
         sleep(down).await;
         if hit_boxes {
-            let all: Vec<(BoxNo, Vec<SocketAddr>)> =
+            let all: Vec<(ServerIndex, Vec<SocketAddr>)> =
                 self.boxes.borrow().iter().map(|(n, run)| (*n, run.addresses.clone())).collect();
             for (number, addresses) in all {
                 self.return_box(number, addresses).await?;
@@ -213,33 +218,33 @@
         }
         if hit_nodes {
             for (node, process) in self.nodes.iter_mut().enumerate() {
-                self.fleet.witness.saw(Seen::NodeUp { node });
-                process.start_again()?;
+                self.fleet.observer.record(ObservedEvent::NodeStarted { node });
+                process.restart()?;
             }
         }
-        self.fleet.witness.saw(Seen::Fault(format!("is over: outage of {hit:?}")));
+        self.fleet.observer.record(ObservedEvent::Fault(format!("is over: outage of {hit:?}")));
         Ok(())
     }
 
-    async fn return_box(&self, number: BoxNo, addresses: Vec<SocketAddr>) -> Result<(), String> {
+    async fn return_box(&self, number: ServerIndex, addresses: Vec<SocketAddr>) -> Result<(), String> {
         let mut listeners = Vec::new();
         for at in &addresses {
             listeners
                 .push(HOST.listen(*at).await.map_err(|e| format!("box {number} cannot listen again: {e}"))?);
         }
         let started = HOST.unix_time().as_millis() as u64;
-        let task = serve(&self.fleet, number, 1, Some(started), listeners);
+        let task = serve_cache(&self.fleet, number, 1, Some(started), listeners);
         self.boxes.borrow_mut().insert(number, BoxRun { addresses, task });
         if let Some(mut member) = self.discovery.member(number) {
-            member.started = started;
-            self.discovery.set(number, member);
+            member.started_ms = started;
+            self.discovery.update(number, member);
         }
         Ok(())
     }
 
     /// CPU time of all nodes together since they started, as the kernel has it; `None` where it does not tell.
-    pub fn cpu(&self) -> Option<Duration> {
-        self.nodes.iter().map(Process::cpu).sum()
+    pub fn cpu_time(&self) -> Option<Duration> {
+        self.nodes.iter().map(Process::cpu_time).sum()
     }
 
     /// Resident memory of the largest node in KiB; `None` where the kernel does not tell.
@@ -253,11 +258,11 @@
     }
 
     /// A node that has ended by itself, and how.
-    pub fn ended(&mut self) -> Option<String> {
+    pub fn first_exit(&mut self) -> Option<String> {
         self.nodes
             .iter_mut()
             .enumerate()
-            .find_map(|(i, p)| p.ended().map(|status| format!("node {i} has ended: {status}")))
+            .find_map(|(i, p)| p.exit_status().map(|status| format!("node {i} has ended: {status}")))
     }
 
     /// Tells the nodes to stop as the platform would, and waits for them.
--- a/crates/world/src/observe.rs
+++ b/crates/world/src/observe.rs
@@ -7,20 +7,20 @@
 
 use tokio::time::Instant;
 
-use crate::agreement::Told;
+use crate::agreement::ReportedPlan;
 use crate::system_calls::SystemCall;
 use crate::values::Value;
 
 /// Numbers a request of a client, a retry having its own.
-pub type RequestNo = u64;
+pub type RequestId = u64;
 /// Numbers a box (or the origin) by its place among all that ever were.
-pub type BoxNo = usize;
+pub type ServerIndex = usize;
 /// Numbers a node.
-pub type NodeNo = usize;
+pub type NodeIndex = usize;
 
 /// What a box or the origin did with an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum How {
+pub enum AttemptOutcome {
     /// It gave this value or receipt.
     Value(Value),
     /// It holds nothing for the key.
@@ -30,9 +30,9 @@
     /// It failed after it may have run.
     Failed,
     /// It dropped it without an answer; it may have run where it had begun.
-    Silent {
+    Dropped {
         /// Whether it had begun.
-        begun: bool,
+        started: bool,
     },
 }
 
@@ -60,15 +60,15 @@
 
 /// Something that a stand-in saw or did.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Seen {
+pub enum ObservedEvent {
     /// A client's command was written whole to a connection that the node's machine accepted.
-    Asked {
+    RequestSent {
         /// The request.
-        request: RequestNo,
+        request: RequestId,
         /// The one whose client tries again, or itself.
-        first: RequestNo,
+        first_try: RequestId,
         /// The node.
-        node: NodeNo,
+        node: NodeIndex,
         /// Its class, by its place in the scenario.
         class: usize,
         /// Its tenant.
@@ -76,99 +76,99 @@
         /// The key that it asks for.
         key: u64,
         /// For how long the client waits.
-        patience: Duration,
+        timeout: Duration,
     },
     /// A client read the whole answer.
-    Answered {
+    ReplyReceived {
         /// The request.
-        request: RequestNo,
+        request: RequestId,
         /// What it said.
         reply: Reply,
         /// Whether the client took its time before it read.
-        slow: bool,
+        slow_reader: bool,
     },
     /// Discovery has something about a box from now on.
     Listed {
         /// The box.
-        at: BoxNo,
+        server: ServerIndex,
         /// What it is.
         phase: Phase,
     },
     /// Whether discovery can be reached and tells what it has.
-    Sound {
+    DiscoveryHealth {
         /// From now on.
-        sound: bool,
+        healthy: bool,
     },
     /// A caller has made a connection of its own.
-    Connected {
+    ClientConnected {
         /// To which node.
-        node: NodeNo,
+        node: NodeIndex,
     },
     /// Something came on a connection on which nothing was owed.
-    Unasked {
+    UnsolicitedReply {
         /// The node.
-        node: NodeNo,
+        node: NodeIndex,
     },
     /// What came can't be read as an answer.
-    Garbled {
+    MalformedReply {
         /// The request.
-        request: RequestNo,
+        request: RequestId,
     },
     /// The connection ended without a whole answer.
-    Lost {
+    ConnectionLost {
         /// The request.
-        request: RequestNo,
+        request: RequestId,
         /// When its connection was begun, counted from the beginning.
-        begun: Duration,
+        connect_started: Duration,
     },
     /// A value had begun and ended before it was whole, where the client could tell.
-    Cut {
+    TruncatedReply {
         /// The request.
-        request: RequestNo,
+        request: RequestId,
     },
     /// A drained node holds connections beyond their time.
-    HeldAfterDrain {
+    ConnectionsAfterDrain {
         /// The node.
-        node: NodeNo,
+        node: NodeIndex,
         /// Connections on which nothing is open.
         idle: usize,
         /// Connections with a request from the last two seconds.
         recent: usize,
     },
     /// A process that was told to stop had not ended when it might be killed.
-    EndOverdue {
+    StopOverdue {
         /// The node.
-        node: NodeNo,
+        node: NodeIndex,
     },
     /// A connection on which no command was finished has met neither an answer nor a close in its time.
-    Hanging {
+    StalledConnectionKept {
         /// The node.
-        node: NodeNo,
+        node: NodeIndex,
         /// When it was made, counted from the beginning.
-        made: Duration,
+        connected_at: Duration,
     },
     /// The close of an idle connection crossed the request: it was not read, and goes out once more.
-    Crossed {
+    RacedWithClose {
         /// The request.
-        request: RequestNo,
+        request: RequestId,
     },
     /// The client has gone, having waited for as long as it said or, where `early`, for less.
-    Left {
+    ClientLeft {
         /// The request.
-        request: RequestNo,
+        request: RequestId,
         /// Whether it went before its time.
         early: bool,
     },
     /// The last byte of an attempt came to a box or the origin.
-    Arrived {
+    AttemptArrived {
         /// Where.
-        at: BoxNo,
+        server: ServerIndex,
         /// From which node.
-        node: NodeNo,
+        node: NodeIndex,
         /// For which request.
-        request: RequestNo,
+        request: RequestId,
         /// Whether it writes.
-        write: bool,
+        is_write: bool,
         /// Its work, in core-milliseconds of speed 1.
         work: f64,
         /// At the origin: calls of this node that are carried out or wait there, those included that it has given up
@@ -176,155 +176,155 @@
         running: u32,
         /// When that byte reached the machine, counted from the beginning. One that is busy with an answer before it may read it
         /// long after.
-        came: Duration,
+        received_at: Duration,
         /// Until when it is waited for by what it tells, counted from the beginning: the time that it tells, from when it came.
-        until: Duration,
+        deadline: Duration,
     },
     /// The connection on which an attempt was out ended before its answer.
-    Abandoned {
+    AttemptAbandoned {
         /// Where.
-        at: BoxNo,
+        server: ServerIndex,
         /// By which node.
-        node: NodeNo,
+        node: NodeIndex,
         /// For which request.
-        request: RequestNo,
+        request: RequestId,
     },
     /// A box or the origin is done with an attempt.
-    Ended {
+    AttemptEnded {
         /// Where.
-        at: BoxNo,
+        server: ServerIndex,
         /// From which node it was.
-        node: NodeNo,
+        node: NodeIndex,
         /// For which request.
-        request: RequestNo,
+        request: RequestId,
         /// What it did.
-        how: How,
+        outcome: AttemptOutcome,
     },
     /// The origin carried a write out.
-    Executed {
+    WriteExecuted {
         /// The request.
-        request: RequestNo,
+        request: RequestId,
         /// Its idempotency key.
-        token: u64,
+        idempotency_key: u64,
         /// The key that has another value from now on.
         key: u64,
     },
     /// The origin dropped the repeat of a keyed write.
-    Repeated {
+    DuplicateWriteDropped {
         /// The request.
-        request: RequestNo,
+        request: RequestId,
     },
     /// Discovery has written to a node what it has to say of these boxes.
-    Told {
+    ListSent {
         /// The node.
-        node: NodeNo,
+        node: NodeIndex,
         /// The version.
         revision: u64,
         /// Whether it is the whole list: what it lacks is gone.
-        whole: bool,
+        full: bool,
         /// The boxes: their phase, and which start of theirs the list knows of.
-        boxes: Vec<(BoxNo, Phase, u64)>,
+        servers: Vec<(ServerIndex, Phase, u64)>,
     },
     /// A box starts: the number of the start, its cores times their speed, and whether it is cold.
-    BoxUp {
+    CacheServerStarted {
         /// The box.
-        at: BoxNo,
+        server: ServerIndex,
         /// The time of the start, as the list gives it.
-        start: u64,
+        started_ms: u64,
         /// What it can do when warm, core-milliseconds of speed 1 a millisecond.
-        power: f64,
+        capacity: f64,
         /// Whether it is cold.
         cold: bool,
     },
     /// A box is no more, or its machine is cut off; `false` when it can be reached again.
-    BoxAway {
+    ReachabilityChanged {
         /// The box.
-        at: BoxNo,
+        server: ServerIndex,
         /// Whether it is away.
-        away: bool,
+        unreachable: bool,
     },
     /// A crowd begins, or is over: while there is one, connections wait before nodes accept them.
-    Crowd {
+    ConnectionPressure {
         /// Whether it begins.
         begins: bool,
     },
     /// A box has ended: what it was writing is cut.
-    BoxDown {
+    CacheServerEnded {
         /// The box.
-        at: BoxNo,
+        server: ServerIndex,
     },
     /// A cold box was pushed over.
-    BoxFell {
+    CacheServerCollapsed {
         /// The box.
-        at: BoxNo,
+        server: ServerIndex,
     },
     /// A node starts.
-    NodeUp {
+    NodeStarted {
         /// The node.
-        node: NodeNo,
+        node: NodeIndex,
     },
     /// A node was told to stop.
     NodeStopping {
         /// The node.
-        node: NodeNo,
+        node: NodeIndex,
     },
     /// A node was killed, or ended by itself after it was told to stop.
-    NodeDown {
+    NodeEnded {
         /// The node.
-        node: NodeNo,
+        node: NodeIndex,
         /// Whether it had been told to stop before.
         planned: bool,
     },
     /// How many sockets a node has open.
-    Sockets {
+    OpenSockets {
         /// The node.
-        node: NodeNo,
+        node: NodeIndex,
         /// How many.
-        open: usize,
+        count: usize,
     },
     /// A fault begins or ends.
     Fault(String),
     /// A node acts on a plan of zones, as its log tells.
-    Acts {
+    PlanAdopted {
         /// The node.
-        node: NodeNo,
+        node: NodeIndex,
         /// The plan.
-        plan: Told,
+        plan: ReportedPlan,
     },
     /// A node decides on plans from now on, or no longer, as its log tells.
-    Decides {
+    LeadershipChanged {
         /// The node.
-        node: NodeNo,
+        node: NodeIndex,
         /// Whether it does.
-        decides: bool,
+        leads: bool,
     },
     /// A node whose system calls may fail has started, or still has not.
-    Started {
+    StartupChecked {
         /// The node.
-        node: NodeNo,
+        node: NodeIndex,
         /// How long its start has taken.
-        after: Duration,
+        elapsed: Duration,
         /// Whether it is ready and listens.
         ready: bool,
     },
     /// A failing system call is made again and again, without a pause between.
     BusyLoop {
         /// The node.
-        node: NodeNo,
+        node: NodeIndex,
         /// The call.
         call: SystemCall,
     },
     /// A box answers a command a second time.
-    SecondAnswer {
+    DuplicateResponse {
         /// Which box.
-        at: BoxNo,
+        server: ServerIndex,
         /// To which node.
-        node: NodeNo,
+        node: NodeIndex,
         /// The request whose attempt it has answered before; `None` for a command that was no attempt.
-        request: Option<RequestNo>,
+        request: Option<RequestId>,
         /// How many commands of the connection have come and are not answered: the first of them is the one
         /// for whose answer this may be taken.
-        waiting: usize,
+        pending: usize,
     },
 }
 
@@ -334,12 +334,12 @@
     /// When.
     pub at: Duration,
     /// What.
-    pub seen: Seen,
+    pub event: ObservedEvent,
 }
 
 impl fmt::Display for Observation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:10.3} ms {:?}", self.at.as_secs_f64() * 1e3, self.seen)
+        write!(f, "{:10.3} ms {:?}", self.at.as_secs_f64() * 1e3, self.event)
     }
 }
 
@@ -347,30 +347,30 @@
 
 /// Where stand-ins report; a clone is the same place.
 #[derive(Clone)]
-pub struct Witness {
+pub struct Observer {
     start: Instant,
     sinks: Rc<RefCell<Vec<Sink>>>,
 }
 
-impl Witness {
+impl Observer {
     /// One whose time begins now.
-    pub fn begin() -> Witness {
-        Witness { start: Instant::now(), sinks: Rc::default() }
+    pub fn starting_now() -> Observer {
+        Observer { start: Instant::now(), sinks: Rc::default() }
     }
 
     /// Also gives all that is seen from now on to this one. It must not report itself.
-    pub fn give_to(&self, sink: impl FnMut(&Observation) + 'static) {
+    pub fn subscribe(&self, sink: impl FnMut(&Observation) + 'static) {
         self.sinks.borrow_mut().push(Box::new(sink));
     }
 
     /// Reports something.
-    pub fn saw(&self, seen: Seen) {
-        let observation = Observation { at: self.start.elapsed(), seen };
+    pub fn record(&self, seen: ObservedEvent) {
+        let observation = Observation { at: self.start.elapsed(), event: seen };
         self.sinks.borrow_mut().iter_mut().for_each(|sink| sink(&observation));
     }
 
     /// A moment, counted from the beginning.
-    pub fn since_beginning(&self, moment: Instant) -> Duration {
+    pub fn since_start(&self, moment: Instant) -> Duration {
         moment.duration_since(self.start)
     }
 
@@ -380,7 +380,7 @@
     }
 
     /// When it began.
-    pub fn start(&self) -> Instant {
+    pub fn started_at(&self) -> Instant {
         self.start
     }
 }
--- a/crates/world/src/origin.rs
+++ b/crates/world/src/origin.rs
@@ -22,16 +22,16 @@
 use tokio::time::{Instant, sleep};
 
 use crate::fleet::Fleet;
-use crate::observe::{BoxNo, How, NodeNo, RequestNo, Seen};
+use crate::observe::{AttemptOutcome, NodeIndex, ObservedEvent, RequestId, ServerIndex};
 
 /// The origin.
 pub struct Origin {
-    number: BoxNo,
+    number: ServerIndex,
     fleet: Rc<Fleet>,
     slots: Arc<Semaphore>,
     waiting: RefCell<usize>,
     /// Calls that wait or are carried out, by node.
-    running: RefCell<BTreeMap<NodeNo, u32>>,
+    running: RefCell<BTreeMap<NodeIndex, u32>>,
     /// Keyed writes that were carried out, and when.
     done: RefCell<BTreeMap<u64, Instant>>,
     rng: RefCell<Pcg64Mcg>,
@@ -40,8 +40,8 @@
 /// An attempt that is out; dropped with the connection's task, it was abandoned.
 struct Out {
     origin: Rc<Origin>,
-    node: NodeNo,
-    request: RequestNo,
+    node: NodeIndex,
+    request: RequestId,
     ended: bool,
 }
 
@@ -49,14 +49,14 @@
     fn drop(&mut self) {
         if !self.ended {
             let (at, node, request) = (self.origin.number, self.node, self.request);
-            self.origin.fleet.witness.saw(Seen::Abandoned { at, node, request });
+            self.origin.fleet.observer.record(ObservedEvent::AttemptAbandoned { server: at, node, request });
         }
     }
 }
 
 impl Origin {
     /// An origin that stands at this place among the boxes.
-    pub fn new(fleet: &Rc<Fleet>, number: BoxNo) -> Rc<Origin> {
+    pub fn new(fleet: &Rc<Fleet>, number: ServerIndex) -> Rc<Origin> {
         Rc::new(Origin {
             number,
             fleet: fleet.clone(),
@@ -64,12 +64,16 @@
             waiting: RefCell::new(0),
             running: RefCell::default(),
             done: RefCell::default(),
-            rng: RefCell::new(fleet.random("origin", 0)),
+            rng: RefCell::new(fleet.rng("origin", 0)),
         })
     }
 
     /// Serves connections until its tasks are dropped.
-    pub async fn serve<H: Host>(self: Rc<Self>, listener: H::Listener, node: impl Fn(SocketAddr) -> NodeNo) {
+    pub async fn serve<H: Host>(
+        self: Rc<Self>,
+        listener: H::Listener,
+        node: impl Fn(SocketAddr) -> NodeIndex,
+    ) {
         loop {
             let Ok((stream, from)) = listener.accept().await else { continue };
             let (origin, node) = (self.clone(), node(from));
@@ -95,7 +99,7 @@
     async fn call(
         self: Rc<Self>,
         request: Request<Incoming>,
-        node: NodeNo,
+        node: NodeIndex,
         cut: Rc<Notify>,
     ) -> Result<Response<Full<Bytes>>, Infallible> {
         let answer = |status: u16, body: Bytes| {
@@ -127,18 +131,27 @@
             let mut rng = self.rng.borrow_mut();
             (least + (most - least) * rng.random::<f64>(), rng.random(), rng.random())
         };
-        let saw = |seen| self.fleet.witness.saw(seen);
+        let saw = |seen| self.fleet.observer.record(seen);
         let running = Running::begin(&self, node);
-        let came = self.fleet.witness.elapsed();
+        let came = self.fleet.observer.elapsed();
         let (at, beside, until) = (self.number, running.1, came + wait);
-        saw(Seen::Arrived { at, node, request: id, write, work, running: beside, came, until });
+        saw(ObservedEvent::AttemptArrived {
+            server: at,
+            node,
+            request: id,
+            is_write: write,
+            work,
+            running: beside,
+            received_at: came,
+            deadline: until,
+        });
         let mut out = Out { origin: self.clone(), node, request: id, ended: false };
         let ended = |out: &mut Out, how| {
             out.ended = true;
-            saw(Seen::Ended { at: self.number, node, request: id, how });
+            saw(ObservedEvent::AttemptEnded { server: self.number, node, request: id, outcome: how });
         };
         if *self.waiting.borrow() >= figures.room && self.slots.available_permits() == 0 {
-            ended(&mut out, How::Busy);
+            ended(&mut out, AttemptOutcome::Busy);
             return answer(503, Bytes::new());
         }
         *self.waiting.borrow_mut() += 1;
@@ -152,27 +165,27 @@
             Work { id, key, token, window, write, ms: work },
         ));
         let _ = carried_out.await;
-        if fate < self.fleet.knobs.origin_resets.get() {
-            ended(&mut out, How::Silent { begun: true });
+        if fate < self.fleet.fault_settings.origin_resets.get() {
+            ended(&mut out, AttemptOutcome::Dropped { started: true });
             cut.notify_one();
             std::future::pending::<()>().await;
         }
         if luck < figures.fails {
-            ended(&mut out, How::Failed);
+            ended(&mut out, AttemptOutcome::Failed);
             return answer(500, Bytes::new());
         }
         if !write {
             self.fleet.fetched(id, key);
         }
         let value = self.fleet.value(key, id, self.number);
-        ended(&mut out, How::Value(value));
+        ended(&mut out, AttemptOutcome::Value(value));
         answer(200, value.bytes(self.fleet.filling(key)))
     }
 }
 
 /// A call that is carried out.
 struct Work {
-    id: RequestNo,
+    id: RequestId,
     key: u64,
     token: Option<u64>,
     window: Duration,
@@ -183,7 +196,7 @@
 impl Origin {
     async fn carry_out(self: Rc<Self>, _slot: OwnedSemaphorePermit, _running: Running, work: Work) {
         let Work { id, key, token, window, write, ms } = work;
-        let saw = |seen| self.fleet.witness.saw(seen);
+        let saw = |seen| self.fleet.observer.record(seen);
         if write {
             let again = token.is_some_and(|k| {
                 let mut done = self.done.borrow_mut();
@@ -193,10 +206,10 @@
                 known
             });
             if !again {
-                saw(Seen::Executed { request: id, token: token.unwrap_or(0), key });
+                saw(ObservedEvent::WriteExecuted { request: id, idempotency_key: token.unwrap_or(0), key });
                 self.fleet.changed(key);
             } else {
-                saw(Seen::Repeated { request: id });
+                saw(ObservedEvent::DuplicateWriteDropped { request: id });
             }
         }
         sleep(Duration::from_secs_f64(ms / 1e3)).await;
@@ -204,10 +217,10 @@
 }
 
 /// Counts a call of a node for as long as it waits or is carried out; with how many there were before it.
-struct Running(Rc<Origin>, u32, NodeNo);
+struct Running(Rc<Origin>, u32, NodeIndex);
 
 impl Running {
-    fn begin(origin: &Rc<Origin>, node: NodeNo) -> Running {
+    fn begin(origin: &Rc<Origin>, node: NodeIndex) -> Running {
         let mut running = origin.running.borrow_mut();
         let count = running.entry(node).or_default();
         *count += 1;
--- a/crates/world/src/process.rs
+++ b/crates/world/src/process.rs
@@ -13,7 +13,7 @@
 use tokio::process::{Child, Command};
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::observe::NodeNo;
+use crate::observe::NodeIndex;
 use crate::scenario::Scenario;
 
 /// A node that does not answer `PING` within this time has not started.
@@ -45,7 +45,7 @@
 }
 
 /// Where a node is and whom it sees, as its configuration tells it.
-pub struct Addresses<'a> {
+pub struct NodeAddresses<'a> {
     /// Where clients reach it.
     pub listen: SocketAddr,
     /// Where it finds discovery.
@@ -53,14 +53,14 @@
     /// Where it finds each node, itself included.
     pub peers: &'a [SocketAddr],
     /// Where staff reach it, if they do.
-    pub staff: Option<SocketAddr>,
+    pub operations: Option<SocketAddr>,
 }
 
 /// The configuration of a node, in the platform's words.
-pub fn configuration(
+pub fn node_configuration(
     scenario: &Scenario,
-    node: NodeNo,
-    at: &Addresses<'_>,
+    node: NodeIndex,
+    at: &NodeAddresses<'_>,
     seed: u64,
     known: serde_json::Value,
 ) -> serde_json::Value {
@@ -73,7 +73,7 @@
         "peers": at.peers.iter().map(ToString::to_string).collect::<Vec<_>>(),
         "known": known, "settings": scenario.settings(node),
     });
-    if let Some(staff) = at.staff {
+    if let Some(staff) = at.operations {
         config["ops"] = staff.to_string().into();
     }
     config
@@ -106,7 +106,7 @@
     ///
     /// # Errors
     /// As [`start`](Self::start).
-    pub fn start_on(
+    pub fn start_with_socket(
         platform: &Platform,
         staff: SocketAddr,
         program: &Path,
@@ -128,7 +128,7 @@
     ///
     /// # Errors
     /// As [`start`](Self::start).
-    pub fn start_again(&mut self) -> Result<(), String> {
+    pub fn restart(&mut self) -> Result<(), String> {
         self.child = spawn(&self.program, &self.files, alone(&self.program))?;
         Ok(())
     }
@@ -159,12 +159,12 @@
     }
 
     /// How it ended, if it has.
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
     /// CPU time since it started; `None` where the kernel does not tell.
-    pub fn cpu(&self) -> Option<Duration> {
+    pub fn cpu_time(&self) -> Option<Duration> {
         let text = std::fs::read_to_string(format!("/proc/{}/schedstat", self.child.id()?)).ok()?;
         text.split(' ').next()?.parse().ok().map(Duration::from_nanos)
     }
@@ -218,7 +218,7 @@
 }
 
 /// Whether a node answers `PING` as one that is ready, now.
-pub async fn answers(address: SocketAddr) -> bool {
+pub async fn answers_ping(address: SocketAddr) -> bool {
     let pong = timeout(LOOK, async {
         let mut stream = TcpStream::connect(address).await?;
         stream.write_all(b"*1\r\n$4\r\nPING\r\n").await?;
@@ -230,7 +230,7 @@
 }
 
 /// Whether a node says at its second address that it can serve, now.
-pub async fn says_ready(staff: SocketAddr) -> bool {
+pub async fn reports_ready(staff: SocketAddr) -> bool {
     let yes = timeout(LOOK, async {
         let mut stream = TcpStream::connect(staff).await?;
         stream.write_all(b"GET /ready HTTP/1.1\r\nHost: staff\r\n\r\n").await?;
@@ -245,10 +245,10 @@
 ///
 /// # Errors
 /// One that does not within fifteen seconds.
-pub async fn ready(address: SocketAddr) -> Result<(), String> {
+pub async fn wait_until_ready(address: SocketAddr) -> Result<(), String> {
     let until = Instant::now() + READY;
     while Instant::now() < until {
-        if answers(address).await {
+        if answers_ping(address).await {
             return Ok(());
         }
         sleep(PAUSE).await;
--- a/crates/world/src/report.rs
+++ b/crates/world/src/report.rs
@@ -6,8 +6,8 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-use crate::clients::{End, Played};
-use crate::observe::{How, Observation, Reply, Seen};
+use crate::clients::{CompletedRequest, FinalOutcome};
+use crate::observe::{AttemptOutcome, Observation, ObservedEvent, Reply};
 use crate::rules::Violation;
 use crate::rules::cap;
 use crate::scenario::Scenario;
@@ -31,18 +31,18 @@
 
 impl Counts {
     /// The part of those offered that was served in time; 1 where there were none.
-    pub fn share(&self) -> f64 {
+    pub fn in_time_share(&self) -> f64 {
         if self.offered == 0 { 1.0 } else { self.in_time as f64 / self.offered as f64 }
     }
 
-    fn count(&mut self, played: &Played, aim: Duration) {
+    fn count(&mut self, played: &CompletedRequest, aim: Duration) {
         self.offered += 1;
-        match played.end {
-            End::Served if played.took <= aim => self.in_time += 1,
-            End::Served => self.late += 1,
-            End::Refused => self.refused += 1,
-            End::Failed => self.failed += 1,
-            End::Unanswered => self.unanswered += 1,
+        match played.outcome {
+            FinalOutcome::Served if played.latency <= aim => self.in_time += 1,
+            FinalOutcome::Served => self.late += 1,
+            FinalOutcome::Refused => self.refused += 1,
+            FinalOutcome::Failed => self.failed += 1,
+            FinalOutcome::Unanswered => self.unanswered += 1,
         }
     }
 }
@@ -179,57 +179,57 @@
     }
 
     /// Takes one first try that has ended.
-    pub fn played(&mut self, played: &Played) {
+    pub fn record_result(&mut self, played: &CompletedRequest) {
         let (name, aim) = self.aims[played.class].clone();
         self.report.all.count(played, aim);
         self.report.classes.entry(name).or_default().count(played, aim);
         if let Some(tenant) = self.tenants.get(played.tenant).cloned() {
             self.report.tenants.entry(tenant).or_default().count(played, aim);
         }
-        self.second(played.due).counts.count(played, aim);
+        self.second(played.due_at).counts.count(played, aim);
         self.tries += u64::from(played.tries);
-        if played.end == End::Served {
-            self.latency.saturating_record(played.took.as_micros().max(1) as u64);
+        if played.outcome == FinalOutcome::Served {
+            self.latency.saturating_record(played.latency.as_micros().max(1) as u64);
         }
     }
 
     /// Takes something that was seen.
-    pub fn saw(&mut self, o: &Observation) {
-        match &o.seen {
-            Seen::Asked { .. } => {
+    pub fn observe(&mut self, o: &Observation) {
+        match &o.event {
+            ObservedEvent::RequestSent { .. } => {
                 self.report.requests += 1;
                 self.second(o.at).tries += 1;
             }
-            Seen::SecondAnswer { waiting, .. } => {
+            ObservedEvent::DuplicateResponse { pending: waiting, .. } => {
                 self.report.second_answers += 1;
                 self.report.second_answers_before_others += u64::from(*waiting > 0);
             }
-            Seen::Connected { .. } => {
+            ObservedEvent::ClientConnected { .. } => {
                 self.report.connects += 1;
                 self.second(o.at).connects += 1;
             }
-            Seen::Executed { .. } => self.report.executed += 1,
-            Seen::Repeated { .. } => self.report.repeats_dropped += 1,
-            Seen::Arrived { at, running, .. } if *at == self.origin => {
+            ObservedEvent::WriteExecuted { .. } => self.report.executed += 1,
+            ObservedEvent::DuplicateWriteDropped { .. } => self.report.repeats_dropped += 1,
+            ObservedEvent::AttemptArrived { server: at, running, .. } if *at == self.origin => {
                 self.report.origin_calls += 1;
                 self.report.origin_over += u64::from(f64::from(*running) >= self.cap);
                 self.second(o.at).origin += 1;
             }
-            Seen::Arrived { at, .. } => {
+            ObservedEvent::AttemptArrived { server: at, .. } => {
                 self.report.attempts += 1;
                 *self.second(o.at).boxes.entry(*at).or_default() += 1;
             }
-            Seen::Ended { at, how, .. } if *at != self.origin => match how {
-                How::Miss => self.report.misses += 1,
-                How::Busy => self.report.turned_away += 1,
+            ObservedEvent::AttemptEnded { server: at, outcome: how, .. } if *at != self.origin => match how {
+                AttemptOutcome::Miss => self.report.misses += 1,
+                AttemptOutcome::Busy => self.report.turned_away += 1,
                 _ => {}
             },
-            Seen::Answered { reply: Reply::Busy(ms), .. } => {
+            ObservedEvent::ReplyReceived { reply: Reply::Busy(ms), .. } => {
                 self.report.refusals += 1;
                 self.advice += ms;
             }
-            Seen::Fault(what) => self.report.faults.push((o.at.as_secs_f64() * 1e3, what.clone())),
-            Seen::BoxFell { at } => {
+            ObservedEvent::Fault(what) => self.report.faults.push((o.at.as_secs_f64() * 1e3, what.clone())),
+            ObservedEvent::CacheServerCollapsed { server: at } => {
                 self.report.faults.push((o.at.as_secs_f64() * 1e3, format!("box {at} fell over")));
             }
             _ => {}
--- a/crates/world/src/rules.rs
+++ b/crates/world/src/rules.rs
@@ -37,8 +37,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::agreement::Told as Agreed;
-use crate::observe::{BoxNo, How, NodeNo, Observation, Phase, RequestNo, Seen};
+use crate::agreement::ReportedPlan as Agreed;
+use crate::observe::{AttemptOutcome, NodeIndex, Observation, ObservedEvent, Phase, RequestId, ServerIndex};
 use crate::scenario::{Effect, Scenario};
 use crate::values::{Value, Values};
 
@@ -126,7 +126,7 @@
 }
 
 struct Attempt {
-    at: BoxNo,
+    at: ServerIndex,
     arrived: Duration,
     fate: Fate,
     /// The value that it was answered with.
@@ -138,7 +138,7 @@
 }
 
 struct Request {
-    node: NodeNo,
+    node: NodeIndex,
     class: usize,
     key: u64,
     /// How often the key had been written when it was asked.
@@ -172,7 +172,7 @@
     /// When its process began.
     began: Duration,
     life: u64,
-    told: BTreeMap<BoxNo, Told>,
+    told: BTreeMap<ServerIndex, Told>,
     out: u32,
     over_since: Option<Duration>,
     window: VecDeque<Duration>,
@@ -182,36 +182,36 @@
 
 struct Cold {
     start: u64,
-    arrived: VecDeque<(Duration, NodeNo, f64)>,
+    arrived: VecDeque<(Duration, NodeIndex, f64)>,
 }
 
 /// The checker.
 pub struct Checker {
     classes: Vec<(Effect, Duration, Duration)>,
     rules: crate::scenario::Rules,
-    origin: BoxNo,
+    origin: ServerIndex,
     sockets: usize,
     cap: f64,
     tally: f64,
     window: Duration,
-    requests: BTreeMap<RequestNo, Request>,
-    order: VecDeque<(Duration, RequestNo)>,
+    requests: BTreeMap<RequestId, Request>,
+    order: VecDeque<(Duration, RequestId)>,
     nodes: Vec<Node>,
-    cold: BTreeMap<BoxNo, Cold>,
+    cold: BTreeMap<ServerIndex, Cold>,
     /// Crowds that there are now, and when the last one was over.
     crowds: u32,
     crowd_over: Option<Duration>,
     /// When a box last ended or was cut off: what it was writing then is not whole.
-    ended: BTreeMap<BoxNo, Duration>,
+    ended: BTreeMap<ServerIndex, Duration>,
     /// Boxes that discovery does not have as ready, and since when.
-    unlisted: BTreeMap<BoxNo, Duration>,
+    unlisted: BTreeMap<ServerIndex, Duration>,
     /// What hinders discovery now, and since when nothing does.
     hindered: u32,
     sound_since: Duration,
     /// When a box's links were last mended: what comes then may have been sent long before.
-    mended: BTreeMap<BoxNo, Duration>,
+    mended: BTreeMap<ServerIndex, Duration>,
     /// Boxes that are cut off now, wholly or in one direction.
-    away: BTreeMap<BoxNo, u32>,
+    away: BTreeMap<ServerIndex, u32>,
     /// When the last of them could be reached again: until then words were under way that nobody here saw.
     clear_since: Duration,
     /// By class, the zones it is bound to; by zone of a box, how they are dealt out.
@@ -225,7 +225,7 @@
     /// What each plan's number stands for.
     plans: BTreeMap<(u32, u32, u16), String>,
     /// Who decides, and since when.
-    deciding: BTreeMap<NodeNo, Duration>,
+    deciding: BTreeMap<NodeIndex, Duration>,
     /// The zones that the newest plan gives up, its number, and when each zone was given up lately.
     away_now: ((u32, u32, u16), Vec<String>),
     given_up: BTreeMap<String, VecDeque<Duration>>,
@@ -251,19 +251,19 @@
 impl Checker {
     /// The same for a network that holds words for as long as it likes, as relays do that delay or stop: what an attempt told
     /// when it was written can't be worked out from when it came, so that rule 12 is not judged.
-    pub fn with_unbounded_ways(mut self) -> Checker {
+    pub fn with_unbounded_delay(mut self) -> Checker {
         self.ways = None;
         self
     }
 
     /// The same for a network that holds words to cache servers back, there and back for so long at most: what arrives late may
     /// have been sent in time, and what a server has long answered may not have reached the node.
-    pub fn with_late_ways(self, late: Duration) -> Checker {
+    pub fn with_extra_server_delay(self, late: Duration) -> Checker {
         Checker { late_ways: late, ..self }
     }
 
     /// A checker of a scenario in which the origin has this number.
-    pub fn new(scenario: &Scenario, origin: BoxNo) -> Checker {
+    pub fn new(scenario: &Scenario, origin: ServerIndex) -> Checker {
         let ms = Duration::from_millis;
         let nodes = scenario.nodes.count as f64;
         let aim = scenario.class.iter().map(|c| c.aim_ms).max().unwrap_or(1000);
@@ -333,14 +333,14 @@
     }
 
     /// Judges one thing that was seen. They come in the order of their times.
-    pub fn saw(&mut self, o: &Observation) {
+    pub fn observe(&mut self, o: &Observation) {
         self.seen += 1;
         let now = o.at;
         if self.deciding.len() > 1 {
             self.deciders(now);
         }
-        match &o.seen {
-            Seen::Asked { request, node, class, key, patience, .. } => {
+        match &o.event {
+            ObservedEvent::RequestSent { request, node, class, key, timeout: patience, .. } => {
                 let (node, class) = (*node, *class);
                 let life = self.nodes[node].life;
                 let before = self.requests.get(request);
@@ -373,25 +373,27 @@
                 self.order.push_back((now, *request));
                 self.forget(now);
             }
-            Seen::Answered { request, reply, slow } => self.answered(now, *request, *reply, *slow),
-            Seen::Unasked { node } => {
+            ObservedEvent::ReplyReceived { request, reply, slow_reader: slow } => {
+                self.answered(now, *request, *reply, *slow)
+            }
+            ObservedEvent::UnsolicitedReply { node } => {
                 self.broken(
                     now,
                     Rule::OneAnswer,
                     format!("node {node} sent something that nobody asked for"),
                 );
             }
-            Seen::Garbled { request } => {
+            ObservedEvent::MalformedReply { request } => {
                 self.broken(now, Rule::OneAnswer, format!("request {request:x}: what came is no answer"));
             }
-            Seen::Crossed { request } => {
+            ObservedEvent::RacedWithClose { request } => {
                 if self.requests.get(request).is_some_and(|r| !r.attempts.is_empty()) {
                     self.unanswered(now, *request, "it had been taken when its connection was closed");
                 } else if let Some(r) = self.requests.get_mut(request) {
                     r.over = true;
                 }
             }
-            Seen::Lost { request, begun } => {
+            ObservedEvent::ConnectionLost { request, connect_started: begun } => {
                 // Asked on a connection that the process before had taken, whose end had not reached the client yet: the process
                 // that serves now has never seen it.
                 let before = self.requests.get(request).is_some_and(|r| *begun < self.nodes[r.node].began);
@@ -401,25 +403,25 @@
                     self.unanswered(now, *request, "its connection ended without an answer");
                 }
             }
-            Seen::Cut { request } => self.cut(now, *request),
-            Seen::HeldAfterDrain { node, idle, recent } => {
+            ObservedEvent::TruncatedReply { request } => self.cut(now, *request),
+            ObservedEvent::ConnectionsAfterDrain { node, idle, recent } => {
                 let what = format!(
                     "node {node} holds {idle} idle connections and {recent} with recent requests 4 s after its drain"
                 );
                 self.broken(now, Rule::Retirement, what);
             }
-            Seen::EndOverdue { node } => {
+            ObservedEvent::StopOverdue { node } => {
                 let what = format!("node {node} has not ended by itself when it may be killed");
                 self.broken(now, Rule::Retirement, what);
             }
-            Seen::Hanging { node, made } => {
+            ObservedEvent::StalledConnectionKept { node, connected_at: made } => {
                 // One that was made before the process began has waited in the queue of the machine meanwhile.
                 if self.nodes[*node].up && self.nodes[*node].began <= *made {
                     let what = format!("node {node} keeps a connection on which no command is finished");
                     self.broken(now, Rule::Bounds, what);
                 }
             }
-            Seen::Left { request, early } => {
+            ObservedEvent::ClientLeft { request, early } => {
                 self.requests.entry(*request).and_modify(|r| r.ended = Some(now));
                 if *early {
                     if let Some(r) = self.requests.get_mut(request) {
@@ -429,26 +431,38 @@
                     self.unanswered(now, *request, "no answer before its client left");
                 }
             }
-            Seen::Arrived { at, node, request, work, came, until, .. } => {
+            ObservedEvent::AttemptArrived {
+                server: at,
+                node,
+                request,
+                work,
+                received_at: came,
+                deadline: until,
+                ..
+            } => {
                 self.tells(now, *came, *at, *request, *until);
                 self.sent_on(*came, now, *at, *request);
                 self.arrived(now, *at, *node, *request, *work);
             }
-            Seen::Ended { at, node, request, how } => {
+            ObservedEvent::AttemptEnded { server: at, node, request, outcome: how } => {
                 let fate = match how {
-                    How::Value(_) | How::Failed | How::Silent { begun: true } => Fate::MayHaveRun,
-                    How::Miss | How::Busy | How::Silent { begun: false } => Fate::NotRun,
+                    AttemptOutcome::Value(_)
+                    | AttemptOutcome::Failed
+                    | AttemptOutcome::Dropped { started: true } => Fate::MayHaveRun,
+                    AttemptOutcome::Miss
+                    | AttemptOutcome::Busy
+                    | AttemptOutcome::Dropped { started: false } => Fate::NotRun,
                 };
-                let unheard = matches!(how, How::Silent { .. }) || self.away.contains_key(at);
-                if let How::Value(value) = how {
+                let unheard = matches!(how, AttemptOutcome::Dropped { .. }) || self.away.contains_key(at);
+                if let AttemptOutcome::Value(value) = how {
                     self.gave(*at, *request, *value);
                 }
                 self.settle(now, *at, *node, *request, fate, unheard);
             }
-            Seen::Abandoned { at, node, request } => {
+            ObservedEvent::AttemptAbandoned { server: at, node, request } => {
                 self.settle(now, *at, *node, *request, Fate::MayHaveRun, false);
             }
-            Seen::Executed { request, key, .. } => {
+            ObservedEvent::WriteExecuted { request, key, .. } => {
                 *self.versions.entry(*key).or_default() += 1;
                 let Some(r) = self.requests.get_mut(request) else { return };
                 r.executed += 1;
@@ -456,38 +470,43 @@
                     self.broken(now, Rule::NoEffectTwice, format!("request {request:x} ran twice"));
                 }
             }
-            Seen::Started { node, after, ready } if !ready || *after > READY => {
+            ObservedEvent::StartupChecked { node, elapsed: after, ready } if !ready || *after > READY => {
                 let what = format!("node {node} is ready {ready} {after:?} after its start");
                 self.broken(now, Rule::Ready, what);
             }
-            Seen::BusyLoop { node, call } => {
+            ObservedEvent::BusyLoop { node, call } => {
                 let what = format!("node {node} makes {call:?} again and again while it fails");
                 self.broken(now, Rule::Backoff, what);
             }
-            Seen::Started { .. } => {}
-            Seen::Acts { node, plan } => self.acts(now, *node, plan),
-            Seen::Decides { node, decides: false } => drop(self.deciding.remove(node)),
-            Seen::Decides { node, decides: true } => {
+            ObservedEvent::StartupChecked { .. } => {}
+            ObservedEvent::PlanAdopted { node, plan } => self.acts(now, *node, plan),
+            ObservedEvent::LeadershipChanged { node, leads: false } => drop(self.deciding.remove(node)),
+            ObservedEvent::LeadershipChanged { node, leads: true } => {
                 self.deciding.insert(*node, now);
             }
-            Seen::Listed { at, phase: Phase::Ready } => drop(self.unlisted.remove(at)),
-            Seen::Listed { at, .. } => {
+            ObservedEvent::Listed { server: at, phase: Phase::Ready } => drop(self.unlisted.remove(at)),
+            ObservedEvent::Listed { server: at, .. } => {
                 self.unlisted.entry(*at).or_insert(now);
             }
-            Seen::Sound { sound: false } => self.hindered += 1,
-            Seen::Sound { sound: true } => {
+            ObservedEvent::DiscoveryHealth { healthy: false } => self.hindered += 1,
+            ObservedEvent::DiscoveryHealth { healthy: true } => {
                 self.hindered = self.hindered.saturating_sub(1);
                 self.sound_since = now;
             }
-            Seen::Fault(_) | Seen::Repeated { .. } | Seen::Connected { .. } | Seen::SecondAnswer { .. } => {}
-            Seen::Told { node, whole, boxes, .. } => self.told(now, *node, *whole, boxes),
-            Seen::BoxUp { at, start, cold, .. } => {
+            ObservedEvent::Fault(_)
+            | ObservedEvent::DuplicateWriteDropped { .. }
+            | ObservedEvent::ClientConnected { .. }
+            | ObservedEvent::DuplicateResponse { .. } => {}
+            ObservedEvent::ListSent { node, full: whole, servers: boxes, .. } => {
+                self.told(now, *node, *whole, boxes)
+            }
+            ObservedEvent::CacheServerStarted { server: at, started_ms: start, cold, .. } => {
                 self.cold.remove(at);
                 if *cold {
                     self.cold.insert(*at, Cold { start: *start, arrived: VecDeque::new() });
                 }
             }
-            Seen::BoxAway { at, away } => {
+            ObservedEvent::ReachabilityChanged { server: at, unreachable: away } => {
                 if *away {
                     self.ended.insert(*at, now);
                     *self.away.entry(*at).or_default() += 1;
@@ -504,24 +523,24 @@
                     self.clear_since = now;
                 }
             }
-            Seen::Crowd { begins: true } => self.crowds += 1,
-            Seen::Crowd { begins: false } => {
+            ObservedEvent::ConnectionPressure { begins: true } => self.crowds += 1,
+            ObservedEvent::ConnectionPressure { begins: false } => {
                 self.crowds = self.crowds.saturating_sub(1);
                 self.crowd_over = Some(now);
             }
-            Seen::BoxDown { at } => drop(self.ended.insert(*at, now)),
-            Seen::BoxFell { at } => self.fell(now, *at),
-            Seen::NodeUp { node } => {
+            ObservedEvent::CacheServerEnded { server: at } => drop(self.ended.insert(*at, now)),
+            ObservedEvent::CacheServerCollapsed { server: at } => self.fell(now, *at),
+            ObservedEvent::NodeStarted { node } => {
                 let life = self.nodes[*node].life + 1;
                 self.nodes[*node] = Node { up: true, began: now, life, ..Node::default() };
             }
-            Seen::NodeStopping { .. } => {}
-            Seen::NodeDown { node, .. } => {
+            ObservedEvent::NodeStopping { .. } => {}
+            ObservedEvent::NodeEnded { node, .. } => {
                 let life = self.nodes[*node].life;
                 self.deciding.remove(node);
                 self.nodes[*node] = Node { up: false, life: life + 1, ..Node::default() };
             }
-            Seen::Sockets { node, open } => {
+            ObservedEvent::OpenSockets { node, count: open } => {
                 if *open > self.sockets {
                     let what = format!("node {node} holds {open} sockets of {}", self.sockets);
                     self.broken(now, Rule::Bounds, what);
@@ -532,7 +551,7 @@
 
     /// The end of the run: nothing may be left open.
     pub fn finish(&mut self, at: Duration) {
-        let open: Vec<RequestNo> =
+        let open: Vec<RequestId> =
             self.requests.iter().filter(|(_, r)| !r.answered && !r.over).map(|(id, _)| *id).collect();
         for id in open {
             self.unanswered(at, id, "no answer at the end of the run");
--- a/crates/world/src/rules/agreement.rs
+++ b/crates/world/src/rules/agreement.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::{Agreed, Checker, Rule};
-use crate::observe::NodeNo;
+use crate::observe::NodeIndex;
 
 /// A decider whose lease is over says so when it next looks at its clock.
 const LOOKS: Duration = Duration::from_millis(300);
@@ -13,7 +13,7 @@
 impl Checker {
     /// One decides: the one before may not have looked at its clock yet.
     pub(super) fn deciders(&mut self, now: Duration) {
-        let mut since: Vec<(Duration, NodeNo)> =
+        let mut since: Vec<(Duration, NodeIndex)> =
             self.deciding.iter().map(|(node, at)| (*at, *node)).collect();
         since.sort_unstable();
         if let [.., (_, a), (last, b)] = since[..]
@@ -24,12 +24,12 @@
         }
     }
 
-    pub(super) fn acts(&mut self, now: Duration, node: NodeNo, plan: &Agreed) {
-        let known = self.plans.entry(plan.number).or_insert_with(|| plan.says.clone());
-        if *known != plan.says {
+    pub(super) fn acts(&mut self, now: Duration, node: NodeIndex, plan: &Agreed) {
+        let known = self.plans.entry(plan.number).or_insert_with(|| plan.description.clone());
+        if *known != plan.description {
             let what = format!(
                 "plan {:?} says {known:?} at one node and {:?} at node {node}",
-                plan.number, plan.says
+                plan.number, plan.description
             );
             self.broken(now, Rule::OnePlan, what);
         }
@@ -43,7 +43,7 @@
         if order(plan.number) <= order(self.away_now.0) {
             return;
         }
-        let away: Vec<String> = plan.away().into_iter().map(str::to_owned).collect();
+        let away: Vec<String> = plan.given_up_zones().into_iter().map(str::to_owned).collect();
         let (_, before) = std::mem::replace(&mut self.away_now, (plan.number, away.clone()));
         for zone in away.into_iter().filter(|zone| !before.contains(zone)) {
             let times = self.given_up.entry(zone.clone()).or_default();
--- a/crates/world/src/rules/answers.rs
+++ b/crates/world/src/rules/answers.rs
@@ -4,7 +4,7 @@
 
 use super::values::made_for;
 use super::{Checker, Fate, Rule, SLACK, known_since};
-use crate::observe::{Reply, RequestNo};
+use crate::observe::{Reply, RequestId};
 use crate::scenario::Effect;
 
 /// A request that is parked is looked at again within this part of its aim.
@@ -18,7 +18,7 @@
         self.crowds > 0 || self.crowd_over.is_some_and(|over| over + CROWD_GOES >= asked)
     }
 
-    pub(super) fn answered(&mut self, now: Duration, id: RequestNo, reply: Reply, slow: bool) {
+    pub(super) fn answered(&mut self, now: Duration, id: RequestId, reply: Reply, slow: bool) {
         let crowded = self.requests.get(&id).is_some_and(|r| self.crowded(r.asked));
         let Some(r) = self.requests.get_mut(&id) else { return };
         let twice = std::mem::replace(&mut r.answered, true);
@@ -89,7 +89,7 @@
     }
 
     /// A value that its server cut has failed; one that the node cuts by itself is lost.
-    pub(super) fn cut(&mut self, now: Duration, id: RequestNo) {
+    pub(super) fn cut(&mut self, now: Duration, id: RequestId) {
         let Some(r) = self.requests.get_mut(&id) else { return };
         let by_server = r
             .attempts
@@ -102,7 +102,7 @@
         }
     }
 
-    pub(super) fn unanswered(&mut self, now: Duration, id: RequestNo, what: &str) {
+    pub(super) fn unanswered(&mut self, now: Duration, id: RequestId, what: &str) {
         let Some(r) = self.requests.get_mut(&id) else { return };
         r.over = true;
         // A node that was killed meanwhile takes with it what it had taken.
--- a/crates/world/src/rules/attempts.rs
+++ b/crates/world/src/rules/attempts.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::{Attempt, Checker, Fate, Rule, SLACK, known_since};
-use crate::observe::{BoxNo, NodeNo, RequestNo};
+use crate::observe::{NodeIndex, RequestId, ServerIndex};
 use crate::scenario::Effect;
 
 /// What discovery has counts as told so long after it could be reached.
@@ -16,7 +16,14 @@
 
 impl Checker {
     /// Judges what an attempt that came then tells of the time that is left.
-    pub(super) fn tells(&mut self, now: Duration, came: Duration, at: BoxNo, id: RequestNo, until: Duration) {
+    pub(super) fn tells(
+        &mut self,
+        now: Duration,
+        came: Duration,
+        at: ServerIndex,
+        id: RequestId,
+        until: Duration,
+    ) {
         // What was written to a cache server that could not be reached comes when it can.
         let mended = self.mended.get(&at).is_some_and(|m| now < *m + SLACK);
         if mended || self.away.contains_key(&at) {
@@ -38,7 +45,7 @@
 
     /// Judges whether an attempt that came then was written for a request that was over. Its server may read it later, behind an
     /// answer that is taken slowly: what has been written whole can't be taken back.
-    pub(super) fn sent_on(&mut self, came: Duration, now: Duration, at: BoxNo, id: RequestNo) {
+    pub(super) fn sent_on(&mut self, came: Duration, now: Duration, at: ServerIndex, id: RequestId) {
         // What was written to a cache server that could not be reached comes when it can.
         let mended = self.mended.get(&at).is_some_and(|m| now < *m + SLACK);
         let ended = self.requests.get(&id).and_then(|r| r.ended);
@@ -50,7 +57,14 @@
         }
     }
 
-    pub(super) fn arrived(&mut self, now: Duration, at: BoxNo, node: NodeNo, id: RequestNo, work: f64) {
+    pub(super) fn arrived(
+        &mut self,
+        now: Duration,
+        at: ServerIndex,
+        node: NodeIndex,
+        id: RequestId,
+        work: f64,
+    ) {
         let grace = Duration::from_millis(self.rules.drain_grace_ms) + SLACK;
         let away = self.away.contains_key(&at);
         let mended = self.mended.get(&at).is_some_and(|m| now < *m + SLACK);
@@ -124,9 +138,9 @@
     pub(super) fn settle(
         &mut self,
         now: Duration,
-        at: BoxNo,
-        node: NodeNo,
-        id: RequestNo,
+        at: ServerIndex,
+        node: NodeIndex,
+        id: RequestId,
         fate: Fate,
         unheard: bool,
     ) {
--- a/crates/world/src/rules/lists.rs
+++ b/crates/world/src/rules/lists.rs
@@ -3,10 +3,16 @@
 use std::time::Duration;
 
 use super::{Checker, Rule};
-use crate::observe::{BoxNo, NodeNo, Phase};
+use crate::observe::{NodeIndex, Phase, ServerIndex};
 
 impl Checker {
-    pub(super) fn told(&mut self, now: Duration, node: NodeNo, whole: bool, boxes: &[(BoxNo, Phase, u64)]) {
+    pub(super) fn told(
+        &mut self,
+        now: Duration,
+        node: NodeIndex,
+        whole: bool,
+        boxes: &[(ServerIndex, Phase, u64)],
+    ) {
         let told = &mut self.nodes[node].told;
         if whole {
             for (number, t) in told.iter_mut() {
@@ -29,9 +35,9 @@
         }
     }
 
-    pub(super) fn fell(&mut self, now: Duration, at: BoxNo) {
+    pub(super) fn fell(&mut self, now: Duration, at: ServerIndex) {
         let Some(cold) = self.cold.get(&at) else { return };
-        let knew = |node: NodeNo, when: Duration| {
+        let knew = |node: NodeIndex, when: Duration| {
             let told = self.nodes[node].told.get(&at);
             told.is_some_and(|t| t.start == cold.start && t.known_since <= when)
         };
--- a/crates/world/src/rules/origin_caps.rs
+++ b/crates/world/src/rules/origin_caps.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 
 use super::{Checker, Rule, SLACK};
-use crate::observe::NodeNo;
+use crate::observe::NodeIndex;
 
 impl Checker {
     /// A call has come to the origin. Being over a cap counts once it has lasted longer than a close needs to arrive.
-    pub(super) fn origin_call(&mut self, now: Duration, node: NodeNo) {
+    pub(super) fn origin_call(&mut self, now: Duration, node: NodeIndex) {
         let (cap, tally, window) = (self.cap, self.tally, self.window);
         let n = &mut self.nodes[node];
         n.out += 1;
--- a/crates/world/src/rules/values.rs
+++ b/crates/world/src/rules/values.rs
@@ -1,12 +1,12 @@
 //! What is served: that it was made for the request, and that it is a value of the request's key.
 
 use super::{Checker, Fate, Request};
-use crate::observe::{BoxNo, RequestNo};
+use crate::observe::{RequestId, ServerIndex};
 use crate::values::Value;
 
 /// Whether a value was made for a request: one of its attempts has been answered with it, and where the value
 /// tells for which request and by whom it was made, that is so.
-pub(super) fn made_for(request: &Request, id: RequestNo, value: Value) -> bool {
+pub(super) fn made_for(request: &Request, id: RequestId, value: Value) -> bool {
     let tells_so = match value {
         Value::OfRequest { of, by } => of == id && request.attempts.iter().any(|a| a.at == by),
         Value::OfKey { .. } | Value::Common(_) => true,
@@ -21,7 +21,7 @@
     }
 
     /// A box or the origin gives a value for an attempt that is out there.
-    pub(super) fn gave(&mut self, at: BoxNo, id: RequestNo, value: Value) {
+    pub(super) fn gave(&mut self, at: ServerIndex, id: RequestId, value: Value) {
         let Some(r) = self.requests.get_mut(&id) else { return };
         if let Some(a) = r.attempts.iter_mut().find(|a| a.at == at && a.fate == Fate::Out) {
             a.gave = Some(value);
--- a/crates/world/src/scenario.rs
+++ b/crates/world/src/scenario.rs
@@ -389,16 +389,16 @@
 
 /// What is wrong with a scenario, and where.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Fault {
+pub struct ScenarioError {
     /// The line, from 1, where it is known.
     pub line: Option<usize>,
     /// The key, from the outermost table on; empty for what is no TOML at all.
     pub key: String,
     /// What is wrong with it.
-    pub what: String,
+    pub message: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ScenarioError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if let Some(line) = self.line {
             write!(f, "line {line}: ")?;
@@ -406,11 +406,11 @@
         if !self.key.is_empty() {
             write!(f, "{}: ", self.key)?;
         }
-        f.write_str(&self.what)
+        f.write_str(&self.message)
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for ScenarioError {}
 
 /// The line on which a byte stands.
 fn line_of(text: &str, at: usize) -> usize {
@@ -437,11 +437,11 @@
 ///
 /// # Errors
 /// What does not parse or fit the type, with its line.
-pub fn parse<T: serde::de::DeserializeOwned>(text: &str) -> Result<T, Fault> {
-    toml::from_str(text).map_err(|e| Fault {
+pub fn parse<T: serde::de::DeserializeOwned>(text: &str) -> Result<T, ScenarioError> {
+    toml::from_str(text).map_err(|e| ScenarioError {
         line: e.span().map(|s| line_of(text, s.start)),
         key: String::new(),
-        what: e.message().trim().replace('\n', " "),
+        message: e.message().trim().replace('\n', " "),
     })
 }
 
@@ -449,7 +449,7 @@
 ///
 /// # Errors
 /// The key, and what is wrong with the figure.
-pub fn figure(key: &str, value: f64, least: f64, most: f64) -> Result<(), (String, String)> {
+pub fn check_range(key: &str, value: f64, least: f64, most: f64) -> Result<(), (String, String)> {
     if value.is_finite() && (least..=most).contains(&value) {
         return Ok(());
     }
@@ -461,9 +461,13 @@
     ///
     /// # Errors
     /// The first thing that is wrong, with its line and key.
-    pub fn read(text: &str) -> Result<Scenario, Fault> {
+    pub fn read(text: &str) -> Result<Scenario, ScenarioError> {
         let scenario: Scenario = parse(text)?;
-        scenario.check().map_err(|(key, what)| Fault { line: line_of_key(text, &key), key, what })?;
+        scenario.check().map_err(|(key, what)| ScenarioError {
+            line: line_of_key(text, &key),
+            key,
+            message: what,
+        })?;
         Ok(scenario)
     }
 
@@ -471,15 +475,15 @@
     ///
     /// # Errors
     /// The first thing that is wrong, with its key.
-    pub fn validate(&self) -> Result<(), Fault> {
-        self.check().map_err(|(key, what)| Fault { line: None, key, what })
+    pub fn validate(&self) -> Result<(), ScenarioError> {
+        self.check().map_err(|(key, what)| ScenarioError { line: None, key, message: what })
     }
 
     fn check(&self) -> Result<(), (String, String)> {
         let bad = |key: &str, what: &str| Err((key.to_owned(), what.to_owned()));
         let range = |key: &str, pair: [f64; 2], least: f64, most: f64| {
-            figure(key, pair[0], least, most)?;
-            figure(key, pair[1], least, most)?;
+            check_range(key, pair[0], least, most)?;
+            check_range(key, pair[1], least, most)?;
             if pair[0] > pair[1] {
                 return Err((key.to_owned(), format!("{} is more than {}", pair[0], pair[1])));
             }
@@ -489,23 +493,23 @@
         if self.name.is_empty() {
             return bad("name", "is empty");
         }
-        figure("seconds", self.seconds, 0.1, 3600.0)?;
+        check_range("seconds", self.seconds, 0.1, 3600.0)?;
         if self.zones.is_empty() || self.zones.len() > 16 {
             return bad("zones", "1 to 16 are needed");
         }
-        figure("load.rate", self.load.rate, 0.1, 1e6)?;
-        figure("load.keys", self.load.keys as f64, 1.0, 1e9)?;
-        figure("load.zipf", self.load.zipf, 0.0, 4.0)?;
-        figure("load.value_bytes", self.load.value_bytes as f64, 0.0, 60_000.0)?;
+        check_range("load.rate", self.load.rate, 0.1, 1e6)?;
+        check_range("load.keys", self.load.keys as f64, 1.0, 1e9)?;
+        check_range("load.zipf", self.load.zipf, 0.0, 4.0)?;
+        check_range("load.value_bytes", self.load.value_bytes as f64, 0.0, 60_000.0)?;
         range("load.patience", self.load.patience, 0.01, 1.0)?;
-        figure("load.retries", f64::from(self.load.retries), 0.0, 100.0)?;
-        figure("load.heeds_advice", self.load.heeds_advice, 0.0, 1.0)?;
-        figure("load.callers", self.load.callers as f64, 0.0, 100_000.0)?;
-        figure("load.eager", self.load.eager, 0.0, 1.0)?;
+        check_range("load.retries", f64::from(self.load.retries), 0.0, 100.0)?;
+        check_range("load.heeds_advice", self.load.heeds_advice, 0.0, 1.0)?;
+        check_range("load.callers", self.load.callers as f64, 0.0, 100_000.0)?;
+        check_range("load.eager", self.load.eager, 0.0, 1.0)?;
         for (i, h) in self.load.habits.iter().enumerate() {
-            figure(&format!("load.habit.{i}.share"), h.share, 0.0, 1e6)?;
-            figure(&format!("load.habit.{i}.wait_ms"), h.wait_ms as f64, 0.0, 600_000.0)?;
-            figure(&format!("load.habit.{i}.most_ms"), h.most_ms as f64, 0.0, 600_000.0)?;
+            check_range(&format!("load.habit.{i}.share"), h.share, 0.0, 1e6)?;
+            check_range(&format!("load.habit.{i}.wait_ms"), h.wait_ms as f64, 0.0, 600_000.0)?;
+            check_range(&format!("load.habit.{i}.most_ms"), h.most_ms as f64, 0.0, 600_000.0)?;
         }
         if !self.load.habits.is_empty() && self.load.habits.iter().map(|h| h.share).sum::<f64>() <= 0.0 {
             return bad("load.habit", "all shares are 0");
@@ -518,11 +522,11 @@
             if c.name.is_empty() || !c.name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-') {
                 return bad(&at("name"), "letters, digits and dashes only");
             }
-            figure(&at("share"), c.share, 0.0, 1e6)?;
-            figure(&at("deadline_ms"), c.deadline_ms as f64, 1.0, 600_000.0)?;
-            figure(&at("aim_ms"), c.aim_ms as f64, 1.0, c.deadline_ms as f64)?;
-            figure(&at("worth"), c.worth, 0.0, 1e6)?;
-            figure(&at("window_ms"), c.window_ms as f64, 1.0, 3_600_000.0)?;
+            check_range(&at("share"), c.share, 0.0, 1e6)?;
+            check_range(&at("deadline_ms"), c.deadline_ms as f64, 1.0, 600_000.0)?;
+            check_range(&at("aim_ms"), c.aim_ms as f64, 1.0, c.deadline_ms as f64)?;
+            check_range(&at("worth"), c.worth, 0.0, 1e6)?;
+            check_range(&at("window_ms"), c.window_ms as f64, 1.0, 3_600_000.0)?;
             range(&at("work_ms"), c.work_ms, 0.001, 60_000.0)?;
             if let Some(zone) = c.only_zones.iter().find(|z| !self.zones.contains(z)) {
                 return bad(&at("only_zones"), &format!("there is no zone {zone:?}"));
@@ -532,50 +536,50 @@
             return bad("class", "all shares are 0");
         }
         for (i, t) in self.tenant.iter().enumerate() {
-            figure(&format!("tenant.{i}.share"), t.share, 0.0, 1e6)?;
-            figure(&format!("tenant.{i}.quota"), t.quota, 0.01, 1e9)?;
+            check_range(&format!("tenant.{i}.share"), t.share, 0.0, 1e6)?;
+            check_range(&format!("tenant.{i}.quota"), t.quota, 0.01, 1e9)?;
         }
         if !self.tenant.is_empty() && self.tenant.iter().map(|t| t.share).sum::<f64>() <= 0.0 {
             return bad("tenant", "all shares are 0");
         }
-        figure("nodes.count", self.nodes.count as f64, 1.0, 200.0)?;
-        figure("nodes.sockets", self.nodes.sockets as f64, 32.0, 1e6)?;
-        figure("nodes.memory_mb", self.nodes.memory_mb, 16.0, 1e6)?;
+        check_range("nodes.count", self.nodes.count as f64, 1.0, 200.0)?;
+        check_range("nodes.sockets", self.nodes.sockets as f64, 32.0, 1e6)?;
+        check_range("nodes.memory_mb", self.nodes.memory_mb, 16.0, 1e6)?;
         if let Err(e) = mothpier_node::operator::read(&self.nodes.operator) {
             return bad("nodes.operator", &e);
         }
-        if self.agrees() && self.zones.len() < 2 {
+        if self.agreement_enabled() && self.zones.len() < 2 {
             return bad("nodes.operator", "accord.on: one zone has nothing to agree on");
         }
         range("nodes.front_notices_ms", wide(self.nodes.front_notices_ms), 0.0, 60_000.0)?;
-        figure("boxes.count", self.boxes.count as f64, 1.0, 1000.0)?;
-        figure("boxes.cores", self.boxes.cores as f64, 1.0, 1024.0)?;
+        check_range("boxes.count", self.boxes.count as f64, 1.0, 1000.0)?;
+        check_range("boxes.cores", self.boxes.cores as f64, 1.0, 1024.0)?;
         if self.boxes.speeds.is_empty() {
             return bad("boxes.speeds", "at least one is needed");
         }
         for (i, speed) in self.boxes.speeds.iter().enumerate() {
-            figure(&format!("boxes.speeds.{i}"), *speed, 0.01, 100.0)?;
+            check_range(&format!("boxes.speeds.{i}"), *speed, 0.01, 100.0)?;
         }
-        figure("boxes.room", self.boxes.room as f64, 0.0, 1e6)?;
-        figure("boxes.keys", self.boxes.keys as f64, 1.0, 1e7)?;
-        figure("boxes.connections", self.boxes.connections as f64, 1.0, 1e6)?;
-        figure("boxes.handshake_ms", self.boxes.handshake_ms, 0.0, 1000.0)?;
-        figure("boxes.miss_work", self.boxes.miss_work, 0.0, 1.0)?;
-        figure("origin.slots", self.origin.slots as f64, 1.0, 1e6)?;
-        figure("origin.room", self.origin.room as f64, 0.0, 1e6)?;
+        check_range("boxes.room", self.boxes.room as f64, 0.0, 1e6)?;
+        check_range("boxes.keys", self.boxes.keys as f64, 1.0, 1e7)?;
+        check_range("boxes.connections", self.boxes.connections as f64, 1.0, 1e6)?;
+        check_range("boxes.handshake_ms", self.boxes.handshake_ms, 0.0, 1000.0)?;
+        check_range("boxes.miss_work", self.boxes.miss_work, 0.0, 1.0)?;
+        check_range("origin.slots", self.origin.slots as f64, 1.0, 1e6)?;
+        check_range("origin.room", self.origin.room as f64, 0.0, 1e6)?;
         range("origin.time_ms", self.origin.time_ms, 0.01, 600_000.0)?;
-        figure("origin.fails", self.origin.fails, 0.0, 1.0)?;
+        check_range("origin.fails", self.origin.fails, 0.0, 1.0)?;
         range("discovery.lag_ms", wide(self.discovery.lag_ms), 0.0, 60_000.0)?;
-        figure("discovery.call_ms", self.discovery.call_ms, 0.0, 1000.0)?;
+        check_range("discovery.call_ms", self.discovery.call_ms, 0.0, 1000.0)?;
         range("network.within_ms", self.network.within_ms, 0.0, 1000.0)?;
         range("network.across_ms", self.network.across_ms, 0.0, 1000.0)?;
         range("network.datagrams_ms", self.network.datagrams_ms, 0.0, 10_000.0)?;
-        figure("network.datagrams_lost", self.network.datagrams_lost, 0.0, 1.0)?;
-        figure("rules.cold_share", self.rules.cold_share, 0.01, 1.0)?;
-        figure("rules.warm_ms", self.rules.warm_ms as f64, 1.0, 3_600_000.0)?;
-        figure("rules.fall_multiple", self.rules.fall_multiple, 1.0, 1000.0)?;
-        figure("rules.fall_ms", self.rules.fall_ms as f64, 1.0, 600_000.0)?;
-        figure("rules.max_attempts", f64::from(self.rules.max_attempts), 1.0, 100.0)?;
+        check_range("network.datagrams_lost", self.network.datagrams_lost, 0.0, 1.0)?;
+        check_range("rules.cold_share", self.rules.cold_share, 0.01, 1.0)?;
+        check_range("rules.warm_ms", self.rules.warm_ms as f64, 1.0, 3_600_000.0)?;
+        check_range("rules.fall_multiple", self.rules.fall_multiple, 1.0, 1000.0)?;
+        check_range("rules.fall_ms", self.rules.fall_ms as f64, 1.0, 600_000.0)?;
+        check_range("rules.max_attempts", f64::from(self.rules.max_attempts), 1.0, 100.0)?;
         range("faults.count", [self.faults.count[0] as f64, self.faults.count[1] as f64], 0.0, 100.0)?;
         if self.faults.count[1] > 0 && self.faults.kinds.is_empty() {
             return bad("faults.kinds", "is empty, but count asks for some");
@@ -584,17 +588,17 @@
     }
 
     /// Whether the operator's file makes nodes agree on which zones serve.
-    pub fn agrees(&self) -> bool {
+    pub fn agreement_enabled(&self) -> bool {
         mothpier_node::operator::read(&self.nodes.operator).is_ok_and(|o| o.agreement.on)
     }
 
     /// For how long requests arrive.
-    pub fn span(&self) -> Duration {
+    pub fn load_duration(&self) -> Duration {
         Duration::from_secs_f64(self.seconds)
     }
 
     /// The longest deadline of all classes.
-    pub fn longest(&self) -> Duration {
+    pub fn longest_deadline(&self) -> Duration {
         Duration::from_millis(self.class.iter().map(|c| c.deadline_ms).max().unwrap_or(0))
     }
 
