--- a/crates/world/src/sim.rs
+++ b/crates/world/src/sim.rs
@@ -21,23 +21,23 @@
 use tokio::task::{AbortHandle, JoinHandle, LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until};
 
-use crate::agreement::{self, Told};
-use crate::cache::Cache;
+use crate::agreement::{self, ReportedPlan};
+use crate::cache::CacheServer;
 use crate::clients::Clients;
 use crate::discovery::Discovery;
 use crate::failing_host::FailingHost;
 use crate::faults::{self, Ends, Fault, Kind, What};
 use crate::fleet::{Fleet, Member};
 use crate::mutant::{Mutant, MutantHost};
-use crate::observe::{BoxNo, NodeNo, Observation, Phase, Seen, Witness};
+use crate::observe::{NodeIndex, Observation, ObservedEvent, Observer, Phase, ServerIndex};
 use crate::origin::Origin;
 use crate::process;
 use crate::report::{Collector, Report};
 use crate::rules::Checker;
 use crate::scenario::Scenario;
 use crate::system_calls::{FailingCall, FailingCalls};
-use crate::tape::{Recording, Tape, Tapes};
-use crate::users::{Held, Users};
+use crate::tape::{RecordedSegment, RecordingOptions, Tapes};
+use crate::users::{PersistentClients, RetainedConnections};
 use crate::wall_clock::WallClockStep;
 
 /// The time of day at which every simulated world begins.
@@ -52,7 +52,7 @@
 
 /// What a run is made of.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct RunPlan {
     /// The scenario.
     pub scenario: Scenario,
     /// The seed of everything.
@@ -63,7 +63,7 @@
     pub mutant: Option<Mutant>,
 }
 
-impl Plan {
+impl RunPlan {
     /// The faults of the run.
     pub fn script(&self) -> Vec<Fault> {
         self.script.clone().unwrap_or_else(|| {
@@ -76,12 +76,16 @@
 type Trace = Rc<RefCell<dyn FnMut(&str)>>;
 
 /// Runs a plan to its end on the virtual clock. Everything that is seen, and the lines of all logs, go to `trace`.
-pub fn run(plan: &Plan, trace: Option<Trace>) -> Report {
+pub fn run(plan: &RunPlan, trace: Option<Trace>) -> Report {
     chalksill_simnet::run(|| play(plan.clone(), trace, None))
 }
 
 /// As [`run`], with nodes that record; what they recorded comes along, in the order in which it was begun.
-pub fn run_recorded(plan: &Plan, trace: Option<Trace>, recording: Recording) -> (Report, Vec<Tape>) {
+pub fn run_recorded(
+    plan: &RunPlan,
+    trace: Option<Trace>,
+    recording: RecordingOptions,
+) -> (Report, Vec<RecordedSegment>) {
     chalksill_simnet::run(|| async {
         let tapes = Tapes::new(recording);
         let report = play(plan.clone(), trace, Some(tapes.clone())).await;
@@ -110,15 +114,15 @@
     fleet: Rc<Fleet>,
     discovery: Rc<Discovery>,
     discovery_host: SimHost,
-    nodes: RefCell<BTreeMap<NodeNo, NodeRun>>,
-    boxes: RefCell<BTreeMap<BoxNo, BoxRun>>,
+    nodes: RefCell<BTreeMap<NodeIndex, NodeRun>>,
+    boxes: RefCell<BTreeMap<ServerIndex, BoxRun>>,
     clients: RefCell<Option<Rc<Clients<SimHost>>>>,
     /// Clients that go on using their connections, where the scenario has any.
-    users: RefCell<Option<Rc<Users<SimHost>>>>,
+    users: RefCell<Option<Rc<PersistentClients<SimHost>>>>,
     /// Since when nodes are drained that are.
-    drained_since: RefCell<BTreeMap<NodeNo, Instant>>,
+    drained_since: RefCell<BTreeMap<NodeIndex, Instant>>,
     lives: Cell<u64>,
-    origin: BoxNo,
+    origin: ServerIndex,
     mutant: Option<Mutant>,
     tapes: Option<Tapes>,
     /// The platform holds the nodes' sockets.
@@ -127,11 +131,11 @@
     failing: Option<FailingCalls>,
 }
 
-fn node_ip(node: NodeNo) -> IpAddr {
+fn node_ip(node: NodeIndex) -> IpAddr {
     IpAddr::V4(Ipv4Addr::new(10, 1, (node / 250) as u8, (node % 250) as u8 + 1))
 }
 
-fn box_ip(number: BoxNo) -> IpAddr {
+fn box_ip(number: ServerIndex) -> IpAddr {
     IpAddr::V4(Ipv4Addr::new(10, 2, (number / 250) as u8, (number % 250) as u8 + 1))
 }
 
@@ -181,7 +185,7 @@
 }
 
 /// The node that has an address.
-fn node_of(from: SocketAddr) -> NodeNo {
+fn node_of(from: SocketAddr) -> NodeIndex {
     match from.ip() {
         IpAddr::V4(ip) => {
             let [_, _, high, low] = ip.octets();
@@ -191,19 +195,19 @@
     }
 }
 
-async fn play(plan: Plan, trace: Option<Trace>, tapes: Option<Tapes>) -> Report {
+async fn play(plan: RunPlan, trace: Option<Trace>, tapes: Option<Tapes>) -> Report {
     let scenario = plan.scenario.clone();
     let links = &scenario.network;
     let ms =
         |pair: [f64; 2]| (Duration::from_secs_f64(pair[0] / 1e3), Duration::from_secs_f64(pair[1] / 1e3));
     let links = Links {
-        within: ms(links.within_ms),
-        across: ms(links.across_ms),
+        within_zone: ms(links.within_ms),
+        between_zones: ms(links.across_ms),
         datagrams: ms(links.datagrams_ms),
-        lost: links.datagrams_lost,
+        datagram_loss: links.datagrams_lost,
     };
     let net = Net::new(plan.seed, EPOCH, links);
-    let witness = Witness::begin();
+    let witness = Observer::starting_now();
     let origin = scenario.boxes.count;
     let checker = Rc::new(RefCell::new(Checker::new(&scenario, origin)));
     let collector = Rc::new(RefCell::new(Collector::new(&scenario, plan.seed, origin)));
@@ -211,10 +215,10 @@
     {
         let (checker, collector, seen, trace) =
             (checker.clone(), collector.clone(), seen.clone(), trace.clone());
-        witness.give_to(move |o: &Observation| {
+        witness.subscribe(move |o: &Observation| {
             let before = checker.borrow().violations().len();
-            checker.borrow_mut().saw(o);
-            collector.borrow_mut().saw(o);
+            checker.borrow_mut().observe(o);
+            collector.borrow_mut().observe(o);
             seen.set(mix(seen.get(), o));
             if let Some(trace) = &trace {
                 let mut trace = trace.borrow_mut();
@@ -226,9 +230,9 @@
         });
     }
     let begin = Instant::now();
-    let told = scenario.agrees().then(|| witness.clone());
+    let told = scenario.agreement_enabled().then(|| witness.clone());
     if trace.is_some() || told.is_some() {
-        net.log_to(move |at, name, line| {
+        net.set_log_sink(move |at, name, line| {
             let line = line.to_string();
             if let Some(trace) = &trace {
                 let mut trace = trace.borrow_mut();
@@ -237,24 +241,24 @@
             // What nodes agree on is told by nobody but themselves.
             let node = name.strip_prefix("node ").and_then(|n| n.parse().ok());
             if let (Some(witness), Some(node)) = (&told, node) {
-                if let Some(plan) = Told::read(&line) {
-                    witness.saw(Seen::Acts { node, plan });
-                } else if let Some(decides) = agreement::decides(&line) {
-                    witness.saw(Seen::Decides { node, decides });
+                if let Some(plan) = ReportedPlan::parse(&line) {
+                    witness.record(ObservedEvent::PlanAdopted { node, plan });
+                } else if let Some(decides) = agreement::leadership_change(&line) {
+                    witness.record(ObservedEvent::LeadershipChanged { node, leads: decides });
                 }
             }
         });
     }
     let fleet = Fleet::new(scenario.clone(), plan.seed, witness.clone());
-    spawn_local(net.clone().wire());
+    spawn_local(net.clone().deliver_packets());
     let zones = scenario.zones.len();
-    let member = |number: BoxNo| Member {
+    let member = |number: ServerIndex| Member {
         id: format!("s-{number:04}"),
         addresses: vec![SocketAddr::new(box_ip(number), 6379)],
         zone: number % zones,
-        origin: number == origin,
+        is_origin: number == origin,
         phase: Phase::Ready,
-        started: if scenario.boxes.start_cold && number != origin { EPOCH.as_millis() as u64 } else { 0 },
+        started_ms: if scenario.boxes.start_cold && number != origin { EPOCH.as_millis() as u64 } else { 0 },
     };
     let members = (0..=origin).map(|n| (n, member(n))).collect();
     let discovery = Discovery::new(&fleet, members);
@@ -262,7 +266,7 @@
         net: net.clone(),
         fleet: fleet.clone(),
         discovery: discovery.clone(),
-        discovery_host: net.process(DISCOVERY, 0, "discovery"),
+        discovery_host: net.start_process(DISCOVERY, 0, "discovery"),
         nodes: RefCell::default(),
         boxes: RefCell::default(),
         clients: RefCell::new(None),
@@ -279,7 +283,7 @@
     for number in 0..origin {
         world.start_box(number, scenario.boxes.start_cold).await;
     }
-    fleet.fill(&discovery.ready());
+    fleet.warm_caches(&discovery.ready_servers());
     world.start_origin().await;
     for port in [DISCOVERY_PORT, DISCOVERY_MOVED] {
         if let Ok(listener) = world.discovery_host.listen(SocketAddr::new(DISCOVERY, port)).await {
@@ -289,7 +293,8 @@
     let mut platform = Vec::new();
     for node in 0..scenario.nodes.count {
         if world.sockets {
-            let host = net.process(node_ip(node), (node % zones) as u8, &format!("platform of node {node}"));
+            let host =
+                net.start_process(node_ip(node), (node % zones) as u8, &format!("platform of node {node}"));
             platform.extend(host.listen(SocketAddr::new(node_ip(node), 6379)).await);
         }
         world.start_node(node);
@@ -297,14 +302,14 @@
     sleep(WARM_UP).await;
     let addresses = (0..scenario.nodes.count).map(|n| SocketAddr::new(node_ip(n), 6379)).collect();
     let ended = collector.clone();
-    let clients = Clients::new(net.process(CLIENTS, 0, "clients"), &fleet, addresses, move |played| {
-        ended.borrow_mut().played(&played);
+    let clients = Clients::new(net.start_process(CLIENTS, 0, "clients"), &fleet, addresses, move |played| {
+        ended.borrow_mut().record_result(&played);
     });
     *world.clients.borrow_mut() = Some(clients.clone());
     let begin = Instant::now();
     if scenario.load.users > 0 {
-        let users = Users::new(clients.clone());
-        users.play(begin + scenario.span());
+        let users = PersistentClients::new(clients.clone());
+        users.start(begin + scenario.load_duration());
         *world.users.borrow_mut() = Some(users);
     }
     for fault in plan.script() {
@@ -315,10 +320,10 @@
         });
     }
     spawn_local(world.clone().count_sockets());
-    clients.clone().play(scenario.span()).await;
-    let end = Instant::now() + scenario.longest() + AFTER;
+    clients.clone().generate_load(scenario.load_duration()).await;
+    let end = Instant::now() + scenario.longest_deadline() + AFTER;
     let users = world.users.borrow().clone();
-    let under_way = || clients.under_way() + users.as_ref().map_or(0, |users| users.under_way());
+    let under_way = || clients.in_flight() + users.as_ref().map_or(0, |users| users.open_connections());
     while under_way() > 0 && Instant::now() < end {
         sleep(Duration::from_millis(20)).await;
     }
@@ -328,7 +333,7 @@
     report.digest = format!("{:016x}", net.digest() ^ seen.get());
     report.virtual_s = net.elapsed().as_secs_f64();
     report.packets = net.packets();
-    fleet.end();
+    fleet.clear();
     report
 }
 
@@ -337,13 +342,17 @@
     use std::hash::{Hash, Hasher};
     let mut hasher = xxhash_rust::xxh3::Xxh3::with_seed(digest);
     o.at.as_micros().hash(&mut hasher);
-    std::mem::discriminant(&o.seen).hash(&mut hasher);
-    match &o.seen {
-        Seen::Answered { request, .. } | Seen::Lost { request, .. } | Seen::Left { request, .. } => {
+    std::mem::discriminant(&o.event).hash(&mut hasher);
+    match &o.event {
+        ObservedEvent::ReplyReceived { request, .. }
+        | ObservedEvent::ConnectionLost { request, .. }
+        | ObservedEvent::ClientLeft { request, .. } => {
             request.hash(&mut hasher);
         }
-        Seen::Arrived { at, node, request, .. } => (at, node, request).hash(&mut hasher),
-        Seen::Told { node, revision, .. } => (node, revision).hash(&mut hasher),
+        ObservedEvent::AttemptArrived { server: at, node, request, .. } => {
+            (at, node, request).hash(&mut hasher)
+        }
+        ObservedEvent::ListSent { node, revision, .. } => (node, revision).hash(&mut hasher),
         _ => {}
     }
     hasher.finish()
@@ -356,14 +365,19 @@
     }
 
     /// A box starts, on its machine.
-    async fn start_box(self: &Rc<Self>, number: BoxNo, cold: bool) {
+    async fn start_box(self: &Rc<Self>, number: ServerIndex, cold: bool) {
         let zone = number % self.fleet.scenario.zones.len();
         let ip = box_ip(number);
-        let host = self.net.process(ip, zone as u8, &format!("box {number}"));
-        let cache = Cache::new(&self.fleet, number, self.life(), cold);
-        self.fleet.add(number, cache.clone());
+        let host = self.net.start_process(ip, zone as u8, &format!("box {number}"));
+        let cache = CacheServer::new(&self.fleet, number, self.life(), cold);
+        self.fleet.add_cache_server(number, cache.clone());
         let start = if cold { self.discovery_unix_ms() } else { 0 };
-        self.fleet.witness.saw(Seen::BoxUp { at: number, start, power: cache.power(), cold });
+        self.fleet.observer.record(ObservedEvent::CacheServerStarted {
+            server: number,
+            started_ms: start,
+            capacity: cache.capacity(),
+            cold,
+        });
         let Ok(listener) = host.listen(SocketAddr::new(ip, 6379)).await else { return };
         let local = LocalSet::new();
         local.spawn_local(cache.clone().serve::<SimHost>(listener, node_of));
@@ -378,7 +392,7 @@
 
     async fn start_origin(self: &Rc<Self>) {
         let ip = box_ip(self.origin);
-        let host = self.net.process(ip, 0, "origin");
+        let host = self.net.start_process(ip, 0, "origin");
         let origin = Origin::new(&self.fleet, self.origin);
         if let Ok(listener) = host.listen(SocketAddr::new(ip, 6379)).await {
             spawn_local(origin.serve::<SimHost>(listener, node_of));
@@ -386,7 +400,7 @@
     }
 
     /// A node starts with the list that it last held, as the platform would start it.
-    fn start_node(self: &Rc<Self>, node: NodeNo) {
+    fn start_node(self: &Rc<Self>, node: NodeIndex) {
         if let Some(run) = self.run_node(node, None) {
             let life = run.number;
             self.nodes.borrow_mut().insert(node, run);
@@ -395,20 +409,25 @@
     }
 
     /// A process of a node begins, beside another where it is given what that one knows.
-    fn run_node(self: &Rc<Self>, node: NodeNo, before: Option<(PredecessorState, Link)>) -> Option<NodeRun> {
+    fn run_node(
+        self: &Rc<Self>,
+        node: NodeIndex,
+        before: Option<(PredecessorState, Link)>,
+    ) -> Option<NodeRun> {
         let scenario = &self.fleet.scenario;
         let life = self.life();
         if before.is_none() {
-            self.fleet.witness.saw(Seen::NodeUp { node });
+            self.fleet.observer.record(ObservedEvent::NodeStarted { node });
         }
         let zone = node % scenario.zones.len();
-        let host = self.net.process(node_ip(node), zone as u8, &format!("node {node}"));
-        let seed: u64 = self.fleet.random("node", life).random();
+        let host = self.net.start_process(node_ip(node), zone as u8, &format!("node {node}"));
+        let seed: u64 = self.fleet.rng("node", life).random();
         let peers: Vec<_> = (0..scenario.nodes.count).map(|n| SocketAddr::new(node_ip(n), 7946)).collect();
         let (listen, discovery) =
             (SocketAddr::new(node_ip(node), 6379), SocketAddr::new(DISCOVERY, DISCOVERY_PORT));
-        let at = process::Addresses { listen, discovery, peers: &peers, staff: None };
-        let mut text = process::configuration(scenario, node, &at, seed, self.discovery.known(node));
+        let at = process::NodeAddresses { listen, discovery, peers: &peers, operations: None };
+        let mut text =
+            process::node_configuration(scenario, node, &at, seed, self.discovery.known_list(node));
         if let Some(mutant) = self.mutant {
             text["settings"] = mutant.settings(scenario, node);
         }
@@ -416,7 +435,7 @@
         let read = config::read(text.to_string().as_bytes(), environment, config::Precedence::Environment);
         let members = |port| (0..scenario.nodes.count).map(move |n| SocketAddr::new(node_ip(n), port));
         let all: Vec<SocketAddr> = members(agreement::PORT).collect();
-        let operator = agreement::operator(&scenario.nodes.operator, all[node], &all);
+        let operator = agreement::operator_config(&scenario.nodes.operator, all[node], &all);
         let operator = operator.map(|text| self.mutant.map_or(text.clone(), |m| m.operator(text, node)));
         let operator = operator.and_then(|text| operator::read(&text));
         let config = match read.and_then(|c| operator.map(|operator| Config { operator, ..c })) {
@@ -475,7 +494,7 @@
     }
 
     /// Staff tell a node something of its lifecycle.
-    fn staff_tell(&self, node: NodeNo, step: LifecycleEvent) {
+    fn staff_tell(&self, node: NodeIndex, step: LifecycleEvent) {
         match step {
             LifecycleEvent::Drain => {
                 *self.drained_since.borrow_mut().entry(node).or_insert_with(Instant::now)
@@ -491,7 +510,7 @@
     }
 
     /// Staff drain a node and bring it back so often, and drain it then.
-    async fn drain_series(self: &Rc<Self>, node: NodeNo, times: u32, apart: Duration, span: Duration) {
+    async fn drain_series(self: &Rc<Self>, node: NodeIndex, times: u32, apart: Duration, span: Duration) {
         for _ in 0..times {
             self.staff_tell(node, LifecycleEvent::Drain);
             sleep(apart).await;
@@ -502,21 +521,21 @@
     }
 
     /// Looks what a node holds of its clients' connections 4 s after it was told to drain, if it has been drained since.
-    async fn judge_drain(self: Rc<Self>, node: NodeNo, told: Instant) {
+    async fn judge_drain(self: Rc<Self>, node: NodeIndex, told: Instant) {
         let Some(life) = self.nodes.borrow().get(&node).map(|run| run.number) else { return };
         sleep_until(told + HELD_AT_MOST).await;
         let same = self.nodes.borrow().get(&node).is_some_and(|run| run.number == life);
         let drained = same && self.drained_since.borrow().get(&node) == Some(&told);
         let Some(users) = self.users.borrow().clone().filter(|_| drained) else { return };
-        let held = users.held(node, told + NEW_CONNECTIONS, told + HELD_AT_MOST - RECENT);
+        let held = users.retained_connections(node, told + NEW_CONNECTIONS, told + HELD_AT_MOST - RECENT);
         if held.idle + held.recent > 0 {
-            let Held { idle, recent } = held;
-            self.fleet.witness.saw(Seen::HeldAfterDrain { node, idle, recent });
+            let RetainedConnections { idle, recent } = held;
+            self.fleet.observer.record(ObservedEvent::ConnectionsAfterDrain { node, idle, recent });
         }
     }
 
     /// Staff drain a node and bring it back: the front sees it within moments.
-    async fn drain_node(self: &Rc<Self>, node: NodeNo, span: Duration) {
+    async fn drain_node(self: &Rc<Self>, node: NodeIndex, span: Duration) {
         let tell = |step: LifecycleEvent| self.staff_tell(node, step);
         tell(LifecycleEvent::Drain);
         let told = Instant::now();
@@ -525,19 +544,19 @@
         }
         sleep(FRONT_LOOKS).await;
         if let Some(clients) = &*self.clients.borrow() {
-            clients.stop_using(node);
+            clients.stop_new_connections(node);
         }
         sleep(span).await;
         tell(LifecycleEvent::Undrain);
         sleep(FRONT_LOOKS).await;
         let there = self.nodes.borrow().contains_key(&node);
         if let Some(clients) = self.clients.borrow().as_ref().filter(|_| there) {
-            clients.believe(node, true);
+            clients.set_reachable(node, true);
         }
     }
 
     /// A new process of a node begins beside the old one, which stops once the new one can serve.
-    async fn upgrade_node(self: &Rc<Self>, node: NodeNo, ends: Ends) {
+    async fn upgrade_node(self: &Rc<Self>, node: NodeIndex, ends: Ends) {
         let found = self.nodes.borrow().get(&node).and_then(|run| run.successors.clone());
         let Some(found) = found else { return };
         let (mine, others) = linked();
@@ -556,13 +575,13 @@
         // What a killed process had taken is lost with it, as at any kill.
         let end = |run: &NodeRun, killed: bool| {
             if killed {
-                self.fleet.witness.saw(Seen::NodeDown { node, planned: false });
+                self.fleet.observer.record(ObservedEvent::NodeEnded { node, planned: false });
             }
             self.net.kill(run.host.process());
             run.task.abort();
             // Unless the other one has been killed meanwhile.
             if killed && self.nodes.borrow().contains_key(&node) {
-                self.fleet.witness.saw(Seen::NodeUp { node });
+                self.fleet.observer.record(ObservedEvent::NodeStarted { node });
             }
         };
         if ends == Ends::NewKilled {
@@ -573,10 +592,10 @@
         let Some(mut old) = self.nodes.borrow_mut().insert(node, new) else { return };
         if ends == Ends::InOrder {
             let _ = old.control.try_send(Control::Stop);
-            let patience =
-                self.fleet.scenario.longest().min(Duration::from_secs(3)) + Duration::from_millis(700);
+            let patience = self.fleet.scenario.longest_deadline().min(Duration::from_secs(3))
+                + Duration::from_millis(700);
             if tokio::time::timeout(patience, &mut old.ended).await.is_err() {
-                self.fleet.witness.saw(Seen::EndOverdue { node });
+                self.fleet.observer.record(ObservedEvent::StopOverdue { node });
             }
         }
         end(&old, ends == Ends::OldKilled);
@@ -585,18 +604,18 @@
     async fn count_sockets(self: Rc<Self>) {
         loop {
             sleep(LOOK).await;
-            let open: Vec<(NodeNo, usize)> =
+            let open: Vec<(NodeIndex, usize)> =
                 self.nodes.borrow().iter().map(|(n, r)| (*n, self.net.sockets(r.host.process()))).collect();
             for (node, open) in open {
-                self.fleet.witness.saw(Seen::Sockets { node, open });
+                self.fleet.observer.record(ObservedEvent::OpenSockets { node, count: open });
             }
         }
     }
 
     /// The front goes on for a while before it notices that a node is gone.
-    fn front_notices(self: &Rc<Self>, node: NodeNo, life: u64) {
+    fn front_notices(self: &Rc<Self>, node: NodeIndex, life: u64) {
         let [least, most] = self.fleet.scenario.nodes.front_notices_ms;
-        let mut rng = self.fleet.random("front", life);
+        let mut rng = self.fleet.rng("front", life);
         let after = Duration::from_millis(rng.random_range(least..=most));
         let world = self.clone();
         spawn_local(async move {
@@ -604,34 +623,34 @@
             if !world.nodes.borrow().contains_key(&node)
                 && let Some(clients) = &*world.clients.borrow()
             {
-                clients.believe(node, false);
+                clients.set_reachable(node, false);
             }
         });
     }
 
-    async fn restart_node(self: &Rc<Self>, node: NodeNo, planned: bool, down: Duration) {
+    async fn restart_node(self: &Rc<Self>, node: NodeIndex, planned: bool, down: Duration) {
         let Some(run) = self.nodes.borrow_mut().remove(&node) else { return };
         if planned {
-            self.fleet.witness.saw(Seen::NodeStopping { node });
+            self.fleet.observer.record(ObservedEvent::NodeStopping { node });
             let _ = run.control.try_send(Control::Stop);
             // The front stops giving it new connections soon, and the platform kills it no sooner than this.
-            let patience =
-                self.fleet.scenario.longest().min(Duration::from_secs(3)) + Duration::from_millis(700);
+            let patience = self.fleet.scenario.longest_deadline().min(Duration::from_secs(3))
+                + Duration::from_millis(700);
             if let Some(clients) = &*self.clients.borrow() {
                 let (clients, world) = (clients.clone(), self.clone());
                 spawn_local(async move {
                     sleep(Duration::from_millis(300)).await;
                     if !world.nodes.borrow().contains_key(&node) {
-                        clients.stop_using(node);
+                        clients.stop_new_connections(node);
                     }
                 });
             }
             let mut ended = run.ended;
             if tokio::time::timeout(patience, &mut ended).await.is_err() {
-                self.fleet.witness.saw(Seen::EndOverdue { node });
+                self.fleet.observer.record(ObservedEvent::StopOverdue { node });
             }
         }
-        self.fleet.witness.saw(Seen::NodeDown { node, planned });
+        self.fleet.observer.record(ObservedEvent::NodeEnded { node, planned });
         self.net.kill(run.host.process());
         run.task.abort();
         if !planned {
@@ -641,15 +660,15 @@
         self.start_node(node);
         sleep(Duration::from_millis(300)).await;
         if let Some(clients) = &*self.clients.borrow() {
-            clients.believe(node, true);
+            clients.set_reachable(node, true);
         }
     }
 
     /// A box's process ends: what it had open is reset.
-    fn end_box(&self, number: BoxNo, told: bool) {
+    fn end_box(&self, number: ServerIndex, told: bool) {
         let Some(run) = self.boxes.borrow_mut().remove(&number) else { return };
-        self.fleet.remove(number);
-        self.fleet.witness.saw(Seen::BoxDown { at: number });
+        self.fleet.remove_cache_server(number);
+        self.fleet.observer.record(ObservedEvent::CacheServerEnded { server: number });
         if told {
             self.net.kill(run.host.process());
         } else {
@@ -659,7 +678,7 @@
     }
 
     /// A box that is away comes back cold; its list line tells of the new start, later.
-    async fn return_box(self: &Rc<Self>, number: BoxNo) {
+    async fn return_box(self: &Rc<Self>, number: ServerIndex) {
         if self.boxes.borrow().contains_key(&number) {
             return;
         }
@@ -667,8 +686,8 @@
             return;
         };
         self.start_box(number, true).await;
-        member.started = self.discovery_unix_ms();
-        self.discovery.set(number, member);
+        member.started_ms = self.discovery_unix_ms();
+        self.discovery.update(number, member);
     }
 
     /// The time of discovery's wall clock, by which starts are listed.
@@ -692,16 +711,16 @@
         }
     }
 
-    fn set_phase(&self, number: BoxNo, phase: Phase) {
+    fn set_phase(&self, number: ServerIndex, phase: Phase) {
         if let Some(mut member) = self.discovery.member(number) {
             member.phase = phase;
-            self.discovery.set(number, member);
+            self.discovery.update(number, member);
         }
     }
 
     /// One box is replaced by a cold successor with a new name.
-    async fn replace(self: Rc<Self>, number: BoxNo, drain: Duration) {
-        let Some(cache) = self.fleet.cache(number) else { return };
+    async fn replace(self: Rc<Self>, number: ServerIndex, drain: Duration) {
+        let Some(cache) = self.fleet.cache_server(number) else { return };
         self.set_phase(number, Phase::Draining);
         let [_, most] = self.fleet.scenario.discovery.lag_ms;
         // It turns away what is new once everybody must know.
@@ -710,18 +729,18 @@
         sleep(Duration::from_millis(500)).await;
         self.set_phase(number, Phase::Gone);
         self.end_box(number, true);
-        let next = self.discovery.next_number();
+        let next = self.discovery.next_index();
         let old = self.discovery.member(number);
         self.start_box(next, true).await;
         let member = Member {
             id: format!("s-{next:04}"),
             addresses: vec![SocketAddr::new(box_ip(next), 6379)],
             zone: old.map_or(0, |m| m.zone),
-            origin: false,
+            is_origin: false,
             phase: Phase::Ready,
-            started: self.discovery_unix_ms(),
+            started_ms: self.discovery_unix_ms(),
         };
-        self.discovery.set(next, member);
+        self.discovery.update(next, member);
     }
 
     fn zones(&self) -> usize {
@@ -729,25 +748,25 @@
     }
 
     /// The boxes of a zone that the scenario begins with.
-    fn boxes_of(&self, zone: usize) -> Vec<BoxNo> {
+    fn boxes_of(&self, zone: usize) -> Vec<ServerIndex> {
         (0..self.fleet.scenario.boxes.count).filter(|b| b % self.zones() == zone).collect()
     }
 
     /// Whether discovery tells what it has.
     fn sound(&self, sound: bool) {
-        self.fleet.witness.saw(Seen::Sound { sound });
+        self.fleet.observer.record(ObservedEvent::DiscoveryHealth { healthy: sound });
     }
 
-    fn away(&self, at: BoxNo, away: bool) {
-        self.fleet.witness.saw(Seen::BoxAway { at, away });
+    fn away(&self, at: ServerIndex, away: bool) {
+        self.fleet.observer.record(ObservedEvent::ReachabilityChanged { server: at, unreachable: away });
     }
 
     /// Lets a fault happen, and undoes it when its time is over.
     async fn strike(self: Rc<Self>, what: What) {
-        let fault = |text: String| self.fleet.witness.saw(Seen::Fault(text));
+        let fault = |text: String| self.fleet.observer.record(ObservedEvent::Fault(text));
         fault(format!("begins: {what:?}"));
         let wait = |ms: u64| sleep(Duration::from_millis(ms));
-        let knobs = &self.fleet.knobs;
+        let knobs = &self.fleet.fault_settings;
         match what.clone() {
             What::Crash { boxes, down_ms } => {
                 boxes.iter().for_each(|b| self.end_box(*b, true));
@@ -766,7 +785,7 @@
                 self.return_box(at).await;
             }
             What::Deploy { batch, most, drain_ms } => {
-                let mut boxes = self.discovery.ready();
+                let mut boxes = self.discovery.ready_servers();
                 boxes.truncate(most);
                 for group in boxes.chunks(batch.max(1)) {
                     let all: Vec<_> = group
@@ -788,9 +807,9 @@
             What::Drain { node, for_ms } => self.drain_node(node, Duration::from_millis(for_ms)).await,
             What::Upgrade { node, ends } => self.upgrade_node(node, ends).await,
             What::Burst { factor, for_ms } => {
-                knobs.burst.set(factor);
+                knobs.load_factor.set(factor);
                 wait(for_ms).await;
-                knobs.burst.set(1.0);
+                knobs.load_factor.set(1.0);
             }
             What::Quiet { for_ms } => {
                 knobs.quiet_until.set(Some(Instant::now() + Duration::from_millis(for_ms)));
@@ -804,35 +823,35 @@
             }
             What::ListLate { late_ms, for_ms } => {
                 self.sound(false);
-                knobs.list_late_ms.set(late_ms);
+                knobs.list_delay_ms.set(late_ms);
                 wait(for_ms).await;
-                knobs.list_late_ms.set(0);
+                knobs.list_delay_ms.set(0);
                 self.sound(true);
             }
             What::ListDown { for_ms } => {
                 self.sound(false);
-                knobs.list_down.set(true);
+                knobs.discovery_down.set(true);
                 wait(for_ms).await;
-                knobs.list_down.set(false);
+                knobs.discovery_down.set(false);
                 self.sound(true);
             }
             What::ListOld { back, for_ms } => {
                 self.sound(false);
                 let least = self.fleet.scenario.boxes.count as u64 + 1;
-                knobs.list_old.set(Some(self.discovery.revision().saturating_sub(back).max(least)));
-                self.discovery.restart();
+                knobs.pinned_revision.set(Some(self.discovery.revision().saturating_sub(back).max(least)));
+                self.discovery.invalidate_watches();
                 wait(for_ms).await;
-                knobs.list_old.set(None);
-                self.discovery.restart();
+                knobs.pinned_revision.set(None);
+                self.discovery.invalidate_watches();
                 self.sound(true);
             }
             What::ListEmpty { for_ms } => {
                 self.sound(false);
-                knobs.list_empty.set(true);
-                self.discovery.restart();
+                knobs.empty_list.set(true);
+                self.discovery.invalidate_watches();
                 wait(for_ms).await;
-                knobs.list_empty.set(false);
-                self.discovery.restart();
+                knobs.empty_list.set(false);
+                self.discovery.invalidate_watches();
                 self.sound(true);
             }
             What::CutOff { at, for_ms } => {
@@ -852,7 +871,7 @@
                 self.away(at, false);
             }
             What::Spoil { at, resets, stalls, for_ms } => {
-                if let Some(cache) = self.fleet.cache(at) {
+                if let Some(cache) = self.fleet.cache_server(at) {
                     cache.spoil.resets.set(resets);
                     cache.spoil.stalls.set(stalls);
                     wait(for_ms).await;
@@ -861,7 +880,7 @@
                 }
             }
             What::SecondAnswers { at, part, most_ms, for_ms } => {
-                if let Some(cache) = self.fleet.cache(at) {
+                if let Some(cache) = self.fleet.cache_server(at) {
                     let figures = &cache.spoil.second_answers;
                     figures.part.set(part);
                     figures.most_ms.set(most_ms);
@@ -878,13 +897,13 @@
             }
             What::Crowd { per_s, slow, for_ms } => {
                 knobs.slow_heads.set(slow);
-                self.fleet.witness.saw(Seen::Crowd { begins: true });
+                self.fleet.observer.record(ObservedEvent::ConnectionPressure { begins: true });
                 let clients = self.clients.borrow().clone();
                 if let Some(clients) = clients {
-                    clients.crowd(per_s, Duration::from_millis(for_ms)).await;
+                    clients.open_stalled_connections(per_s, Duration::from_millis(for_ms)).await;
                 }
                 knobs.slow_heads.set(0.0);
-                self.fleet.witness.saw(Seen::Crowd { begins: false });
+                self.fleet.observer.record(ObservedEvent::ConnectionPressure { begins: false });
             }
             What::Large { part, bytes, for_ms } => {
                 knobs.large.set((part, bytes));
@@ -922,7 +941,7 @@
                     nodes.map(node_ip).chain(self.boxes_of(zone).into_iter().map(box_ip)).collect()
                 };
                 let (left, right) = (machines(a), machines(b));
-                let boxes: Vec<BoxNo> = [a, b].into_iter().flat_map(|z| self.boxes_of(z)).collect();
+                let boxes: Vec<ServerIndex> = [a, b].into_iter().flat_map(|z| self.boxes_of(z)).collect();
                 let ways = || left.iter().flat_map(|l| right.iter().flat_map(move |r| [(*l, *r), (*r, *l)]));
                 boxes.iter().for_each(|at| self.away(*at, true));
                 ways().for_each(|(from, to)| self.net.cut(from, to));
@@ -958,7 +977,7 @@
                 self.net.packet(packet).await;
                 if let Some(mut member) = self.discovery.member(at) {
                     member.phase = if drains { Phase::Draining } else { Phase::Gone };
-                    self.discovery.set_after(at, member, Duration::ZERO);
+                    self.discovery.update_after(at, member, Duration::ZERO);
                 }
             }
         }
--- a/crates/world/src/sim/failing.rs
+++ b/crates/world/src/sim/failing.rs
@@ -9,7 +9,7 @@
 use tokio::time::{Instant, sleep};
 
 use super::{World, node_ip};
-use crate::observe::{NodeNo, Seen};
+use crate::observe::{NodeIndex, ObservedEvent};
 use crate::system_calls::{FailingCall, FailingCalls, SystemCall};
 
 /// Where a node listens for clients.
@@ -35,7 +35,7 @@
             self.sound(false);
         }
         if accept {
-            self.fleet.witness.saw(Seen::Crowd { begins: true });
+            self.fleet.observer.record(ObservedEvent::ConnectionPressure { begins: true });
         }
         calls.begin(failing);
         let restart = call.opens().then(|| {
@@ -45,7 +45,7 @@
         sleep(span).await;
         calls.end(failing);
         if accept {
-            self.fleet.witness.saw(Seen::Crowd { begins: false });
+            self.fleet.observer.record(ObservedEvent::ConnectionPressure { begins: false });
         }
         if connect {
             self.sound(true);
@@ -56,7 +56,7 @@
     }
 
     /// Reports how long a node that starts now takes until it is ready and listens.
-    pub(super) fn watch_start(self: &Rc<Self>, node: NodeNo, life: u64) {
+    pub(super) fn watch_start(self: &Rc<Self>, node: NodeIndex, life: u64) {
         if self.failing.is_none() {
             return;
         }
@@ -72,7 +72,11 @@
                 drop(nodes);
                 if ready || began.elapsed() >= PATIENCE {
                     let after = began.elapsed();
-                    return world.fleet.witness.saw(Seen::Started { node, after, ready });
+                    return world.fleet.observer.record(ObservedEvent::StartupChecked {
+                        node,
+                        elapsed: after,
+                        ready,
+                    });
                 }
             }
         });
@@ -80,8 +84,8 @@
 }
 
 /// The calls that fail in a world, where any may.
-pub(super) fn calls(plan: &super::Plan, fleet: &crate::fleet::Fleet) -> Option<FailingCalls> {
+pub(super) fn calls(plan: &super::RunPlan, fleet: &crate::fleet::Fleet) -> Option<FailingCalls> {
     let named = plan.scenario.faults.kinds.contains(&crate::faults::Kind::SystemCalls);
     let played = || plan.script().iter().any(|f| matches!(f.what, crate::faults::What::SystemCalls { .. }));
-    (named || played()).then(|| FailingCalls::new(fleet.witness.clone(), fleet.random("system calls", 0)))
+    (named || played()).then(|| FailingCalls::new(fleet.observer.clone(), fleet.rng("system calls", 0)))
 }
--- a/crates/world/src/storm.rs
+++ b/crates/world/src/storm.rs
@@ -16,7 +16,7 @@
 /// What goes down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Hit {
+pub enum OutageTarget {
     /// All boxes; they come back cold and empty.
     Boxes,
     /// All nodes; they come back with their last list, and every connection is lost.
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Outage {
     /// What goes down.
-    pub hit: Hit,
+    pub hit: OutageTarget,
     /// When, in milliseconds.
     pub at_ms: u64,
     /// For how long, in milliseconds.
@@ -41,10 +41,10 @@
     pub fn script(&self, scenario: &Scenario) -> Vec<Fault> {
         let mut faults = Vec::new();
         let mut add = |what| faults.push(Fault { at_ms: self.at_ms, what });
-        if self.hit != Hit::Nodes {
+        if self.hit != OutageTarget::Nodes {
             add(What::Crash { boxes: (0..scenario.boxes.count).collect(), down_ms: self.for_ms });
         }
-        if self.hit != Hit::Boxes {
+        if self.hit != OutageTarget::Boxes {
             for node in 0..scenario.nodes.count {
                 add(What::Node { node, planned: false, down_ms: self.for_ms });
             }
@@ -53,7 +53,7 @@
     }
 
     /// How a site came back, by the seconds of its report.
-    pub fn judge(&self, report: &Report) -> Recovery {
+    pub fn measure_recovery(&self, report: &Report) -> Recovery {
         // Its time counts from the beginning of the load, those of the report from that of the world.
         let began_ms = report.faults.first().map_or(self.at_ms, |(at, _)| *at as u64);
         let over_ms = began_ms + self.for_ms;
@@ -64,7 +64,8 @@
         // the end of the load.
         let last = seconds.iter().rposition(|s| s.counts.offered > 0).map_or(0, |last| last + 1);
         let good = |i: usize| share(&seconds[i..(i + STAYS).min(last)]) >= before * RECOVERED;
-        let recovered = (over..last).find(|i| seconds[*i].counts.share() >= before * RECOVERED && good(*i));
+        let recovered =
+            (over..last).find(|i| seconds[*i].counts.in_time_share() >= before * RECOVERED && good(*i));
         let after = seconds.get(over.min(last)..last).unwrap_or_default();
         let sum = |of: fn(&Second) -> u64| after.iter().map(of).sum::<u64>();
         let peak = seconds.iter().skip(at).map(|s| s.connects).max().unwrap_or(0);
@@ -73,7 +74,7 @@
             recovered_s: recovered.map(|i| i as f64 - over_ms as f64 / 1e3),
             after: share(after),
             amplification: sum(|s| s.tries) as f64 / sum(|s| s.counts.offered).max(1) as f64,
-            worst_tenant: report.tenants.values().map(Counts::share).fold(1.0, f64::min),
+            worst_tenant: report.tenants.values().map(Counts::in_time_share).fold(1.0, f64::min),
             connects_a_second: peak,
             fell: report.faults.iter().filter(|(_, what)| what.ends_with("fell over")).count(),
             broken: report.violations.len(),
--- a/crates/world/src/system_calls.rs
+++ b/crates/world/src/system_calls.rs
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 use crate::faults::What;
-use crate::observe::{NodeNo, Seen, Witness};
+use crate::observe::{NodeIndex, ObservedEvent, Observer};
 
 /// So many failures of a call within one instant of the virtual clock are a busy loop: nobody has waited between them, and
 /// chance makes no more than a few dozen in a row.
@@ -170,7 +170,7 @@
 }
 
 /// Draws calls of a node that fail for a while.
-pub fn draw(node: NodeNo, rng: &mut Pcg64Mcg) -> What {
+pub fn draw(node: NodeIndex, rng: &mut Pcg64Mcg) -> What {
     let call = *SystemCall::ALL.choose(rng).unwrap_or(&SystemCall::Connect);
     let failure = *call.failures().choose(rng).unwrap_or(&Failure::Emfile);
     let (least, most) = call.part(failure);
@@ -183,7 +183,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FailingCall {
     /// The node.
-    pub node: NodeNo,
+    pub node: NodeIndex,
     /// The call.
     pub call: SystemCall,
     /// How it fails.
@@ -199,14 +199,14 @@
 struct Inner {
     failing: RefCell<Vec<FailingCall>>,
     rng: RefCell<Pcg64Mcg>,
-    witness: Witness,
+    witness: Observer,
     /// The last call that failed, when, and how often it has within that instant.
-    last: Cell<Option<(NodeNo, SystemCall, Instant, u32)>>,
+    last: Cell<Option<(NodeIndex, SystemCall, Instant, u32)>>,
 }
 
 impl FailingCalls {
     /// None fails yet.
-    pub fn new(witness: Witness, rng: Pcg64Mcg) -> FailingCalls {
+    pub fn new(witness: Observer, rng: Pcg64Mcg) -> FailingCalls {
         FailingCalls(Rc::new(Inner {
             failing: RefCell::default(),
             rng: RefCell::new(rng),
@@ -229,7 +229,7 @@
     }
 
     /// How a call that is made now fails, if it does.
-    pub fn failure(&self, node: NodeNo, call: SystemCall) -> Option<Failure> {
+    pub fn failure(&self, node: NodeIndex, call: SystemCall) -> Option<Failure> {
         let failing = self.0.failing.borrow();
         let mut these = failing.iter().filter(|f| f.node == node && f.call == call);
         these.find(|f| self.0.rng.borrow_mut().random::<f64>() < f.part).map(|f| f.failure)
@@ -242,13 +242,13 @@
 
     /// Counts a failure; whether so many came within one instant that the caller must be in a busy loop, which is reported
     /// once: the clock would stand still for ever.
-    pub fn is_busy_loop(&self, node: NodeNo, call: SystemCall) -> bool {
+    pub fn is_busy_loop(&self, node: NodeIndex, call: SystemCall) -> bool {
         let now = Instant::now();
         let same = self.0.last.get().filter(|(n, c, at, _)| (*n, *c, *at) == (node, call, now));
         let count = same.map_or(1, |(.., count)| count + 1);
         self.0.last.set(Some((node, call, now, count)));
         if count == BUSY_LOOP {
-            self.0.witness.saw(Seen::BusyLoop { node, call });
+            self.0.witness.record(ObservedEvent::BusyLoop { node, call });
         }
         count >= BUSY_LOOP
     }
--- a/crates/world/src/users.rs
+++ b/crates/world/src/users.rs
@@ -17,10 +17,10 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 use crate::clients::{CROSSING, Clients, LATE, key_of, read, reply};
-use crate::observe::{NodeNo, RequestNo, Seen};
+use crate::observe::{NodeIndex, ObservedEvent, RequestId};
 
 /// Requests of these clients have numbers from here on.
-const FIRST_REQUEST: RequestNo = 1 << 40;
+const FIRST_REQUEST: RequestId = 1 << 40;
 /// A connection that is not up by then is given up.
 const CONNECT: Duration = Duration::from_secs(1);
 /// Before the next connection.
@@ -50,7 +50,7 @@
 
 /// Which connections of such clients a node holds beyond their time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct RetainedConnections {
     /// Those on which nothing is open.
     pub idle: usize,
     /// Those with a request that came of late.
@@ -59,41 +59,49 @@
 
 /// A request that is to be written.
 struct Request {
-    number: RequestNo,
+    number: RequestId,
     key: u64,
 }
 
 /// A connection that is open.
 struct Open {
-    node: NodeNo,
+    node: NodeIndex,
     made: Instant,
     /// Requests without an answer, and when each was written whole.
-    requests: VecDeque<(RequestNo, Instant)>,
+    requests: VecDeque<(RequestId, Instant)>,
 }
 
 /// All such clients.
-pub struct Users<H: Host> {
+pub struct PersistentClients<H: Host> {
     clients: Rc<Clients<H>>,
     /// What was sent so short a time before the end of its connection was seen crossed that end.
     crossing: Box<dyn Fn() -> Duration>,
     open: RefCell<BTreeMap<usize, Open>>,
-    next: Cell<RequestNo>,
+    next: Cell<RequestId>,
 }
 
-impl<H: Host> Users<H> {
+impl<H: Host> PersistentClients<H> {
     /// Beside the clients of the open loop, whose front they ask.
     pub fn new(clients: Rc<Clients<H>>) -> Rc<Self> {
-        Users::with_crossing(clients, || CROSSING)
+        PersistentClients::with_close_race_window(clients, || CROSSING)
     }
 
     /// The same where the machine may hold words up: `crossing` tells for how long they may be under way now.
-    pub fn with_crossing(clients: Rc<Clients<H>>, crossing: impl Fn() -> Duration + 'static) -> Rc<Self> {
+    pub fn with_close_race_window(
+        clients: Rc<Clients<H>>,
+        crossing: impl Fn() -> Duration + 'static,
+    ) -> Rc<Self> {
         let crossing = Box::new(crossing);
-        Rc::new(Users { clients, crossing, open: RefCell::default(), next: Cell::new(FIRST_REQUEST) })
+        Rc::new(PersistentClients {
+            clients,
+            crossing,
+            open: RefCell::default(),
+            next: Cell::new(FIRST_REQUEST),
+        })
     }
 
     /// Lets them ask until then.
-    pub fn play(self: &Rc<Self>, until: Instant) {
+    pub fn start(self: &Rc<Self>, until: Instant) {
         let scenario = &self.clients.fleet().scenario;
         let uses = scenario.load.uses.clone();
         for number in 0..if uses.is_empty() { 0 } else { scenario.load.users } {
@@ -105,10 +113,15 @@
 
     /// Which connections a node holds that were made before a drain was told, or soon after: idle, or with a request from after
     /// `recent`.
-    pub fn held(&self, node: NodeNo, made_before: Instant, recent: Instant) -> Held {
+    pub fn retained_connections(
+        &self,
+        node: NodeIndex,
+        made_before: Instant,
+        recent: Instant,
+    ) -> RetainedConnections {
         let open = self.open.borrow();
         let of_node = open.values().filter(|c| c.node == node && c.made <= made_before);
-        let mut held = Held { idle: 0, recent: 0 };
+        let mut held = RetainedConnections { idle: 0, recent: 0 };
         for connection in of_node {
             held.idle += usize::from(connection.requests.is_empty());
             held.recent += usize::from(connection.requests.iter().any(|(_, sent)| *sent > recent));
@@ -117,12 +130,12 @@
     }
 
     /// Connections on which requests may be open.
-    pub fn under_way(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.open.borrow().len()
     }
 
     async fn one(&self, number: usize, how: Use, until: Instant) {
-        let mut rng = self.clients.fleet().random("user", number as u64);
+        let mut rng = self.clients.fleet().rng("user", number as u64);
         while Instant::now() < until {
             if let Some(node) = self.clients.choose_any(&mut rng) {
                 let connected = timeout(CONNECT, self.clients.open(node)).await;
@@ -140,7 +153,7 @@
     async fn use_connection(
         &self,
         number: usize,
-        node: NodeNo,
+        node: NodeIndex,
         stream: H::Stream,
         how: Use,
         rng: &mut Pcg64Mcg,
@@ -236,11 +249,19 @@
     }
 
     /// The request was written whole.
-    fn asked(&self, number: usize, node: NodeNo, request: Request) {
+    fn asked(&self, number: usize, node: NodeIndex, request: Request) {
         let Request { number: request, key } = request;
         let patience = self.patience();
-        let seen = Seen::Asked { request, first: request, node, class: 0, tenant: 0, key, patience };
-        self.clients.fleet().witness.saw(seen);
+        let seen = ObservedEvent::RequestSent {
+            request,
+            first_try: request,
+            node,
+            class: 0,
+            tenant: 0,
+            key,
+            timeout: patience,
+        };
+        self.clients.fleet().observer.record(seen);
         if let Some(connection) = self.open.borrow_mut().get_mut(&number) {
             connection.requests.push_back((request, Instant::now()));
         }
@@ -249,7 +270,7 @@
     async fn ask(
         &self,
         number: usize,
-        node: NodeNo,
+        node: NodeIndex,
         count: usize,
         writing: &mut (impl AsyncWriteExt + Unpin),
         rng: &mut Pcg64Mcg,
@@ -265,7 +286,7 @@
     async fn ask_slowly(
         &self,
         number: usize,
-        node: NodeNo,
+        node: NodeIndex,
         writing: &mut (impl AsyncWriteExt + Unpin),
         rng: &mut Pcg64Mcg,
     ) -> bool {
@@ -284,8 +305,8 @@
     }
 
     /// Takes the answers that have come whole; whether the connection goes on.
-    fn take_answers(&self, number: usize, node: NodeNo, buffer: &mut BytesMut) -> bool {
-        let witness = &self.clients.fleet().witness;
+    fn take_answers(&self, number: usize, node: NodeIndex, buffer: &mut BytesMut) -> bool {
+        let witness = &self.clients.fleet().observer;
         loop {
             let frame = match resp::take_frame(buffer, resp::MAX_VALUE_BYTES) {
                 Ok(Some(frame)) => frame,
@@ -296,14 +317,16 @@
             let Some((request, _)) = front else {
                 // Of a command that has not come whole the node says what is wrong.
                 if !matches!(reply(&frame), Some(crate::observe::Reply::Failed)) {
-                    witness.saw(Seen::Unasked { node });
+                    witness.record(ObservedEvent::UnsolicitedReply { node });
                 }
                 continue;
             };
             match reply(&frame) {
-                Some(reply) => witness.saw(Seen::Answered { request, reply, slow: true }),
+                Some(reply) => {
+                    witness.record(ObservedEvent::ReplyReceived { request, reply, slow_reader: true })
+                }
                 None => {
-                    witness.saw(Seen::Garbled { request });
+                    witness.record(ObservedEvent::MalformedReply { request });
                     return false;
                 }
             }
@@ -311,25 +334,25 @@
     }
 
     /// The connection has ended: what was sent a moment ago crossed the end, the rest is lost.
-    fn ended(&self, number: usize, _node: NodeNo, begun: Instant) {
-        let witness = &self.clients.fleet().witness;
+    fn ended(&self, number: usize, _node: NodeIndex, begun: Instant) {
+        let witness = &self.clients.fleet().observer;
         let requests = self.open.borrow_mut().get_mut(&number).map(|c| std::mem::take(&mut c.requests));
-        let begun = begun.duration_since(witness.start());
+        let begun = begun.duration_since(witness.started_at());
         for (request, sent) in requests.unwrap_or_default() {
-            witness.saw(match sent.elapsed() <= (self.crossing)() {
-                true => Seen::Crossed { request },
-                false => Seen::Lost { request, begun },
+            witness.record(match sent.elapsed() <= (self.crossing)() {
+                true => ObservedEvent::RacedWithClose { request },
+                false => ObservedEvent::ConnectionLost { request, connect_started: begun },
             });
         }
     }
 
     /// No answer has come in time.
     fn leave(&self, number: usize) {
-        let witness = &self.clients.fleet().witness;
+        let witness = &self.clients.fleet().observer;
         let requests = self.open.borrow_mut().get_mut(&number).map(|c| std::mem::take(&mut c.requests));
         let mut early = false;
         for (request, _) in requests.unwrap_or_default() {
-            witness.saw(Seen::Left { request, early });
+            witness.record(ObservedEvent::ClientLeft { request, early });
             // Those behind it have time left.
             early = true;
         }
--- a/crates/world/src/values.rs
+++ b/crates/world/src/values.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::observe::{BoxNo, RequestNo};
+use crate::observe::{RequestId, ServerIndex};
 
 /// The values that keys share where they are often equal; the first is by far the most frequent.
 const COMMON: [&str; 5] = ["0", "1", "", "true", "null"];
@@ -39,9 +39,9 @@
     /// It was made for one request.
     OfRequest {
         /// The request.
-        of: RequestNo,
+        of: RequestId,
         /// The box or origin that made it.
-        by: BoxNo,
+        by: ServerIndex,
     },
     /// It is the value of a key.
     OfKey {
@@ -56,7 +56,7 @@
 
 impl Values {
     /// The value that a key has after so many writes, read for a request at a box or at the origin.
-    pub fn value(self, key: u64, version: u64, of: RequestNo, by: BoxNo) -> Value {
+    pub fn value(self, key: u64, version: u64, of: RequestId, by: ServerIndex) -> Value {
         self.of_key(key, version).unwrap_or(Value::OfRequest { of, by })
     }
 
--- a/crates/world/src/wall_clock.rs
+++ b/crates/world/src/wall_clock.rs
@@ -5,7 +5,7 @@
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
 
-use crate::observe::NodeNo;
+use crate::observe::NodeIndex;
 
 /// The steps that are drawn, in milliseconds: what a time service corrects, and an hour of a wrong time zone.
 pub const STEPS_MS: [i64; 4] = [2_000, -2_000, 3_600_000, -3_600_000];
@@ -15,7 +15,7 @@
 #[serde(deny_unknown_fields)]
 pub struct WallClockStep {
     /// The nodes whose machines' clocks are stepped.
-    pub nodes: Vec<NodeNo>,
+    pub nodes: Vec<NodeIndex>,
     /// Whether the clock by which starts of cache servers are listed is stepped.
     pub discovery: bool,
     /// By how much, in milliseconds; negative is back.
@@ -26,7 +26,7 @@
     /// Draws a step: of one node, of all, of discovery, or of everything.
     pub fn draw(nodes: usize, rng: &mut Pcg64Mcg) -> WallClockStep {
         let one = vec![rng.random_range(0..nodes)];
-        let all: Vec<NodeNo> = (0..nodes).collect();
+        let all: Vec<NodeIndex> = (0..nodes).collect();
         let (nodes, discovery) = match rng.random_range(0..4) {
             0 => (one, false),
             1 => (all, false),
--- a/crates/world/tests/common/mod.rs
+++ b/crates/world/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use chalksill_world::mutant::Mutant;
 use chalksill_world::report::Report;
 use chalksill_world::scenario::Scenario;
-use chalksill_world::sim::{Plan, run};
+use chalksill_world::sim::{RunPlan, run};
 
 /// The scenario of this name among those of the repository.
 pub fn scenario(name: &str) -> Scenario {
@@ -17,13 +17,13 @@
 #[allow(dead_code)]
 pub fn play(scenario: &Scenario, seed: u64, faults: &[(u64, What)]) -> Report {
     let script = faults.iter().map(|(at_ms, what)| Fault { at_ms: *at_ms, what: what.clone() }).collect();
-    run(&Plan { scenario: scenario.clone(), seed, script: Some(script), mutant: None }, None)
+    run(&RunPlan { scenario: scenario.clone(), seed, script: Some(script), mutant: None }, None)
 }
 
 /// Plays a scenario with the faults that its seed draws.
 #[allow(dead_code)]
 pub fn drawn(scenario: &Scenario, seed: u64, mutant: Option<Mutant>) -> Report {
-    run(&Plan { scenario: scenario.clone(), seed, script: None, mutant }, None)
+    run(&RunPlan { scenario: scenario.clone(), seed, script: None, mutant }, None)
 }
 
 /// No rule was broken, and every first try has an end.
--- a/crates/world/tests/hard_cases.rs
+++ b/crates/world/tests/hard_cases.rs
@@ -7,15 +7,24 @@
 use std::time::Duration;
 
 use chalksill_world::faults::{Ends, What};
-use chalksill_world::observe::{How, Observation, Reply, Seen};
+use chalksill_world::observe::{AttemptOutcome, Observation, ObservedEvent, Reply};
 use chalksill_world::rules::{Checker, Rule};
 use chalksill_world::scenario::Effect;
 use chalksill_world::values::Value;
 use common::{kept, play, scenario};
 
 /// An attempt of request 1 that came from node 0 to cache server 2 at a time.
-fn arrived(came: Duration, until: Duration) -> Seen {
-    Seen::Arrived { at: 2, node: 0, request: 1, write: false, work: 5.0, running: 0, came, until }
+fn arrived(came: Duration, until: Duration) -> ObservedEvent {
+    ObservedEvent::AttemptArrived {
+        server: 2,
+        node: 0,
+        request: 1,
+        is_write: false,
+        work: 5.0,
+        running: 0,
+        received_at: came,
+        deadline: until,
+    }
 }
 
 /// A box is declared gone (or draining) at the very moment at which a request is sent to it: at every packet of the
@@ -54,7 +63,7 @@
         let empty = &report.seconds[6].counts;
         assert!(empty.refused > 0, "the list was not empty: {empty:?}");
         let after = &report.seconds[10].counts;
-        assert!(after.share() > 0.9, "seed {seed}: {after:?}");
+        assert!(after.in_time_share() > 0.9, "seed {seed}: {after:?}");
     }
 }
 
@@ -77,7 +86,7 @@
         );
         kept(&report);
         let end = &report.seconds[12].counts;
-        assert!(end.share() > 0.8, "seed {seed}: {end:?}");
+        assert!(end.in_time_share() > 0.8, "seed {seed}: {end:?}");
     }
 }
 
@@ -185,7 +194,7 @@
         let upgrade = What::Upgrade { node: 0, ends: Ends::InOrder };
         let report = play(&scenario, seed, &[(2_000, crowd), (2_500, large), (5_000, upgrade)]);
         kept(&report);
-        assert!(report.all.share() > 0.9, "seed {seed}: {:?}", report.all);
+        assert!(report.all.in_time_share() > 0.9, "seed {seed}: {:?}", report.all);
     }
 }
 
@@ -195,17 +204,31 @@
     let (scenario, ms) = (scenario("crowded"), Duration::from_millis);
     for (crowd, broken) in [(false, Some(Rule::AtOnce)), (true, None)] {
         let mut checker = Checker::new(&scenario, 90);
-        let mut saw = |at, seen| checker.saw(&Observation { at: ms(at), seen });
-        saw(0, Seen::NodeUp { node: 0 });
+        let mut saw = |at, seen| checker.observe(&Observation { at: ms(at), event: seen });
+        saw(0, ObservedEvent::NodeStarted { node: 0 });
         if crowd {
-            saw(50, Seen::Crowd { begins: true });
+            saw(50, ObservedEvent::ConnectionPressure { begins: true });
         }
         // The aim is 400 ms: over at 500 ms from when it was asked, at 750 ms from shortly before it was sent.
         let (patience, until) = (ms(900), ms(1_000));
-        saw(100, Seen::Asked { request: 1, first: 1, node: 0, class: 0, tenant: 0, key: 7, patience });
+        saw(
+            100,
+            ObservedEvent::RequestSent {
+                request: 1,
+                first_try: 1,
+                node: 0,
+                class: 0,
+                tenant: 0,
+                key: 7,
+                timeout: patience,
+            },
+        );
         saw(400, arrived(ms(400), until));
-        saw(405, Seen::Ended { at: 2, node: 0, request: 1, how: How::Miss });
-        saw(700, Seen::Answered { request: 1, reply: Reply::Busy(20), slow: false });
+        saw(
+            405,
+            ObservedEvent::AttemptEnded { server: 2, node: 0, request: 1, outcome: AttemptOutcome::Miss },
+        );
+        saw(700, ObservedEvent::ReplyReceived { request: 1, reply: Reply::Busy(20), slow_reader: false });
         assert_eq!(checker.violations().first().map(|v| v.rule), broken, "crowd: {crowd}");
     }
 }
@@ -215,14 +238,27 @@
     let scenario = scenario("crowded");
     let (origin, ms) = (90, Duration::from_millis);
     let (patience, until) = (ms(900), ms(1_000));
-    let asked = Seen::Asked { request: 1, first: 1, node: 0, class: 0, tenant: 0, key: 7, patience };
+    let asked = ObservedEvent::RequestSent {
+        request: 1,
+        first_try: 1,
+        node: 0,
+        class: 0,
+        tenant: 0,
+        key: 7,
+        timeout: patience,
+    };
     let arrived = arrived(ms(200), until);
-    let cut = Seen::Cut { request: 1 };
-    let silent = Seen::Ended { at: 2, node: 0, request: 1, how: How::Silent { begun: true } };
-    let value = How::Value(Value::OfRequest { of: 1, by: 2 });
-    let whole = Seen::Ended { at: 2, node: 0, request: 1, how: value };
-    let away = Seen::BoxAway { at: 2, away: true };
-    let hanging = |made| Seen::Hanging { node: 0, made: ms(made) };
+    let cut = ObservedEvent::TruncatedReply { request: 1 };
+    let silent = ObservedEvent::AttemptEnded {
+        server: 2,
+        node: 0,
+        request: 1,
+        outcome: AttemptOutcome::Dropped { started: true },
+    };
+    let value = AttemptOutcome::Value(Value::OfRequest { of: 1, by: 2 });
+    let whole = ObservedEvent::AttemptEnded { server: 2, node: 0, request: 1, outcome: value };
+    let away = ObservedEvent::ReachabilityChanged { server: 2, unreachable: true };
+    let hanging = |made| ObservedEvent::StalledConnectionKept { node: 0, connected_at: ms(made) };
     for (seen, broken) in [
         (vec![asked.clone(), arrived.clone(), whole.clone(), cut.clone()], Some(Rule::OneAnswer)),
         (vec![asked.clone(), arrived.clone(), silent, cut.clone()], None),
@@ -232,10 +268,10 @@
         (vec![hanging(5)], None),
     ] {
         let mut checker = Checker::new(&scenario, origin);
-        let up = Observation { at: ms(10), seen: Seen::NodeUp { node: 0 } };
+        let up = Observation { at: ms(10), event: ObservedEvent::NodeStarted { node: 0 } };
         let seen = seen.into_iter().enumerate();
-        let seen = seen.map(|(n, seen)| Observation { at: ms(100 + n as u64), seen });
-        std::iter::once(up).chain(seen).for_each(|o| checker.saw(&o));
+        let seen = seen.map(|(n, seen)| Observation { at: ms(100 + n as u64), event: seen });
+        std::iter::once(up).chain(seen).for_each(|o| checker.observe(&o));
         assert_eq!(checker.violations().first().map(|v| v.rule), broken);
     }
 }
@@ -262,18 +298,32 @@
         (true, false, [once_accepted, once_accepted + ms(1)], 1),
     ] {
         let mut checker = Checker::new(&scenario, 90);
-        let mut saw = |at, seen| checker.saw(&Observation { at, seen });
-        saw(ms(0), Seen::NodeUp { node: 0 });
+        let mut saw = |at, seen| checker.observe(&Observation { at, event: seen });
+        saw(ms(0), ObservedEvent::NodeStarted { node: 0 });
         if crowd {
-            saw(ms(50), Seen::Crowd { begins: true });
+            saw(ms(50), ObservedEvent::ConnectionPressure { begins: true });
         }
         if away {
-            saw(ms(60), Seen::BoxAway { at: 2, away: true });
+            saw(ms(60), ObservedEvent::ReachabilityChanged { server: 2, unreachable: true });
         }
-        saw(asked, Seen::Asked { request: 1, first: 1, node: 0, class: 0, tenant: 0, key: 7, patience });
+        saw(
+            asked,
+            ObservedEvent::RequestSent {
+                request: 1,
+                first_try: 1,
+                node: 0,
+                class: 0,
+                tenant: 0,
+                key: 7,
+                timeout: patience,
+            },
+        );
         for (at, until) in [ms(700), ms(800)].into_iter().zip(until) {
             saw(at, arrived(at, until));
-            saw(at + ms(5), Seen::Ended { at: 2, node: 0, request: 1, how: How::Miss });
+            saw(
+                at + ms(5),
+                ObservedEvent::AttemptEnded { server: 2, node: 0, request: 1, outcome: AttemptOutcome::Miss },
+            );
         }
         let rules: Vec<Rule> = checker.violations().iter().map(|v| v.rule).collect();
         assert_eq!(rules, vec![Rule::TimeLeft; broken], "crowd {crowd}, away {away}, {until:?}");
@@ -296,10 +346,21 @@
         (again + way + ms(1), again + second + slack + ms(1), 1),
     ] {
         let mut checker = Checker::new(&scenario, 90);
-        let mut saw = |at, seen| checker.saw(&Observation { at, seen });
-        saw(ms(0), Seen::NodeUp { node: 0 });
+        let mut saw = |at, seen| checker.observe(&Observation { at, event: seen });
+        saw(ms(0), ObservedEvent::NodeStarted { node: 0 });
         for (at, patience) in [(asked, first), (again, second)] {
-            saw(at, Seen::Asked { request: 1, first: 1, node: 0, class: 0, tenant: 0, key: 7, patience });
+            saw(
+                at,
+                ObservedEvent::RequestSent {
+                    request: 1,
+                    first_try: 1,
+                    node: 0,
+                    class: 0,
+                    tenant: 0,
+                    key: 7,
+                    timeout: patience,
+                },
+            );
         }
         saw(came, arrived(came, until));
         let rules: Vec<Rule> = checker.violations().iter().map(|v| v.rule).collect();
@@ -315,11 +376,22 @@
     let ms = Duration::from_millis;
     for (came, broken) in [(150, vec![]), (350, vec![]), (351, vec![Rule::Over]), (469, vec![Rule::Over])] {
         let mut checker = Checker::new(&scenario, 90);
-        let mut saw = |at, seen| checker.saw(&Observation { at: ms(at), seen });
-        saw(0, Seen::NodeUp { node: 0 });
+        let mut saw = |at, seen| checker.observe(&Observation { at: ms(at), event: seen });
+        saw(0, ObservedEvent::NodeStarted { node: 0 });
         let (patience, until) = (ms(900), ms(1_000));
-        saw(100, Seen::Asked { request: 1, first: 1, node: 0, class: 0, tenant: 0, key: 7, patience });
-        saw(200, Seen::Answered { request: 1, reply: Reply::Failed, slow: false });
+        saw(
+            100,
+            ObservedEvent::RequestSent {
+                request: 1,
+                first_try: 1,
+                node: 0,
+                class: 0,
+                tenant: 0,
+                key: 7,
+                timeout: patience,
+            },
+        );
+        saw(200, ObservedEvent::ReplyReceived { request: 1, reply: Reply::Failed, slow_reader: false });
         let came = ms(came);
         saw(469, arrived(came, until));
         let rules: Vec<Rule> = checker.violations().iter().map(|v| v.rule).collect();
@@ -334,30 +406,41 @@
     let scenario = scenario("small");
     let (origin, ms) = (scenario.boxes.count, Duration::from_millis);
     let mut checker = Checker::new(&scenario, origin);
-    let mut saw = |at, seen| checker.saw(&Observation { at: ms(at), seen });
+    let mut saw = |at, seen| checker.observe(&Observation { at: ms(at), event: seen });
     let (patience, until) = (ms(30_000), ms(30_000));
-    saw(0, Seen::NodeUp { node: 0 });
+    saw(0, ObservedEvent::NodeStarted { node: 0 });
     let requests = 1..200;
     for request in requests.clone() {
-        saw(10, Seen::Asked { request, first: request, node: 0, class: 0, tenant: 0, key: 7, patience });
+        saw(
+            10,
+            ObservedEvent::RequestSent {
+                request,
+                first_try: request,
+                node: 0,
+                class: 0,
+                tenant: 0,
+                key: 7,
+                timeout: patience,
+            },
+        );
     }
-    saw(20, Seen::NodeDown { node: 0, planned: false });
-    saw(20, Seen::NodeUp { node: 0 });
+    saw(20, ObservedEvent::NodeEnded { node: 0, planned: false });
+    saw(20, ObservedEvent::NodeStarted { node: 0 });
     for request in requests {
         let at = 1_000 + request * 100;
-        let arrived = Seen::Arrived {
-            at: origin,
+        let arrived = ObservedEvent::AttemptArrived {
+            server: origin,
             node: 0,
             request,
-            write: false,
+            is_write: false,
             work: 5.0,
             running: 0,
-            came: ms(at),
-            until,
+            received_at: ms(at),
+            deadline: until,
         };
         saw(at, arrived);
-        let how = How::Value(Value::OfRequest { of: request, by: origin });
-        saw(at + 5, Seen::Ended { at: origin, node: 0, request, how });
+        let how = AttemptOutcome::Value(Value::OfRequest { of: request, by: origin });
+        saw(at + 5, ObservedEvent::AttemptEnded { server: origin, node: 0, request, outcome: how });
     }
     assert!(checker.violations().is_empty(), "{}", checker.violations()[0]);
 }
--- a/crates/world/tests/long_times.rs
+++ b/crates/world/tests/long_times.rs
@@ -11,7 +11,7 @@
 use chalksill_world::report::Report;
 use chalksill_world::rules::Rule;
 use chalksill_world::scenario::{Scenario, Tenant};
-use chalksill_world::sim::{Plan, run};
+use chalksill_world::sim::{RunPlan, run};
 use common::{kept, play, scenario};
 
 /// Cache servers at the start; the origin has the next number, the first successor of a deployment the one
@@ -74,7 +74,7 @@
     let told = told_within(for_ms);
     let asked = report.seconds[told.clone()].iter().any(|s| s.boxes.contains_key(&FIRST_SUCCESSOR));
     assert!(asked, "seed {}, {for_ms} ms: the successor is not known {TOLD_S} s later", report.seed);
-    assert!(report.all.share() > 0.9, "seed {}, {for_ms} ms: {:?}", report.seed, report.all);
+    assert!(report.all.in_time_share() > 0.9, "seed {}, {for_ms} ms: {:?}", report.seed, report.all);
     let after = &report.seconds[told.end..told.end + 5];
     let (served, offered) = after
         .iter()
@@ -108,7 +108,7 @@
         let scenario = ground(pushed, (FAILS_AT + for_ms + AFTER_MS) as f64 / 1e3);
         let script = script.into_iter().map(|(at_ms, what)| Fault { at_ms, what }).collect();
         let mutant = Some(Mutant::AsksNoMore);
-        let report = run(&Plan { scenario, seed: 1, script: Some(script), mutant }, None);
+        let report = run(&RunPlan { scenario, seed: 1, script: Some(script), mutant }, None);
         let drains = report.violations.iter().any(|v| v.rule == Rule::Drains);
         assert!(drains, "pushed {pushed}: {:?}", report.violations);
     }
@@ -191,7 +191,7 @@
             kept(&quiet);
             kept(&without);
             assert!(quiet.virtual_s > without.virtual_s + 3_590.0, "{} s", quiet.virtual_s);
-            let (share, usual) = (quiet.all.share(), without.all.share());
+            let (share, usual) = (quiet.all.in_time_share(), without.all.in_time_share());
             assert!(
                 share > usual - 0.02 && share > 0.9,
                 "{trouble:?}: {share} after an hour, {usual} without"
@@ -217,7 +217,7 @@
         kept(&report);
         let c = report.all;
         assert_eq!((c.refused, c.failed, c.unanswered), (0, 0, 0), "seed {seed}: {c:?}");
-        assert!(c.share() > 0.99, "seed {seed}: {c:?}");
+        assert!(c.in_time_share() > 0.99, "seed {seed}: {c:?}");
         assert!(report.misses > 100 && report.origin_calls > 100, "seed {seed}: {report:?}");
         // What was fetched is held: later less is asked of the origin.
         let calls = |seconds: Range<usize>| report.seconds[seconds].iter().map(|s| s.origin).sum::<u64>();
--- a/crates/world/tests/records.rs
+++ b/crates/world/tests/records.rs
@@ -4,30 +4,36 @@
 
 use chalksill_world::faults::{Fault, What};
 use chalksill_world::scenario::Scenario;
-use chalksill_world::sim::{Plan, run, run_recorded};
-use chalksill_world::tape::{Recording, Tape};
+use chalksill_world::sim::{RunPlan, run, run_recorded};
+use chalksill_world::tape::{RecordedSegment, RecordingOptions};
 use common::{kept, scenario};
 use mothpier_record::entry::Body;
 use mothpier_record::replay::replay;
-use mothpier_record::{Figures, Segment};
+use mothpier_record::{Segment, Tuning};
 
 fn shortened(name: &str, seconds: f64) -> Scenario {
     Scenario { seconds, ..scenario(name) }
 }
 
 /// What a replay of a tape came to; it is identical and whole.
-fn played(tape: &Tape) -> u64 {
+fn played(tape: &RecordedSegment) -> u64 {
     let (outcome, _) = replay(&mut Segment::open(&tape.bytes).expect("a header")).expect("a record");
-    assert_eq!((outcome.first, outcome.torn), (None, None), "node {}, segment {}", tape.node, tape.number);
+    assert_eq!(
+        (outcome.first_difference, outcome.read_error),
+        (None, None),
+        "node {}, segment {}",
+        tape.node,
+        tape.number
+    );
     outcome.events
 }
 
 #[test]
 fn faults_that_overlap_are_recorded_and_played_again_identically() {
     for seed in 0..12 {
-        let plan = Plan { scenario: shortened("small", 4.0), seed, script: None, mutant: None };
-        let figures = Figures { segment_mib: 0.05, most_mib: 1.0, ..Figures::default() };
-        let (report, tapes) = run_recorded(&plan, None, Recording { figures, recover: true });
+        let plan = RunPlan { scenario: shortened("small", 4.0), seed, script: None, mutant: None };
+        let figures = Tuning { segment_mib: 0.05, most_mib: 1.0, ..Tuning::default() };
+        let (report, tapes) = run_recorded(&plan, None, RecordingOptions { tuning: figures, recover: true });
         kept(&report);
         let events: u64 = tapes.iter().map(played).sum();
         assert!(events > 300, "seed {seed}: {events} events");
@@ -36,8 +42,8 @@
 
 #[test]
 fn a_world_goes_its_way_whether_or_not_it_is_recorded() {
-    let plan = Plan { scenario: shortened("small", 3.0), seed: 5, script: Some(Vec::new()), mutant: None };
-    let (recorded, _) = run_recorded(&plan, None, Recording::default());
+    let plan = RunPlan { scenario: shortened("small", 3.0), seed: 5, script: Some(Vec::new()), mutant: None };
+    let (recorded, _) = run_recorded(&plan, None, RecordingOptions::default());
     assert_eq!(recorded.digest, run(&plan, None).digest);
 }
 
@@ -50,14 +56,15 @@
         scenario.nodes.count = 2;
         let kill = |at_ms, node| Fault { at_ms, what: What::Node { node, planned: false, down_ms: 100 } };
         let script = (0..2).flat_map(|n| [kill(2500, n), kill(3500, n), kill(4500, n)]).collect();
-        let plan = Plan { scenario, seed, script: Some(script), mutant: None };
+        let plan = RunPlan { scenario, seed, script: Some(script), mutant: None };
         for (recover, over) in [false, true].into_iter().zip(&mut over) {
-            let (report, tapes) = run_recorded(&plan, None, Recording { recover, ..Recording::default() });
+            let (report, tapes) =
+                run_recorded(&plan, None, RecordingOptions { recover, ..RecordingOptions::default() });
             kept(&report);
             let taken_over = tapes.iter().filter(|tape| {
                 Segment::open(&tape.bytes)
                     .expect("a header")
-                    .any(|e| matches!(e.body, Body::Told { event: brassrouter::Event::Inherited(_), .. }))
+                    .any(|e| matches!(e.body, Body::Event { event: brassrouter::Event::Inherited(_), .. }))
             });
             assert_eq!(taken_over.count(), if recover { 6 } else { 0 }, "seed {seed}");
             *over += report.origin_over;
--- a/crates/world/tests/second_answers.rs
+++ b/crates/world/tests/second_answers.rs
@@ -11,10 +11,10 @@
 
 use bytes::BytesMut;
 use chalksill_simnet::{Links, Net};
-use chalksill_world::cache::Cache;
+use chalksill_world::cache::CacheServer;
 use chalksill_world::faults::What;
 use chalksill_world::fleet::Fleet;
-use chalksill_world::observe::{How, Seen, Witness};
+use chalksill_world::observe::{AttemptOutcome, ObservedEvent, Observer};
 use chalksill_world::scenario::Scenario;
 use chalksill_world::values::Values;
 use common::{drawn, kept, play, scenario};
@@ -41,7 +41,7 @@
     /// What the server tells of its second answers: the request, and how many commands waited.
     second: Vec<(Option<u64>, usize)>,
     /// The requests that it answered, in order.
-    first: Vec<(u64, How)>,
+    first: Vec<(u64, AttemptOutcome)>,
 }
 
 /// Asks a cache server that answers everything twice, writing these bytes at these milliseconds, and listens
@@ -51,18 +51,25 @@
     let sees = told.clone();
     chalksill_simnet::run(|| async move {
         let ways = (WITHIN, WITHIN);
-        let net =
-            Net::new(5, Duration::ZERO, Links { within: ways, across: ways, datagrams: ways, lost: 0.0 });
-        spawn_local(net.clone().wire());
-        let witness = Witness::begin();
+        let net = Net::new(
+            5,
+            Duration::ZERO,
+            Links { within_zone: ways, between_zones: ways, datagrams: ways, datagram_loss: 0.0 },
+        );
+        spawn_local(net.clone().deliver_packets());
+        let witness = Observer::starting_now();
         let sink = sees.clone();
-        witness.give_to(move |o| match o.seen {
-            Seen::SecondAnswer { request, waiting, .. } => sink.borrow_mut().second.push((request, waiting)),
-            Seen::Ended { request, how, .. } => sink.borrow_mut().first.push((request, how)),
+        witness.subscribe(move |o| match o.event {
+            ObservedEvent::DuplicateResponse { request, pending: waiting, .. } => {
+                sink.borrow_mut().second.push((request, waiting))
+            }
+            ObservedEvent::AttemptEnded { request, outcome: how, .. } => {
+                sink.borrow_mut().first.push((request, how))
+            }
             _ => {}
         });
         let fleet = Fleet::new(scenario, 5, witness);
-        let cache = Cache::new(&fleet, 0, 1, false);
+        let cache = CacheServer::new(&fleet, 0, 1, false);
         cache.store(1);
         if drains {
             cache.drain();
@@ -70,7 +77,7 @@
         cache.spoil.second_answers.part.set(1.0);
         cache.spoil.second_answers.most_ms.set(most_ms);
         let at = |last| IpAddr::V4(Ipv4Addr::new(10, 0, 0, last));
-        let (server, client) = (net.process(at(1), 0, "box"), net.process(at(2), 0, "node"));
+        let (server, client) = (net.start_process(at(1), 0, "box"), net.start_process(at(2), 0, "node"));
         let address = SocketAddr::new(at(1), 6379);
         let listener = server.listen(address).await.unwrap();
         spawn_local(cache.serve::<chalksill_simnet::SimHost>(listener, |_| 0));
@@ -95,7 +102,7 @@
             }
         }
         assert!(buffer.is_empty(), "half an answer is left");
-        fleet.end();
+        fleet.clear();
     });
     Rc::into_inner(told).unwrap().into_inner()
 }
@@ -148,10 +155,10 @@
 fn misses_refusals_and_lines_come_twice_too() {
     let told = ask(of_one_core(), 3, false, vec![(0, read(2, 1))]);
     all_come_twice(&told, 1);
-    assert_eq!(told.first, [(1, How::Miss)]);
+    assert_eq!(told.first, [(1, AttemptOutcome::Miss)]);
     let told = ask(of_one_core(), 3, true, vec![(0, read(1, 1))]);
     all_come_twice(&told, 1);
-    assert_eq!(told.first, [(1, How::Busy)]);
+    assert_eq!(told.first, [(1, AttemptOutcome::Busy)]);
     let client = resp::encode_command(["CLIENT".into(), "ID".into()]).to_vec();
     let hello = resp::encode_command(["HELLO".into()]).to_vec();
     let told = ask(of_one_core(), 3, false, vec![(0, client), (100, hello)]);
--- a/crates/world/tests/seeds.rs
+++ b/crates/world/tests/seeds.rs
@@ -7,7 +7,7 @@
 use chalksill_world::faults::{Fault, What};
 use chalksill_world::mutant::Mutant;
 use chalksill_world::scenario::Scenario;
-use chalksill_world::sim::{Plan, run};
+use chalksill_world::sim::{RunPlan, run};
 use chalksill_world::system_calls::{Failure, SystemCall};
 use common::{drawn, kept, scenario};
 
@@ -64,11 +64,11 @@
     let given_up = std::rc::Rc::new(std::cell::RefCell::new(std::collections::BTreeSet::new()));
     let sees = given_up.clone();
     let trace = move |line: &str| {
-        if let Some(told) = chalksill_world::agreement::Told::read(line) {
-            sees.borrow_mut().extend(told.away().into_iter().map(str::to_owned));
+        if let Some(told) = chalksill_world::agreement::ReportedPlan::parse(line) {
+            sees.borrow_mut().extend(told.given_up_zones().into_iter().map(str::to_owned));
         }
     };
-    let plan = Plan { scenario, seed, script: Some(script), mutant: None };
+    let plan = RunPlan { scenario, seed, script: Some(script), mutant: None };
     let report = run(&plan, Some(std::rc::Rc::new(std::cell::RefCell::new(trace))));
     kept(&report);
     let zones = given_up.borrow();
@@ -198,7 +198,7 @@
     for (mutant, rule) in Mutant::ALL {
         let (scenario, script) = ground(mutant);
         let breaks = |seed, mutant| {
-            let plan = Plan { scenario: scenario.clone(), seed, script: script.clone(), mutant };
+            let plan = RunPlan { scenario: scenario.clone(), seed, script: script.clone(), mutant };
             run(&plan, None).violations.iter().any(|v| v.rule == rule)
         };
         let found = (0..16).find(|seed| breaks(*seed, Some(mutant)));
--- a/crates/world/tests/storms.rs
+++ b/crates/world/tests/storms.rs
@@ -8,11 +8,11 @@
 use chalksill_world::faults::{Fault, What};
 use chalksill_world::report::{Report, Second};
 use chalksill_world::scenario::{Effect, Habit, Retry, Scenario};
-use chalksill_world::sim::{Plan, run};
-use chalksill_world::storm::{Hit, Outage, Recovery};
+use chalksill_world::sim::{RunPlan, run};
+use chalksill_world::storm::{Outage, OutageTarget, Recovery};
 use common::{kept, play, scenario};
 
-const OUTAGE: Outage = Outage { hit: Hit::Boxes, at_ms: 5_000, for_ms: 2_000 };
+const OUTAGE: Outage = Outage { hit: OutageTarget::Boxes, at_ms: 5_000, for_ms: 2_000 };
 
 fn undamped(mut scenario: Scenario) -> Scenario {
     scenario.nodes.operator = String::new();
@@ -23,8 +23,8 @@
 fn storm(scenario: &Scenario, seed: u64, outage: Outage, more: &[(u64, What)]) -> (Report, Recovery) {
     let mut script = outage.script(scenario);
     script.extend(more.iter().map(|(at_ms, what)| Fault { at_ms: *at_ms, what: what.clone() }));
-    let report = run(&Plan { scenario: scenario.clone(), seed, script: Some(script), mutant: None }, None);
-    let recovery = outage.judge(&report);
+    let report = run(&RunPlan { scenario: scenario.clone(), seed, script: Some(script), mutant: None }, None);
+    let recovery = outage.measure_recovery(&report);
     (report, recovery)
 }
 
@@ -57,7 +57,7 @@
     let mut scenario = scenario("storm");
     (scenario.seconds, scenario.load.callers, scenario.load.eager) = (14.0, 5_000, 1.0);
     (scenario.rules.fall_multiple, scenario.rules.fall_ms) = (2.0, 2_000);
-    let outage = Outage { hit: Hit::Site, ..OUTAGE };
+    let outage = Outage { hit: OutageTarget::Site, ..OUTAGE };
     let (report, recovery) = storm(&scenario, 1, outage, &[]);
     kept(&report);
     assert_eq!(recovery.fell, 0, "{recovery:?}");
@@ -97,8 +97,8 @@
     kept(&report);
     for (name, counts) in &report.tenants {
         let greedy = name == "agua-estado";
-        assert!(greedy || counts.share() > 0.8, "{name}: {counts:?}");
-        assert!(!greedy || counts.share() < 0.6, "{name}: {counts:?}");
+        assert!(greedy || counts.in_time_share() > 0.8, "{name}: {counts:?}");
+        assert!(!greedy || counts.in_time_share() < 0.6, "{name}: {counts:?}");
     }
 }
 
@@ -130,7 +130,7 @@
     (scenario.seconds, scenario.load.callers, scenario.load.eager) = (20.0, 1_000, 1.0);
     scenario.nodes.operator =
         "[storm]\ndetect = true\n[storm.figures]\naccepts_per_s = 200.0\naccepts_at_once = 16.0\n".into();
-    let outage = Outage { hit: Hit::Nodes, ..OUTAGE };
+    let outage = Outage { hit: OutageTarget::Nodes, ..OUTAGE };
     let (report, bounded) = storm(&scenario, 1, outage, &[]);
     kept(&report);
     assert!(bounded.recovered_s.is_some(), "{bounded:?}");
--- a/crates/world/tests/system_calls.rs
+++ b/crates/world/tests/system_calls.rs
@@ -11,7 +11,7 @@
 use chalksill_simnet::{Links, Net, SimHost};
 use chalksill_world::failing_host::FailingHost;
 use chalksill_world::faults::{Fault, What};
-use chalksill_world::observe::Witness;
+use chalksill_world::observe::Observer;
 use chalksill_world::report::Report;
 use chalksill_world::scenario::Scenario;
 use chalksill_world::system_calls::{FailingCall, FailingCalls, Failure, SystemCall};
@@ -88,14 +88,14 @@
 fn a_fault_names_a_call_that_can_fail_so() {
     let fault = |call, failure, part| {
         let (at_ms, what) = failing(call, failure, part, 100);
-        Fault { at_ms, what }.check(3, 2)
+        Fault { at_ms, what }.validate(3, 2)
     };
     assert_eq!(fault(SystemCall::Accept, Failure::Emfile, 0.5), Ok(()));
     assert!(fault(SystemCall::Accept, Failure::Short, 0.5).is_err());
     assert!(fault(SystemCall::Accept, Failure::Emfile, 1.5).is_err());
     let (at_ms, what) = failing(SystemCall::BindDatagrams, Failure::Eaddrinuse, 1.0, 100);
     let fault = Fault { at_ms, what };
-    assert!(fault.check(3, 0).is_err(), "there is no node 0");
+    assert!(fault.validate(3, 0).is_err(), "there is no node 0");
     let text = serde_json::to_string(&fault).unwrap();
     assert!(text.contains(r#""call":"bind-datagrams","failure":"EADDRINUSE""#), "{text}");
     assert_eq!(serde_json::from_str::<Fault>(&text).unwrap(), fault);
@@ -113,11 +113,11 @@
 impl Machines {
     fn new() -> Machines {
         let ms = |ms| (Duration::from_millis(ms), Duration::from_millis(ms));
-        let links = Links { within: ms(1), across: ms(1), datagrams: ms(1), lost: 0.0 };
+        let links = Links { within_zone: ms(1), between_zones: ms(1), datagrams: ms(1), datagram_loss: 0.0 };
         let net = Net::new(1, Duration::ZERO, links);
-        tokio::task::spawn_local(net.clone().wire());
-        let calls = FailingCalls::new(Witness::begin(), Pcg64Mcg::seed_from_u64(1));
-        let machine = |last: u8| net.process([10, 0, 0, last].into(), 0, "test");
+        tokio::task::spawn_local(net.clone().deliver_packets());
+        let calls = FailingCalls::new(Observer::starting_now(), Pcg64Mcg::seed_from_u64(1));
+        let machine = |last: u8| net.start_process([10, 0, 0, last].into(), 0, "test");
         let failing = FailingHost::new(machine(1), 0, calls.clone(), None);
         Machines { calls, failing, plain: machine(2), address: ([10, 0, 0, 1], 80).into() }
     }
--- a/crates/world/tests/values.rs
+++ b/crates/world/tests/values.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use chalksill_world::mutant::Mutant;
-use chalksill_world::observe::{How, Observation, Reply, Seen};
+use chalksill_world::observe::{AttemptOutcome, Observation, ObservedEvent, Reply};
 use chalksill_world::rules::{Checker, Rule};
 use chalksill_world::values::{Value, Values};
 use common::{drawn, kept, scenario};
@@ -83,33 +83,50 @@
     scenario.load.values = values;
     let mut checker = Checker::new(&scenario, 90);
     let ms = Duration::from_millis;
-    let mut saw = |at, seen| checker.saw(&Observation { at: ms(at), seen });
-    let asked = |request, key| Seen::Asked {
+    let mut saw = |at, seen| checker.observe(&Observation { at: ms(at), event: seen });
+    let asked = |request, key| ObservedEvent::RequestSent {
         request,
-        first: request,
+        first_try: request,
         node: 0,
         class: 0,
         tenant: 0,
         key,
-        patience: ms(900),
+        timeout: ms(900),
     };
     let arrived = |at, request, came| {
         let (came, until) = (ms(came), ms(1_000));
-        Seen::Arrived { at, node: 0, request, write: false, work: 5.0, running: 0, came, until }
+        ObservedEvent::AttemptArrived {
+            server: at,
+            node: 0,
+            request,
+            is_write: false,
+            work: 5.0,
+            running: 0,
+            received_at: came,
+            deadline: until,
+        }
     };
-    saw(0, Seen::NodeUp { node: 0 });
+    saw(0, ObservedEvent::NodeStarted { node: 0 });
     saw(100, asked(1, 7));
     saw(100, asked(2, 8));
     saw(100, asked(3, 7));
     saw(110, arrived(2, 1, 110));
     saw(110, arrived(2, 2, 110));
-    saw(130, Seen::Executed { request: 9, token: 9, key: 7 });
-    let answer = Seen::Answered { request: 1, reply: Reply::Value(served), slow: false };
+    saw(130, ObservedEvent::WriteExecuted { request: 9, idempotency_key: 9, key: 7 });
+    let answer = ObservedEvent::ReplyReceived { request: 1, reply: Reply::Value(served), slow_reader: false };
     if answered_ms < 150 {
         saw(answered_ms, answer.clone());
     }
     if let Some(value) = gave {
-        saw(150, Seen::Ended { at: 2, node: 0, request: 1, how: How::Value(value) });
+        saw(
+            150,
+            ObservedEvent::AttemptEnded {
+                server: 2,
+                node: 0,
+                request: 1,
+                outcome: AttemptOutcome::Value(value),
+            },
+        );
     }
     if answered_ms >= 150 {
         saw(answered_ms, answer);
--- a/crates/world/tests/wall_clock.rs
+++ b/crates/world/tests/wall_clock.rs
@@ -55,7 +55,7 @@
                 kept(&report);
                 let (all, without) = (report.all, agreeing.all);
                 assert!(
-                    (all.share() - without.share()).abs() < 0.02,
+                    (all.in_time_share() - without.in_time_share()).abs() < 0.02,
                     "seed {seed}, {whose:?} by {by_ms} ms: {all:?}, without {without:?}"
                 );
             }
