--- a/crates/accord/src/member.rs
+++ b/crates/accord/src/member.rs
@@ -69,7 +69,8 @@
     Evidence(MemberId, Vec<u8>),
     /// Another member has acted on this leader's plan of this sequence number, or on a later one.
     PlanApplied(MemberId, u32),
-    /// A former leader's plan, newer than any that this leader knew; reported while it must not choose a plan of its own yet.
+    /// A former leader's plan, newer than any that this leader knew; reported while it must not choose a plan of its
+    /// own yet.
     RecoveredPlan(Vec<u8>),
 }
 
@@ -211,8 +212,8 @@
         self
     }
 
-    /// For explorations: resets what only affects when the member acts by itself, and sets its clock. Its reaction to the next
-    /// message stays the same.
+    /// For explorations: resets what only affects when the member acts by itself, and sets its clock. Its reaction to
+    /// the next message stays the same.
     #[doc(hidden)]
     pub fn normalized(mut self, now: Millis) -> Member {
         self.advance(now, &mut Vec::new());
@@ -249,7 +250,8 @@
         self.term.map(|t| t.lease_ends)
     }
 
-    /// When recovery of the predecessor's plan ends, where this member leads: it should choose no plan of its own before.
+    /// When recovery of the predecessor's plan ends, where this member leads: it should choose no plan of its own
+    /// before.
     pub fn recovery_ends(&self) -> Option<Millis> {
         self.term.map(|_| self.recovery.ends())
     }
@@ -336,7 +338,8 @@
         self.retry_campaign(out);
     }
 
-    /// Asks missing voters again. With a bare majority of voters alive every answer counts, so lost messages are repeated.
+    /// Asks missing voters again. With a bare majority of voters alive every answer counts, so lost messages are
+    /// repeated.
     fn retry_campaign(&mut self, out: &mut Vec<Effect>) {
         let Some(campaign) = self.campaign.as_mut().filter(|c| self.now >= c.retry_at) else { return };
         campaign.retry_at = self.now + self.config.timing.retry_interval;
@@ -396,9 +399,9 @@
         self.highest_round += 1;
         let ballot =
             Ballot { round: self.highest_round, voter: self.config.me, incarnation: self.incarnation };
-        // The lease counts from the beginning of the campaign, because a voter that restarts forgets its promises as well as its grants.
-        // A campaign that could continue with an old promise for longer than that voter abstains would meet a grant that the promise
-        // should have prevented.
+        // The lease counts from the beginning of the campaign, because a voter that restarts forgets its promises as
+        // well as its grants. A campaign that could continue with an old promise for longer than that voter abstains
+        // would meet a grant that the promise should have prevented.
         let lease_ends = self.now + timing.lease;
         let retry_at = self.now + timing.retry_interval;
         self.campaign =
@@ -521,7 +524,8 @@
         }
     }
 
-    /// Notes the round of a ballot. A round that no term reaches in a century is invalid, and would leave no higher one.
+    /// Notes the round of a ballot. A round that no term reaches in a century is invalid, and would leave no higher
+    /// one.
     fn note_round(&mut self, ballot: Ballot) {
         if ballot.round < MAX_ROUND {
             self.highest_round = self.highest_round.max(ballot.round);
@@ -670,7 +674,8 @@
         ));
     }
 
-    /// Whether a member knows a plan of an earlier term that this leader doesn't: the reply has to wait until it has sent it.
+    /// Whether a member knows a plan of an earlier term that this leader doesn't: the reply has to wait until it has
+    /// sent it.
     fn must_recover_from(&mut self, member: MemberId, number: PlanNumber) -> bool {
         let earlier = self.term.is_some_and(|t| number.term != t.ballot);
         earlier && self.recovery.should_query(self.now, member, number)
@@ -701,8 +706,8 @@
         }
     }
 
-    /// Handles a query that a voter has relayed: the voter also relays the reply. A former leader does not relay it further, or
-    /// relaying could go on for ever.
+    /// Handles a query that a voter has relayed: the voter also relays the reply. A former leader does not relay it
+    /// further, or relaying could go on for ever.
     fn handle_relayed_query(
         &mut self,
         from: MemberId,
@@ -744,7 +749,8 @@
         out.push(Effect::Evidence(requester, evidence));
         let own_number = PlanNumber { term: term.ballot, sequence: self.plan.0 };
         if number > own_number && number.term.round < MAX_ROUND {
-            // The member has acted on a plan of a term that no voter here remembers: this one must begin anew, above it.
+            // The member has acted on a plan of a term that no voter here remembers: this one must begin anew, above
+            // it.
             self.term = None;
             self.campaign_at = self.now;
             out.push(Effect::SteppedDown);
--- a/crates/accord/src/message.rs
+++ b/crates/accord/src/message.rs
@@ -92,7 +92,8 @@
         /// The voter to which it has granted a lease.
         voter: MemberId,
     },
-    /// To a voter: a member without a reply asks it to relay its query to the leader, which the voter may be able to reach.
+    /// To a voter: a member without a reply asks it to relay its query to the leader, which the voter may be able to
+    /// reach.
     Relay {
         /// The query.
         query: Query,
@@ -104,7 +105,8 @@
         /// The query.
         query: Query,
     },
-    /// The leader's reply to a relayed query, back to the voter: the contents of a [`Reply`](Self::Reply) to the member.
+    /// The leader's reply to a relayed query, back to the voter: the contents of a [`Reply`](Self::Reply) to the
+    /// member.
     RelayedReply {
         /// The member that sent the query.
         requester: MemberId,
--- a/crates/accord/src/recovery.rs
+++ b/crates/accord/src/recovery.rs
@@ -1,7 +1,8 @@
 //! How a new leader recovers its predecessor's last plan from members that have acted on it.
 //!
-//! A leader that gets a query from a member that knows a newer plan does not reply, but queries the member. The member sends the
-//! plan in a [`Message::Reply`](crate::Message::Reply) with no time left on the lease, which no member acts on.
+//! A leader that gets a query from a member that knows a newer plan does not reply, but queries the member. The member
+//! sends the plan in a [`Message::Reply`](crate::Message::Reply) with no time left on the lease, which no member acts
+//! on.
 
 use std::collections::BTreeMap;
 
--- a/crates/accord/tests/explore.rs
+++ b/crates/accord/tests/explore.rs
@@ -1,8 +1,8 @@
-//! A breadth-first exploration of the state machine: every order of messages, losses, duplicates, restarts without state, stopped
-//! processes and clocks that differ within bounds, so that a counterexample is as short as possible.
+//! A breadth-first exploration of the state machine: every order of messages, losses, duplicates, restarts without
+//! state, stopped processes and clocks that differ within bounds, so that a counterexample is as short as possible.
 //!
-//! A stopped process is one that gets neither ticks nor messages while time goes on; a lost message is one that is never
-//! delivered. Both are part of every exploration.
+//! A stopped process is one that gets neither ticks nor messages while time goes on; a lost message is one that is
+//! never delivered. Both are part of every exploration.
 #![allow(missing_docs)]
 
 use std::collections::hash_map::DefaultHasher;
@@ -536,7 +536,8 @@
     assert_detected(Mutant::NeverDropsPlan, TWO_PLANS, "for ever");
 }
 
-/// Takes minutes and gigabytes, so not part of every run: `cargo test --release -p mothpier-accord -- --ignored --nocapture`
+/// Takes minutes and gigabytes, so it is not part of every run:
+/// `cargo test --release -p mothpier-accord -- --ignored --nocapture`
 #[test]
 #[ignore = "takes minutes"]
 fn larger_explorations_are_safe() {
--- a/crates/accord/tests/fleet.rs
+++ b/crates/accord/tests/fleet.rs
@@ -1,5 +1,6 @@
-//! Members and planner together at the size of a fleet: how soon nodes act on the loss of a zone, and what the agreement costs
-//! each node as the fleet grows. Evidence comes from a model of attempts; members, planner and recent attempts are the real code.
+//! Members and planner together at the size of a fleet: how soon nodes act on the loss of a zone, and what the
+//! agreement costs each node as the fleet grows. Evidence comes from a model of attempts; members, planner and recent
+//! attempts are the real code.
 #![allow(missing_docs)]
 
 use std::collections::BinaryHeap;
@@ -72,7 +73,7 @@
     };
     let mut nodes: Vec<Node> = (0..members).map(begin).collect();
     let mut net: BinaryHeap<Reverse<InFlight>> = BinaryHeap::new();
-    let (mut next_sequence, mut moves) = (0u64, 0);
+    let (mut last_sequence, mut moves) = (0u64, 0);
     for now in 0..seconds * 1000 {
         let mut due = Vec::new();
         while net.peek().is_some_and(|Reverse((at, ..))| *at <= now) {
@@ -180,8 +181,8 @@
                 node.cost.1 += bytes as u64;
                 // One message in a hundred is lost; the one-way delay is 20 ms.
                 if rng.rand_float() >= 0.01 {
-                    next_sequence += 1;
-                    net.push(Reverse((now + 20 + rng.rand_range(0..3), next_sequence, to, other, message)));
+                    last_sequence += 1;
+                    net.push(Reverse((now + 20 + rng.rand_range(0..3), last_sequence, to, other, message)));
                 }
             }
         }
--- a/crates/accord/tests/stable.rs
+++ b/crates/accord/tests/stable.rs
@@ -1,5 +1,6 @@
-//! Many members over minutes of virtual time, with loss, delay, duplication, partitions, kills, stops and clock drift: safety is
-//! checked at every step, and whenever a majority of voters can communicate for a while all members that reach it act on one plan.
+//! Many members over minutes of virtual time, with loss, delay, duplication, partitions, kills, stops and clock drift:
+//! safety is checked at every step, and whenever a majority of voters can communicate for a while all members that
+//! reach it act on one plan.
 #![allow(missing_docs)]
 
 use std::cmp::Reverse;
@@ -20,7 +21,7 @@
     /// The partition of each member; members of different partitions can't communicate.
     partition: Vec<u8>,
     queue: BinaryHeap<Reverse<InFlight>>,
-    next_sequence: u64,
+    last_sequence: u64,
     rng: Rand64,
     now: Millis,
     loss: f64,
@@ -44,7 +45,7 @@
             stopped: vec![None; usize::from(members)],
             partition: vec![0; usize::from(members)],
             queue: BinaryHeap::new(),
-            next_sequence: 0,
+            last_sequence: 0,
             now: 0,
             loss: 0.05,
             plans: BTreeMap::new(),
@@ -80,8 +81,8 @@
             let i = usize::from(to);
             if self.stopped[i].is_some() {
                 // It waits in the socket buffer until the process continues.
-                self.next_sequence += 1;
-                self.queue.push(Reverse((self.now + 50, self.next_sequence, from, to, message)));
+                self.last_sequence += 1;
+                self.queue.push(Reverse((self.now + 50, self.last_sequence, from, to, message)));
                 continue;
             }
             let before = self.members[i].highest_number();
@@ -119,8 +120,8 @@
                         // One in fifty is very late.
                         let late = if self.draw(50) == 0 { self.draw(4_000) } else { 0 };
                         let at = self.now + 5 + self.draw(40) + late;
-                        self.next_sequence += 1;
-                        self.queue.push(Reverse((at, self.next_sequence, i as u16, to, message.clone())));
+                        self.last_sequence += 1;
+                        self.queue.push(Reverse((at, self.last_sequence, i as u16, to, message.clone())));
                     }
                 }
                 Effect::ApplyPlan(number, plan) => {
--- a/crates/accord/tests/wall_clock.rs
+++ b/crates/accord/tests/wall_clock.rs
@@ -1,5 +1,6 @@
-//! Members whose incarnation number comes from a wall clock that was stepped between two incarnations: whether the number is
-//! lower, higher or the same, it neither keeps a member out nor makes anything of its former incarnation count.
+//! Members whose incarnation number comes from a wall clock that was stepped between two incarnations: whether the
+//! number is lower, higher or the same, it neither keeps a member out nor makes anything of its former incarnation
+//! count.
 #![allow(missing_docs)]
 
 use std::collections::VecDeque;
@@ -128,8 +129,8 @@
     }
 }
 
-/// In a ballot the round goes before the incarnation: a voter that has promised to the former incarnation reports its round,
-/// and the new incarnation campaigns above it.
+/// In a ballot the round goes before the incarnation: a voter that has promised to the former incarnation reports its
+/// round, and the new incarnation campaigns above it.
 #[test]
 fn a_candidate_with_a_lower_incarnation_campaigns_above_its_former_round() {
     let timing = Timing::default();
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,9 +1,10 @@
-//! Messages between a process of a node and its successor: frames with a length, a version and a checksum. Anything else is
-//! rejected with its kind of error. Nothing here does I/O.
+//! Messages between a process of a node and its successor: frames with a length, a version and a checksum. Anything
+//! else is rejected with its kind of error. Nothing here does I/O.
 //!
-//! The successor sends [`Message::Hello`]; the predecessor answers with [`Message::State`] or [`Message::Declined`]. While both
-//! run it goes on to send [`Message::Remaining`] and, when its list of servers changes, another [`Message::State`] without the
-//! decision module's state. A connection that ends means that the other process has ended.
+//! The successor sends [`Message::Hello`]; the predecessor answers with [`Message::State`] or [`Message::Declined`].
+//! While both run it goes on to send [`Message::Remaining`] and, when its list of servers changes, another
+//! [`Message::State`] without the decision module's state. A connection that ends means that the other process has
+//! ended.
 
 use std::fmt;
 
--- a/crates/host/src/accepted.rs
+++ b/crates/host/src/accepted.rs
@@ -1,8 +1,8 @@
 //! Connections that this process has accepted.
 //!
-//! Accepting a connection and registering it with the runtime are two steps here. Tokio's own listener does both at once: where
-//! epoll has no room for the connection (`ENOMEM`, `ENOSPC` of epoll_ctl(2)) it is closed before anyone can use it. [`AsyncFd`]
-//! returns it, so that registering can be tried again.
+//! Accepting a connection and registering it with the runtime are two steps here. Tokio's own listener does both at
+//! once: where epoll has no room for the connection (`ENOMEM`, `ENOSPC` of epoll_ctl(2)) it is closed before anyone can
+//! use it. [`AsyncFd`] returns it, so that registering can be tried again.
 
 use std::io::{self, ErrorKind, IoSlice, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -178,8 +178,8 @@
     socket: T,
     interest: Interest,
 ) -> Result<AsyncFd<T>, (T, io::Error)> {
-    // SAFETY: a type that converts into an owned descriptor owns one: it is open, and the same, until the socket is dropped, which
-    // the `AsyncFd` does after it has ended the registration.
+    // SAFETY: a type that converts into an owned descriptor owns one: it is open, and the same, until the socket is
+    // dropped, which the `AsyncFd` does after it has ended the registration.
     let registered = unsafe { AsyncFd::register_with_interest(socket, interest) };
     registered.map_err(|error| error.into_parts())
 }
@@ -188,8 +188,8 @@
 #[allow(unsafe_code)]
 pub(crate) fn accept(listener: &TcpListener) -> io::Result<(TcpStream, SocketAddr)> {
     let flags = libc::SOCK_NONBLOCK | libc::SOCK_CLOEXEC;
-    // SAFETY: the listener is open for as long as it is borrowed. The kernel writes the address into the storage, no more than
-    // the given length, and stores its actual length; where the call fails neither is used.
+    // SAFETY: the listener is open for as long as it is borrowed. The kernel writes the address into the storage, no
+    // more than the given length, and stores its actual length; where the call fails neither is used.
     let accepted = unsafe {
         SockAddr::try_init(|storage, length| {
             let descriptor = libc::accept4(listener.as_raw_fd(), storage.cast(), length, flags);
--- a/crates/host/src/failure.rs
+++ b/crates/host/src/failure.rs
@@ -1,7 +1,7 @@
 //! Classification of failed system calls on sockets: where the failure lies, and whether it is transient.
 //!
-//! Each type classifies the errors of one kind of call by the reaction that they need. Errors without an errno (a simulated
-//! host may make them from an [`ErrorKind`] alone) are classified by their kind.
+//! Each type classifies the errors of one kind of call by the reaction that they need. Errors without an errno (a
+//! simulated host may make them from an [`ErrorKind`] alone) are classified by their kind.
 
 use std::io::{self, ErrorKind};
 
@@ -22,8 +22,8 @@
     /// Classifies the error of a call that opens a socket.
     pub fn from_error(error: &io::Error) -> BindFailure {
         match errno(error) {
-            // No memory for the socket or its buffers, no free descriptor (of this process or of the machine), a signal,
-            // or a resource for which the system asks to try again.
+            // No memory for the socket or its buffers, no free descriptor (of this process or of the machine), a
+            // signal, or a resource for which the system asks to try again.
             Some(libc::ENOBUFS | libc::ENOMEM | libc::EMFILE | libc::ENFILE | libc::EINTR | libc::EAGAIN) => {
                 BindFailure::Transient
             }
@@ -52,9 +52,10 @@
         match errno(error) {
             // The client closed the connection before it was accepted, or a signal interrupted the call.
             Some(libc::ECONNABORTED | libc::ECONNRESET | libc::EINTR) => AcceptFailure::ThisConnection,
-            // "Linux accept() passes already-pending network errors on the new socket as an error code from accept(). For
-            // reliable operation the application should detect the network errors defined for the protocol after accept()
-            // and treat them like EAGAIN by retrying" (accept(2)): these are the errors that it names for TCP/IP.
+            // "Linux accept() passes already-pending network errors on the new socket as an error code from accept().
+            // For reliable operation the application should detect the network errors defined for the protocol after
+            // accept() and treat them like EAGAIN by retrying" (accept(2)): these are the errors that it names for
+            // TCP/IP.
             Some(
                 libc::ENETDOWN
                 | libc::EPROTO
@@ -67,7 +68,8 @@
             ) => AcceptFailure::ThisConnection,
             // A firewall rule forbids this connection.
             Some(libc::EPERM) => AcceptFailure::ThisConnection,
-            // No free descriptor (of this process or of the machine), no memory for the socket, no room in epoll's table.
+            // No free descriptor (of this process or of the machine), no memory for the socket, no room in epoll's
+            // table.
             Some(libc::EMFILE | libc::ENFILE | libc::ENOBUFS | libc::ENOMEM | libc::ENOSPC) => {
                 AcceptFailure::OutOfResources
             }
@@ -89,8 +91,8 @@
     /// Classifies the error of a call that connects.
     pub fn from_error(error: &io::Error) -> ConnectFailure {
         match errno(error) {
-            // No memory for the socket or its buffers, no free descriptor (of this process or of the machine), no room in
-            // epoll's table.
+            // No memory for the socket or its buffers, no free descriptor (of this process or of the machine), no room
+            // in epoll's table.
             Some(libc::ENOBUFS | libc::ENOMEM | libc::EMFILE | libc::ENFILE | libc::ENOSPC) => {
                 ConnectFailure::Local
             }
--- a/crates/host/src/inherited.rs
+++ b/crates/host/src/inherited.rs
@@ -28,7 +28,8 @@
     if !(listens && stream && internet) {
         return Err(format!("descriptor {descriptor} is no TCP socket that listens"));
     }
-    // All processes that share the socket want it non-blocking: two of them woken for one connection must not block on it.
+    // All processes that share the socket want it non-blocking: two of them woken for one connection must not block on
+    // it.
     socket.set_nonblocking(true).map_err(|e| format!("descriptor {descriptor}: {e}"))?;
     Ok(owned.into())
 }
--- a/crates/host/src/interrupted.rs
+++ b/crates/host/src/interrupted.rs
@@ -1,8 +1,8 @@
 //! Retries of system calls that a signal interrupts (`EINTR`).
 //!
 //! Neither tokio nor mio retries them: they return the error, and a reader or writer takes it for the end of the
-//! connection. The tries in a row are bounded, so that a call that is interrupted every time can't hold the thread: other
-//! tasks run first.
+//! connection. The tries in a row are bounded, so that a call that is interrupted every time can't hold the thread:
+//! other tasks run first.
 
 use std::io::{self, ErrorKind};
 use std::task::{Context, Poll};
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -87,7 +87,8 @@
     /// `WouldBlock` where no data is available, or the error that ended the connection.
     fn try_read_buf(&self, buffer: &mut BytesMut) -> io::Result<usize>;
 
-    /// How long ago the last bytes from the remote end arrived at this machine, read or not; `None` where the system doesn't tell.
+    /// How long ago the last bytes from the remote end arrived at this machine, read or not; `None` where the system
+    /// doesn't tell.
     fn since_last_arrival(&self) -> Option<Duration>;
 
     /// Acknowledges received data without delay: the remote end may hold back a small write until then (`TCP_QUICKACK`,
--- a/crates/host/src/opening.rs
+++ b/crates/host/src/opening.rs
@@ -10,9 +10,9 @@
 use crate::Host;
 use crate::failure::BindFailure;
 
-/// How long an address is retried while the machine is short of a resource, or another socket has the address. A node must
-/// be ready within 6 s in nine of ten starts and within 30 s always, and opens at most four addresses, one after the
-/// other: this leaves 10 s for everything else.
+/// How long an address is retried while the machine is short of a resource, or another socket has the address. A node
+/// must be ready within 6 s in nine of ten starts and within 30 s always, and opens at most four addresses, one after
+/// the other: this leaves 10 s for everything else.
 pub const TRANSIENT_RETRY_LIMIT: Duration = Duration::from_secs(5);
 /// How long an address is retried that the machine doesn't have. An interface that comes up late has it in a second or
 /// two; a wrong address in a configuration should be reported soon.
@@ -30,8 +30,8 @@
     open_with_retry(host, at, false, || host.listen(at)).await
 }
 
-/// Opens a UDP socket as [`Host::datagrams`], and retries transient failures for a while. Where the address is `shared`, an
-/// address in use is an error at once.
+/// Opens a UDP socket as [`Host::datagrams`], and retries transient failures for a while. Where the address is
+/// `shared`, an address in use is an error at once.
 ///
 /// # Errors
 /// A permanent failure, or the last of the transient ones.
--- a/crates/host/src/receiving.rs
+++ b/crates/host/src/receiving.rs
@@ -9,15 +9,15 @@
 use crate::Datagrams;
 use crate::failure::ReceiveFailure;
 
-/// Failures in a row that are retried at once. Each reports one datagram sent earlier to one of the other nodes; more in a
-/// row mean a lasting failure.
+/// Failures in a row that are retried at once. Each reports one datagram sent earlier to one of the other nodes; more
+/// in a row mean a lasting failure.
 const MAX_IMMEDIATE_RETRIES: usize = 512;
 /// The first pause after a failure; it doubles with each further one.
 const FIRST_PAUSE: Duration = Duration::from_millis(5);
 const LONGEST_PAUSE: Duration = Duration::from_millis(100);
 
-/// Receives the next datagram as [`Datagrams::recv_from`] and retries failures: at once if the failure reports a datagram
-/// sent earlier, after a growing pause otherwise.
+/// Receives the next datagram as [`Datagrams::recv_from`] and retries failures: at once if the failure reports a
+/// datagram sent earlier, after a growing pause otherwise.
 pub async fn receive_with_backoff(socket: &impl Datagrams, buffer: &mut [u8]) -> (usize, SocketAddr) {
     let (mut failures, mut pause) = (0, FIRST_PAUSE);
     loop {
--- a/crates/host/src/sockets.rs
+++ b/crates/host/src/sockets.rs
@@ -1,9 +1,9 @@
 //! Tokio's sockets with two differences: calls interrupted by a signal are retried, and a short read says nothing about
 //! what comes next.
 //!
-//! Tokio's own `poll_read` takes a short read as a sign that the socket is drained, and waits for the next edge of epoll.
-//! read(2) allows a short read at any time (a signal, the urgent mark), after which no edge may ever come. Here the
-//! readiness to read ends only with `EAGAIN`. A short write is taken as a full buffer, as in tokio: a second try at
+//! Tokio's own `poll_read` takes a short read as a sign that the socket is drained, and waits for the next edge of
+//! epoll. read(2) allows a short read at any time (a signal, the urgent mark), after which no edge may ever come. Here
+//! the readiness to read ends only with `EAGAIN`. A short write is taken as a full buffer, as in tokio: a second try at
 //! once would make the system's buffer grow, and with it the data that can't be taken back.
 
 use std::cell::{Cell, RefCell};
@@ -128,8 +128,8 @@
     }
 }
 
-/// Sets `TCP_NODELAY`. Where that fails the connection is used nevertheless: a delayed answer is better than none, and a
-/// broken connection reports so at its first read or write.
+/// Sets `TCP_NODELAY`. Where that fails the connection is used nevertheless: a delayed answer is better than none, and
+/// a broken connection reports so at its first read or write.
 fn set_nodelay(set: impl Fn() -> io::Result<()>) {
     for _ in 0..MAX_NODELAY_TRIES {
         if set().is_ok() {
--- a/crates/host/src/tcp_info.rs
+++ b/crates/host/src/tcp_info.rs
@@ -14,8 +14,8 @@
 pub(crate) fn since_last_data(socket: BorrowedFd<'_>) -> Option<Duration> {
     let mut info = MaybeUninit::<tcp_info>::zeroed();
     let mut length = size_of::<tcp_info>() as libc::socklen_t;
-    // SAFETY: the descriptor is open for as long as it is borrowed. The kernel writes no more than `length` bytes, the size
-    // of the structure that the pointer refers to.
+    // SAFETY: the descriptor is open for as long as it is borrowed. The kernel writes no more than `length` bytes, the
+    // size of the structure that the pointer refers to.
     let result = unsafe {
         libc::getsockopt(
             socket.as_raw_fd(),
--- a/crates/host/tests/interposed/mod.rs
+++ b/crates/host/tests/interposed/mod.rs
@@ -1,5 +1,5 @@
-//! A shared library that makes calls on sockets fail (`failing_calls.c`), built with the system's compiler and preloaded
-//! into a process under test. The syntax of its rules is described in that file.
+//! A shared library that makes calls on sockets fail (`failing_calls.c`), built with the system's compiler and
+//! preloaded into a process under test. The syntax of its rules is described in that file.
 #![allow(dead_code)]
 
 use std::path::PathBuf;
--- a/crates/ops/src/lifecycle.rs
+++ b/crates/ops/src/lifecycle.rs
@@ -51,14 +51,14 @@
         phase_of(self.0.load(Ordering::Acquire))
     }
 
-    /// Whether new requests are served. A node that is ending still serves whatever reaches it, so this stays true for as
-    /// long as it listens; only a node that is drained, by itself or with its zone, turns clients away.
+    /// Whether new requests are served. A node that is ending still serves whatever reaches it, so this stays true for
+    /// as long as it listens; only a node that is drained, by itself or with its zone, turns clients away.
     pub fn accepts_clients(&self) -> bool {
         self.0.load(Ordering::Acquire) & (FLAG_READY | FLAG_DRAINED | FLAG_ZONE_DRAINED) == FLAG_READY
     }
 
-    /// Applies an event and returns the phases before and after it. One that has been applied already, or that is no longer
-    /// possible, changes nothing.
+    /// Applies an event and returns the phases before and after it. One that has been applied already, or that is no
+    /// longer possible, changes nothing.
     pub fn apply(&self, event: LifecycleEvent) -> (Phase, Phase) {
         let change = |flags: u8| match event {
             LifecycleEvent::Ready => flags | FLAG_READY,
--- a/crates/ops/src/reasons.rs
+++ b/crates/ops/src/reasons.rs
@@ -1,5 +1,5 @@
-//! Why connections end, requests are refused and further attempts are made, with the names that log and metrics give the
-//! reasons.
+//! Why connections end, requests are refused and further attempts are made, with the names that log and metrics give
+//! the reasons.
 
 use std::marker::PhantomData;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
--- a/crates/ops/src/zone_status.rs
+++ b/crates/ops/src/zone_status.rs
@@ -1,5 +1,5 @@
-//! Status and operator orders of zones, where the operator's file switches places on. The node publishes the status; HTTP
-//! requests read it and carry orders.
+//! Status and operator orders of zones, where the operator's file switches places on. The node publishes the status;
+//! HTTP requests read it and carry orders.
 
 use std::sync::{Mutex, PoisonError};
 
--- a/crates/places/src/locality_steering.rs
+++ b/crates/places/src/locality_steering.rs
@@ -159,7 +159,8 @@
         self.next_step_at
     }
 
-    /// Makes one step with the results of attempts in each zone since the last one. Returns the routing where it has changed.
+    /// Makes one step with the results of attempts in each zone since the last one. Returns the routing where it has
+    /// changed.
     pub fn step(&mut self, now: Duration, tallies: &[Tally]) -> Option<ZoneRouting> {
         let jitter = 1.0 + STEP_JITTER * (2.0 * self.rng.rand_float() - 1.0);
         self.next_step_at = now + Duration::from_millis(self.tuning.step_ms).mul_f64(jitter);
--- a/crates/places/src/places.rs
+++ b/crates/places/src/places.rs
@@ -68,8 +68,8 @@
     /// A step back.
     #[serde(rename = "back_step")]
     pub return_step: f64,
-    /// How long after the last sign of trouble the first step back is made, in milliseconds; twice as long after each failed
-    /// return, up to sixteen times.
+    /// How long after the last sign of trouble the first step back is made, in milliseconds; twice as long after each
+    /// failed return, up to sixteen times.
     pub hold_ms: u64,
     /// The share of keys that stays near in any case: its attempts show when a ring is back.
     #[serde(rename = "scouts")]
@@ -152,8 +152,8 @@
         Ok(())
     }
 
-    /// Checks the regions against the zones of the node's settings, and returns the ring of each zone, seen from one of them: 0
-    /// for zones among which servers are chosen, 1 and 2 for zones farther out.
+    /// Checks the regions against the zones of the node's settings, and returns the ring of each zone, seen from one of
+    /// them: 0 for zones among which servers are chosen, 1 and 2 for zones farther out.
     ///
     /// # Errors
     /// A zone that the settings lack, or a node without a zone.
--- a/crates/places/tests/near.rs
+++ b/crates/places/tests/near.rs
@@ -62,7 +62,8 @@
         Site { steering, now: Duration::from_secs(1000), rate: 8.0, sent: [0.0; 2] }
     }
 
-    /// One step; `outcome` gives for each zone and its attempts the share that is unanswered and the share that is refused.
+    /// One step; `outcome` gives for each zone and its attempts the share that is unanswered and the share that is
+    /// refused.
     fn step(&mut self, outcome: impl Fn(usize, f64) -> (f64, f64)) -> f64 {
         let spillover = self.steering.state().1;
         let mut tallies = [Tally::default(); 2];
--- a/crates/plan/src/evidence.rs
+++ b/crates/plan/src/evidence.rs
@@ -7,8 +7,8 @@
 
 /// The first byte of an encoding of pairs without orders.
 const VERSION_WITHOUT_ORDERS: u8 = 1;
-/// The first byte of an encoding of pairs followed by orders. Written only where there are orders, so that nodes that know only
-/// the former version can read everything else.
+/// The first byte of an encoding of pairs followed by orders. Written only where there are orders, so that nodes that
+/// know only the former version can read everything else.
 const VERSION_WITH_ORDERS: u8 = 2;
 
 /// Attempts are encoded in fractions of one: each node has less than one at a time in a zone that is given up.
--- a/crates/plan/src/orders.rs
+++ b/crates/plan/src/orders.rs
@@ -1,10 +1,11 @@
 //! Orders of operators: a zone kept out of service, or kept in service, for a time.
 //!
-//! Each zone has a register of one order. Any node accepts an order, numbers it above the one that it knows for that zone, and sends
-//! it with its evidence; the leader puts it into the plan; a node that receives an order with a higher number keeps that one.
-//! So an order survives the node that accepted it, any leader, and all voters at once, for as long as one node that knows it runs.
-//! It expires by itself: each node counts its duration down by its own clock, and the shortest count that it has received holds.
-//! A release is an order too, and expired orders are kept, so that an old message brings neither back.
+//! Each zone has a register of one order. Any node accepts an order, numbers it above the one that it knows for that
+//! zone, and sends it with its evidence; the leader puts it into the plan; a node that receives an order with a higher
+//! number keeps that one. So an order survives the node that accepted it, any leader, and all voters at once, for as
+//! long as one node that knows it runs. It expires by itself: each node counts its duration down by its own clock, and
+//! the shortest count that it has received holds. A release is an order too, and expired orders are kept, so that an
+//! old message brings neither back.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -14,10 +15,11 @@
 
 /// The longest duration of an order, in milliseconds: 18 hours, which its encoding can hold. For longer, order again.
 pub const MAX_ORDER_MS: Millis = 18 * 3600 * 1000;
-/// The resolution of the time left of an order in a plan, in milliseconds, rounded up: with seconds each second would be
-/// another plan.
+/// The resolution of the time left of an order in a plan, in milliseconds, rounded up: with seconds each second would
+/// be another plan.
 const PLAN_RESOLUTION_MS: Millis = 15_000;
-/// With this much time left or less, in milliseconds, plans use seconds, so that the order expires everywhere at the same time.
+/// With this much time left or less, in milliseconds, plans use seconds, so that the order expires everywhere at the
+/// same time.
 const FULL_RESOLUTION_BELOW_MS: Millis = 60_000;
 /// The resolution otherwise, in milliseconds.
 const SECOND_MS: Millis = 1_000;
@@ -242,7 +244,8 @@
         self.zones.iter().map(message).collect()
     }
 
-    /// Merges the orders of a message. A newer order replaces an older one; of the same order the shorter time left holds.
+    /// Merges the orders of a message. A newer order replaces an older one; of the same order the shorter time left
+    /// holds.
     pub fn merge(&mut self, now: Millis, messages: &[OrderMessage], zones: usize) {
         for message in messages {
             let left_ms = Millis::from(message.left_s) * 1000;
--- a/crates/plan/src/planner.rs
+++ b/crates/plan/src/planner.rs
@@ -17,12 +17,13 @@
 const EVIDENCE_VALIDITY_MS: Millis = 2_000;
 /// The longest hold before a return, as a multiple of the usual one.
 const MAX_HOLD_FACTOR: u64 = 16;
-/// How long a node must have lost a zone before it leaves it by itself, in milliseconds: a plan takes about half as long.
+/// How long a node must have lost a zone before it leaves it by itself, in milliseconds: a plan takes about half as
+/// long.
 const SINGLE_NODE_CONFIRM_MS: Millis = 1_500;
 /// The percentage of one node's keys that must still go to a zone to show when the node can reach it again.
 const SINGLE_NODE_PROBE_PERCENT: u8 = 5;
-/// The longest time, in milliseconds, that a zone is kept because too few nodes know that it is to be given up. Nodes that see
-/// trouble query the leader every 167 ms, and report with the next query that they act on a plan.
+/// The longest time, in milliseconds, that a zone is kept because too few nodes know that it is to be given up. Nodes
+/// that see trouble query the leader every 167 ms, and report with the next query that they act on a plan.
 const MAX_ANNOUNCEMENT_MS: Millis = 1_000;
 /// The percentage that stands for all of a zone's keys.
 const ALL_KEYS_PERCENT: u8 = 100;
@@ -149,8 +150,8 @@
         Planner { tuning, zones, evidence: BTreeMap::new(), orders, single_node: false, announcement: None }
     }
 
-    /// A planner for a new leader: until a time it only recovers its predecessor's plan, and it gives a zone up only when other
-    /// nodes know which one it is.
+    /// A planner for a new leader: until a time it only recovers its predecessor's plan, and it gives a zone up only
+    /// when other nodes know which one it is.
     pub fn for_new_leader(
         tuning: Tuning,
         zones: usize,
@@ -161,8 +162,8 @@
         Planner { announcement, ..Planner::new(tuning, zones, plan, now) }
     }
 
-    /// Continues the predecessor's last plan, as a node has reported it. Its orders come with evidence. Returns whether recovery was
-    /// still going on.
+    /// Continues the predecessor's last plan, as a node has reported it. Its orders come with evidence. Returns whether
+    /// recovery was still going on.
     pub fn adopt_predecessor_plan(&mut self, now: Millis, plan: &Plan) -> bool {
         if self.announcement.as_ref().is_none_or(|announcement| announcement.recovery_is_over(now)) {
             return false;
@@ -196,8 +197,9 @@
         }
     }
 
-    /// A planner for what one node does by itself about zones that the common plan keeps: too few nodes for the plan may have lost the
-    /// zone, or no more zones may be given up. It waits until a plan would have moved, and keeps at least one zone.
+    /// A planner for what one node does by itself about zones that the common plan keeps: too few nodes for the plan
+    /// may have lost the zone, or no more zones may be given up. It waits until a plan would have moved, and keeps at
+    /// least one zone.
     pub fn for_single_node(tuning: &Tuning, zones: usize, now: Millis) -> Planner {
         let max_zone_share = zones.saturating_sub(1) as f64 / zones.max(1) as f64;
         let tuning = Tuning {
@@ -267,8 +269,8 @@
         self.plan(now)
     }
 
-    /// How many other zones are given up or about to be. Of several suspected zones (a plan of an earlier version may have them) the
-    /// first ones go before the others.
+    /// How many other zones are given up or about to be. Of several suspected zones (a plan of an earlier version may
+    /// have them) the first ones go before the others.
     fn others_given_up(&self, zone: usize) -> usize {
         let suspected = self.zones[zone].planned.state == ZoneState::Suspected;
         let counts = |(other, zone_course): &(usize, &ZoneCourse)| match zone_course.planned.state {
@@ -292,8 +294,8 @@
     fn votes(&self, zone: usize) -> (usize, usize) {
         let reports = || self.evidence.values().filter_map(|(_, e)| e.zones.get(zone));
         if self.zones[zone].planned.open_percent < ALL_KEYS_PERCENT {
-            // Few attempts go there: the sum over all nodes counts as one vote. The zone was given up for some of the nodes,
-            // and must not come back while those still lose what they send.
+            // Few attempts go there: the sum over all nodes counts as one vote. The zone was given up for some of the
+            // nodes, and must not come back while those still lose what they send.
             let (attempts, unanswered) = reports().fold((0.0, 0.0), |(attempts, unanswered), (a, s)| {
                 (attempts + f64::from(*a), unanswered + f64::from(*a) * f64::from(*s) / 255.0)
             });
--- a/crates/plan/src/recent_attempts.rs
+++ b/crates/plan/src/recent_attempts.rs
@@ -2,8 +2,8 @@
 
 use crate::evidence::Evidence;
 
-/// The share of former counts that each step keeps: evidence covers about the last half second. (Nodes with little traffic need no
-/// longer memory: in a fleet some node has enough attempts at any time.)
+/// The share of former counts that each step keeps: evidence covers about the last half second. (Nodes with little
+/// traffic need no longer memory: in a fleet some node has enough attempts at any time.)
 const KEEP: f64 = 0.5;
 /// The same for a zone that gets only probe traffic: evidence covers more than a second.
 const KEEP_WITH_PROBES: f64 = 0.8;
@@ -37,8 +37,9 @@
     pub fn record(&mut self, counts: &[AttemptCounts], open: &[f64]) {
         for (zone, ((attempts, unanswered), zone_counts)) in self.zones.iter_mut().zip(counts).enumerate() {
             let new_attempts = f64::from(zone_counts.answered + zone_counts.unanswered);
-            // A late answer was counted as unanswered steps ago: its server is far or cold, not gone. If it were subtracted only from
-            // attempts of the same step, a zone with slow answers would look gone for as long as they are slow.
+            // A late answer was counted as unanswered steps ago: its server is far or cold, not gone. If it were
+            // subtracted only from attempts of the same step, a zone with slow answers would look gone for as long as
+            // they are slow.
             let lost = f64::from(zone_counts.unanswered) - f64::from(zone_counts.answered_late);
             let probes_only = open.get(zone).is_some_and(|open| *open <= PROBE_SHARE);
             let keep = if probes_only { KEEP_WITH_PROBES } else { KEEP };
--- a/crates/plan/tests/orders.rs
+++ b/crates/plan/tests/orders.rs
@@ -1,5 +1,5 @@
-//! Operators' orders: they outlive the node that accepted them, expire by themselves, and no late, duplicate or old message brings
-//! one back.
+//! Operators' orders: they outlive the node that accepted them, expire by themselves, and no late, duplicate or old
+//! message brings one back.
 #![allow(missing_docs)]
 
 use mothpier_plan::{
--- a/crates/storm/src/connection_admission.rs
+++ b/crates/storm/src/connection_admission.rs
@@ -18,10 +18,10 @@
 
 /// Admission of connections: a token bucket for the rate, and a bound on those that have not sent a command yet.
 ///
-/// Of a wave of reconnects the bucket's rate is accepted and no more, so that the node goes on serving its present clients;
-/// the others are told when to come back. They are not left in the kernel's accept queue: requests there wait unread, and
-/// are answered after their client has left. Connections without a command are bounded separately, because a client that
-/// connects and sends nothing holds a descriptor like any other.
+/// Of a wave of reconnects the bucket's rate is accepted and no more, so that the node goes on serving its present
+/// clients; the others are told when to come back. They are not left in the kernel's accept queue: requests there wait
+/// unread, and are answered after their client has left. Connections without a command are bounded separately, because
+/// a client that connects and sends nothing holds a descriptor like any other.
 #[derive(Debug)]
 pub struct ConnectionAdmission {
     accepts_per_s: f64,
--- a/crates/storm/src/detector.rs
+++ b/crates/storm/src/detector.rs
@@ -1,9 +1,10 @@
 //! Telling a retry storm from growth and from one tenant's burst.
 //!
-//! A storm sustains itself: failed requests come back as more work. The signs look for that, and not for load alone. Three
-//! of them show feedback (repeats, reconnects, work for requests that were over); three show how bad the situation is (the
-//! present capacity of the cache servers, requests that end unserved, reports of peers). It is a storm when two signs are
-//! present and one of them shows feedback; load without feedback is growth, or a burst where one tenant causes most of it.
+//! A storm sustains itself: failed requests come back as more work. The signs look for that, and not for load alone.
+//! Three of them show feedback (repeats, reconnects, work for requests that were over); three show how bad the
+//! situation is (the present capacity of the cache servers, requests that end unserved, reports of peers). It is a
+//! storm when two signs are present and one of them shows feedback; load without feedback is growth, or a burst where
+//! one tenant causes most of it.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -251,8 +252,8 @@
         &self.measurements
     }
 
-    /// Counts an arriving request; returns whether it is a repeat. The fingerprint stands for the client and what it asks for,
-    /// so that a repeat that is not marked as one is recognized by an earlier attempt that ended unserved.
+    /// Counts an arriving request; returns whether it is a repeat. The fingerprint stands for the client and what it
+    /// asks for, so that a repeat that is not marked as one is recognized by an earlier attempt that ended unserved.
     pub fn request_arrived(
         &mut self,
         now: Duration,
@@ -297,8 +298,8 @@
         self.peers.insert(from, (now, storm));
     }
 
-    /// Reads the signs; to be called a few times a second. `capacity` is the present capacity of the cache servers relative to
-    /// when they are warm. Returns a change of the load state, if any.
+    /// Reads the signs; to be called a few times a second. `capacity` is the present capacity of the cache servers
+    /// relative to when they are warm. Returns a change of the load state, if any.
     pub fn evaluate(&mut self, now: Duration, capacity: f64) -> Option<LoadStateChange> {
         let Some(started_at) = self.started_at else {
             (self.started_at, self.evaluated_at, self.pending.1) = (Some(now), now, now);
@@ -330,8 +331,8 @@
     }
 
     fn read_signs(&mut self, now: Duration, age: Duration, seconds: f64, capacity: f64) {
-        // The mean of all measurements at first, then an exponentially weighted one. Unusual load must not become the baseline while
-        // it lasts, but growth must in the end.
+        // The mean of all measurements at first, then an exponentially weighted one. Unusual load must not become the
+        // baseline while it lasts, but growth must in the end.
         let averaging_time =
             Duration::from_millis(self.settings.baseline_ms).min(age).as_secs_f64().max(seconds);
         let learns = matches!(self.state, LoadState::Normal | LoadState::Growth);
--- a/crates/storm/tests/detector.rs
+++ b/crates/storm/tests/detector.rs
@@ -14,8 +14,8 @@
     changes: Vec<LoadStateChange>,
 }
 
-/// Rates a second: first attempts of each of four tenants, their repeats, and new connections; the share of wasted work, and the
-/// capacity of the cache servers.
+/// Rates a second: first attempts of each of four tenants, their repeats, and new connections; the share of wasted
+/// work, and the capacity of the cache servers.
 #[derive(Clone, Copy)]
 struct Load {
     first_attempts: [f64; 4],
