--- a/crates/mothpier/tests/client_disconnect.rs
+++ b/crates/mothpier/tests/client_disconnect.rs
@@ -12,8 +12,9 @@
     Discovery, HANG_TIMEOUT, Reaction, http, member, miss, read_call, read_command, serve, start_node,
 };
 
-/// Length of a value that the node streams, and of the part of it that the cache server sends, in bytes.
+/// Length of a value that the node streams, in bytes.
 const VALUE_BYTES: usize = 4 << 20;
+/// Length of the part of the value that the cache server sends before it stalls, in bytes.
 const SENT_BYTES: usize = 1 << 20;
 /// For this long after a client has disconnected an attempt may still begin for it.
 const GRACE: Duration = Duration::from_millis(100);
@@ -48,7 +49,7 @@
 fn cache_server(
     seen: &Sender<Seen>,
     react: fn() -> Reaction,
-    release: Arc<Mutex<Receiver<()>>>,
+    wait: Arc<Mutex<Receiver<()>>>,
 ) -> std::net::SocketAddr {
     let recorder = recorder(seen);
     serve(read_command, move |asked| {
@@ -57,7 +58,7 @@
             let head = format!("*3\r\n${VALUE_BYTES}\r\n");
             return Reaction::Answer([head.as_bytes(), &[b'v'; SENT_BYTES]].concat());
         }
-        let _ = release.lock().unwrap().recv();
+        let _ = wait.lock().unwrap().recv();
         react()
     })
 }
@@ -80,7 +81,7 @@
     close: bool,
     following: Following<'_>,
 ) -> Vec<(Duration, Vec<String>)> {
-    let (seen, asked) = channel();
+    let (seen, received) = channel();
     let (release, wait) = channel();
     let wait = Arc::new(Mutex::new(wait));
     let servers = [(); 2].map(|()| cache_server(&seen, react, wait.clone()));
@@ -106,7 +107,7 @@
     client.write(get("large-") + &get("behind") + at_once);
     client.discard(SENT_BYTES);
     // Wait until the first attempt of the request behind has begun.
-    while !asked
+    while !received
         .recv_timeout(HANG_TIMEOUT)
         .expect("no command for the request behind")
         .1
@@ -120,7 +121,7 @@
     drop(release);
     let mut late = Vec::new();
     while let Some(left) = DEADLINE.checked_sub(begun.elapsed()) {
-        if let Ok((at, words)) = asked.recv_timeout(left)
+        if let Ok((at, words)) = received.recv_timeout(left)
             && words.iter().any(|word| word.contains("behind"))
             && at > closed + GRACE
         {
@@ -159,7 +160,7 @@
 /// the same.
 #[test]
 fn no_origin_call_for_a_client_that_disconnected_behind_unread_data() {
-    let much: String = (0..1000).map(|number| get(&format!("ahead-{number}"))).collect();
-    assert!(much.len() > 3 * 16 * 1024);
-    assert_eq!(attempts_after_disconnect("miss-gone-ahead", miss, true, Following::Later(&much)), []);
+    let requests: String = (0..1000).map(|number| get(&format!("ahead-{number}"))).collect();
+    assert!(requests.len() > 3 * 16 * 1024);
+    assert_eq!(attempts_after_disconnect("miss-gone-ahead", miss, true, Following::Later(&requests)), []);
 }
--- a/crates/mothpier/tests/disabled_features.rs
+++ b/crates/mothpier/tests/disabled_features.rs
@@ -13,7 +13,8 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// Counts the listening TCP sockets, the UDP sockets and the threads of a process.
+/// Counts the listening TCP sockets, the UDP sockets and the threads of a process. Connected sockets are left out, as they
+/// come and go.
 fn sockets_and_threads(id: u32) -> (usize, usize, usize) {
     let inodes: BTreeSet<String> = std::fs::read_dir(format!("/proc/{id}/fd"))
         .unwrap()
--- a/crates/mothpier/tests/process_end.rs
+++ b/crates/mothpier/tests/process_end.rs
@@ -63,7 +63,8 @@
 const LAST_USE: Duration = Duration::from_millis(300);
 /// A request that was sent this long before the client saw its connection closed counts as read by the node.
 const CLOSE_CROSSING: Duration = Duration::from_millis(20);
-/// A scheduling delay of this length, of the test or of the node, makes a run inconclusive.
+/// A longer scheduling delay, of the test or of the node, makes a run inconclusive: a machine that delays the test delays
+/// the node as well.
 const MAX_SCHEDULING_DELAY: Duration = Duration::from_millis(10);
 /// Maximum number of runs with [`SHORT_DEADLINE`]: see `end_with_short_deadlines`.
 const MAX_SHORT_RUNS: usize = 12;
--- a/crates/mothpier/tests/retirement.rs
+++ b/crates/mothpier/tests/retirement.rs
@@ -17,7 +17,8 @@
 
 /// Time between a drain and the SIGTERM that follows it.
 const DELAYS: [Duration; 4] = [ms(0), ms(300), ms(1200), ms(3900)];
-/// How long the node's process is paused at each step.
+/// How long the node's process is paused at each step: at most this long may pass between its reading the clock and its
+/// writing to a socket.
 const PAUSE: Duration = ms(150);
 /// Clients that together cover every connection state that a drain can find.
 const PATTERNS: [(UsagePattern, &str); 8] = [
--- a/crates/mothpier/tests/system_calls.rs
+++ b/crates/mothpier/tests/system_calls.rs
@@ -41,16 +41,15 @@
     port_is_fixed: bool,
 }
 
-/// Calls that fail now and then are retried: every request must be served.
+/// Share of requests served if failing calls are retried: every request.
 const ALL_SERVED: f64 = 1.0;
-/// A failed connect costs an attempt, of which a request has three. If one in three fails, all attempts of one request
-/// may happen to fail.
+/// Share of requests served if one in three connects fails: all three attempts of a request may happen to fail.
 const NEARLY_ALL_SERVED: f64 = 0.98;
-/// Servers that refuse one in three connections, including the origin, count as unhealthy: they get fewer requests, and
-/// a request without another server is refused.
+/// Share of requests served if servers, including the origin, refuse one in three connections. They count as unhealthy
+/// and get fewer requests, and a request without another server is refused.
 const SERVED_DESPITE_REFUSALS: f64 = 0.9;
-/// A failure breaks the connection. Requests on it are retried if they are reads; writes, a tenth of the requests, are
-/// not. Unanswered requests on a broken connection count against the server, too.
+/// Share of requests served if failures break connections. Reads on a broken connection are retried; writes, a tenth of
+/// the requests, are not. Unanswered requests on a broken connection count against the server, too.
 const MOST_SERVED: f64 = 0.85;
 
 fn at_start(calls: &'static str, error: &'static str, skip: u32, fail: u32) -> Case {
