--- a/crates/mothpier/tests/upgrade.rs
+++ b/crates/mothpier/tests/upgrade.rs
@@ -267,7 +267,7 @@
     assert_eq!(third.status("GET /ready"), 200);
     assert_eq!(new.status("PUT /undrain"), 200);
     drop(third);
-    new.wait_for_log("this one goes on");
+    new.wait_for_log("this process continues");
     assert_eq!(Client::connect(address).ask(&["CACHE.GET", "k", "i", "c=read,t=acme,d=9000"]), "$i");
 }
 
@@ -340,7 +340,7 @@
     let old = setup.start(&discovery);
     drop(setup.start(&discovery));
     let ended = Instant::now();
-    old.wait_for_log("this one goes on");
+    old.wait_for_log("this process continues");
     let _new = setup.start(&discovery);
     old.wait_for_log("a new process takes over");
     // Only the successor accepts clients from now on.
@@ -400,7 +400,7 @@
     let third = setup.start(&discovery);
     new.wait_for_log("a new process takes over");
     drop(third);
-    new.wait_for_log("this one goes on");
+    new.wait_for_log("this process continues");
     assert_eq!(Client::connect(old.address).ask(&["PING"]), "+PONG");
 }
 
@@ -441,7 +441,7 @@
     let second = setup.start(&discovery);
     assert_eq!(second.status("GET /ready"), 200);
     drop((first, second));
-    old.wait_for_log("this one goes on");
+    old.wait_for_log("this process continues");
     assert_eq!(old.client().ask(&["CACHE.GET", "k", "i", "c=read,t=acme,d=9000"]), "$i");
 }
 
