--- a/crates/allowance/src/aggregator.rs
+++ b/crates/allowance/src/aggregator.rs
@@ -1,11 +1,12 @@
-//! One that grants parts of its own lease: a site's, or a region's.
+//! Grants parts of its own lease, for a site or a region.
 
 use crate::grantor::Grantor;
 use crate::holder::{Holder, Lease, Usage};
 use crate::message::{Message, Refusal};
-use crate::{HolderId, Life, Millis, Mutant, Permits, Timing};
+use crate::{HolderId, Incarnation, Millis, Mutant, Permits, Timing};
 
-/// A holder towards the level above, a grantor towards the level below. Several may serve the same site: each has a lease of its own.
+/// A holder towards the level above and a grantor towards the level below. Several aggregators may serve the
+/// same site: each has a lease of its own.
 #[derive(Clone, Debug)]
 pub struct Aggregator {
     timing: Timing,
@@ -15,13 +16,19 @@
 }
 
 impl Aggregator {
-    /// One that starts, with so many grantors above it.
-    pub fn start(id: HolderId, life: Life, timing: Timing, grantors: usize, now: Millis) -> Aggregator {
-        let holder = Holder::start(id, life, timing, grantors, now);
+    /// Starts an aggregator that can ask `grantors` grantors.
+    pub fn start(
+        id: HolderId,
+        incarnation: Incarnation,
+        timing: Timing,
+        grantors: usize,
+        now: Millis,
+    ) -> Aggregator {
+        let holder = Holder::start(id, incarnation, timing, grantors, now);
         Aggregator { timing, holder, grantor: Grantor::new(timing, Permits::NONE), mutant: None }
     }
 
-    /// The same with a guard left out: for tests.
+    /// Leaves out one check, for tests.
     pub fn with_mutant(self, mutant: Option<Mutant>) -> Aggregator {
         let (holder, grantor) = (self.holder.with_mutant(mutant), self.grantor.with_mutant(mutant));
         Aggregator { holder, grantor, mutant, ..self }
@@ -32,55 +39,57 @@
         self.holder.lease(now)
     }
 
-    /// What it has granted and still counts.
-    pub fn counted(&self, now: Millis) -> Permits {
-        self.grantor.counted(now)
+    /// What it has granted and still counts as used.
+    pub fn reserved(&self, now: Millis) -> Permits {
+        self.grantor.reserved(now)
     }
 
-    /// When it next has something to do by itself.
-    pub fn due(&self) -> Millis {
-        self.holder.due()
+    /// When it next has something to do without a message.
+    pub fn next_wakeup(&self) -> Millis {
+        self.holder.next_wakeup()
     }
 
-    /// Time has come to a value: what is to be sent, and to the how manyth grantor.
+    /// Advances the clock. Returns a message to send and the index of the grantor to send it to.
     pub fn tick(&mut self, now: Millis) -> Option<(usize, Message)> {
-        self.grantor.forget(now);
-        self.holder.tick(now, Usage { wanted: self.grantor.wanted(), in_use: self.grantor.counted(now) })
+        self.grantor.remove_idle_holders(now);
+        self.holder.tick(now, Usage { wanted: self.grantor.wanted(), in_use: self.grantor.reserved(now) })
     }
 
-    /// A message has come, from above or from below; perhaps there is an answer.
+    /// Handles a message from above or below; may return a reply.
     pub fn handle(&mut self, now: Millis, message: &Message) -> Option<Message> {
         match *message {
             Message::Grant { .. } | Message::Refused { .. } => {
                 self.holder.handle(now, message);
                 None
             }
-            Message::Return { from, keeps } => {
-                self.grantor.give_back(now, from, keeps);
+            Message::Release { from, retained } => {
+                self.grantor.handle_release(now, from, retained);
                 None
             }
-            Message::Ask { from, keeps, wanted } => {
+            Message::Request { from, retained, wanted } => {
                 let lease = self.holder.lease(now);
                 self.grantor.set_budget(lease.map_or(Permits::NONE, |lease| lease.permits));
                 let fence = lease.map(|lease| lease.fence).unwrap_or_default();
-                let left = lease.map_or(0, |lease| lease.until - now);
-                let longest = match self.mutant {
-                    Some(Mutant::OutlivesOwnLease) => self.timing.length,
-                    _ => left,
+                let remaining = lease.map_or(0, |lease| lease.until - now);
+                let max_duration = match self.mutant {
+                    Some(Mutant::GrantsBeyondOwnLease) => self.timing.lease_duration,
+                    _ => remaining,
                 };
-                let answer = self.grantor.ask(now, from, (keeps, wanted), (fence, longest))?;
-                Some(self.soon_if_without_lease(lease, answer))
+                let reply =
+                    self.grantor.handle_request(now, from, (retained, wanted), (fence, max_duration))?;
+                Some(self.shorten_retry_without_lease(lease, reply))
             }
         }
     }
 
-    /// Without a lease it has been told just now what is wanted: it can have one after an answer's time.
-    fn soon_if_without_lease(&self, lease: Option<Lease>, answer: Message) -> Message {
-        match answer {
-            Message::Refused { to, why: Refusal::Spent, .. } if lease.is_none() => {
-                Message::Refused { to, why: Refusal::NoGrantor, retry_after: self.timing.retry }
+    /// Without a lease, the aggregator has just learned what is wanted and can have a lease as soon as its
+    /// own request is answered, so the holder should retry soon.
+    fn shorten_retry_without_lease(&self, lease: Option<Lease>, reply: Message) -> Message {
+        match reply {
+            Message::Refused { to, reason: Refusal::Exhausted, .. } if lease.is_none() => {
+                Message::Refused { to, reason: Refusal::NoAuthority, retry_after: self.timing.min_retry }
             }
-            answer => answer,
+            reply => reply,
         }
     }
 }
--- a/crates/allowance/src/message.rs
+++ b/crates/allowance/src/message.rs
@@ -1,163 +1,165 @@
-//! What holders and grantors tell each other: at most 256 bytes each, with a version and a checksum.
+//! Messages between holders and grantors: at most 256 bytes each, with a version and a checksum.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-use crate::{HolderId, Life, Millis, Permits};
+use crate::{HolderId, Incarnation, Millis, Permits};
 
-/// The longest message, in bytes: what a datagram between nodes may hold.
-pub const MOST: usize = 256;
-/// The version of messages that this program writes and reads.
+/// Longest message, in bytes, chosen to fit a datagram between nodes.
+pub const MAX_MESSAGE_BYTES: usize = 256;
+/// Version of the messages that this program writes and reads.
 pub const VERSION: u8 = 1;
-/// What stands before each message, so that nothing else is taken for one.
-const MARK: u8 = 0xa1;
-/// Mark, version, one byte of content and the checksum.
-const LEAST: usize = 7;
+/// First byte of each message, which distinguishes it from other datagrams.
+const MAGIC: u8 = 0xa1;
+/// Magic byte, version, one byte of content and the checksum.
+const MIN_MESSAGE_BYTES: usize = 7;
 
-/// Which tenure of which root a lease goes back to; a later tenure has a higher one.
+/// Fencing token that identifies the root's term under which a lease was granted; a later term has a higher
+/// one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fence {
-    /// The round of the agreement's ballot.
+    /// Round of the agreement's ballot.
     pub round: u32,
-    /// Whose ballot it is.
+    /// The member that owns the ballot.
     pub member: u16,
-    /// In which life of that member.
-    pub life: u32,
+    /// Incarnation of that member.
+    pub incarnation: u32,
 }
 
-/// Who asks, and the how manyth question of its life it is.
+/// Identifies one request of a holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Asker {
+pub struct RequestId {
     /// The holder.
     pub holder: HolderId,
-    /// Its life.
-    pub life: Life,
-    /// Counts its questions and returns, to whichever grantor they go.
+    /// Its incarnation.
+    pub incarnation: Incarnation,
+    /// Counts the requests and releases of this incarnation, across all grantors.
     pub sequence: u32,
 }
 
 /// Why nothing is granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Refusal {
-    /// All is counted as held by others.
-    Spent,
-    /// Another's turn: some wait, and this one has held a lease for long.
-    Waiting,
+    /// Others hold everything.
+    Exhausted,
+    /// Others wait, and this holder has held a lease for long.
+    Yield,
     /// The table of holders is full.
-    Full,
-    /// A new root, which waits until what its predecessor granted has ended.
-    Quiet,
-    /// No grantor: no tenure, or no lease of its own.
-    NoGrantor,
+    TableFull,
+    /// A new root waits until everything that its predecessor granted has ended.
+    GracePeriod,
+    /// The process can't grant: it has no term or no lease of its own.
+    NoAuthority,
 }
 
-/// What one process tells another.
+/// A message between processes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// A holder asks for a lease, or for its renewal.
-    Ask {
-        /// Who asks.
-        from: Asker,
-        /// No more than this is in use, or will be before a grant for this question or a later one is taken.
-        keeps: Permits,
-        /// What it could use.
+    /// A holder requests a lease or its renewal.
+    Request {
+        /// The request.
+        from: RequestId,
+        /// Upper bound of what is in use until a grant for this or a later request is accepted.
+        retained: Permits,
+        /// What the holder could use.
         wanted: Permits,
     },
-    /// A holder gives back all but what it keeps; no answer.
-    Return {
-        /// Who does.
-        from: Asker,
-        /// No more than this is in use, or will be before a grant for a later question is taken.
-        keeps: Permits,
+    /// A holder gives back all but what it retains; there is no reply.
+    Release {
+        /// The release's place in the holder's sequence of requests.
+        from: RequestId,
+        /// Upper bound of what is in use until a grant for a later request is accepted.
+        retained: Permits,
     },
-    /// A grantor grants a lease, in place of the one before.
+    /// A grantor grants a lease that replaces the previous one.
     Grant {
-        /// The question that is answered.
-        to: Asker,
-        /// The root's tenure that it goes back to.
+        /// The request that is answered.
+        to: RequestId,
+        /// Fencing token of the root's term.
         fence: Fence,
         /// What may be used.
         permits: Permits,
-        /// For how long, from when the question was asked.
-        length: Millis,
+        /// How long the lease lasts, from when the request was sent.
+        duration: Millis,
     },
-    /// A grantor grants nothing; a lease that the holder has goes on to its end.
+    /// A grantor grants nothing; an existing lease of the holder continues to its end.
     Refused {
-        /// The question that is answered.
-        to: Asker,
-        /// Why.
-        why: Refusal,
-        /// When to come back, from now.
+        /// The request that is answered.
+        to: RequestId,
+        /// The reason.
+        reason: Refusal,
+        /// How long to wait before the next request.
         retry_after: Millis,
     },
 }
 
-/// Why bytes are no message.
+/// Why bytes can't be decoded as a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unreadable {
-    /// Longer than any message, or shorter.
+pub enum DecodeError {
+    /// Too long or too short for any message.
     Length(usize),
     /// Not a message of holders and grantors.
-    Foreign,
+    WrongMagic,
     /// A message of another version.
     Version(u8),
-    /// Cut or spoilt on its way.
-    Spoilt,
+    /// Truncated or corrupted.
+    Corrupt,
 }
 
-impl fmt::Display for Unreadable {
+impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Unreadable::Length(length) => {
-                write!(f, "{length} bytes are no message: {LEAST} to {MOST} are allowed")
+            DecodeError::Length(length) => {
+                write!(f, "message of {length} bytes: {MIN_MESSAGE_BYTES} to {MAX_MESSAGE_BYTES} are allowed")
             }
-            Unreadable::Foreign => f.write_str("no message about leases"),
-            Unreadable::Version(version) => {
-                write!(f, "a message of version {version}; this is version {VERSION}")
+            DecodeError::WrongMagic => f.write_str("not a message of the lease protocol"),
+            DecodeError::Version(version) => {
+                write!(f, "message of version {version}; this program reads version {VERSION}")
             }
-            Unreadable::Spoilt => f.write_str("cut or spoilt on its way"),
+            DecodeError::Corrupt => f.write_str("message truncated or corrupted"),
         }
     }
 }
 
-impl std::error::Error for Unreadable {}
+impl std::error::Error for DecodeError {}
 
-/// FNV-1a: against what is cut or spoilt, not against forgery.
+/// FNV-1a: detects truncation and corruption, not forgery.
 fn checksum(bytes: &[u8]) -> u32 {
-    bytes.iter().fold(0x811c_9dc5, |sum, byte| (sum ^ u32::from(*byte)).wrapping_mul(0x0100_0193))
+    bytes.iter().fold(0x811c_9dc5, |hash, byte| (hash ^ u32::from(*byte)).wrapping_mul(0x0100_0193))
 }
 
 impl Message {
-    /// Its bytes. No message of this version comes near [`MOST`]; `None` if one did.
+    /// Encodes the message. `None` if it exceeds [`MAX_MESSAGE_BYTES`], which no message of this version
+    /// comes near.
     pub fn encode(&self) -> Option<Vec<u8>> {
-        let mut bytes = vec![MARK, VERSION];
+        let mut bytes = vec![MAGIC, VERSION];
         bytes.extend(postcard::to_allocvec(self).ok()?);
         bytes.extend(checksum(&bytes).to_le_bytes());
-        (bytes.len() <= MOST).then_some(bytes)
+        (bytes.len() <= MAX_MESSAGE_BYTES).then_some(bytes)
     }
 
-    /// Reads a message.
+    /// Decodes a message.
     ///
     /// # Errors
-    /// Why it is none; nothing of it counts then.
-    pub fn decode(bytes: &[u8]) -> Result<Message, Unreadable> {
-        if bytes.len() < LEAST || bytes.len() > MOST {
-            return Err(Unreadable::Length(bytes.len()));
+    /// Why the bytes are not a valid message. No part of them may be used then.
+    pub fn decode(bytes: &[u8]) -> Result<Message, DecodeError> {
+        if bytes.len() < MIN_MESSAGE_BYTES || bytes.len() > MAX_MESSAGE_BYTES {
+            return Err(DecodeError::Length(bytes.len()));
         }
-        if bytes[0] != MARK {
-            return Err(Unreadable::Foreign);
+        if bytes[0] != MAGIC {
+            return Err(DecodeError::WrongMagic);
         }
         if bytes[1] != VERSION {
-            return Err(Unreadable::Version(bytes[1]));
+            return Err(DecodeError::Version(bytes[1]));
         }
-        let (body, sum) = bytes.split_at(bytes.len() - 4);
-        if sum != checksum(body).to_le_bytes() {
-            return Err(Unreadable::Spoilt);
+        let (body, checksum_bytes) = bytes.split_at(bytes.len() - 4);
+        if checksum_bytes != checksum(body).to_le_bytes() {
+            return Err(DecodeError::Corrupt);
         }
         match postcard::take_from_bytes(&body[2..]) {
             Ok((message, [])) => Ok(message),
-            _ => Err(Unreadable::Spoilt),
+            _ => Err(DecodeError::Corrupt),
         }
     }
 }
--- a/crates/allowance/src/mutant.rs
+++ b/crates/allowance/src/mutant.rs
@@ -1,46 +1,46 @@
-//! Guards that can be left out, for tests.
+//! Checks that tests can leave out.
 
-/// A guard that is left out: for tests, which must catch each.
+/// A check that is left out, so that tests can verify that they detect its absence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutant {
-    /// A grantor does not look at what others hold.
-    GrantsOver,
-    /// A smaller grant counts at once, though the holder may not know of it yet.
-    ShrinksAtOnce,
-    /// A holder's new life takes the place of its former one.
-    ForgetsFormerLife,
-    /// Calls of a lease that has ended do not count for the rest of their window.
-    ReturnsCallsAtOnce,
-    /// A grantor goes by a message that is older than one that it has heard.
-    GoesByOldMessage,
+    /// A grantor ignores what other holders have.
+    IgnoresOtherLeases,
+    /// A smaller grant counts immediately, although the holder may not have received it.
+    ShrinksImmediately,
+    /// A holder's new incarnation replaces its previous one in the table.
+    ForgetsPreviousIncarnation,
+    /// Calls of an expired lease do not count for the rest of their window.
+    FreesCallsImmediately,
+    /// A grantor accepts a message older than one that it has received.
+    AcceptsStaleRequest,
     /// An aggregator grants for longer than its own lease lasts.
-    OutlivesOwnLease,
-    /// A new root grants at once.
-    NoQuiet,
-    /// A root that leads again goes on with what it knew of its former tenure.
-    KeepsTableOfFormerTenure,
-    /// A root grants when its tenure is over.
-    GrantsAfterTenure,
-    /// A holder counts its lease from when the grant came.
-    LeaseFromReceipt,
-    /// A holder takes the answer to an earlier question.
-    TakesOldAnswer,
-    /// A holder takes what was granted to its former life.
-    TakesFormerLife,
-    /// A holder's lease is not shortened by what clocks may differ.
-    NoDrift,
-    /// A holder tells its limit alone, not what it uses beyond that.
-    HidesUse,
-    /// A holder takes a grant of a lower fence than it has seen.
-    GoesBack,
-    /// A holder's lease never ends.
-    NeverEnds,
-    /// A call is begun though it may last longer than the lease.
-    BeginsPastEnd,
-    /// Calls are counted from fixed windows' beginnings.
-    FixedWindow,
-    /// A turn is used to its edges, whatever clocks may differ.
-    TurnWithoutGuard,
-    /// A process that starts uses the turn that is under way, which its former life may have used.
-    TurnAtStart,
+    GrantsBeyondOwnLease,
+    /// A new root grants immediately.
+    SkipsGracePeriod,
+    /// A root that is elected again keeps the table of its previous term.
+    KeepsTableOfPreviousTerm,
+    /// A root grants after its term has ended.
+    GrantsAfterTerm,
+    /// A holder measures its lease from when the grant arrived.
+    TimesLeaseFromReceipt,
+    /// A holder accepts the reply to an earlier request.
+    AcceptsStaleReply,
+    /// A holder accepts what was granted to its previous incarnation.
+    AcceptsPreviousIncarnation,
+    /// A holder does not shorten its lease by the possible clock drift.
+    IgnoresClockDrift,
+    /// A holder reports only its limit, not what it uses beyond that.
+    UnderreportsUsage,
+    /// A holder accepts a grant with a lower fencing token than it has seen.
+    AcceptsLowerFence,
+    /// A holder's lease never expires.
+    IgnoresExpiry,
+    /// A call is begun although it may outlast the lease.
+    BeginsCallPastExpiry,
+    /// Calls are counted in fixed windows.
+    UsesFixedWindows,
+    /// A turn is used up to its edges, without the guard interval for clock errors.
+    IgnoresGuard,
+    /// A process that starts uses the current turn, which its previous incarnation may have used.
+    UsesTurnAtStart,
 }
--- a/crates/allowance/src/node.rs
+++ b/crates/allowance/src/node.rs
@@ -1,11 +1,11 @@
-//! A node: what it may call, by its lease or else by its turns.
+//! Decides which calls a node may begin, by its lease or else by its turns in the rotation.
 
 use crate::holder::{Holder, Lease, Usage};
 use crate::message::Message;
 use crate::meter::{CallId, Meter};
-use crate::{HolderId, Life, Millis, Mutant, Permits, Rotation, Timing, Turn};
+use crate::{HolderId, Incarnation, Millis, Mutant, Permits, Rotation, Timing, Turn};
 
-/// What a call was allowed by.
+/// What allows a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// The node's lease.
@@ -14,185 +14,196 @@
     Turn,
 }
 
-/// A call that may be begun now.
+/// Permission to begin one call now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permit {
-    /// By what.
+    /// What allows the call.
     pub source: Source,
-    /// When it must have been given up at the latest, by the node's own clock.
-    pub gives_up_at: Millis,
+    /// When the call must have been given up, by the node's own clock.
+    pub deadline: Millis,
 }
 
-/// What may be begun from now on, for one that decides by itself which calls to begin and tells of each ([`Node::began`]).
+/// What may be begun from now on, for a caller that decides itself which calls to begin and reports each one
+/// ([`Node::record_call`]).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Offer {
-    /// By what.
+    /// What allows the calls.
     pub source: Source,
-    /// Calls that may be outstanding at once, those that are already included, and calls that may still be begun.
+    /// Limit of outstanding calls, including those already running, and the number of calls that may still be
+    /// begun.
     pub permits: Permits,
     /// When each of them must have been given up, by the node's own clock.
     pub until: Millis,
 }
 
-/// What a node has done in its present turn.
+/// What a node has used of its current turn.
 #[derive(Clone, Copy, Debug, Default)]
-struct TurnUse {
-    slot: Millis,
+struct TurnUsage {
+    slot_start: Millis,
     calls: u32,
-    /// The call that runs, and when it is given up.
+    /// The running call and its deadline.
     running: Option<(CallId, Millis)>,
 }
 
-/// One node's machine.
+/// State machine of one node.
 #[derive(Clone, Debug)]
 pub struct Node {
     timing: Timing,
-    place: u32,
+    position: u32,
     holder: Holder,
     meter: Meter,
     rotation: Option<Rotation>,
-    /// The first slot whose turn it may use; `None` while another process is the same node.
+    /// The first slot whose turn it may use; `None` while another process of the same node runs.
     first_slot: Option<Millis>,
-    turn: TurnUse,
+    turn: TurnUsage,
     mutant: Option<Mutant>,
 }
 
 impl Node {
-    /// A node that starts: its number is its place in the rotation too. `shared` is the shared clock's value, `now` its own.
+    /// Starts a node. Its number is also its position in the rotation. `shared` is the value of the shared
+    /// clock, `now` of its own.
     pub fn start(
-        place: HolderId,
-        life: Life,
+        position: HolderId,
+        incarnation: Incarnation,
         timing: Timing,
         (grantors, rotation): (usize, Option<Rotation>),
         (now, shared): (Millis, Millis),
     ) -> Node {
         Node {
             timing,
-            place,
-            holder: Holder::start(place, life, timing, grantors, now),
-            meter: Meter::new(timing.surely_passed(timing.window)),
+            position,
+            holder: Holder::start(position, incarnation, timing, grantors, now),
+            meter: Meter::new(timing.certainly_elapsed(timing.window)),
             rotation,
             first_slot: rotation.map(|rotation| rotation.first_slot(shared)),
-            turn: TurnUse::default(),
+            turn: TurnUsage::default(),
             mutant: None,
         }
     }
 
-    /// The same with a guard left out: for tests.
+    /// Leaves out one check, for tests.
     pub fn with_mutant(mut self, mutant: Option<Mutant>) -> Node {
         self.holder = self.holder.with_mutant(mutant);
-        if mutant == Some(Mutant::FixedWindow) {
+        if mutant == Some(Mutant::UsesFixedWindows) {
             self.meter = self.meter.with_fixed_windows();
         }
         Node { mutant, ..self }
     }
 
-    /// Whether no other process is this node now: two that relieve each other have one turn.
-    pub fn set_alone(&mut self, shared: Millis, alone: bool) {
+    /// Sets whether this is the only process of the node: a process and its successor share one turn, which
+    /// neither uses while both may run.
+    pub fn set_sole_process(&mut self, shared: Millis, is_sole: bool) {
         let slot = self.rotation.map(|rotation| rotation.first_slot(shared));
-        self.first_slot = if alone { self.first_slot.or(slot) } else { None };
+        self.first_slot = if is_sole { self.first_slot.or(slot) } else { None };
     }
 
-    /// Its lease.
+    /// The current lease.
     pub fn lease(&self, now: Millis) -> Option<Lease> {
         self.holder.lease(now)
     }
 
-    /// When it next has something to do by itself.
-    pub fn due(&self) -> Millis {
-        self.holder.due()
+    /// When it next has something to do without a message.
+    pub fn next_wakeup(&self) -> Millis {
+        self.holder.next_wakeup()
     }
 
-    /// Time has come to a value, and the node could use so much: what is to be sent, and to the how manyth grantor.
+    /// Advances the clock, given the current demand. Returns a message to send and the index of the grantor
+    /// to send it to.
     pub fn tick(&mut self, now: Millis, wanted: Permits) -> Option<(usize, Message)> {
-        let in_use = self.meter.used(now);
+        let in_use = self.meter.usage(now);
         self.holder.tick(now, Usage { wanted, in_use })
     }
 
-    /// A grantor's answer has come.
+    /// Handles a grantor's reply.
     pub fn handle(&mut self, now: Millis, message: &Message) {
         self.holder.handle(now, message);
     }
 
-    /// Begins a call that lasts so long at most, if its lease or its turn allows one.
-    pub fn begin(
+    /// Begins a call that lasts at most `max_duration`, if the lease or the turn allows one.
+    pub fn begin_call(
         &mut self,
         (now, shared): (Millis, Millis),
         call: CallId,
-        longest: Millis,
+        max_duration: Millis,
     ) -> Option<Permit> {
-        let gives_up_at = now + longest;
-        let source = if self.begin_by_lease(now, call, gives_up_at) {
+        let deadline = now + max_duration;
+        let source = if self.begin_within_lease(now, call, deadline) {
             Source::Lease
-        } else if self.begin_by_turn((now, shared), call, longest) {
+        } else if self.begin_within_turn((now, shared), call, max_duration) {
             Source::Turn
         } else {
             return None;
         };
-        Some(Permit { source, gives_up_at })
+        Some(Permit { source, deadline })
     }
 
-    fn begin_by_lease(&mut self, now: Millis, call: CallId, gives_up_at: Millis) -> bool {
+    fn begin_within_lease(&mut self, now: Millis, call: CallId, deadline: Millis) -> bool {
         let Some(lease) = self.holder.lease(now) else { return false };
-        let ends_in_time = gives_up_at <= lease.until || self.mutant == Some(Mutant::BeginsPastEnd);
-        ends_in_time && self.meter.begin(now, call, gives_up_at, lease.permits)
+        let ends_in_time = deadline <= lease.until || self.mutant == Some(Mutant::BeginsCallPastExpiry);
+        ends_in_time && self.meter.try_begin(now, call, deadline, lease.permits)
     }
 
-    /// The turn that it may use now.
-    fn present_turn(&mut self, shared: Millis) -> Option<Turn> {
-        let turn = self.rotation?.turn(self.place, shared)?;
-        if turn.slot < self.first_slot? || shared < turn.from {
+    /// The turn that may be used now.
+    fn current_turn(&mut self, shared: Millis) -> Option<Turn> {
+        let turn = self.rotation?.turn(self.position, shared)?;
+        if turn.slot_start < self.first_slot? || shared < turn.from {
             return None;
         }
-        if self.turn.slot != turn.slot {
-            self.turn = TurnUse { slot: turn.slot, ..TurnUse::default() };
+        if self.turn.slot_start != turn.slot_start {
+            self.turn = TurnUsage { slot_start: turn.slot_start, ..TurnUsage::default() };
         }
         Some(turn)
     }
 
-    fn begin_by_turn(&mut self, (now, shared): (Millis, Millis), call: CallId, longest: Millis) -> bool {
-        let Some(turn) = self.present_turn(shared) else { return false };
-        // The shared clock goes on by itself while the call is timed by the node's own.
-        if shared + self.timing.at_most_passed(longest) > turn.until {
+    fn begin_within_turn(
+        &mut self,
+        (now, shared): (Millis, Millis),
+        call: CallId,
+        max_duration: Millis,
+    ) -> bool {
+        let Some(turn) = self.current_turn(shared) else { return false };
+        // The turn ends by the shared clock, while the call is timed by the node's own clock.
+        if shared + self.timing.max_elapsed(max_duration) > turn.until {
             return false;
         }
-        let runs = self.turn.running.is_some_and(|(_, gives_up_at)| now < gives_up_at);
-        if runs || self.turn.calls >= turn.calls {
+        let is_running = self.turn.running.is_some_and(|(_, deadline)| now < deadline);
+        if is_running || self.turn.calls >= turn.calls {
             return false;
         }
         self.turn.calls += 1;
-        self.turn.running = Some((call, now + longest));
+        self.turn.running = Some((call, now + max_duration));
         true
     }
 
-    /// What may be begun from now on: by its lease, else by its turn. It holds until its end, or until the next offer: whoever acts on it
-    /// must be told of the next one as soon as a message has been handled, and some of a window later of calls that may be begun again.
+    /// What may be begun from now on: by the lease, else by the turn. It is valid until its end or until the
+    /// next offer. The caller must fetch a new offer after each message that was handled, and a part of a
+    /// window later when calls become available again.
     pub fn offer(&mut self, now: Millis, shared: Millis) -> Option<Offer> {
         if let Some(lease) = self.holder.lease(now) {
-            let begun = self.meter.used(now).calls;
-            let calls = lease.permits.calls.saturating_sub(begun);
+            let started_calls = self.meter.usage(now).calls;
+            let calls = lease.permits.calls.saturating_sub(started_calls);
             let permits = Permits { calls, ..lease.permits };
             return Some(Offer { source: Source::Lease, permits, until: lease.until });
         }
-        let turn = self.present_turn(shared)?;
-        let left = self.timing.usable(turn.until.saturating_sub(shared));
+        let turn = self.current_turn(shared)?;
+        let remaining = self.timing.usable_duration(turn.until.saturating_sub(shared));
         let permits = Permits { outstanding: 1, calls: turn.calls.saturating_sub(self.turn.calls) };
-        Some(Offer { source: Source::Turn, permits, until: now + left })
+        Some(Offer { source: Source::Turn, permits, until: now + remaining })
     }
 
-    /// A call was begun within an offer.
-    pub fn began(&mut self, now: Millis, call: CallId, permit: Permit) {
+    /// Records a call that was begun within an offer.
+    pub fn record_call(&mut self, now: Millis, call: CallId, permit: Permit) {
         match permit.source {
-            Source::Lease => self.meter.note(now, call, permit.gives_up_at),
+            Source::Lease => self.meter.record(now, call, permit.deadline),
             Source::Turn => {
                 self.turn.calls += 1;
-                self.turn.running = Some((call, permit.gives_up_at));
+                self.turn.running = Some((call, permit.deadline));
             }
         }
     }
 
-    /// A call has ended, and the origin knows.
-    pub fn end(&mut self, call: CallId) {
+    /// Records that a call has ended with the origin's knowledge.
+    pub fn end_call(&mut self, call: CallId) {
         self.meter.end(call);
         self.turn.running = self.turn.running.filter(|(running, _)| *running != call);
     }
--- a/crates/allowance/src/permits.rs
+++ b/crates/allowance/src/permits.rs
@@ -1,8 +1,8 @@
-//! What may be called, and its division into a leased part and one that rotates.
+//! Limits on calls, and their division into a leased and a rotating part.
 
 use serde::{Deserialize, Serialize};
 
-/// An allowance: both limits hold.
+/// Two limits that both apply.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Permits {
     /// Calls that may be outstanding at once.
@@ -12,11 +12,11 @@
 }
 
 impl Permits {
-    /// Nothing.
+    /// No calls.
     pub const NONE: Permits = Permits { outstanding: 0, calls: 0 };
 
-    /// Whether no call can be made with it: one limit is 0.
-    pub fn is_useless(self) -> bool {
+    /// Whether no call can be made: one limit is 0.
+    pub fn allows_no_call(self) -> bool {
         self.outstanding == 0 || self.calls == 0
     }
 
@@ -30,7 +30,7 @@
         Permits { outstanding: self.outstanding.max(other.outstanding), calls: self.calls.max(other.calls) }
     }
 
-    /// Both together.
+    /// The sum of each limit.
     pub fn plus(self, other: Permits) -> Permits {
         Permits {
             outstanding: self.outstanding.saturating_add(other.outstanding),
@@ -38,21 +38,21 @@
         }
     }
 
-    /// What is left without another; never below 0.
-    pub fn less(self, other: Permits) -> Permits {
+    /// The difference of each limit, at least 0.
+    pub fn minus(self, other: Permits) -> Permits {
         Permits {
             outstanding: self.outstanding.saturating_sub(other.outstanding),
             calls: self.calls.saturating_sub(other.calls),
         }
     }
 
-    /// Whether both limits are within another's.
-    pub fn within(self, other: Permits) -> bool {
+    /// Whether both limits are at most those of `other`.
+    pub fn is_within(self, other: Permits) -> bool {
         self.outstanding <= other.outstanding && self.calls <= other.calls
     }
 }
 
-/// An allowance in its two parts.
+/// The two parts of an allowance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Budget {
     /// What the root leases.
@@ -62,13 +62,16 @@
 }
 
 impl Budget {
-    /// Divides an allowance. Of the whole, what nodes without leases (of an older program) may have at most is taken off first; of the rest,
-    /// so many thousandths rotate, rounded down.
-    pub fn divide(whole: Permits, unleased_nodes: Permits, rotating_thousandths: u32) -> Budget {
-        let rest = whole.less(unleased_nodes);
-        let part =
+    /// Divides an allowance. The maximum that nodes without leases (of an older program) may use is
+    /// subtracted first; of the remainder, the given number of thousandths rotates, rounded down.
+    pub fn split(allowance: Permits, unleased_nodes: Permits, rotating_thousandths: u32) -> Budget {
+        let leasable = allowance.minus(unleased_nodes);
+        let rotating_part =
             |limit: u32| (u64::from(limit) * u64::from(rotating_thousandths.min(1_000)) / 1_000) as u32;
-        let rotating = Permits { outstanding: part(rest.outstanding), calls: part(rest.calls) };
-        Budget { leased: rest.less(rotating), rotating }
+        let rotating = Permits {
+            outstanding: rotating_part(leasable.outstanding),
+            calls: rotating_part(leasable.calls),
+        };
+        Budget { leased: leasable.minus(rotating), rotating }
     }
 }
--- a/crates/allowance/src/random.rs
+++ b/crates/allowance/src/random.rs
@@ -1,8 +1,8 @@
-//! Pauses that differ between holders.
+//! Jitter for pauses, so that holders don't send requests in step.
 
 use crate::Millis;
 
-/// A xorshift generator: to spread pauses, nothing else.
+/// A xorshift generator, used for jitter only.
 #[derive(Clone, Debug)]
 pub(crate) struct Random(u64);
 
@@ -11,11 +11,11 @@
         Random(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1)
     }
 
-    /// A span between this one and half as much again.
-    pub(crate) fn spread(&mut self, span: Millis) -> Millis {
+    /// Adds a random part of up to half the duration.
+    pub(crate) fn with_jitter(&mut self, duration: Millis) -> Millis {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
         self.0 ^= self.0 << 17;
-        span + (self.0 >> 11) % (span / 2 + 1)
+        duration + (self.0 >> 11) % (duration / 2 + 1)
     }
 }
--- a/crates/allowance/src/root.rs
+++ b/crates/allowance/src/root.rs
@@ -1,99 +1,104 @@
-//! The root of all leases: the leader of the nodes' agreement.
+//! The root of all leases, run by the leader of the nodes' agreement.
 
 use crate::grantor::Grantor;
 use crate::message::{Fence, Message, Refusal};
 use crate::{Millis, Mutant, Permits, Timing};
 
-/// A span in which this member alone may grant.
+/// A period in which this member alone may grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Tenure {
-    /// Its number: higher than that of each tenure before.
+pub struct Term {
+    /// Fencing token, higher than that of each earlier term.
     pub fence: Fence,
-    /// When it ends by this member's own clock, if it is not prolonged.
+    /// When it ends by this member's own clock, unless it is extended.
     pub until: Millis,
 }
 
-/// A member that may be the root.
+/// A member that may become the root.
 #[derive(Clone, Debug)]
 pub struct Root {
     timing: Timing,
     budget: Permits,
-    leads: Option<Leads>,
+    leadership: Option<Leadership>,
     mutant: Option<Mutant>,
 }
 
-/// What it knows as the root.
+/// State of a member that is the root.
 #[derive(Clone, Debug)]
-struct Leads {
-    tenure: Tenure,
-    /// What the root before it granted has ended by then.
-    quiet_until: Millis,
+struct Leadership {
+    term: Term,
+    /// By then everything that the previous root granted has ended.
+    grants_from: Millis,
     grantor: Grantor,
 }
 
 impl Root {
-    /// One that has no tenure yet. The budget is what the root of any tenure leases: it changes only with [`set_budget`](Self::set_budget).
+    /// Creates a member without a term. The budget is what the root leases in any term; it changes only with
+    /// [`set_budget`](Self::set_budget).
     pub fn new(timing: Timing, budget: Permits) -> Root {
-        Root { timing, budget, leads: None, mutant: None }
+        Root { timing, budget, leadership: None, mutant: None }
     }
 
-    /// The same with a guard left out: for tests.
+    /// Leaves out one check, for tests.
     pub fn with_mutant(self, mutant: Option<Mutant>) -> Root {
         Root { mutant, ..self }
     }
 
-    /// Another budget from now on. A smaller one is wholly in force after the length of a lease.
+    /// Changes the budget. A smaller one is fully in force after one lease duration.
     pub fn set_budget(&mut self, budget: Permits) {
         self.budget = budget;
-        if let Some(leads) = &mut self.leads {
-            leads.grantor.set_budget(budget);
+        if let Some(leadership) = &mut self.leadership {
+            leadership.grantor.set_budget(budget);
         }
     }
 
-    /// What the agreement says at a time. A tenure with another fence begins from nothing.
-    pub fn tenure(&mut self, now: Millis, tenure: Option<Tenure>) {
-        let keeps_table = self.mutant == Some(Mutant::KeepsTableOfFormerTenure);
-        match (&mut self.leads, tenure) {
-            (Some(leads), Some(tenure)) if leads.tenure.fence == tenure.fence || keeps_table => {
-                leads.tenure = tenure;
+    /// Sets the current term, as reported by the agreement. A term with another fencing token starts without
+    /// state.
+    pub fn set_term(&mut self, now: Millis, term: Option<Term>) {
+        let keeps_table = self.mutant == Some(Mutant::KeepsTableOfPreviousTerm);
+        match (&mut self.leadership, term) {
+            (Some(leadership), Some(term)) if leadership.term.fence == term.fence || keeps_table => {
+                leadership.term = term;
             }
             (Some(_), None) if keeps_table => {}
-            (_, None) => self.leads = None,
-            (_, Some(tenure)) => self.leads = Some(self.begin(now, tenure)),
+            (_, None) => self.leadership = None,
+            (_, Some(term)) => self.leadership = Some(self.start_term(now, term)),
         }
     }
 
-    fn begin(&self, now: Millis, tenure: Tenure) -> Leads {
-        let quiet = match self.mutant {
-            Some(Mutant::NoQuiet) => 0,
-            _ => self.timing.surely_passed(self.timing.length + self.timing.window),
+    fn start_term(&self, now: Millis, term: Term) -> Leadership {
+        let grace_period = match self.mutant {
+            Some(Mutant::SkipsGracePeriod) => 0,
+            _ => self.timing.certainly_elapsed(self.timing.lease_duration + self.timing.window),
         };
         let grantor = Grantor::new(self.timing, self.budget).with_mutant(self.mutant);
-        Leads { tenure, quiet_until: now + quiet, grantor }
+        Leadership { term, grants_from: now + grace_period, grantor }
     }
 
-    /// What counts as used, where it is the root.
-    pub fn counted(&self, now: Millis) -> Option<Permits> {
-        self.leads.as_ref().map(|leads| leads.grantor.counted(now))
+    /// What counts as used, if this member is the root.
+    pub fn reserved(&self, now: Millis) -> Option<Permits> {
+        self.leadership.as_ref().map(|leadership| leadership.grantor.reserved(now))
     }
 
-    /// A message has come; perhaps there is an answer.
+    /// Handles a message; may return a reply.
     pub fn handle(&mut self, now: Millis, message: &Message) -> Option<Message> {
-        let after_tenure = self.mutant == Some(Mutant::GrantsAfterTenure);
-        let leads = self.leads.as_mut().filter(|leads| now < leads.tenure.until || after_tenure);
+        let after_term = self.mutant == Some(Mutant::GrantsAfterTerm);
+        let leadership =
+            self.leadership.as_mut().filter(|leadership| now < leadership.term.until || after_term);
         match *message {
-            Message::Ask { from, keeps, wanted } => {
-                let refuse = |why, retry_after| Some(Message::Refused { to: from, why, retry_after });
-                let Some(leads) = leads else { return refuse(Refusal::NoGrantor, self.timing.retry) };
-                if now < leads.quiet_until {
-                    return refuse(Refusal::Quiet, leads.quiet_until - now);
+            Message::Request { from, retained, wanted } => {
+                let refuse = |reason, retry_after| Some(Message::Refused { to: from, reason, retry_after });
+                let Some(leadership) = leadership else {
+                    return refuse(Refusal::NoAuthority, self.timing.min_retry);
+                };
+                if now < leadership.grants_from {
+                    return refuse(Refusal::GracePeriod, leadership.grants_from - now);
                 }
-                let terms = (leads.tenure.fence, self.timing.length);
-                leads.grantor.ask(now, from, (keeps, wanted), terms)
+                let lease_terms = (leadership.term.fence, self.timing.lease_duration);
+                leadership.grantor.handle_request(now, from, (retained, wanted), lease_terms)
             }
-            Message::Return { from, keeps } => {
-                if let Some(leads) = leads {
-                    leads.grantor.give_back(now, from, keeps);
+            Message::Release { from, retained } => {
+                if let Some(leadership) = leadership {
+                    leadership.grantor.handle_release(now, from, retained);
                 }
                 None
             }
--- a/crates/allowance/tests/explore.rs
+++ b/crates/allowance/tests/explore.rs
@@ -1,34 +1,41 @@
-//! Random walks of the composed system: two members of which one at a time may be the root, two aggregators of a site, six nodes, and an
-//! origin that counts. Messages are lost, doubled, late and out of order; processes are cut off, stopped for longer than a lease, and
-//! restarted, also twice in a row; clocks drift and the shared clock is read wrong. The origin must never see more than the allowance, and
-//! each guard that is left out must be missed.
+//! Random walks of the whole system: two members of which at most one is the root, two aggregators of a site,
+//! six nodes, and an origin that counts calls. Messages are lost, duplicated, delayed and reordered;
+//! processes are partitioned, stopped for longer than a lease, and restarted, also twice in a row; clocks
+//! drift and the shared clock is read with an error. The origin must never see more than the allowance, and a
+//! violation must be found for each check that is left out.
 
 use std::collections::VecDeque;
 
 use mothpier_allowance::{
-    Aggregator, Asker, Budget, Fence, Holder, Message, Millis, Mutant, Node, Permit, Permits, Root, Rotation,
-    Source, Tenure, Timing, Usage,
+    Aggregator, Budget, Fence, Holder, Message, Millis, Mutant, Node, Permit, Permits, RequestId, Root,
+    Rotation, Source, Term, Timing, Usage,
 };
 
-/// Small spans, so that a walk of some seconds meets many leases.
-const TIMING: Timing =
-    Timing { length: 2_000, window: 400, drift: 50, reply: 150, retry: 40, retry_most: 200 };
+/// Short durations, so that a walk of some seconds covers many leases.
+const TIMING: Timing = Timing {
+    lease_duration: 2_000,
+    window: 400,
+    drift_per_mille: 50,
+    reply_timeout: 150,
+    min_retry: 40,
+    max_retry: 200,
+};
 /// The longest call, in milliseconds.
 const LONGEST_CALL: u64 = 900;
-/// By how much the shared clock may be read wrong.
+/// Largest error in reading the shared clock.
 const GUARD: Millis = 60;
-/// A tenure is prolonged to this long from now, again and again.
-const PROLONGED: Millis = 300;
-const ROOTS: usize = 2;
-const AGGREGATORS: usize = 2;
-const NODES: usize = 6;
-const PROCESSES: usize = ROOTS + AGGREGATORS + NODES;
-/// How long a walk lasts, in milliseconds of true time.
-const WALK: Millis = 24_000;
-
-struct Dice(oorandom::Rand64);
-
-impl Dice {
+/// A term is repeatedly extended to this long from now.
+const TERM_EXTENSION: Millis = 300;
+const ROOT_COUNT: usize = 2;
+const AGGREGATOR_COUNT: usize = 2;
+const NODE_COUNT: usize = 6;
+const PROCESS_COUNT: usize = ROOT_COUNT + AGGREGATOR_COUNT + NODE_COUNT;
+/// Duration of a walk, in milliseconds of true time.
+const WALK_DURATION: Millis = 24_000;
+
+struct Rng(oorandom::Rand64);
+
+impl Rng {
     fn below(&mut self, most: u64) -> u64 {
         self.0.rand_range(0..most.max(1))
     }
@@ -38,49 +45,53 @@
     }
 }
 
-enum Machine {
+enum Participant {
     Root(Root),
     Aggregator(Box<Aggregator>),
     Node(Box<Node>),
 }
 
-/// What a process reads: its own clock and the shared one, from true time.
+/// Computes what a process reads on its own clock and on the shared one, from true time.
 #[derive(Clone, Copy)]
 struct Clocks {
     offset: u64,
-    /// Thousandths by which its own clock is fast, or slow.
-    fast: i64,
+    /// Thousandths by which its own clock is fast (or slow, if negative).
+    drift_per_mille: i64,
     /// Milliseconds by which it reads the shared clock too high.
-    wrong: i64,
+    shared_clock_error: i64,
 }
 
 impl Clocks {
-    fn any(dice: &mut Dice) -> Clocks {
-        let drift = TIMING.drift as i64;
-        let edge = |dice: &mut Dice, most: i64| match dice.below(3) {
+    fn any(rng: &mut Rng) -> Clocks {
+        let drift_per_mille = TIMING.drift_per_mille as i64;
+        let extreme_or_random = |rng: &mut Rng, most: i64| match rng.below(3) {
             0 => -most,
             1 => most,
-            _ => dice.below(2 * most as u64 + 1) as i64 - most,
+            _ => rng.below(2 * most as u64 + 1) as i64 - most,
         };
-        Clocks { offset: dice.below(10_000), fast: edge(dice, drift), wrong: edge(dice, GUARD as i64) }
+        Clocks {
+            offset: rng.below(10_000),
+            drift_per_mille: extreme_or_random(rng, drift_per_mille),
+            shared_clock_error: extreme_or_random(rng, GUARD as i64),
+        }
     }
 
-    fn own(&self, time: Millis) -> Millis {
-        self.offset + (time as i64 * (1_000 + self.fast) / 1_000) as u64
+    fn local(&self, time: Millis) -> Millis {
+        self.offset + (time as i64 * (1_000 + self.drift_per_mille) / 1_000) as u64
     }
 
     fn shared(&self, time: Millis) -> Millis {
-        (1_000_000 + time as i64 + self.wrong) as u64
+        (1_000_000 + time as i64 + self.shared_clock_error) as u64
     }
 }
 
 struct Process {
-    machine: Machine,
+    participant: Participant,
     clocks: Clocks,
-    life: u64,
+    incarnation: u64,
     stopped_until: Millis,
-    cut_until: Millis,
-    /// What came while it was stopped.
+    partitioned_until: Millis,
+    /// Messages that arrived while it was stopped.
     inbox: Vec<(usize, Message)>,
     wanted: Permits,
 }
@@ -88,92 +99,94 @@
 struct Call {
     id: u64,
     process: usize,
-    life: u64,
+    incarnation: u64,
     clocks: Clocks,
-    gives_up_at: Millis,
+    deadline: Millis,
     source: Source,
 }
 
 /// What the origin sees of one part of the allowance.
 #[derive(Default)]
-struct Seen {
-    begun: VecDeque<Millis>,
-    all: u64,
-    /// Of nodes that ask aggregators.
+struct OriginView {
+    started: VecDeque<Millis>,
+    total: u64,
+    /// Calls of nodes that use an aggregator.
     by_aggregator: u64,
 }
 
 struct Walk {
-    dice: Dice,
+    rng: Rng,
     mutant: Option<Mutant>,
     budget: Budget,
     rotation: Option<Rotation>,
     time: Millis,
     processes: Vec<Process>,
-    /// Messages under way: when they come, from whom, to whom.
+    /// Messages in transit: arrival time, sender, receiver.
     messages: Vec<(Millis, usize, usize, Message)>,
     calls: Vec<Call>,
-    seen: [Seen; 2],
-    tenure: Option<(usize, Fence, Millis)>,
-    next_tenure: Millis,
+    origin_views: [OriginView; 2],
+    term: Option<(usize, Fence, Millis)>,
+    next_term: Millis,
     rounds: u32,
-    lives: u64,
+    incarnations: u64,
     next_call: u64,
-    habits: Habits,
-    /// Nodes decide by themselves which calls to begin, within what they are offered.
-    by_offers: bool,
-    /// The second aggregator asks the first, as a site's does a region's, and only without answer a root.
-    region: bool,
+    profile: FaultProfile,
+    /// Nodes decide themselves which calls to begin, within what they are offered.
+    uses_offers: bool,
+    /// The second aggregator asks the first, as that of a site does with that of a region, and a root only
+    /// without a reply.
+    has_region: bool,
 }
 
-/// How rough a walk is: drawn once for each.
-struct Habits {
-    /// One message in so many is lost.
-    lost: u64,
-    /// One in so many is late, by up to this many milliseconds.
-    late: (u64, u64),
-    /// One step in so many, a fault of each kind.
-    faults: u64,
-    /// Of a root, one in so many of these.
-    root_faults: u64,
-    /// A call that runs is answered in one step of so many.
-    answered: u64,
-    /// A tenure lasts up to this many milliseconds.
-    tenure: u64,
-    /// One in so many changes of a node's demand makes it want less than it can ever get.
-    modest: u64,
-    /// The last so many nodes ask the root itself.
-    direct: usize,
+/// Fault rates of a walk, drawn once for each.
+struct FaultProfile {
+    /// One message in this many is lost.
+    loss_rate: u64,
+    /// One message in this many is delayed, by up to this many milliseconds.
+    delay: (u64, u64),
+    /// One step in this many has a fault of each kind.
+    fault_rate: u64,
+    /// Of the faults of a root, one in this many takes place.
+    root_fault_rate: u64,
+    /// A running call is answered in one step of this many.
+    reply_rate: u64,
+    /// A term lasts up to this many milliseconds.
+    max_term: u64,
+    /// One in this many changes of a node's demand makes it want less than it can ever get.
+    low_demand_rate: u64,
+    /// The last nodes, this many, ask the root directly.
+    direct_nodes: usize,
 }
 
-impl Habits {
-    fn any(dice: &mut Dice) -> Habits {
-        let mut one_of = |choices: [u64; 3]| choices[dice.below(3) as usize];
-        Habits {
-            lost: one_of([4, 10, 50]),
-            late: (one_of([2, 8, 30]), one_of([200, 1_000, 4_000])),
-            faults: one_of([20, 60, 300]),
-            root_faults: one_of([1, 8, 1_000]),
-            answered: one_of([3, 12, 200]),
-            tenure: one_of([3_000, 15_000, 60_000]),
-            modest: one_of([1, 4, 1_000]),
-            direct: one_of([1, 3, 6]) as usize,
+impl FaultProfile {
+    fn any(rng: &mut Rng) -> FaultProfile {
+        let mut one_of = |choices: [u64; 3]| choices[rng.below(3) as usize];
+        FaultProfile {
+            loss_rate: one_of([4, 10, 50]),
+            delay: (one_of([2, 8, 30]), one_of([200, 1_000, 4_000])),
+            fault_rate: one_of([20, 60, 300]),
+            root_fault_rate: one_of([1, 8, 1_000]),
+            reply_rate: one_of([3, 12, 200]),
+            max_term: one_of([3_000, 15_000, 60_000]),
+            low_demand_rate: one_of([1, 4, 1_000]),
+            direct_nodes: one_of([1, 3, 6]) as usize,
         }
     }
 }
 
 impl Walk {
     fn new(seed: u64, mutant: Option<Mutant>) -> Walk {
-        // Few outstanding calls in the one half of walks, few calls in a window in the other; of the fewest, two at once are too many.
+        // Few outstanding calls in one half of the walks, few calls per window in the other; with the
+        // smallest limits, two at once are too many.
         let (outstanding, calls, rotating) =
             [(8, 32, 250), (40, 16, 250), (2, 32, 500), (40, 4, 500)][(seed % 4) as usize];
-        let budget = Budget::divide(Permits { outstanding, calls }, Permits::NONE, rotating);
-        let rotation = Rotation::new(NODES as u32, budget.rotating, TIMING.window, LONGEST_CALL, GUARD);
+        let budget = Budget::split(Permits { outstanding, calls }, Permits::NONE, rotating);
+        let rotation = Rotation::new(NODE_COUNT as u32, budget.rotating, TIMING.window, LONGEST_CALL, GUARD);
         let rotation = rotation.map(|rotation| rotation.with_mutant(mutant));
-        let mut dice = Dice(oorandom::Rand64::new(u128::from(seed) * 2 + 1));
-        let habits = Habits::any(&mut dice);
+        let mut rng = Rng(oorandom::Rand64::new(u128::from(seed) * 2 + 1));
+        let profile = FaultProfile::any(&mut rng);
         let mut walk = Walk {
-            dice,
+            rng,
             mutant,
             budget,
             rotation,
@@ -181,70 +194,82 @@
             processes: Vec::new(),
             messages: Vec::new(),
             calls: Vec::new(),
-            seen: Default::default(),
-            tenure: None,
-            next_tenure: 0,
+            origin_views: Default::default(),
+            term: None,
+            next_term: 0,
             rounds: 0,
-            lives: 0,
+            incarnations: 0,
             next_call: 0,
-            habits,
-            by_offers: seed / 4 % 2 == 1,
-            region: seed / 8 % 2 == 1,
+            profile,
+            uses_offers: seed / 4 % 2 == 1,
+            has_region: seed / 8 % 2 == 1,
         };
-        walk.processes = (0..PROCESSES).map(|i| walk.start(i)).collect();
+        walk.processes = (0..PROCESS_COUNT).map(|i| walk.start(i)).collect();
         walk
     }
 
     fn start(&mut self, i: usize) -> Process {
-        self.lives += 1;
-        let life = self.lives;
-        let clocks = Clocks::any(&mut self.dice);
-        let (own, shared) = (clocks.own(self.time), clocks.shared(self.time));
-        let machine = if i < ROOTS {
-            Machine::Root(Root::new(TIMING, self.budget.leased).with_mutant(self.mutant))
-        } else if i < ROOTS + AGGREGATORS {
-            let aggregator = Aggregator::start(100 + i as u32, life, TIMING, ROOTS, own);
-            Machine::Aggregator(Box::new(aggregator.with_mutant(self.mutant)))
+        self.incarnations += 1;
+        let incarnation = self.incarnations;
+        let clocks = Clocks::any(&mut self.rng);
+        let (local, shared) = (clocks.local(self.time), clocks.shared(self.time));
+        let participant = if i < ROOT_COUNT {
+            Participant::Root(Root::new(TIMING, self.budget.leased).with_mutant(self.mutant))
+        } else if i < ROOT_COUNT + AGGREGATOR_COUNT {
+            let aggregator = Aggregator::start(100 + i as u32, incarnation, TIMING, ROOT_COUNT, local);
+            Participant::Aggregator(Box::new(aggregator.with_mutant(self.mutant)))
         } else {
-            let place = (i - ROOTS - AGGREGATORS) as u32;
-            let node = Node::start(place, life, TIMING, (2, self.rotation), (own, shared));
-            Machine::Node(Box::new(node.with_mutant(self.mutant)))
+            let position = (i - ROOT_COUNT - AGGREGATOR_COUNT) as u32;
+            let node = Node::start(position, incarnation, TIMING, (2, self.rotation), (local, shared));
+            Participant::Node(Box::new(node.with_mutant(self.mutant)))
         };
-        let (stopped_until, cut_until) = (0, 0);
-        Process { machine, clocks, life, stopped_until, cut_until, inbox: Vec::new(), wanted: Permits::NONE }
+        let (stopped_until, partitioned_until) = (0, 0);
+        Process {
+            participant,
+            clocks,
+            incarnation,
+            stopped_until,
+            partitioned_until,
+            inbox: Vec::new(),
+            wanted: Permits::NONE,
+        }
     }
 
-    /// The process that is the how manyth grantor of another.
+    /// The process at the given index of another process's list of grantors.
     fn grantor(&self, i: usize, number: usize) -> usize {
-        if self.region && i == ROOTS + 1 && number == 0 {
-            return ROOTS;
+        if self.has_region && i == ROOT_COUNT + 1 && number == 0 {
+            return ROOT_COUNT;
         }
-        let above = if i < ROOTS + AGGREGATORS || i >= PROCESSES - self.habits.direct { 0 } else { ROOTS };
+        let above = if i < ROOT_COUNT + AGGREGATOR_COUNT || i >= PROCESS_COUNT - self.profile.direct_nodes {
+            0
+        } else {
+            ROOT_COUNT
+        };
         above + number
     }
 
     fn send(&mut self, from: usize, to: usize, message: Message) {
         let bytes = message.encode().expect("no message is too long");
-        let message = Message::decode(&bytes).expect("what was encoded is read");
-        let cut = [from, to].iter().any(|i| self.time < self.processes[*i].cut_until);
-        if cut || self.dice.one_in(self.habits.lost) {
+        let message = Message::decode(&bytes).expect("an encoded message can be decoded");
+        let partitioned = [from, to].iter().any(|i| self.time < self.processes[*i].partitioned_until);
+        if partitioned || self.rng.one_in(self.profile.loss_rate) {
             return;
         }
-        for _ in 0..1 + u64::from(self.dice.one_in(8)) {
-            let late = if self.dice.one_in(self.habits.late.0) { self.habits.late.1 } else { 60 };
-            let comes = self.time + self.dice.below(late);
-            self.messages.push((comes, from, to, message.clone()));
+        for _ in 0..1 + u64::from(self.rng.one_in(8)) {
+            let delay = if self.rng.one_in(self.profile.delay.0) { self.profile.delay.1 } else { 60 };
+            let arrives_at = self.time + self.rng.below(delay);
+            self.messages.push((arrives_at, from, to, message.clone()));
         }
     }
 
     fn run(&mut self) -> Result<(), String> {
-        while self.time < WALK {
-            self.time += 1 + self.dice.below(40);
+        while self.time < WALK_DURATION {
+            self.time += 1 + self.rng.below(40);
             self.end_calls();
-            self.faults();
-            self.change_tenure();
+            self.inject_faults();
+            self.change_term();
             self.deliver();
-            for i in 0..PROCESSES {
+            for i in 0..PROCESS_COUNT {
                 if self.time >= self.processes[i].stopped_until {
                     self.act(i)?;
                 }
@@ -253,83 +278,84 @@
         Ok(())
     }
 
-    /// Calls end when they are given up, or before; their process may not be there to see it.
+    /// Ends calls at their deadline or earlier; their process may not be there to see it.
     fn end_calls(&mut self) {
         for call in std::mem::take(&mut self.calls) {
-            let over = call.clocks.own(self.time) >= call.gives_up_at;
-            let answered = self.dice.one_in(self.habits.answered);
-            if !over && !answered {
+            let deadline_passed = call.clocks.local(self.time) >= call.deadline;
+            let answered = self.rng.one_in(self.profile.reply_rate);
+            if !deadline_passed && !answered {
                 self.calls.push(call);
                 continue;
             }
             let process = &mut self.processes[call.process];
-            let there = process.life == call.life && self.time >= process.stopped_until;
-            if let Machine::Node(node) = &mut process.machine
-                && there
+            let is_running = process.incarnation == call.incarnation && self.time >= process.stopped_until;
+            if let Participant::Node(node) = &mut process.participant
+                && is_running
             {
-                node.end(call.id);
+                node.end_call(call.id);
             }
         }
     }
 
-    /// A root is at fault more seldom than others: whenever it changes, nobody is granted anything for a while.
-    fn faults(&mut self) {
-        let i = self.dice.below(PROCESSES as u64) as usize;
-        if i < ROOTS && !self.dice.one_in(self.habits.root_faults) {
+    /// Faults of a root are rarer than others: after each change of the root nobody is granted anything for a
+    /// while.
+    fn inject_faults(&mut self) {
+        let i = self.rng.below(PROCESS_COUNT as u64) as usize;
+        if i < ROOT_COUNT && !self.rng.one_in(self.profile.root_fault_rate) {
             return;
         }
-        if self.dice.one_in(self.habits.faults) {
+        if self.rng.one_in(self.profile.fault_rate) {
             self.restart(i);
-            if self.dice.one_in(3) {
-                self.time += self.dice.below(30);
+            if self.rng.one_in(3) {
+                self.time += self.rng.below(30);
                 self.end_calls();
                 self.restart(i);
             }
         }
-        if self.dice.one_in(self.habits.faults) {
-            self.processes[i].stopped_until = self.time + self.dice.below(6_000);
-            // It cannot prolong its tenure then.
-            if let Some((member, _, end)) = &mut self.tenure
+        if self.rng.one_in(self.profile.fault_rate) {
+            self.processes[i].stopped_until = self.time + self.rng.below(6_000);
+            // It cannot extend its term then.
+            if let Some((member, _, end)) = &mut self.term
                 && *member == i
             {
-                *end = (*end).min(self.time + PROLONGED);
+                *end = (*end).min(self.time + TERM_EXTENSION);
             }
         }
-        if self.dice.one_in(self.habits.faults / 3) {
-            self.processes[i].cut_until = self.time + self.dice.below(3_000);
+        if self.rng.one_in(self.profile.fault_rate / 3) {
+            self.processes[i].partitioned_until = self.time + self.rng.below(3_000);
         }
     }
 
     fn restart(&mut self, i: usize) {
         self.processes[i] = self.start(i);
-        if self.tenure.is_some_and(|(member, ..)| member == i) {
-            self.end_tenure();
+        if self.term.is_some_and(|(member, ..)| member == i) {
+            self.end_term();
         }
     }
 
-    fn end_tenure(&mut self) {
-        self.tenure = None;
-        self.next_tenure = self.time + self.dice.below(1_000);
+    fn end_term(&mut self) {
+        self.term = None;
+        self.next_term = self.time + self.rng.below(1_000);
     }
 
-    /// At most one tenure at a time, with gaps; each has a higher fence.
-    fn change_tenure(&mut self) {
-        if self.tenure.is_some_and(|(_, _, end)| self.time >= end) {
-            self.end_tenure();
+    /// Keeps at most one term at a time, with gaps; each has a higher fencing token.
+    fn change_term(&mut self) {
+        if self.term.is_some_and(|(_, _, end)| self.time >= end) {
+            self.end_term();
         }
-        if self.tenure.is_none() && self.time >= self.next_tenure {
-            let member = self.dice.below(ROOTS as u64) as usize;
+        if self.term.is_none() && self.time >= self.next_term {
+            let member = self.rng.below(ROOT_COUNT as u64) as usize;
             self.rounds += 1;
-            let fence = Fence { round: self.rounds, member: member as u16, life: 0 };
-            let lasts = if self.dice.one_in(8) { 500 } else { self.habits.tenure };
-            self.tenure = Some((member, fence, self.time + 1 + self.dice.below(lasts)));
+            let fence = Fence { round: self.rounds, member: member as u16, incarnation: 0 };
+            let lasts = if self.rng.one_in(8) { 500 } else { self.profile.max_term };
+            self.term = Some((member, fence, self.time + 1 + self.rng.below(lasts)));
         }
     }
 
     fn deliver(&mut self) {
         let time = self.time;
         let (due, rest) =
-            std::mem::take(&mut self.messages).into_iter().partition(|(comes, ..)| *comes <= time);
+            std::mem::take(&mut self.messages).into_iter().partition(|(arrives_at, ..)| *arrives_at <= time);
         self.messages = rest;
         let due: Vec<_> = due;
         for (_, from, to, message) in due {
@@ -337,140 +363,144 @@
         }
     }
 
-    /// One process does what is due: what came while it was stopped first, before anyone tells it what has become of its tenure.
+    /// Lets a process do what is due: it handles the messages that arrived while it was stopped before it
+    /// learns about its term.
     fn act(&mut self, i: usize) -> Result<(), String> {
-        let (time, tenure) = (self.time, self.tenure);
+        let (time, term) = (self.time, self.term);
         let process = &mut self.processes[i];
-        let now = process.clocks.own(time);
+        let now = process.clocks.local(time);
         let inbox = std::mem::take(&mut process.inbox);
         let mut out = Vec::new();
         for (from, message) in inbox {
-            let answer = match &mut process.machine {
-                Machine::Root(root) => root.handle(now, &message),
-                Machine::Aggregator(aggregator) => aggregator.handle(now, &message),
-                Machine::Node(node) => {
+            let reply = match &mut process.participant {
+                Participant::Root(root) => root.handle(now, &message),
+                Participant::Aggregator(aggregator) => aggregator.handle(now, &message),
+                Participant::Node(node) => {
                     node.handle(now, &message);
                     None
                 }
             };
-            out.extend(answer.map(|answer| (from, answer)));
+            out.extend(reply.map(|reply| (from, reply)));
         }
-        if self.dice.one_in(20) {
-            let modest = self.dice.one_in(self.habits.modest);
-            let wanted = if modest { self.dice.below(4) as u32 } else { 12 };
+        if self.rng.one_in(20) {
+            let low_demand = self.rng.one_in(self.profile.low_demand_rate);
+            let wanted = if low_demand { self.rng.below(4) as u32 } else { 12 };
             process.wanted = Permits { outstanding: wanted, calls: wanted * 2 };
         }
-        let asked = match &mut process.machine {
-            Machine::Root(root) => {
-                let own = tenure.filter(|(member, ..)| *member == i);
-                let until = |end: Millis| process.clocks.own(end.min(time + PROLONGED));
-                // It is told late, now and then: its tenure's end must be enough.
-                if self.dice.one_in(4) {
-                    root.tenure(now, own.map(|(_, fence, end)| Tenure { fence, until: until(end) }));
+        let request = match &mut process.participant {
+            Participant::Root(root) => {
+                let own_term = term.filter(|(member, ..)| *member == i);
+                let until = |end: Millis| process.clocks.local(end.min(time + TERM_EXTENSION));
+                // The root learns of its term late now and then: the end of the term must be sufficient.
+                if self.rng.one_in(4) {
+                    root.set_term(now, own_term.map(|(_, fence, end)| Term { fence, until: until(end) }));
                 }
                 None
             }
-            Machine::Aggregator(aggregator) => aggregator.tick(now),
-            Machine::Node(node) => node.tick(now, process.wanted),
+            Participant::Aggregator(aggregator) => aggregator.tick(now),
+            Participant::Node(node) => node.tick(now, process.wanted),
         };
-        out.extend(asked.map(|(number, message)| (self.grantor(i, number), message)));
+        out.extend(request.map(|(number, message)| (self.grantor(i, number), message)));
         for (to, message) in out {
             self.send(i, to, message);
         }
         self.call(i)
     }
 
-    /// A node that wants to call begins as many calls as it may, or some.
+    /// A node with demand begins as many calls as it may, or some.
     fn call(&mut self, i: usize) -> Result<(), String> {
-        let most = self.dice.below(8);
+        let most = self.rng.below(8);
         for _ in 0..most {
-            let choice = self.dice.below(4);
-            let short = self.dice.below(LONGEST_CALL) + 1;
+            let choice = self.rng.below(4);
+            let short = self.rng.below(LONGEST_CALL) + 1;
             let id = self.next_call;
             let process = &mut self.processes[i];
             let clocks = process.clocks;
-            let Machine::Node(node) = &mut process.machine else { return Ok(()) };
-            let times = (clocks.own(self.time), clocks.shared(self.time));
+            let Participant::Node(node) = &mut process.participant else { return Ok(()) };
+            let times = (clocks.local(self.time), clocks.shared(self.time));
             let left = node.lease(times.0).map_or(LONGEST_CALL, |lease| lease.until.saturating_sub(times.0));
-            let until_end = left.min(TIMING.length);
-            let longest = [LONGEST_CALL, short, until_end, until_end][choice as usize];
-            let life = process.life;
-            let runs = self.calls.iter().filter(|call| (call.process, call.life) == (i, life)).count();
-            let permit = match self.by_offers {
-                true => begin_within_offer(node, times, (id, longest), runs as u32),
-                false => node.begin(times, id, longest),
+            let until_end = left.min(TIMING.lease_duration);
+            let max_duration = [LONGEST_CALL, short, until_end, until_end][choice as usize];
+            let incarnation = process.incarnation;
+            let running_calls =
+                self.calls.iter().filter(|call| (call.process, call.incarnation) == (i, incarnation)).count();
+            let permit = match self.uses_offers {
+                true => begin_call_within_offer(node, times, (id, max_duration), running_calls as u32),
+                false => node.begin_call(times, id, max_duration),
             };
             let Some(permit) = permit else { return Ok(()) };
-            let (gives_up_at, source) = (permit.gives_up_at, permit.source);
-            self.calls.push(Call { id, process: i, life, clocks, gives_up_at, source });
+            let (deadline, source) = (permit.deadline, permit.source);
+            self.calls.push(Call { id, process: i, incarnation, clocks, deadline, source });
             self.next_call += 1;
-            self.look(source, i)?;
+            self.check_origin(source, i)?;
         }
         Ok(())
     }
 
-    /// The origin counts each part of the allowance by itself.
-    fn look(&mut self, source: Source, caller: usize) -> Result<(), String> {
+    /// The origin checks each part of the allowance separately.
+    fn check_origin(&mut self, source: Source, caller: usize) -> Result<(), String> {
         let limit = match source {
             Source::Lease => self.budget.leased,
             Source::Turn => self.budget.rotating,
         };
-        let seen = &mut self.seen[usize::from(source == Source::Turn)];
-        seen.begun.push_back(self.time);
-        seen.all += 1;
-        seen.by_aggregator += u64::from(caller < PROCESSES - self.habits.direct);
-        while seen.begun.front().is_some_and(|begun| begun + TIMING.window <= self.time) {
-            seen.begun.pop_front();
+        let view = &mut self.origin_views[usize::from(source == Source::Turn)];
+        view.started.push_back(self.time);
+        view.total += 1;
+        view.by_aggregator += u64::from(caller < PROCESS_COUNT - self.profile.direct_nodes);
+        while view.started.front().is_some_and(|started| started + TIMING.window <= self.time) {
+            view.started.pop_front();
         }
         let outstanding = self.calls.iter().filter(|call| call.source == source).count() as u32;
-        let used = Permits { outstanding, calls: seen.begun.len() as u32 };
-        if used.within(limit) {
+        let used = Permits { outstanding, calls: view.started.len() as u32 };
+        if used.is_within(limit) {
             return Ok(());
         }
         Err(format!("{source:?}: {used:?} of {limit:?} at {} ms", self.time))
     }
 }
 
-/// As a node's decision module does it: it counts all calls that run, and gives each up by the offer's end.
-fn begin_within_offer(
+/// Begins calls as a node's decision module does: it counts all running calls, and gives each up by the end
+/// of the offer.
+fn begin_call_within_offer(
     node: &mut Node,
     (now, shared): (Millis, Millis),
-    (call, longest): (u64, Millis),
-    runs: u32,
+    (call, max_duration): (u64, Millis),
+    running_calls: u32,
 ) -> Option<Permit> {
     let offer = node.offer(now, shared)?;
-    let gives_up_at = offer.until.min(now + longest);
-    let used = Permits { outstanding: runs + 1, calls: 1 };
-    if gives_up_at <= now || !used.within(offer.permits) {
+    let deadline = offer.until.min(now + max_duration);
+    let used = Permits { outstanding: running_calls + 1, calls: 1 };
+    if deadline <= now || !used.is_within(offer.permits) {
         return None;
     }
-    let permit = Permit { source: offer.source, gives_up_at };
-    node.began(now, call, permit);
+    let permit = Permit { source: offer.source, deadline };
+    node.record_call(now, call, permit);
     Some(permit)
 }
 
-/// Walks until one goes wrong; how many calls the origin saw by leases, by those of aggregators, and by turns.
-fn walks(mutant: Option<Mutant>, seeds: u64) -> Result<[u64; 3], String> {
-    let mut all = [0, 0, 0];
+/// Runs walks until a violation. Returns how many calls the origin saw by leases, by leases of aggregators,
+/// and by turns.
+fn run_walks(mutant: Option<Mutant>, seeds: u64) -> Result<[u64; 3], String> {
+    let mut total = [0, 0, 0];
     for seed in 0..seeds {
         let mut walk = Walk::new(seed, mutant);
-        walk.run().map_err(|what| format!("seed {seed}: {what}"))?;
-        let [by_lease, by_turn] = &walk.seen;
-        let calls = [by_lease.all, by_lease.by_aggregator, by_turn.all];
-        all.iter_mut().zip(calls).for_each(|(all, calls)| *all += calls);
+        walk.run().map_err(|violation| format!("seed {seed}: {violation}"))?;
+        let [by_lease, by_turn] = &walk.origin_views;
+        let calls = [by_lease.total, by_lease.by_aggregator, by_turn.total];
+        total.iter_mut().zip(calls).for_each(|(total, calls)| *total += calls);
     }
-    Ok(all)
+    Ok(total)
 }
 
 #[test]
 fn the_sum_holds_at_every_moment_in_2000_walks() {
-    let begin = std::time::Instant::now();
-    let calls = walks(None, 2_000);
-    println!("{calls:?} in {:?}", begin.elapsed());
-    let [by_lease, by_aggregator, by_turn] = calls.expect("the sum is broken");
+    let started_at = std::time::Instant::now();
+    let calls = run_walks(None, 2_000);
+    println!("{calls:?} in {:?}", started_at.elapsed());
+    let [by_lease, by_aggregator, by_turn] = calls.expect("the sum exceeds the allowance");
     assert!(
         by_lease > 100_000 && by_aggregator > 20_000 && by_turn > 10_000,
-        "hardly anyone called: the walks show nothing"
+        "too few calls: the walks cover nothing"
     );
 }
 
@@ -478,75 +508,76 @@
 #[test]
 #[ignore = "takes minutes"]
 fn the_sum_holds_in_many_more_walks() {
-    let calls = walks(None, 40_000);
+    let calls = run_walks(None, 40_000);
     println!("{calls:?}");
-    calls.expect("the sum is broken");
+    calls.expect("the sum exceeds the allowance");
 }
 
-/// A guard that is left out is missed.
-fn caught(mutant: Mutant) {
-    let begin = std::time::Instant::now();
-    let what = walks(Some(mutant), 2_000);
-    println!("{mutant:?}: {what:?}, {:?}", begin.elapsed());
-    what.expect_err("nothing is broken without it");
+/// Checks that leaving out a check leads to a violation.
+fn assert_detected(mutant: Mutant) {
+    let started_at = std::time::Instant::now();
+    let violation = run_walks(Some(mutant), 2_000);
+    println!("{mutant:?}: {violation:?}, {:?}", started_at.elapsed());
+    violation.expect_err("no violation without this check");
 }
 
 #[test]
-fn each_guard_of_grantors_is_missed_where_it_is_left_out() {
-    caught(Mutant::GrantsOver);
-    caught(Mutant::ShrinksAtOnce);
-    caught(Mutant::ForgetsFormerLife);
-    caught(Mutant::ReturnsCallsAtOnce);
-    caught(Mutant::GoesByOldMessage);
-    caught(Mutant::OutlivesOwnLease);
+fn each_missing_check_of_grantors_is_detected() {
+    assert_detected(Mutant::IgnoresOtherLeases);
+    assert_detected(Mutant::ShrinksImmediately);
+    assert_detected(Mutant::ForgetsPreviousIncarnation);
+    assert_detected(Mutant::FreesCallsImmediately);
+    assert_detected(Mutant::AcceptsStaleRequest);
+    assert_detected(Mutant::GrantsBeyondOwnLease);
 }
 
 #[test]
-fn each_guard_of_the_root_is_missed_where_it_is_left_out() {
-    caught(Mutant::NoQuiet);
-    caught(Mutant::KeepsTableOfFormerTenure);
-    caught(Mutant::GrantsAfterTenure);
+fn each_missing_check_of_the_root_is_detected() {
+    assert_detected(Mutant::SkipsGracePeriod);
+    assert_detected(Mutant::KeepsTableOfPreviousTerm);
+    assert_detected(Mutant::GrantsAfterTerm);
 }
 
 #[test]
-fn each_guard_of_holders_is_missed_where_it_is_left_out() {
-    caught(Mutant::LeaseFromReceipt);
-    caught(Mutant::TakesOldAnswer);
-    caught(Mutant::TakesFormerLife);
-    caught(Mutant::NoDrift);
-    caught(Mutant::HidesUse);
-    caught(Mutant::NeverEnds);
+fn each_missing_check_of_holders_is_detected() {
+    assert_detected(Mutant::TimesLeaseFromReceipt);
+    assert_detected(Mutant::AcceptsStaleReply);
+    assert_detected(Mutant::AcceptsPreviousIncarnation);
+    assert_detected(Mutant::IgnoresClockDrift);
+    assert_detected(Mutant::UnderreportsUsage);
+    assert_detected(Mutant::IgnoresExpiry);
 }
 
 #[test]
-fn each_guard_of_calls_and_turns_is_missed_where_it_is_left_out() {
-    caught(Mutant::BeginsPastEnd);
-    caught(Mutant::FixedWindow);
-    caught(Mutant::TurnWithoutGuard);
-    caught(Mutant::TurnAtStart);
+fn each_missing_check_of_calls_and_turns_is_detected() {
+    assert_detected(Mutant::BeginsCallPastExpiry);
+    assert_detected(Mutant::UsesFixedWindows);
+    assert_detected(Mutant::IgnoresGuard);
+    assert_detected(Mutant::UsesTurnAtStart);
 }
 
-/// No walk can show this one: a new root waits until no lease of a lower fence is left. It stands for the case that the agreement itself
-/// is broken.
+/// No walk can show this case: a new root waits until no lease with a lower fencing token is left. The check
+/// guards against a fault in the agreement itself.
 #[test]
-fn a_holder_goes_back_to_no_lower_fence() {
+fn a_holder_rejects_a_lower_fence() {
     let fences = |mutant| {
         let mut holder = Holder::start(1, 1, TIMING, 1, 0).with_mutant(mutant);
         let wanted = Permits { outstanding: 1, calls: 1 };
         let usage = Usage { wanted, in_use: Permits::NONE };
         for (now, round) in [(1_000, 2), (2_500, 1)] {
-            let Some((_, Message::Ask { from, .. })) = holder.tick(now, usage) else {
-                panic!("it asks for what it wants")
+            let Some((_, Message::Request { from, .. })) = holder.tick(now, usage) else {
+                panic!("a holder with demand sends a request")
             };
             let fence = Fence { round, ..Fence::default() };
-            let grant = Message::Grant { to: from, fence, permits: wanted, length: TIMING.length };
+            let grant = Message::Grant { to: from, fence, permits: wanted, duration: TIMING.lease_duration };
             holder.handle(now, &grant);
-            // Meant for somebody else: never taken.
-            let to = Asker { holder: 2, ..from };
-            holder.handle(now, &Message::Grant { to, fence, permits: wanted, length: TIMING.length });
+            // Addressed to another holder: never accepted.
+            let to = RequestId { holder: 2, ..from };
+            holder
+                .handle(now, &Message::Grant { to, fence, permits: wanted, duration: TIMING.lease_duration });
         }
         holder.lease(2_600).map(|lease| lease.fence.round)
     };
     assert_eq!(fences(None), Some(2));
-    assert_eq!(fences(Some(Mutant::GoesBack)), Some(1));
+    assert_eq!(fences(Some(Mutant::AcceptsLowerFence)), Some(1));
 }
