--- a/crates/change/src/state_machine.rs
+++ b/crates/change/src/state_machine.rs
@@ -1,373 +1,415 @@
-//! The machine of one node.
+//! The state machine of one node.
 
 use std::fmt;
 
-use crate::{LONGEST, Millis, Number};
+use crate::{MAX_DURATION_MS, Millis, VersionNumber};
 
-/// A number that is further beyond the highest so far than this is nonsense: taken, it would leave no higher one.
-const MOST_LEAP: Number = 1_000_000;
+/// How far the number of a new version may exceed the highest known one. Accepting an arbitrary number could
+/// leave no higher number for later versions.
+const MAX_NUMBER_GAP: VersionNumber = 1_000_000;
 
-/// A set of settings: its number, and what tells its text from any other.
+/// A version of the settings: its number and a digest of its text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Set {
-    /// Its number.
-    pub number: Number,
-    /// A digest of its text.
+pub struct SettingsVersion {
+    /// Number of the version.
+    pub number: VersionNumber,
+    /// Digest of the text.
     pub digest: u64,
 }
 
-/// What is asked of a node.
+/// What the operator asks of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum What {
-    /// Keep this set, which was checked and fits, for so long.
+pub enum Command {
+    /// Keep this version, whose text was validated, for some time.
     Stage {
-        /// The set.
-        set: Set,
-        /// For how long, in milliseconds.
-        keep: Millis,
+        /// The version.
+        version: SettingsVersion,
+        /// How long to keep it, in milliseconds.
+        keep_for: Millis,
     },
-    /// Use the staged set from now on, and go back unless it is confirmed within this time.
-    Try {
-        /// The set.
-        set: Set,
-        /// Within this time, in milliseconds.
-        within: Millis,
+    /// Apply the staged version from now on, and roll back unless it is confirmed in time.
+    StartTrial {
+        /// The version.
+        version: SettingsVersion,
+        /// Time limit for the confirmation, in milliseconds.
+        confirm_within: Millis,
     },
-    /// The set on trial stays.
-    Confirm(Number),
-    /// The set that is staged or on trial goes.
-    Undo(Number),
+    /// Keep the version that is on trial.
+    Confirm(VersionNumber),
+    /// Drop the version that is staged or on trial.
+    Revert(VersionNumber),
 }
 
-/// An ask, and the life of the node that it is meant for.
+/// A command, and the incarnation of the node that it is meant for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Ask {
-    /// The life, as the node has told it.
-    pub life: u32,
-    /// What is asked.
-    pub what: What,
+pub struct Request {
+    /// The incarnation, as reported by the node.
+    pub incarnation: u32,
+    /// The command.
+    pub command: Command,
 }
 
-/// Why something is not done. Nothing has changed then.
+/// Why a request is rejected. A rejected request changes nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Refused {
-    /// It was meant for another life of the node.
-    OtherLife {
-        /// The present one.
-        life: u32,
+pub enum Rejection {
+    /// The request was meant for another incarnation of the node.
+    WrongIncarnation {
+        /// The current incarnation.
+        incarnation: u32,
     },
-    /// A set of this number, or of a higher one, was here before.
-    OldNumber {
-        /// The highest so far.
-        highest: Number,
+    /// A version with this number or a higher one has been seen before.
+    StaleNumber {
+        /// The highest number so far.
+        highest: VersionNumber,
     },
-    /// Another set is staged, on trial, or being stored.
+    /// Another version is staged, on trial, or being stored.
     Busy {
-        /// Its number.
-        number: Number,
+        /// Number of that version.
+        number: VersionNumber,
     },
-    /// No such set is staged.
+    /// This version is not staged.
     NotStaged,
-    /// No such set is on trial.
+    /// This version is not on trial.
     NotOnTrial,
-    /// It is being stored, and may be stored already.
+    /// The version is being stored, and may be stored already.
     Storing,
-    /// A number far beyond any that was here.
-    FarNumber {
-        /// The highest so far.
-        highest: Number,
+    /// The number is too far above the highest one so far.
+    NumberTooHigh {
+        /// The highest number so far.
+        highest: VersionNumber,
     },
-    /// No span, or a longer one than [`LONGEST`].
-    Span,
+    /// The duration is zero or exceeds [`MAX_DURATION_MS`].
+    InvalidDuration,
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for Rejection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refused::OtherLife { life } => {
-                write!(f, "meant for another life of this node; the present one is {life}")
+            Rejection::WrongIncarnation { incarnation } => {
+                write!(f, "meant for another incarnation of this node; the current one is {incarnation}")
             }
-            Refused::OldNumber { highest } => write!(f, "sets up to number {highest} were here before"),
-            Refused::FarNumber { highest } => {
-                write!(f, "more than {MOST_LEAP} beyond set {highest}, the last that was here")
+            Rejection::StaleNumber { highest } => write!(f, "numbers up to {highest} have been used before"),
+            Rejection::NumberTooHigh { highest } => {
+                write!(f, "the number is more than {MAX_NUMBER_GAP} above {highest}, the highest so far")
             }
-            Refused::Busy { number } => write!(f, "set {number} is staged or on trial"),
-            Refused::NotStaged => f.write_str("no such set is staged"),
-            Refused::NotOnTrial => f.write_str("no such set is on trial"),
-            Refused::Storing => f.write_str("the set is being stored; nothing can be taken back now"),
-            Refused::Span => write!(f, "a time is between 1 and {LONGEST} ms"),
+            Rejection::Busy { number } => write!(f, "settings version {number} is staged or on trial"),
+            Rejection::NotStaged => f.write_str("this settings version is not staged"),
+            Rejection::NotOnTrial => f.write_str("this settings version is not on trial"),
+            Rejection::Storing => {
+                f.write_str("the settings version is being stored and cannot be reverted now")
+            }
+            Rejection::InvalidDuration => write!(f, "a duration must be between 1 and {MAX_DURATION_MS} ms"),
         }
     }
 }
 
-impl std::error::Error for Refused {}
+impl std::error::Error for Rejection {}
 
-/// What a node answers to an ask.
+/// A node's reply to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Answer {
-    /// It is done.
+pub enum Reply {
+    /// The command was carried out.
     Done,
-    /// It is confirmed and being stored; ask again to hear that it is.
+    /// The version is confirmed and being stored; repeat the request to learn the result.
     Storing,
 }
 
-/// What the node does about it, in order.
+/// What the node must do, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Effect {
-    /// Use this set for every request that begins from now on. One that has begun goes on under the set it began with.
-    Use(Set),
-    /// Store this set in the place of the one before, whole or not at all, and say what came of it ([`Change::stored`]).
-    Store(Set),
-    /// A set is gone by itself: its time was over.
-    Over(Number),
+    /// Apply this version to every request that begins from now on. A request that has begun keeps the
+    /// version that it began with.
+    Apply(SettingsVersion),
+    /// Replace the stored version by this one atomically, and report the result with
+    /// [`SettingsChange::store_finished`].
+    Persist(SettingsVersion),
+    /// A version was dropped because its time ran out.
+    Expired(VersionNumber),
 }
 
-/// Where a change is.
+/// Progress of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
-    /// Nothing is going on.
-    Steady,
-    /// A set is ready to be tried until a time.
+    /// No change is in progress.
+    Idle,
+    /// A version is staged and can be put on trial until `until`.
     Staged {
-        /// The set.
-        next: Set,
+        /// The version.
+        staged: SettingsVersion,
         /// When it is dropped.
         until: Millis,
     },
-    /// A set is in use until a time, unless it is confirmed.
+    /// A version is in use until `until`, unless it is confirmed.
     OnTrial {
-        /// When the node goes back.
+        /// When the node rolls back.
         until: Millis,
     },
-    /// It was confirmed in time and is being stored. It is still on trial: where it can't be stored the node goes back.
+    /// The version was confirmed in time and is being stored. It is still on trial: the node rolls back if it
+    /// can't be stored.
     Storing {
-        /// When the node goes back, where storing has failed by then.
+        /// When the node rolls back if storing has failed by then.
         until: Millis,
         /// Whether storing has failed.
         failed: bool,
     },
 }
 
-/// A guard that is left out: for tests, which must catch each.
+/// A check that is left out, so that tests can verify that they detect its absence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Mutant {
-    /// An ask from an earlier life is taken.
-    TakesOtherLives,
-    /// A set of a number that was here before is taken.
-    TakesOldNumbers,
-    /// A set is tried whose text is not the one that was checked.
+    /// Accepts a request meant for an earlier incarnation.
+    AcceptsOtherIncarnations,
+    /// Accepts a version with a number that was used before.
+    AcceptsOldNumbers,
+    /// Starts a trial of a version whose text was not validated.
     TriesUnchecked,
-    /// A trial does not end by itself.
-    NeverGoesBack,
-    /// It is said to be confirmed before it is stored.
-    SaysBeforeStored,
-    /// It can be taken back while it is being stored.
-    UndoesWhileStoring,
-    /// A confirmation that comes after the trial's end is taken.
-    ConfirmsLate,
+    /// Does not end a trial that was not confirmed.
+    NeverRollsBack,
+    /// Reports a version as confirmed before it is stored.
+    ConfirmsBeforeStored,
+    /// Allows a revert while the version is being stored.
+    RevertsWhileStoring,
+    /// Accepts a confirmation after the end of the trial.
+    AcceptsLateConfirmation,
 }
 
-/// A node's machine.
+/// The state machine of one node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Change {
-    life: u32,
+pub struct SettingsChange {
+    incarnation: u32,
     now: Millis,
-    /// What the next life begins with, as far as is known.
-    stored: Set,
-    /// What requests that begin now are served under.
-    used: Set,
-    highest: Number,
+    /// What the next incarnation starts with, as far as is known.
+    stored: SettingsVersion,
+    /// What requests that begin now are served with.
+    active: SettingsVersion,
+    highest: VersionNumber,
     phase: Phase,
     mutant: Option<Mutant>,
 }
 
-impl Change {
-    /// A node that starts with the set that is stored; `life` is a number that no other life of it has had.
-    pub fn start(life: u32, stored: Set, now: Millis) -> Change {
-        Change { life, now, stored, used: stored, highest: stored.number, phase: Phase::Steady, mutant: None }
+impl SettingsChange {
+    /// Starts a node with the stored version. `incarnation` is a number that no other incarnation of it has
+    /// had.
+    pub fn start(incarnation: u32, stored: SettingsVersion, now: Millis) -> SettingsChange {
+        SettingsChange {
+            incarnation,
+            now,
+            stored,
+            active: stored,
+            highest: stored.number,
+            phase: Phase::Idle,
+            mutant: None,
+        }
     }
 
-    /// The same with a guard left out: for tests.
-    pub fn with_mutant(mut self, mutant: Option<Mutant>) -> Change {
+    /// Leaves out one check, for tests.
+    pub fn with_mutant(mut self, mutant: Option<Mutant>) -> SettingsChange {
         self.mutant = mutant;
         self
     }
 
-    fn lacks(&self, mutant: Mutant) -> bool {
+    fn has_mutant(&self, mutant: Mutant) -> bool {
         self.mutant == Some(mutant)
     }
 
-    /// This life, which asks must name.
-    pub fn life(&self) -> u32 {
-        self.life
+    /// The current incarnation, which requests must name.
+    pub fn incarnation(&self) -> u32 {
+        self.incarnation
     }
 
-    /// What requests that begin now are served under.
-    pub fn used(&self) -> Set {
-        self.used
+    /// The version that requests beginning now are served with.
+    pub fn active(&self) -> SettingsVersion {
+        self.active
     }
 
-    /// Where a change is.
+    /// Progress of the current change.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// When something ends by itself; never, where nothing is going on.
-    pub fn due(&self) -> Option<Millis> {
+    /// When something ends without a request; `None` if nothing is in progress.
+    pub fn next_deadline(&self) -> Option<Millis> {
         match self.phase {
-            Phase::Steady | Phase::Storing { failed: false, .. } => None,
+            Phase::Idle | Phase::Storing { failed: false, .. } => None,
             Phase::Staged { until, .. } | Phase::OnTrial { until } | Phase::Storing { until, .. } => {
                 Some(until)
             }
         }
     }
 
-    /// Time has come to a value: what is over ends.
-    pub fn tick(&mut self, now: Millis, out: &mut Vec<Effect>) {
+    /// Advances the clock and ends what has expired.
+    pub fn tick(&mut self, now: Millis, effects: &mut Vec<Effect>) {
         self.now = self.now.max(now);
-        if self.due().is_none_or(|due| self.now < due) {
+        if self.next_deadline().is_none_or(|deadline| self.now < deadline) {
             return;
         }
         match self.phase {
-            Phase::Steady => {}
-            Phase::Staged { next, .. } => {
-                self.phase = Phase::Steady;
-                out.push(Effect::Over(next.number));
+            Phase::Idle => {}
+            Phase::Staged { staged, .. } => {
+                self.phase = Phase::Idle;
+                effects.push(Effect::Expired(staged.number));
             }
-            Phase::OnTrial { .. } | Phase::Storing { .. } if self.lacks(Mutant::NeverGoesBack) => {}
+            Phase::OnTrial { .. } | Phase::Storing { .. } if self.has_mutant(Mutant::NeverRollsBack) => {}
             Phase::OnTrial { .. } | Phase::Storing { .. } => {
-                out.push(Effect::Over(self.used.number));
-                self.back(out);
+                effects.push(Effect::Expired(self.active.number));
+                self.roll_back(effects);
             }
         }
     }
 
-    fn back(&mut self, out: &mut Vec<Effect>) {
-        self.phase = Phase::Steady;
-        self.used = self.stored;
-        out.push(Effect::Use(self.stored));
+    fn roll_back(&mut self, effects: &mut Vec<Effect>) {
+        self.phase = Phase::Idle;
+        self.active = self.stored;
+        effects.push(Effect::Apply(self.stored));
     }
 
-    /// Something is asked of the node.
+    /// Handles a request.
     ///
     /// # Errors
-    /// Why it is not done; nothing has changed then but by time.
-    pub fn ask(&mut self, now: Millis, ask: Ask, out: &mut Vec<Effect>) -> Result<Answer, Refused> {
-        // A mutant hears of the time only from what it is asked.
-        if !(self.lacks(Mutant::ConfirmsLate) && matches!(ask.what, What::Confirm(_))) {
-            self.tick(now, out);
+    /// Why the request is rejected. Nothing but expiry has changed then.
+    pub fn handle(
+        &mut self,
+        now: Millis,
+        request: Request,
+        effects: &mut Vec<Effect>,
+    ) -> Result<Reply, Rejection> {
+        // The mutant learns of the time only from other requests.
+        if !(self.has_mutant(Mutant::AcceptsLateConfirmation)
+            && matches!(request.command, Command::Confirm(_)))
+        {
+            self.tick(now, effects);
         }
-        if ask.life != self.life && !self.lacks(Mutant::TakesOtherLives) {
-            return Err(Refused::OtherLife { life: self.life });
+        if request.incarnation != self.incarnation && !self.has_mutant(Mutant::AcceptsOtherIncarnations) {
+            return Err(Rejection::WrongIncarnation { incarnation: self.incarnation });
         }
-        match ask.what {
-            What::Stage { set, keep } => self.stage(set, keep),
-            What::Try { set, within } => self.try_out(set, within, out),
-            What::Confirm(number) => self.confirm(number, out),
-            What::Undo(number) => self.undo(number, out),
+        match request.command {
+            Command::Stage { version, keep_for } => self.stage(version, keep_for),
+            Command::StartTrial { version, confirm_within } => {
+                self.start_trial(version, confirm_within, effects)
+            }
+            Command::Confirm(number) => self.confirm(number, effects),
+            Command::Revert(number) => self.revert(number, effects),
         }
     }
 
-    fn stage(&mut self, set: Set, keep: Millis) -> Result<Answer, Refused> {
-        if !(1..=LONGEST).contains(&keep) {
-            return Err(Refused::Span);
+    fn stage(&mut self, version: SettingsVersion, keep_for: Millis) -> Result<Reply, Rejection> {
+        if !(1..=MAX_DURATION_MS).contains(&keep_for) {
+            return Err(Rejection::InvalidDuration);
         }
         match self.phase {
-            // Asked twice: once is enough, and the first time holds.
-            Phase::Staged { next, .. } if next == set => return Ok(Answer::Done),
-            Phase::Staged { next, .. } => return Err(Refused::Busy { number: next.number }),
+            // A duplicate: the first request counts.
+            Phase::Staged { staged, .. } if staged == version => return Ok(Reply::Done),
+            Phase::Staged { staged, .. } => return Err(Rejection::Busy { number: staged.number }),
             Phase::OnTrial { .. } | Phase::Storing { .. } => {
-                return Err(Refused::Busy { number: self.used.number });
+                return Err(Rejection::Busy { number: self.active.number });
             }
-            Phase::Steady => {}
+            Phase::Idle => {}
         }
-        self.near(set.number)?;
-        if set.number <= self.highest && !self.lacks(Mutant::TakesOldNumbers) {
-            return Err(Refused::OldNumber { highest: self.highest });
+        self.check_number(version.number)?;
+        if version.number <= self.highest && !self.has_mutant(Mutant::AcceptsOldNumbers) {
+            return Err(Rejection::StaleNumber { highest: self.highest });
         }
-        self.highest = self.highest.max(set.number);
-        self.phase = Phase::Staged { next: set, until: self.now + keep };
-        Ok(Answer::Done)
+        self.highest = self.highest.max(version.number);
+        self.phase = Phase::Staged { staged: version, until: self.now + keep_for };
+        Ok(Reply::Done)
     }
 
-    fn near(&self, number: Number) -> Result<(), Refused> {
+    fn check_number(&self, number: VersionNumber) -> Result<(), Rejection> {
         let highest = self.highest;
-        if number > highest.saturating_add(MOST_LEAP) { Err(Refused::FarNumber { highest }) } else { Ok(()) }
+        if number > highest.saturating_add(MAX_NUMBER_GAP) {
+            Err(Rejection::NumberTooHigh { highest })
+        } else {
+            Ok(())
+        }
     }
 
-    fn try_out(&mut self, set: Set, within: Millis, out: &mut Vec<Effect>) -> Result<Answer, Refused> {
-        if !(1..=LONGEST).contains(&within) {
-            return Err(Refused::Span);
+    fn start_trial(
+        &mut self,
+        version: SettingsVersion,
+        confirm_within: Millis,
+        effects: &mut Vec<Effect>,
+    ) -> Result<Reply, Rejection> {
+        if !(1..=MAX_DURATION_MS).contains(&confirm_within) {
+            return Err(Rejection::InvalidDuration);
         }
         match self.phase {
-            Phase::OnTrial { .. } | Phase::Storing { .. } if self.used == set => Ok(Answer::Done),
-            Phase::Staged { next, .. } if next == set || self.lacks(Mutant::TriesUnchecked) => {
-                self.phase = Phase::OnTrial { until: self.now + within };
-                self.used = set;
-                out.push(Effect::Use(set));
-                Ok(Answer::Done)
+            Phase::OnTrial { .. } | Phase::Storing { .. } if self.active == version => Ok(Reply::Done),
+            Phase::Staged { staged, .. } if staged == version || self.has_mutant(Mutant::TriesUnchecked) => {
+                self.phase = Phase::OnTrial { until: self.now + confirm_within };
+                self.active = version;
+                effects.push(Effect::Apply(version));
+                Ok(Reply::Done)
             }
-            _ => Err(Refused::NotStaged),
+            _ => Err(Rejection::NotStaged),
         }
     }
 
-    fn confirm(&mut self, number: Number, out: &mut Vec<Effect>) -> Result<Answer, Refused> {
+    fn confirm(&mut self, number: VersionNumber, effects: &mut Vec<Effect>) -> Result<Reply, Rejection> {
         match self.phase {
-            // Asked again: it was stored.
-            Phase::Steady | Phase::Staged { .. } if self.stored.number == number => Ok(Answer::Done),
-            Phase::OnTrial { until } if self.used.number == number => {
+            // A duplicate: the version is stored already.
+            Phase::Idle | Phase::Staged { .. } if self.stored.number == number => Ok(Reply::Done),
+            Phase::OnTrial { until } if self.active.number == number => {
                 self.phase = Phase::Storing { until, failed: false };
-                out.push(Effect::Store(self.used));
-                Ok(if self.lacks(Mutant::SaysBeforeStored) { Answer::Done } else { Answer::Storing })
+                effects.push(Effect::Persist(self.active));
+                Ok(if self.has_mutant(Mutant::ConfirmsBeforeStored) { Reply::Done } else { Reply::Storing })
             }
-            Phase::Storing { until, failed: true } if self.used.number == number => {
+            Phase::Storing { until, failed: true } if self.active.number == number => {
                 self.phase = Phase::Storing { until, failed: false };
-                out.push(Effect::Store(self.used));
-                Ok(Answer::Storing)
+                effects.push(Effect::Persist(self.active));
+                Ok(Reply::Storing)
             }
-            Phase::Storing { .. } if self.used.number == number => Ok(Answer::Storing),
-            _ => Err(Refused::NotOnTrial),
+            Phase::Storing { .. } if self.active.number == number => Ok(Reply::Storing),
+            _ => Err(Rejection::NotOnTrial),
         }
     }
 
-    fn undo(&mut self, number: Number, out: &mut Vec<Effect>) -> Result<Answer, Refused> {
+    fn revert(&mut self, number: VersionNumber, effects: &mut Vec<Effect>) -> Result<Reply, Rejection> {
         match self.phase {
-            Phase::Staged { next, .. } if next.number == number => {
-                self.phase = Phase::Steady;
-                Ok(Answer::Done)
+            Phase::Staged { staged, .. } if staged.number == number => {
+                self.phase = Phase::Idle;
+                Ok(Reply::Done)
             }
             Phase::Storing { failed: false, .. }
-                if self.used.number == number && !self.lacks(Mutant::UndoesWhileStoring) =>
+                if self.active.number == number && !self.has_mutant(Mutant::RevertsWhileStoring) =>
             {
-                Err(Refused::Storing)
+                Err(Rejection::Storing)
             }
-            Phase::OnTrial { .. } | Phase::Storing { .. } if self.used.number == number => {
-                self.back(out);
-                Ok(Answer::Done)
+            Phase::OnTrial { .. } | Phase::Storing { .. } if self.active.number == number => {
+                self.roll_back(effects);
+                Ok(Reply::Done)
             }
-            // It is not here: gone already, or never come. It will not come any more either.
-            Phase::Steady | Phase::Staged { .. } if self.stored.number != number => {
-                self.near(number)?;
+            // The version is gone or was never staged. Its number is used up, so that it can't be staged
+            // later either.
+            Phase::Idle | Phase::Staged { .. } if self.stored.number != number => {
+                self.check_number(number)?;
                 self.highest = self.highest.max(number);
-                Ok(Answer::Done)
+                Ok(Reply::Done)
+            }
+            Phase::OnTrial { .. } | Phase::Storing { .. } => {
+                Err(Rejection::Busy { number: self.active.number })
             }
-            Phase::OnTrial { .. } | Phase::Storing { .. } => Err(Refused::Busy { number: self.used.number }),
-            Phase::Steady | Phase::Staged { .. } => Err(Refused::NotOnTrial),
+            Phase::Idle | Phase::Staged { .. } => Err(Rejection::NotOnTrial),
         }
     }
 
-    /// What came of storing a set: whole, or not at all.
-    pub fn stored(&mut self, now: Millis, set: Set, whole: bool, out: &mut Vec<Effect>) {
+    /// Reports the result of storing a version: stored entirely, or not at all.
+    pub fn store_finished(
+        &mut self,
+        now: Millis,
+        version: SettingsVersion,
+        succeeded: bool,
+        effects: &mut Vec<Effect>,
+    ) {
         if let Phase::Storing { until, .. } = self.phase
-            && set == self.used
+            && version == self.active
         {
-            if whole {
-                self.stored = set;
-                self.phase = Phase::Steady;
+            if succeeded {
+                self.stored = version;
+                self.phase = Phase::Idle;
             } else {
                 self.phase = Phase::Storing { until, failed: true };
             }
         }
-        self.tick(now, out);
+        self.tick(now, effects);
     }
 }
--- a/crates/change/tests/explore.rs
+++ b/crates/change/tests/explore.rs
@@ -1,217 +1,224 @@
-//! The machine itself, explored: asks in any order, late, twice or never, also from an earlier life; a clock that goes on while the process is
-//! stopped; restarts at any point, in the middle of storing too; storing that fails.
+//! Explores the state machine exhaustively within bounds: requests in any order, late, duplicated or lost,
+//! also from an earlier incarnation; a clock that advances while the process is stopped; restarts at any
+//! point, also while storing; failures to store.
 #![allow(missing_docs)]
 
 use std::collections::{BTreeSet, HashSet, VecDeque};
 
-use mothpier_change::{Answer, Ask, Change, Effect, Millis, Mutant, Number, Phase, Refused, Set, What};
+use mothpier_change::{
+    Command, Effect, Millis, Mutant, Phase, Rejection, Reply, Request, SettingsChange, SettingsVersion,
+    VersionNumber,
+};
 
-/// How long sets are kept, and on trial, in ticks.
-const KEEP: Millis = 2;
-const WITHIN: Millis = 2;
+/// How long versions stay staged and on trial, in ticks.
+const KEEP_FOR: Millis = 2;
+const CONFIRM_WITHIN: Millis = 2;
 
-fn set(number: Number) -> Set {
-    Set { number, digest: number.wrapping_mul(10) }
+fn version(number: VersionNumber) -> SettingsVersion {
+    SettingsVersion { number, digest: number.wrapping_mul(10) }
 }
 
-/// A text that nobody has checked, under a number that was.
-fn other(number: Number) -> Set {
-    Set { digest: 7, ..set(number) }
+/// A text that was never validated, under a number that was.
+fn unchecked(number: VersionNumber) -> SettingsVersion {
+    SettingsVersion { digest: 7, ..version(number) }
 }
 
 #[derive(Clone, Copy)]
 struct Bounds {
-    /// Asks that are sent, of all kinds.
-    asks: u8,
+    /// Number of requests that may be sent, of all kinds.
+    requests: u8,
     restarts: u8,
     time: Millis,
-    sets: Number,
+    versions: VersionNumber,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash)]
-struct World {
-    node: Change,
-    clock: Millis,
-    disk: Set,
-    storing: Option<Set>,
-    /// All that was ever asked: each may come at any time, again and again, or never.
-    asked: BTreeSet<Ask>,
-    /// What the node has said is gone, and what it has said is there to stay.
-    undone: BTreeSet<Number>,
-    confirmed: BTreeSet<Number>,
-    /// Sets that were staged in this life: their texts were checked.
-    checked: BTreeSet<Set>,
-    asks: u8,
+struct SystemState {
+    node: SettingsChange,
+    now: Millis,
+    stored_version: SettingsVersion,
+    storing: Option<SettingsVersion>,
+    /// All requests ever sent: each may be delivered at any time, repeatedly, or never.
+    sent: BTreeSet<Request>,
+    /// Versions that the node has reported as dropped, and those reported as kept.
+    reverted: BTreeSet<VersionNumber>,
+    confirmed: BTreeSet<VersionNumber>,
+    /// Versions staged in this incarnation, whose texts were validated.
+    checked: BTreeSet<SettingsVersion>,
+    requests: u8,
     restarts: u8,
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    Send(Ask),
-    Give(Ask),
-    /// Time goes on; the process runs, or is stopped.
+    Send(Request),
+    Deliver(Request),
+    /// The clock advances; the process runs, or is stopped.
     Time {
         runs: bool,
     },
     Stored {
-        whole: bool,
+        succeeded: bool,
     },
-    /// A new life; what was being stored is there, or not.
+    /// A new incarnation starts; the version that was being stored is there, or not.
     Restart {
-        whole: bool,
+        succeeded: bool,
     },
 }
 
-fn begin(mutant: Option<Mutant>, bounds: Bounds) -> World {
-    World {
-        node: Change::start(1, set(0), 0).with_mutant(mutant),
-        clock: 0,
-        disk: set(0),
+fn initial_state(mutant: Option<Mutant>, bounds: Bounds) -> SystemState {
+    SystemState {
+        node: SettingsChange::start(1, version(0), 0).with_mutant(mutant),
+        now: 0,
+        stored_version: version(0),
         storing: None,
-        asked: BTreeSet::new(),
-        undone: BTreeSet::new(),
+        sent: BTreeSet::new(),
+        reverted: BTreeSet::new(),
         confirmed: BTreeSet::new(),
         checked: BTreeSet::new(),
-        asks: bounds.asks,
+        requests: bounds.requests,
         restarts: bounds.restarts,
     }
 }
 
-fn steps(w: &World, bounds: Bounds) -> Vec<Step> {
-    let mut steps: Vec<Step> = w.asked.iter().map(|ask| Step::Give(*ask)).collect();
-    if w.asks > 0 {
-        let life = w.node.life();
-        for number in 1..=bounds.sets {
-            let mut all = vec![What::Undo(number)];
-            // Whoever asks does not go on with what it knows to be gone.
-            if !w.undone.contains(&number) {
-                all.push(What::Stage { set: set(number), keep: KEEP });
-                all.push(What::Try { set: set(number), within: WITHIN });
-                all.push(What::Try { set: other(number), within: WITHIN });
-                all.push(What::Confirm(number));
+fn possible_steps(state: &SystemState, bounds: Bounds) -> Vec<Step> {
+    let mut steps: Vec<Step> = state.sent.iter().map(|request| Step::Deliver(*request)).collect();
+    if state.requests > 0 {
+        let incarnation = state.node.incarnation();
+        for number in 1..=bounds.versions {
+            let mut all = vec![Command::Revert(number)];
+            // The operator does not go on with a version that it knows to be dropped.
+            if !state.reverted.contains(&number) {
+                all.push(Command::Stage { version: version(number), keep_for: KEEP_FOR });
+                all.push(Command::StartTrial { version: version(number), confirm_within: CONFIRM_WITHIN });
+                all.push(Command::StartTrial { version: unchecked(number), confirm_within: CONFIRM_WITHIN });
+                all.push(Command::Confirm(number));
             }
-            let asks = all.into_iter().map(|what| Ask { life, what });
-            steps.extend(asks.filter(|ask| !w.asked.contains(ask)).map(Step::Send));
+            let requests = all.into_iter().map(|command| Request { incarnation, command });
+            steps.extend(requests.filter(|request| !state.sent.contains(request)).map(Step::Send));
         }
     }
-    if w.clock < bounds.time {
+    if state.now < bounds.time {
         steps.extend([Step::Time { runs: true }, Step::Time { runs: false }]);
     }
-    if w.storing.is_some() {
-        steps.extend([Step::Stored { whole: true }, Step::Stored { whole: false }]);
+    if state.storing.is_some() {
+        steps.extend([Step::Stored { succeeded: true }, Step::Stored { succeeded: false }]);
     }
-    if w.restarts > 0 {
-        steps.push(Step::Restart { whole: false });
-        if w.storing.is_some() {
-            steps.push(Step::Restart { whole: true });
+    if state.restarts > 0 {
+        steps.push(Step::Restart { succeeded: false });
+        if state.storing.is_some() {
+            steps.push(Step::Restart { succeeded: true });
         }
     }
     steps
 }
 
-fn after(w: &World, step: &Step, mutant: Option<Mutant>) -> Result<World, String> {
-    let mut w = w.clone();
-    let mut out = Vec::new();
+fn apply(state: &SystemState, step: &Step, mutant: Option<Mutant>) -> Result<SystemState, String> {
+    let mut state = state.clone();
+    let mut effects = Vec::new();
     match step {
-        Step::Send(ask) => {
-            w.asks -= 1;
-            w.asked.insert(*ask);
+        Step::Send(request) => {
+            state.requests -= 1;
+            state.sent.insert(*request);
         }
-        Step::Give(ask) => {
-            let late = matches!(w.node.phase(), Phase::OnTrial { until } if w.clock >= until);
-            let said = w.node.ask(w.clock, *ask, &mut out);
-            match (ask.what, said) {
-                (What::Confirm(number), Ok(_)) if late && w.node.used() == set(number) => {
-                    return Err(format!("set {number} was confirmed after its trial"));
+        Step::Deliver(request) => {
+            let late = matches!(state.node.phase(), Phase::OnTrial { until } if state.now >= until);
+            let reply = state.node.handle(state.now, *request, &mut effects);
+            match (request.command, reply) {
+                (Command::Confirm(number), Ok(_)) if late && state.node.active() == version(number) => {
+                    return Err(format!("version {number} was confirmed after the end of its trial"));
                 }
-                (What::Confirm(number), Ok(Answer::Done)) => {
-                    if w.disk.number != number {
-                        return Err(format!("set {number} is said to stay, and is not stored"));
+                (Command::Confirm(number), Ok(Reply::Done)) => {
+                    if state.stored_version.number != number {
+                        return Err(format!("version {number} was reported as kept, but is not stored"));
                     }
-                    w.confirmed.insert(number);
+                    state.confirmed.insert(number);
                 }
-                (What::Undo(number), Ok(_)) => drop(w.undone.insert(number)),
-                (What::Stage { set, .. }, Ok(_)) => drop(w.checked.insert(set)),
+                (Command::Revert(number), Ok(_)) => drop(state.reverted.insert(number)),
+                (Command::Stage { version, .. }, Ok(_)) => drop(state.checked.insert(version)),
                 _ => {}
             }
         }
         Step::Time { runs } => {
-            w.clock += 1;
+            state.now += 1;
             if *runs {
-                w.node.tick(w.clock, &mut out);
-                if w.node.due().is_some_and(|due| due <= w.clock) {
-                    return Err("what is over goes on".into());
+                state.node.tick(state.now, &mut effects);
+                if state.node.next_deadline().is_some_and(|deadline| deadline <= state.now) {
+                    return Err("an expired phase goes on".into());
                 }
             }
         }
-        Step::Stored { whole } => {
-            let Some(stored) = w.storing.take() else { return Ok(w) };
-            if *whole {
-                w.disk = stored;
+        Step::Stored { succeeded } => {
+            let Some(stored) = state.storing.take() else { return Ok(state) };
+            if *succeeded {
+                state.stored_version = stored;
             }
-            w.node.stored(w.clock, stored, *whole, &mut out);
+            state.node.store_finished(state.now, stored, *succeeded, &mut effects);
         }
-        Step::Restart { whole } => {
-            w.restarts -= 1;
-            if let Some(stored) = w.storing.take().filter(|_| *whole) {
-                w.disk = stored;
+        Step::Restart { succeeded } => {
+            state.restarts -= 1;
+            if let Some(stored) = state.storing.take().filter(|_| *succeeded) {
+                state.stored_version = stored;
             }
-            w.node = Change::start(w.node.life() + 1, w.disk, w.clock).with_mutant(mutant);
-            w.checked.clear();
+            state.node = SettingsChange::start(state.node.incarnation() + 1, state.stored_version, state.now)
+                .with_mutant(mutant);
+            state.checked.clear();
         }
     }
-    for effect in out {
-        if let Effect::Store(stored) = effect {
-            w.storing = Some(stored);
+    for effect in effects {
+        if let Effect::Persist(stored) = effect {
+            state.storing = Some(stored);
         }
     }
-    judge(&w).map(|()| w)
+    check_invariants(&state).map(|()| state)
 }
 
-fn judge(w: &World) -> Result<(), String> {
-    let used = w.node.used();
-    if used != w.disk && !w.checked.contains(&used) {
-        return Err(format!("{used:?} is used, which is neither stored nor was it checked"));
+fn check_invariants(state: &SystemState) -> Result<(), String> {
+    let active = state.node.active();
+    if active != state.stored_version && !state.checked.contains(&active) {
+        return Err(format!("{active:?} is in use, but was neither stored nor validated"));
     }
-    if let Some(gone) = w.undone.iter().find(|n| used.number == **n || w.disk.number == **n) {
-        return Err(format!("set {gone} was said to be gone, and is here"));
+    if let Some(reverted_number) =
+        state.reverted.iter().find(|n| active.number == **n || state.stored_version.number == **n)
+    {
+        return Err(format!("version {reverted_number} was reported as dropped, but is in use or stored"));
     }
-    if let Some(stays) = w.confirmed.iter().find(|n| w.disk.number < **n) {
-        return Err(format!("set {stays} was said to stay, and is not stored"));
+    if let Some(confirmed_number) = state.confirmed.iter().find(|n| state.stored_version.number < **n) {
+        return Err(format!("version {confirmed_number} was reported as kept, but is not stored"));
     }
-    // Heard of nobody from here on, it comes to rest by itself, unless its disk does not answer.
-    let mut alone = w.node.clone();
-    alone.tick(w.clock + KEEP + WITHIN, &mut Vec::new());
-    match alone.phase() {
-        Phase::Steady if w.storing.is_none() && alone.used() != w.disk => {
-            Err("it rests on a set that is not stored".into())
+    // Without further requests the node becomes idle on its own, unless its disk does not answer.
+    let mut isolated = state.node.clone();
+    isolated.tick(state.now + KEEP_FOR + CONFIRM_WITHIN, &mut Vec::new());
+    match isolated.phase() {
+        Phase::Idle if state.storing.is_none() && isolated.active() != state.stored_version => {
+            Err("the idle node uses a version that is not stored".into())
         }
-        Phase::Steady | Phase::Storing { failed: false, .. } => Ok(()),
-        phase => Err(format!("left alone it does not come to rest: {phase:?}")),
+        Phase::Idle | Phase::Storing { failed: false, .. } => Ok(()),
+        phase => Err(format!("without requests the node does not become idle: {phase:?}")),
     }
 }
 
-/// All states, breadth first; the shortest way to harm, if there is one.
+/// Visits all states, breadth first, and returns the shortest path to a violation, if there is one.
 fn explore(mutant: Option<Mutant>, bounds: Bounds) -> (usize, Option<(String, Vec<Step>)>) {
-    let first = begin(mutant, bounds);
-    let mut seen = HashSet::from([first.clone()]);
-    let mut ways: Vec<(usize, Option<Step>)> = vec![(0, None)];
-    let mut queue = VecDeque::from([(first, 0usize)]);
-    while let Some((world, place)) = queue.pop_front() {
-        for step in steps(&world, bounds) {
-            match after(&world, &step, mutant) {
-                Err(what) => {
-                    let (mut path, mut at) = (vec![step], place);
-                    while let (before, Some(step)) = &ways[at] {
+    let initial = initial_state(mutant, bounds);
+    let mut seen = HashSet::from([initial.clone()]);
+    let mut predecessors: Vec<(usize, Option<Step>)> = vec![(0, None)];
+    let mut queue = VecDeque::from([(initial, 0usize)]);
+    while let Some((state, index)) = queue.pop_front() {
+        for step in possible_steps(&state, bounds) {
+            match apply(&state, &step, mutant) {
+                Err(violation) => {
+                    let (mut path, mut current) = (vec![step], index);
+                    while let (previous, Some(step)) = &predecessors[current] {
                         path.push(step.clone());
-                        at = *before;
+                        current = *previous;
                     }
                     path.reverse();
-                    return (seen.len(), Some((what, path)));
+                    return (seen.len(), Some((violation, path)));
                 }
                 Ok(next) if seen.insert(next.clone()) => {
-                    ways.push((place, Some(step)));
-                    queue.push_back((next, ways.len() - 1));
+                    predecessors.push((index, Some(step)));
+                    queue.push_back((next, predecessors.len() - 1));
                 }
                 Ok(_) => {}
             }
@@ -220,71 +227,82 @@
     (seen.len(), None)
 }
 
-/// One set, restarts, and time enough for a trial to end; two sets, and a restart less.
-const ONE: Bounds = Bounds { asks: 5, restarts: 2, time: 4, sets: 1 };
-const TWO: Bounds = Bounds { asks: 4, restarts: 1, time: 2, sets: 2 };
+/// One version, with restarts and enough time for a trial to end; two versions, with one restart less.
+const ONE_VERSION: Bounds = Bounds { requests: 5, restarts: 2, time: 4, versions: 1 };
+const TWO_VERSIONS: Bounds = Bounds { requests: 4, restarts: 1, time: 2, versions: 2 };
 
 #[test]
-fn whatever_is_late_twice_or_lost_and_wherever_it_dies_it_is_wholly_old_or_wholly_new() {
-    for bounds in [ONE, TWO] {
-        let (states, broken) = explore(None, bounds);
+fn settings_are_entirely_old_or_entirely_new_after_any_fault() {
+    for bounds in [ONE_VERSION, TWO_VERSIONS] {
+        let (states, violation) = explore(None, bounds);
         println!("{states} states");
-        assert!(broken.is_none(), "{broken:#?}");
-        assert!(states > 10_000, "{states} states show little");
+        assert!(violation.is_none(), "{violation:#?}");
+        assert!(states > 10_000, "only {states} states were explored");
     }
 }
 
 #[test]
-fn each_guard_is_missed_where_it_is_left_out() {
-    for (mutant, harm) in [
-        (Mutant::TakesOtherLives, "was said to be gone"),
-        (Mutant::TakesOldNumbers, "was said to be gone"),
-        (Mutant::TriesUnchecked, "which is neither stored"),
-        (Mutant::NeverGoesBack, "does not come to rest"),
-        (Mutant::SaysBeforeStored, "is not stored"),
-        (Mutant::UndoesWhileStoring, "which is neither stored"),
-        (Mutant::ConfirmsLate, "after its trial"),
+fn each_missing_check_is_detected() {
+    for (mutant, expected) in [
+        (Mutant::AcceptsOtherIncarnations, "was reported as dropped"),
+        (Mutant::AcceptsOldNumbers, "was reported as dropped"),
+        (Mutant::TriesUnchecked, "was neither stored"),
+        (Mutant::NeverRollsBack, "does not become idle"),
+        (Mutant::ConfirmsBeforeStored, "but is not stored"),
+        (Mutant::RevertsWhileStoring, "was neither stored"),
+        (Mutant::AcceptsLateConfirmation, "after the end of its trial"),
     ] {
-        let (states, broken) = explore(Some(mutant), ONE);
-        let (what, path) = broken.unwrap_or_else(|| panic!("{mutant:?}: nothing is broken without it"));
-        println!("{mutant:?}: {states} states, {} steps: {what}", path.len());
-        assert!(what.contains(harm), "{mutant:?}: {what}: {path:#?}");
+        let (states, violation) = explore(Some(mutant), ONE_VERSION);
+        let (violation, path) = violation.unwrap_or_else(|| panic!("{mutant:?}: no violation is found"));
+        println!("{mutant:?}: {states} states, {} steps: {violation}", path.len());
+        assert!(violation.contains(expected), "{mutant:?}: {violation}: {path:#?}");
     }
 }
 
 #[test]
-fn a_change_goes_its_way_and_each_refusal_says_why() {
-    let mut node = Change::start(9, set(3), 1_000);
-    let mut out = Vec::new();
-    let mut ask = |now, what| {
-        out.clear();
-        let said = node.ask(now, Ask { life: 9, what }, &mut out);
-        (said, out.clone())
+fn a_change_is_staged_tried_and_confirmed_and_rejections_name_the_reason() {
+    let mut node = SettingsChange::start(9, version(3), 1_000);
+    let mut effects = Vec::new();
+    let mut request = |now, command| {
+        effects.clear();
+        let reply = node.handle(now, Request { incarnation: 9, command }, &mut effects);
+        (reply, effects.clone())
     };
-    let stage = |number| What::Stage { set: set(number), keep: 500 };
-    let try_out = |number| What::Try { set: set(number), within: 2_000 };
-    assert_eq!(ask(1_000, stage(3)).0, Err(Refused::OldNumber { highest: 3 }));
-    assert_eq!(ask(1_000, stage(u64::MAX)).0, Err(Refused::FarNumber { highest: 3 }));
-    assert_eq!(ask(1_000, What::Stage { set: set(4), keep: 0 }).0, Err(Refused::Span));
-    assert_eq!(ask(1_000, try_out(4)).0, Err(Refused::NotStaged));
-    assert_eq!(ask(1_000, stage(4)).0, Ok(Answer::Done));
-    assert_eq!(ask(1_100, stage(5)).0, Err(Refused::Busy { number: 4 }));
-    // Too late: it was dropped meanwhile, and its number is used up.
-    assert_eq!(ask(1_500, try_out(4)), (Err(Refused::NotStaged), vec![Effect::Over(4)]));
-    assert_eq!(ask(1_500, stage(4)).0, Err(Refused::OldNumber { highest: 4 }));
-    assert_eq!(ask(1_600, stage(5)).0, Ok(Answer::Done));
-    assert_eq!(ask(1_700, try_out(5)), (Ok(Answer::Done), vec![Effect::Use(set(5))]));
-    assert_eq!(ask(1_700, try_out(5)), (Ok(Answer::Done), vec![]), "asked twice, done once");
-    assert_eq!(ask(1_800, What::Confirm(4)).0, Err(Refused::NotOnTrial));
-    assert_eq!(ask(1_800, What::Confirm(5)), (Ok(Answer::Storing), vec![Effect::Store(set(5))]));
-    assert_eq!(ask(1_900, What::Undo(5)).0, Err(Refused::Storing));
-    node.stored(2_000, set(5), false, &mut Vec::new());
-    let mut out = Vec::new();
-    let again = node.ask(2_100, Ask { life: 9, what: What::Confirm(5) }, &mut out);
-    assert_eq!((again, out.as_slice()), (Ok(Answer::Storing), &[Effect::Store(set(5))][..]));
-    node.stored(2_200, set(5), true, &mut Vec::new());
-    let life = Ask { life: 8, what: What::Confirm(5) };
-    assert_eq!(node.ask(2_300, life, &mut Vec::new()), Err(Refused::OtherLife { life: 9 }));
-    let confirmed = node.ask(2_300, Ask { life: 9, what: What::Confirm(5) }, &mut Vec::new());
-    assert_eq!((confirmed, node.used(), node.phase()), (Ok(Answer::Done), set(5), Phase::Steady));
+    let stage = |number| Command::Stage { version: version(number), keep_for: 500 };
+    let start_trial = |number| Command::StartTrial { version: version(number), confirm_within: 2_000 };
+    assert_eq!(request(1_000, stage(3)).0, Err(Rejection::StaleNumber { highest: 3 }));
+    assert_eq!(request(1_000, stage(u64::MAX)).0, Err(Rejection::NumberTooHigh { highest: 3 }));
+    assert_eq!(
+        request(1_000, Command::Stage { version: version(4), keep_for: 0 }).0,
+        Err(Rejection::InvalidDuration)
+    );
+    assert_eq!(request(1_000, start_trial(4)).0, Err(Rejection::NotStaged));
+    assert_eq!(request(1_000, stage(4)).0, Ok(Reply::Done));
+    assert_eq!(request(1_100, stage(5)).0, Err(Rejection::Busy { number: 4 }));
+    // Too late: the version was dropped in the meantime, and its number is used up.
+    assert_eq!(request(1_500, start_trial(4)), (Err(Rejection::NotStaged), vec![Effect::Expired(4)]));
+    assert_eq!(request(1_500, stage(4)).0, Err(Rejection::StaleNumber { highest: 4 }));
+    assert_eq!(request(1_600, stage(5)).0, Ok(Reply::Done));
+    assert_eq!(request(1_700, start_trial(5)), (Ok(Reply::Done), vec![Effect::Apply(version(5))]));
+    assert_eq!(
+        request(1_700, start_trial(5)),
+        (Ok(Reply::Done), vec![]),
+        "a duplicate request has no further effect"
+    );
+    assert_eq!(request(1_800, Command::Confirm(4)).0, Err(Rejection::NotOnTrial));
+    assert_eq!(request(1_800, Command::Confirm(5)), (Ok(Reply::Storing), vec![Effect::Persist(version(5))]));
+    assert_eq!(request(1_900, Command::Revert(5)).0, Err(Rejection::Storing));
+    node.store_finished(2_000, version(5), false, &mut Vec::new());
+    let mut effects = Vec::new();
+    let again = node.handle(2_100, Request { incarnation: 9, command: Command::Confirm(5) }, &mut effects);
+    assert_eq!((again, effects.as_slice()), (Ok(Reply::Storing), &[Effect::Persist(version(5))][..]));
+    node.store_finished(2_200, version(5), true, &mut Vec::new());
+    let stale_request = Request { incarnation: 8, command: Command::Confirm(5) };
+    assert_eq!(
+        node.handle(2_300, stale_request, &mut Vec::new()),
+        Err(Rejection::WrongIncarnation { incarnation: 9 })
+    );
+    let confirmed =
+        node.handle(2_300, Request { incarnation: 9, command: Command::Confirm(5) }, &mut Vec::new());
+    assert_eq!((confirmed, node.active(), node.phase()), (Ok(Reply::Done), version(5), Phase::Idle));
 }
