--- a/crates/inquest/src/diff.rs
+++ b/crates/inquest/src/diff.rs
@@ -1,4 +1,4 @@
-//! Where two records part.
+//! Compares two records.
 
 use mothpier_record::Segment;
 use mothpier_record::entry::{Body, Entry};
@@ -6,62 +6,66 @@
 
 use crate::describe;
 
-/// What two records have in common, and where they part.
+/// What two records have in common, and where they differ.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Comparison {
-    /// Fields of the headers that differ.
+    /// Header fields that differ.
     #[serde(rename = "headers")]
     pub differing_headers: Vec<String>,
-    /// Entries from the begin on that are the same.
+    /// Identical entries at the start.
     #[serde(rename = "same")]
     pub common_entries: u64,
-    /// The first entry that differs, of the one and of the other; `None` where one is at its end.
+    /// The first entry that differs, in the first and in the second record; `None` if a record has ended.
     #[serde(rename = "first")]
     pub first_difference: Option<(Option<String>, Option<String>)>,
-    /// Of the entries compared, those whose event differs.
+    /// Entries with different events, among those compared.
     #[serde(rename = "events")]
     pub differing_events: u64,
-    /// Those whose event is the same and whose actions differ.
+    /// Entries with the same event and different actions.
     #[serde(rename = "actions")]
     pub differing_actions: u64,
 }
 
-/// Compares two records, entry by entry.
-pub fn compare(mut a: Segment<'_>, mut b: Segment<'_>) -> Comparison {
-    let mut found = Comparison::default();
-    let (one, other) = (a.header.clone(), b.header.clone());
+/// Compares two records entry by entry.
+pub fn compare(mut first_record: Segment<'_>, mut second_record: Segment<'_>) -> Comparison {
+    let mut comparison = Comparison::default();
+    let (first_header, second_header) = (first_record.header.clone(), second_record.header.clone());
     for (name, differs) in [
-        ("node", one.node != other.node),
-        ("life", one.incarnation != other.incarnation),
-        ("program", one.program != other.program),
-        ("state", one.state_version != other.state_version),
-        ("seed", one.seed != other.seed),
-        ("settings", one.settings != other.settings),
-        ("servers", one.servers != other.servers),
+        ("node", first_header.node != second_header.node),
+        ("life", first_header.incarnation != second_header.incarnation),
+        ("program", first_header.program != second_header.program),
+        ("state", first_header.state_version != second_header.state_version),
+        ("seed", first_header.seed != second_header.seed),
+        ("settings", first_header.settings != second_header.settings),
+        ("servers", first_header.servers != second_header.servers),
     ] {
         if differs {
-            found.differing_headers.push(name.into());
+            comparison.differing_headers.push(name.into());
         }
     }
     loop {
-        let (x, y) = (a.next(), b.next());
-        if x.is_none() && y.is_none() {
-            return found;
+        let (first, second) = (first_record.next(), second_record.next());
+        if first.is_none() && second.is_none() {
+            return comparison;
         }
-        if x == y {
-            found.common_entries += u64::from(found.first_difference.is_none());
+        if first == second {
+            comparison.common_entries += u64::from(comparison.first_difference.is_none());
             continue;
         }
-        if found.first_difference.is_none() {
+        if comparison.first_difference.is_none() {
             let line = |e: &Entry, h| format!("{}: {}", describe::utc_time(e.at), describe::entry(h, e));
-            found.first_difference =
-                Some((x.as_ref().map(|e| line(e, &one)), y.as_ref().map(|e| line(e, &other))));
+            comparison.first_difference = Some((
+                first.as_ref().map(|e| line(e, &first_header)),
+                second.as_ref().map(|e| line(e, &second_header)),
+            ));
         }
-        match (x.map(|e| e.body), y.map(|e| e.body)) {
-            (Some(Body::Event { event: x, .. }), Some(Body::Event { event: y, .. })) if x == y => {
-                found.differing_actions += 1
+        match (first.map(|e| e.body), second.map(|e| e.body)) {
+            (Some(Body::Event { event: first, .. }), Some(Body::Event { event: second, .. }))
+                if first == second =>
+            {
+                comparison.differing_actions += 1
             }
-            _ => found.differing_events += 1,
+            _ => comparison.differing_events += 1,
         }
     }
 }
--- a/crates/inquest/src/divergence.rs
+++ b/crates/inquest/src/divergence.rs
@@ -1,9 +1,10 @@
-//! The same events through the present module: where its choices part from those recorded, and by how much.
+//! Replays the events through the current module, and counts where its decisions differ from the recorded
+//! ones.
 //!
-//! Events after a parting tell of what the old choices brought: an attempt that the present module would not have made
-//! still ends, one that it makes has no end. So the first parting is sure, and the counts are a lower bound of how much
-//! another module would do otherwise, the less exact the later. Every segment begins anew from its own state, where
-//! that can be read.
+//! Events after the first divergence still follow from the recorded decisions: an attempt that the current
+//! module would not have made still ends, and one that only the current module makes never ends. The first
+//! divergence is therefore exact, and the counts are a lower bound that becomes less accurate with time. Each
+//! segment starts from its own recorded state, if that can be read.
 
 use std::collections::BTreeMap;
 
@@ -13,78 +14,80 @@
 use mothpier_record::replay::{Difference, InitialState, Outcome, replay_with};
 use serde::Serialize;
 
-/// How the present module's choices differ from those recorded.
+/// How the current module's decisions differ from the recorded ones.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Divergence {
-    /// Events told.
+    /// Replayed events.
     pub events: u64,
     /// Requests among them.
     pub requests: u64,
-    /// Events whose decisions differ.
+    /// Events with different decisions.
     #[serde(rename = "parted")]
     pub diverged_events: u64,
-    /// By what was decided then and now.
+    /// Number of differences, by recorded and current decision.
     #[serde(rename = "kinds")]
     pub changes: BTreeMap<String, u64>,
-    /// Sum of the differences of advice where both refuse, microseconds.
+    /// Sum of the differences of the retry delay where both refuse, in microseconds.
     #[serde(rename = "advice")]
     pub retry_after_difference: Micros,
-    /// Clock of the first parting.
+    /// Clock value of the first divergence.
     #[serde(rename = "first")]
     pub first_divergence_at: Option<Micros>,
 }
 
-/// Plays a segment through the present module; with the first decision that differs, timers and words to peers aside.
+/// Replays a segment through the current module. Also returns the first different decision; timers and peer
+/// messages don't count.
 ///
 /// # Errors
-/// A segment that can't be read.
+/// The segment can't be read.
 pub fn find_divergence(segment: &mut Segment<'_>) -> Result<(Divergence, Option<Difference>), String> {
-    let mut parting = Divergence::default();
+    let mut divergence = Divergence::default();
     let mut first = None;
     let (outcome, _): (Outcome, _) = replay_with(
         segment,
-        InitialState::Best,
+        InitialState::RecordedOrFresh,
         |_, _| {},
         |step| {
-            let mothpier_record::entry::Body::Event { event, actions: then, .. } = &step.entry.body else {
+            let mothpier_record::entry::Body::Event { event, actions: recorded, .. } = &step.entry.body
+            else {
                 return;
             };
-            let decided = |all: &[RecordedAction]| -> Vec<RecordedAction> {
+            let decisions = |all: &[RecordedAction]| -> Vec<RecordedAction> {
                 all.iter().filter(|a| a.request().is_some()).cloned().collect()
             };
-            let (then, now) = (decided(then), decided(step.now));
-            if then == now {
+            let (recorded, replayed) = (decisions(recorded), decisions(step.replayed));
+            if recorded == replayed {
                 return;
             }
             if first.is_none() {
-                parting.first_divergence_at = Some(step.entry.at);
+                divergence.first_divergence_at = Some(step.entry.at);
                 first = Some(Difference {
                     entry: step.number,
                     at: step.entry.at,
                     event: event.clone(),
-                    recorded: then.clone(),
-                    replayed: now.clone(),
+                    recorded: recorded.clone(),
+                    replayed: replayed.clone(),
                 });
             }
-            for (was, is) in then.iter().zip(&now) {
+            for (old, new) in recorded.iter().zip(&replayed) {
                 if let (
-                    RecordedAction::Refuse { retry_after: a, .. },
-                    RecordedAction::Refuse { retry_after: b, .. },
-                ) = (was, is)
+                    RecordedAction::Refuse { retry_after: old_delay, .. },
+                    RecordedAction::Refuse { retry_after: new_delay, .. },
+                ) = (old, new)
                 {
-                    parting.retry_after_difference += a.abs_diff(*b);
+                    divergence.retry_after_difference += old_delay.abs_diff(*new_delay);
                 }
             }
-            let kind = format!("{} -> {}", kinds(&then), kinds(&now));
-            *parting.changes.entry(kind).or_default() += 1;
+            let change = format!("{} -> {}", summarize(&recorded), summarize(&replayed));
+            *divergence.changes.entry(change).or_default() += 1;
         },
     )?;
-    (parting.events, parting.requests, parting.diverged_events) =
-        (outcome.events, outcome.requests, outcome.parted);
-    Ok((parting, first))
+    (divergence.events, divergence.requests, divergence.diverged_events) =
+        (outcome.events, outcome.requests, outcome.differing_decisions);
+    Ok((divergence, first))
 }
 
-fn kinds(actions: &[RecordedAction]) -> String {
+fn summarize(actions: &[RecordedAction]) -> String {
     let name = |a: &RecordedAction| match a {
         RecordedAction::Send { .. } => "send",
         RecordedAction::Refuse { .. } => "refuse",
--- a/crates/inquest/src/explain.rs
+++ b/crates/inquest/src/explain.rs
@@ -1,4 +1,4 @@
-//! The story of one request: what was known of each server when it was decided, and why it came out so.
+//! The steps of one request: what was view of each server at each decision, and the reasons for it.
 
 use brassrouter::{Condition, Event, Micros, RequestId, ServerView, View};
 use mothpier_record::Segment;
@@ -8,33 +8,35 @@
 
 use crate::describe;
 
-/// Which request is meant.
+/// Identifies a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestSelector {
-    /// By the module's number of it.
+    /// The module's number of the request.
     Number(RequestId),
-    /// By the id that its client gave it.
+    /// The id assigned by the client.
     ClientId(String),
 }
 
 impl RequestSelector {
-    /// Whether an entry is the arrival of that request; its number.
+    /// If the entry is the arrival of the request, returns the request's number.
     pub fn arrival(&self, entry: &Entry) -> Option<RequestId> {
-        let Body::Event { event: Event::Request(r), reference: known, .. } = &entry.body else { return None };
-        let meant = match self {
+        let Body::Event { event: Event::Request(r), client_id_checksum: recorded, .. } = &entry.body else {
+            return None;
+        };
+        let matches = match self {
             RequestSelector::Number(number) => r.id == *number,
-            RequestSelector::ClientId(id) => *known == Some(client_id_checksum(id.as_bytes())),
+            RequestSelector::ClientId(id) => *recorded == Some(client_id_checksum(id.as_bytes())),
         };
-        meant.then_some(r.id)
+        matches.then_some(r.id)
     }
 }
 
-/// One moment of a request's story.
+/// One step of a request.
 #[derive(Debug, Clone, Serialize)]
 pub struct RequestStep {
-    /// The clock.
+    /// Clock value.
     pub at: Micros,
-    /// Since the request arrived.
+    /// Time since the request arrived.
     #[serde(rename = "since")]
     pub since_arrival: Micros,
     /// What happened.
@@ -42,101 +44,108 @@
     /// What was decided.
     #[serde(rename = "decided")]
     pub decisions: Vec<String>,
-    /// Why, as far as the module's state tells.
+    /// The reasons, as far as the module's state shows them.
     #[serde(rename = "because")]
     pub reasons: Vec<String>,
-    /// What the module knew after the event, with servers in the request's order.
+    /// What the module knew after the event, with servers in the request's order of preference.
     #[serde(rename = "known")]
     pub view: View,
 }
 
-/// Tells the story of a request.
+/// Lists the steps of a request.
 ///
 /// # Errors
-/// A segment that can't be replayed, or no such request in it.
+/// The segment can't be replayed, or does not contain the request.
 pub fn explain_request(
     segment: &mut Segment<'_>,
-    which: &RequestSelector,
+    selector: &RequestSelector,
 ) -> Result<Vec<RequestStep>, String> {
     let header = segment.header.clone();
-    let mut moments = Vec::new();
+    let mut steps = Vec::new();
     let mut request: Option<(RequestId, Micros)> = None;
-    let counts = std::cell::RefCell::new(Vec::new());
+    let counts_before = std::cell::RefCell::new(Vec::new());
     replay_with(
         segment,
         InitialState::Recorded,
-        |policy, _| *counts.borrow_mut() = policy.refusal_counts().collect(),
+        |policy, _| *counts_before.borrow_mut() = policy.refusal_counts().collect(),
         |step| {
             if request.is_none() {
-                request = which.arrival(step.entry).map(|id| (id, step.entry.at));
+                request = selector.arrival(step.entry).map(|id| (id, step.entry.at));
             }
-            let Some((id, came)) = request.filter(|(id, _)| concerns(step.entry, step.now, *id)) else {
+            let Some((id, arrived_at)) = request.filter(|(id, _)| concerns(step.entry, step.replayed, *id))
+            else {
                 return;
             };
-            let Body::Event { event, reference, .. } = &step.entry.body else { return };
-            let about = step.now.iter().filter(|a| a.request() == Some(id));
-            let known = step.policy.view(Some(id));
-            let mut because = Vec::new();
-            for action in about.clone() {
+            let Body::Event { event, client_id_checksum, .. } = &step.entry.body else { return };
+            let request_actions = step.replayed.iter().filter(|a| a.request() == Some(id));
+            let view = step.policy.view(Some(id));
+            let mut reasons = Vec::new();
+            for action in request_actions.clone() {
                 match action {
-                    RecordedAction::Send { server, .. } => because.extend(chosen(&known, *server)),
+                    RecordedAction::Send { server, .. } => reasons.extend(reasons_for_choice(&view, *server)),
                     RecordedAction::Refuse { .. } | RecordedAction::Fail(_) => {
-                        let before = counts.borrow();
-                        // Its line about them resets the counts: then the reason can't be told apart.
-                        let reasons = before.iter().zip(step.policy.refusal_counts());
-                        let reason =
-                            reasons.filter(|((_, was), (_, is))| is > was).map(|(_, (name, _))| name);
-                        because.push(format!("because: {}", reason.collect::<Vec<_>>().join(", ")));
-                        because.push(describe_view(&known));
+                        let previous_counts = counts_before.borrow();
+                        // The module resets the counts when it logs them. The reason can't be determined
+                        // then.
+                        let changed_counts = previous_counts.iter().zip(step.policy.refusal_counts());
+                        let changed_reasons = changed_counts
+                            .filter(|((_, old), (_, new))| new > old)
+                            .map(|(_, (name, _))| name);
+                        reasons.push(format!("because: {}", changed_reasons.collect::<Vec<_>>().join(", ")));
+                        reasons.push(describe_view(&view));
                     }
                     _ => {}
                 }
             }
-            moments.push(RequestStep {
+            steps.push(RequestStep {
                 at: step.entry.at,
-                since_arrival: step.entry.at - came,
-                event: describe::event(&header, event, *reference),
-                decisions: about.map(describe::action).collect(),
-                reasons: because,
-                view: known,
+                since_arrival: step.entry.at - arrived_at,
+                event: describe::event(&header, event, *client_id_checksum),
+                decisions: request_actions.map(describe::action).collect(),
+                reasons,
+                view,
             });
         },
     )?;
-    if moments.is_empty() { Err("no such request arrives in this record".into()) } else { Ok(moments) }
+    if steps.is_empty() { Err("no such request arrives in this record".into()) } else { Ok(steps) }
 }
 
-/// What is known of the whole, in a line.
-pub fn describe_view(known: &View) -> String {
+/// Summarizes the state of the module in one line.
+pub fn describe_view(view: &View) -> String {
     format!(
-        "level {:.2}, strain {:.3}{}, retries {:.1}, gate {} of {:.1} out ({} in this window), {} open",
-        known.admission_level,
-        known.overload,
-        if known.storm { ", in a storm" } else { "" },
-        known.retry_budget,
-        known.gate_outstanding[0],
-        known.gate_limit,
-        known.gate_calls_in_window[0],
-        known.open_requests
+        "admission level {:.2}, overload {:.3}{}, retry budget {:.1}, gate {} of {:.1} outstanding ({} in this window), {} open requests",
+        view.admission_level,
+        view.overload,
+        if view.storm { ", in a storm" } else { "" },
+        view.retry_budget,
+        view.gate_outstanding[0],
+        view.gate_limit,
+        view.gate_calls_in_window[0],
+        view.open_requests
     )
 }
 
-/// Why a server was chosen: those before it in the request's order, and what spoke against each.
-fn chosen(known: &View, server: u32) -> Vec<String> {
+/// Why a server was chosen: the servers before it in the request's order, and the reasons against each.
+fn reasons_for_choice(view: &View, server_id: u32) -> Vec<String> {
     let mut lines = Vec::new();
-    for (place, s) in known.servers.iter().filter(|s| !s.origin).enumerate() {
-        if s.id == server {
-            lines.push(format!("server {server} is number {} of its order: {}", place + 1, server_line(s)));
+    for (position, s) in view.servers.iter().filter(|s| !s.origin).enumerate() {
+        if s.id == server_id {
+            lines.push(format!(
+                "server {server_id} has rank {} for this request: {}",
+                position + 1,
+                describe_server(s)
+            ));
             return lines;
         }
-        lines.push(format!("passed over server {}: {}", s.id, against(s)));
+        lines.push(format!("skipped server {}: {}", s.id, reasons_against(s)));
     }
-    // At the origin, or at one that the list has dropped since: the order does not tell.
-    vec![describe_view(known)]
+    // The origin, or a server that has since left the list: the order does not explain the choice.
+    vec![describe_view(view)]
 }
 
-fn server_line(s: &ServerView) -> String {
+fn describe_server(s: &ServerView) -> String {
     format!(
-        "{} in flight with this one (bound {:.1}), keeps {:.0}% of its keys, {:.0}% warm, backlog {}",
+        "{} in flight including this one (limit {:.1}), serves {:.0}% of its keys, {:.0}% warmed up, backlog {}",
         s.in_flight,
         s.load_bound,
         s.key_share * 100.0,
@@ -145,32 +154,32 @@
     )
 }
 
-fn against(s: &ServerView) -> String {
-    let mut all = Vec::new();
+fn reasons_against(s: &ServerView) -> String {
+    let mut reasons = Vec::new();
     match s.condition {
         Condition::Ready => {}
-        Condition::Draining => all.push("it drains".to_owned()),
-        Condition::Gone => all.push("it is gone".to_owned()),
+        Condition::Draining => reasons.push("draining".to_owned()),
+        Condition::Gone => reasons.push("gone".to_owned()),
     }
     if s.excluded {
-        all.push("the request has been there or may not go there".into());
+        reasons.push("already tried, or not allowed for this request".into());
     }
     if f64::from(s.in_flight.saturating_sub(s.overtaken)) >= s.load_bound {
-        all.push(format!("{} in flight, over its bound of {:.1}", s.in_flight, s.load_bound));
+        reasons.push(format!("{} in flight, at or over its limit of {:.1}", s.in_flight, s.load_bound));
     }
     if s.capacity_share < 1.0 {
-        all.push(format!(
-            "{:.0}% warm, bucket {:.1} of {:.1}",
+        reasons.push(format!(
+            "{:.0}% warmed up, slow-start bucket {:.1} of {:.1}",
             s.capacity_share * 100.0,
             s.slow_start_bucket.0,
             s.slow_start_bucket.1
         ));
     }
     if s.key_share < 1.0 {
-        all.push(format!("in trouble, keeps {:.0}% of its keys", s.key_share * 100.0));
+        reasons.push(format!("degraded, serves {:.0}% of its keys", s.key_share * 100.0));
     }
-    if all.is_empty() {
-        all.push(format!("no ground can be seen now ({})", server_line(s)));
+    if reasons.is_empty() {
+        reasons.push(format!("no reason visible after the decision ({})", describe_server(s)));
     }
-    all.join("; ")
+    reasons.join("; ")
 }
--- a/crates/inquest/src/lib.rs
+++ b/crates/inquest/src/lib.rs
@@ -1,11 +1,12 @@
-//! Questions to records of nodes. No I/O: bytes of segments go in, answers come out.
+//! Analysis of nodes' records. No I/O: the bytes of segments go in, results come out.
 //!
-//! - [`describe`]: events and actions as lines for a person.
-//! - [`explain`]: the story of one request: what was known of each server when it was decided.
-//! - [`cut`]: the part round a request, a time or a server, as a record of its own.
-//! - [`diff`]: where two records part.
-//! - [`merge`]: the records of several nodes as one timeline, with clocks that disagree.
-//! - [`divergence`]: the same events through another module: where its choices part, and by how much.
+//! - [`describe`]: events and actions as readable lines.
+//! - [`explain`]: the steps of one request, with what was known of each server at each decision.
+//! - [`cut`]: extracts the part around a request, a time or a server as a separate record.
+//! - [`diff`]: compares two records.
+//! - [`merge`]: merges the records of several nodes into one timeline, although their clocks differ.
+//! - [`divergence`]: replays the events through another version of the module, and counts different
+//!   decisions.
 
 pub mod cut;
 pub mod describe;
--- a/crates/inquest/src/merge.rs
+++ b/crates/inquest/src/merge.rs
@@ -1,9 +1,10 @@
-//! The records of several nodes as one timeline, with clocks that disagree.
+//! Merges the records of several nodes into one timeline, although their clocks differ.
 //!
-//! Nodes tell each other of their traffic; such a message stands in the record of the one that sent it (by its
-//! checksum) and in that of the one that got it. The least difference of clocks one way is the offset and the fastest
-//! way there, the least the other way is the way back less the offset: half their difference is the offset, to within
-//! half of the sum (as NTP has it, RFC 5905). Messages that are alike are left out, as are those that were lost.
+//! Nodes exchange messages about their traffic. Such a message is in the record of its sender (by its
+//! checksum) and of its receiver. The smallest difference of timestamps in one direction is the clock offset
+//! plus the shortest delay; in the other direction it is the shortest delay minus the offset. Half of their
+//! difference is the offset, with an error of at most half of their sum (as in NTP, RFC 5905). Messages that
+//! are not unique or were lost are ignored.
 
 use std::collections::BTreeMap;
 
@@ -14,23 +15,23 @@
 
 use crate::describe;
 
-/// A record among others.
+/// The record of one node.
 pub struct NodeRecord<'a> {
-    /// What to call it.
+    /// Name of the record.
     pub name: String,
     /// Its segments, in order.
     pub segments: Vec<&'a [u8]>,
 }
 
-/// How a node's clock stands to that of the first.
+/// Offset of a node's clock from that of the first record.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Offset {
-    /// The record.
+    /// Name of the record.
     pub name: String,
-    /// To add to its clock, microseconds.
+    /// Microseconds to add to its clock.
     #[serde(rename = "add")]
     pub offset_us: i64,
-    /// The offset is known to within so many microseconds; `None` where no messages went both ways.
+    /// Largest error of the offset in microseconds; `None` if no messages were exchanged in both directions.
     #[serde(rename = "within")]
     pub uncertainty_us: Option<u64>,
 }
@@ -38,46 +39,46 @@
 /// One line of the timeline.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct TimelineEntry {
-    /// The clock, corrected to that of the first record.
+    /// Clock value, converted to the clock of the first record.
     pub at: Micros,
-    /// Whose it is.
+    /// Name of the record.
     pub name: String,
     /// What happened.
     pub text: String,
 }
 
 #[derive(Default)]
-struct Talk {
-    me: u32,
-    /// By peer and checksum: when it was sent, and how often such a one was.
+struct MessageTimes {
+    node_index: u32,
+    /// First time and number of messages, by peer and checksum.
     sent: BTreeMap<(u32, u32), (Micros, u32)>,
-    got: BTreeMap<(u32, u32), (Micros, u32)>,
+    received: BTreeMap<(u32, u32), (Micros, u32)>,
 }
 
-/// Puts records together. `all` tells everything; else only what tells of failures and of the whole: refusals,
-/// failures, lists, storms, losses, gaps.
+/// Merges records. With `all`, includes every entry; otherwise only those about failures and the whole node:
+/// refusals, failures, server lists, storms, losses, gaps.
 ///
 /// # Errors
-/// A segment whose header can't be read.
+/// The header of a segment can't be read.
 pub fn merge(records: &[NodeRecord<'_>], all: bool) -> Result<(Vec<Offset>, Vec<TimelineEntry>), String> {
-    let open = |name: &str, bytes| Segment::open(bytes).map_err(|torn| format!("{name}: {torn}"));
-    let mut talks = Vec::new();
+    let open = |name: &str, bytes| Segment::open(bytes).map_err(|error| format!("{name}: {error}"));
+    let mut all_node_times = Vec::new();
     for record in records {
-        let mut talk = Talk::default();
+        let mut node_times = MessageTimes::default();
         for bytes in &record.segments {
             let segment = open(&record.name, bytes)?;
-            talk.me = segment.header.settings.node_index;
-            listen(segment, &mut talk);
+            node_times.node_index = segment.header.settings.node_index;
+            collect_messages(segment, &mut node_times);
         }
-        talks.push(talk);
+        all_node_times.push(node_times);
     }
     let mut offsets = vec![None; records.len()];
     if let Some(first) = offsets.first_mut() {
         *first = Some((0i64, Some(0u64)));
     }
-    // From the first outwards, each along the best known way.
-    while let Some((from, to, add, within)) = next(&talks, &offsets) {
-        offsets[to] = Some((offsets[from].map_or(0, |(base, _)| base) + add, within));
+    // Starting at the first record, follows the path of the smallest error.
+    while let Some((from, to, offset_us, error)) = next_offset(&all_node_times, &offsets) {
+        offsets[to] = Some((offsets[from].map_or(0, |(base_offset, _)| base_offset) + offset_us, error));
     }
     let offsets: Vec<Offset> = records
         .iter()
@@ -88,35 +89,35 @@
             uncertainty_us: o.and_then(|o| o.1),
         })
         .collect();
-    let mut lines = Vec::new();
+    let mut timeline = Vec::new();
     for (record, offset) in records.iter().zip(&offsets) {
         for bytes in &record.segments {
             let mut segment = open(&record.name, bytes)?;
             let header = segment.header.clone();
-            for entry in segment.by_ref().filter(|e| all || tells(&e.body)) {
-                lines.push(TimelineEntry {
+            for entry in segment.by_ref().filter(|e| all || is_notable(&e.body)) {
+                timeline.push(TimelineEntry {
                     at: entry.at.saturating_add_signed(offset.offset_us),
                     name: record.name.clone(),
                     text: describe::entry(&header, &entry),
                 });
             }
-            if let Some(torn) = segment.read_error() {
-                let at = lines.last().map_or(header.started_at, |l| l.at);
-                lines.push(TimelineEntry {
+            if let Some(error) = segment.read_error() {
+                let at = timeline.last().map_or(header.started_at, |l| l.at);
+                timeline.push(TimelineEntry {
                     at,
                     name: record.name.clone(),
-                    text: format!("the record is torn at {torn}"),
+                    text: format!("the record is unreadable from {error}"),
                 });
             }
         }
     }
-    lines.sort_by_key(|l| l.at);
-    Ok((offsets, lines))
+    timeline.sort_by_key(|l| l.at);
+    Ok((offsets, timeline))
 }
 
-fn tells(body: &Body) -> bool {
+fn is_notable(body: &Body) -> bool {
     let Body::Event { event, actions, .. } = body else { return true };
-    let failed = |a: &RecordedAction| {
+    let is_failure = |a: &RecordedAction| {
         matches!(
             a,
             RecordedAction::Refuse { .. }
@@ -133,57 +134,66 @@
             | Event::ProcessCount(_)
             | Event::ZoneRouting(_)
             | Event::OriginAllowance(None)
-    ) || actions.iter().any(failed)
+    ) || actions.iter().any(is_failure)
 }
 
-fn listen(segment: Segment<'_>, talk: &mut Talk) {
-    let count = |all: &mut BTreeMap<(u32, u32), (Micros, u32)>, key, at| {
+fn collect_messages(segment: Segment<'_>, node_times: &mut MessageTimes) {
+    let count_message = |all: &mut BTreeMap<(u32, u32), (Micros, u32)>, key, at| {
         let known = all.entry(key).or_insert((at, 0));
         known.1 += 1;
     };
     for entry in segment {
         let Body::Event { event, actions, .. } = &entry.body else { continue };
         if let Event::PeerMessage { from, bytes } = event {
-            count(&mut talk.got, (*from, mothpier_record::entry::client_id_checksum(bytes)), entry.at);
+            // The recorder uses the same checksum for client ids and for sent messages.
+            count_message(
+                &mut node_times.received,
+                (*from, mothpier_record::entry::client_id_checksum(bytes)),
+                entry.at,
+            );
         }
         for action in actions {
-            if let RecordedAction::SendToPeers { to: Some(to), sum } = action {
-                count(&mut talk.sent, (*to, *sum), entry.at);
+            if let RecordedAction::SendToPeers { to: Some(to), checksum } = action {
+                count_message(&mut node_times.sent, (*to, *checksum), entry.at);
             }
         }
     }
 }
 
-/// The least difference of clocks from a sender to a receiver.
-fn least(from: &Talk, to: &Talk) -> Option<i64> {
-    let pairs = from.sent.iter().filter(|((peer, _), (_, times))| *peer == to.me && *times == 1);
-    let ways = pairs.filter_map(|((_, sum), (sent, _))| {
-        let (got, times) = to.got.get(&(from.me, *sum))?;
-        (*times == 1).then(|| *got as i64 - *sent as i64)
+/// Smallest difference of timestamps from a sender to a receiver.
+fn smallest_difference(from: &MessageTimes, to: &MessageTimes) -> Option<i64> {
+    let pairs = from.sent.iter().filter(|((peer, _), (_, count))| *peer == to.node_index && *count == 1);
+    let differences = pairs.filter_map(|((_, checksum), (sent, _))| {
+        let (received, count) = to.received.get(&(from.node_index, *checksum))?;
+        (*count == 1).then(|| *received as i64 - *sent as i64)
     });
-    ways.min()
+    differences.min()
 }
 
-type Known = Option<(i64, Option<u64>)>;
+type KnownOffset = Option<(i64, Option<u64>)>;
 
-/// The next record whose clock can be told from one that is known, by the surest way.
-fn next(talks: &[Talk], offsets: &[Known]) -> Option<(usize, usize, i64, Option<u64>)> {
+/// The next record whose clock offset can be determined from a known one, with the smallest error.
+fn next_offset(
+    all_node_times: &[MessageTimes],
+    offsets: &[KnownOffset],
+) -> Option<(usize, usize, i64, Option<u64>)> {
     let mut best: Option<(u64, usize, usize, i64)> = None;
     for (from, known) in offsets.iter().enumerate() {
-        let Some((_, Some(base))) = known else { continue };
+        let Some((_, Some(base_error))) = known else { continue };
         for to in (0..offsets.len()).filter(|to| offsets[*to].is_none()) {
-            let (Some(there), Some(back)) =
-                (least(&talks[from], &talks[to]), least(&talks[to], &talks[from]))
-            else {
+            let (Some(forward), Some(backward)) = (
+                smallest_difference(&all_node_times[from], &all_node_times[to]),
+                smallest_difference(&all_node_times[to], &all_node_times[from]),
+            ) else {
                 continue;
             };
-            // there = way + (clock of `to` ahead), back = way - that.
-            let ahead = (there - back) / 2;
-            let within = base + ((there + back).max(0) as u64).div_ceil(2);
-            if best.is_none_or(|(least, ..)| within < least) {
-                best = Some((within, from, to, -ahead));
+            // forward = delay + (offset of `to`), backward = delay - (offset of `to`).
+            let offset = (forward - backward) / 2;
+            let error = base_error + ((forward + backward).max(0) as u64).div_ceil(2);
+            if best.is_none_or(|(smallest_error, ..)| error < smallest_error) {
+                best = Some((error, from, to, -offset));
             }
         }
     }
-    best.map(|(within, from, to, add)| (from, to, add, Some(within)))
+    best.map(|(error, from, to, offset_us)| (from, to, offset_us, Some(error)))
 }
--- a/crates/inquest/tests/inquest.rs
+++ b/crates/inquest/tests/inquest.rs
@@ -1,4 +1,4 @@
-//! Questions to records of simulated nodes in a world where things go wrong.
+//! Analysis of records of simulated nodes during faults.
 
 use std::sync::OnceLock;
 
@@ -17,12 +17,13 @@
 use mothpier_record::replay::replay;
 use mothpier_record::segment::Writer;
 
-/// Four seconds in which two boxes are away, a third of the peers' messages are lost and lists come late.
-fn tapes() -> &'static [RecordedSegment] {
-    static TAPES: OnceLock<Vec<RecordedSegment>> = OnceLock::new();
-    TAPES.get_or_init(|| {
+/// Four seconds in which two cache servers are down, a third of the peer messages are lost and server lists
+/// are late.
+fn recordings() -> &'static [RecordedSegment] {
+    static RECORDINGS: OnceLock<Vec<RecordedSegment>> = OnceLock::new();
+    RECORDINGS.get_or_init(|| {
         let mut scenario =
-            Scenario::read(include_str!("../../../scenarios/small.toml")).expect("a scenario of the project");
+            Scenario::read(include_str!("../../../scenarios/small.toml")).expect("a valid scenario");
         scenario.seconds = 4.0;
         let fault = |at_ms, what| Fault { at_ms, what };
         let script = vec![
@@ -32,9 +33,9 @@
             fault(1200, What::Burst { factor: 6.0, for_ms: 1500 }),
         ];
         let plan = RunPlan { scenario, seed: 11, script: Some(script), mutant: None };
-        let (report, tapes) = run_recorded(&plan, None, RecordingOptions::default());
+        let (report, recordings) = run_recorded(&plan, None, RecordingOptions::default());
         assert_eq!(report.violations.len(), 0);
-        tapes
+        recordings
     })
 }
 
@@ -48,37 +49,37 @@
 
 /// A request that was refused, and one that needed two attempts.
 fn examples(bytes: &[u8]) -> (u64, u64) {
-    let (mut refused, mut twice) = (None, None);
+    let (mut refused, mut retried) = (None, None);
     for entry in entries(bytes) {
         let Body::Event { event, actions, .. } = &entry.body else { continue };
         for action in actions {
             match (action, event) {
                 (RecordedAction::Refuse { request, .. }, _) => refused = refused.or(Some(*request)),
                 (RecordedAction::Send { request, .. }, Event::Outcome(o)) if o.request == *request => {
-                    twice = twice.or(Some(*request));
+                    retried = retried.or(Some(*request));
                 }
                 _ => {}
             }
         }
     }
-    (refused.expect("a refusal"), twice.expect("a second attempt"))
+    (refused.expect("a refusal"), retried.expect("a second attempt"))
 }
 
 #[test]
-fn why_tells_the_whole_story_of_a_request() {
-    let bytes = &tapes()[0].bytes;
-    let (refused, twice) = examples(bytes);
-    let story = explain_request(&mut open(bytes), &RequestSelector::Number(refused)).unwrap();
+fn a_request_is_explained_with_decisions_and_reasons() {
+    let bytes = &recordings()[0].bytes;
+    let (refused, retried) = examples(bytes);
+    let steps = explain_request(&mut open(bytes), &RequestSelector::Number(refused)).unwrap();
     let last =
-        story.iter().find(|m| m.decisions.iter().any(|d| d.starts_with("refuse"))).expect("its refusal");
+        steps.iter().find(|m| m.decisions.iter().any(|d| d.starts_with("refuse"))).expect("its refusal");
     assert!(last.decisions[0].contains("come back after"), "{last:?}");
     let reason = last.reasons.iter().find(|b| b.starts_with("because: ")).expect("a reason");
-    assert!(reason.len() > "because: ".len(), "the module says why: {last:?}");
+    assert!(reason.len() > "because: ".len(), "the module states a reason: {last:?}");
 
-    let story = explain_request(&mut open(bytes), &RequestSelector::Number(twice)).unwrap();
-    let sends: Vec<_> = story.iter().filter(|m| m.decisions.iter().any(|d| d.starts_with("send"))).collect();
-    assert!(sends.len() >= 2 && story[0].since_arrival == 0, "{story:?}");
-    assert!(story.windows(2).all(|w| w[0].at <= w[1].at));
+    let steps = explain_request(&mut open(bytes), &RequestSelector::Number(retried)).unwrap();
+    let sends: Vec<_> = steps.iter().filter(|m| m.decisions.iter().any(|d| d.starts_with("send"))).collect();
+    assert!(sends.len() >= 2 && steps[0].since_arrival == 0, "{steps:?}");
+    assert!(steps.windows(2).all(|w| w[0].at <= w[1].at));
     assert!(
         explain_request(&mut open(bytes), &RequestSelector::Number(u64::MAX))
             .unwrap_err()
@@ -87,27 +88,29 @@
 }
 
 #[test]
-fn a_request_is_found_by_the_id_that_its_client_gave_it() {
-    let bytes = &tapes()[0].bytes;
-    let known = entries(bytes).into_iter().find_map(|e| match e.body {
-        Body::Event { event: Event::Request(r), reference, .. } => reference.map(|sum| (r.id, sum)),
+fn a_request_is_found_by_its_client_id() {
+    let bytes = &recordings()[0].bytes;
+    let recorded = entries(bytes).into_iter().find_map(|e| match e.body {
+        Body::Event { event: Event::Request(r), client_id_checksum, .. } => {
+            client_id_checksum.map(|checksum| (r.id, checksum))
+        }
         _ => None,
     });
-    let (id, sum) = known.expect("a request with a reference");
-    // Clients of the world name their requests by sixteen hexadecimal digits of a count.
+    let (id, checksum) = recorded.expect("a request with a client id");
+    // Simulated clients identify their requests by sixteen hexadecimal digits of a counter.
     let text = (0..1_000_000u64)
         .map(|n| format!("{n:016x}"))
-        .find(|t| mothpier_record::entry::client_id_checksum(t.as_bytes()) == sum);
+        .find(|t| mothpier_record::entry::client_id_checksum(t.as_bytes()) == checksum);
     let Some(text) = text else {
-        return assert!(sum != 0, "ids of another form: only the checksum is known");
+        return assert!(checksum != 0, "ids of another form: only the checksum is recorded");
     };
-    let story = explain_request(&mut open(bytes), &RequestSelector::ClientId(text)).unwrap();
-    assert!(story[0].event.starts_with(&format!("request {id}:")));
+    let steps = explain_request(&mut open(bytes), &RequestSelector::ClientId(text)).unwrap();
+    assert!(steps[0].event.starts_with(&format!("request {id}:")));
 }
 
 #[test]
-fn what_is_cut_out_stands_alone_and_is_played_again_identically() {
-    let bytes = &tapes()[0].bytes;
+fn an_excerpt_is_a_complete_record_and_replays_identically() {
+    let bytes = &recordings()[0].bytes;
     let (refused, _) = examples(bytes);
     let all = entries(bytes);
     let middle = all[all.len() / 2].at;
@@ -118,28 +121,29 @@
         }),
         _ => None,
     });
-    let server = server.expect("something was sent");
-    for round in [
+    let server = server.expect("a request was sent");
+    for selection in [
         Selection::Request(RequestSelector::Number(refused)),
         Selection::Time(middle),
         Selection::Server(server),
     ] {
-        let part = cut(bytes, &round, 50_000).unwrap();
-        let (outcome, _) = replay(&mut open(&part.bytes)).unwrap();
+        let excerpt = cut(bytes, &selection, 50_000).unwrap();
+        let (outcome, _) = replay(&mut open(&excerpt.bytes)).unwrap();
         assert_eq!(
             (outcome.first_difference, outcome.read_error, outcome.events),
-            (None, None, part.events),
-            "{round:?}"
+            (None, None, excerpt.events),
+            "{selection:?}"
         );
-        // The same entries as in the whole, in the same order.
-        let cut: Vec<_> = entries(&part.bytes).split_off(1);
-        let at = all.iter().position(|e| *e == cut[0]).expect("its first entry is one of the whole");
-        assert_eq!(cut[..], all[at..at + cut.len()], "{round:?}");
-        if let Selection::Request(which) = &round {
-            assert!(part.events < all.len() as u64 / 4, "a part, not the whole");
+        // The same entries as in the whole record, in the same order.
+        let cut: Vec<_> = entries(&excerpt.bytes).split_off(1);
+        let start =
+            all.iter().position(|e| *e == cut[0]).expect("the first entry is one of the whole record");
+        assert_eq!(cut[..], all[start..start + cut.len()], "{selection:?}");
+        if let Selection::Request(selector) = &selection {
+            assert!(excerpt.events < all.len() as u64 / 4, "a part, not the whole");
             assert_eq!(
-                explain_request(&mut open(&part.bytes), which).unwrap().len(),
-                explain_request(&mut open(bytes), which).unwrap().len()
+                explain_request(&mut open(&excerpt.bytes), selector).unwrap().len(),
+                explain_request(&mut open(bytes), selector).unwrap().len()
             );
         }
     }
@@ -148,59 +152,63 @@
     assert!(cut(&bytes[..50], &Selection::Time(middle), 0).is_err());
 }
 
-/// A record whose clock runs ahead by a span, as a machine with a wrong clock would have made it.
+/// The record that a node with a wrong clock would have made.
 fn shifted(bytes: &[u8], by: i64) -> Vec<u8> {
     let segment = open(bytes);
     let mut header = segment.header.clone();
     header.started_at = header.started_at.saturating_add_signed(by);
     let mut writer = Writer::begin(&header).unwrap();
     for entry in segment {
-        writer.entry(entry.at.saturating_add_signed(by), &entry.body);
+        writer.write_entry(entry.at.saturating_add_signed(by), &entry.body);
     }
     writer.take()
 }
 
 #[test]
-fn clocks_that_disagree_are_told_from_the_words_between_nodes() {
-    let tapes = tapes();
-    let aheads = [0, 7_250_000, -90_000_000i64];
-    let moved: Vec<Vec<u8>> = tapes.iter().zip(aheads).map(|(t, by)| shifted(&t.bytes, by)).collect();
-    let named = |all: &'static [RecordedSegment]| -> Vec<NodeRecord<'static>> {
+fn clock_offsets_are_determined_from_peer_messages() {
+    let recordings = recordings();
+    let clock_offsets = [0, 7_250_000, -90_000_000i64];
+    let shifted_records: Vec<Vec<u8>> =
+        recordings.iter().zip(clock_offsets).map(|(t, by)| shifted(&t.bytes, by)).collect();
+    let node_records = |all: &'static [RecordedSegment]| -> Vec<NodeRecord<'static>> {
         all.iter()
             .map(|t| NodeRecord { name: format!("n{}", t.node), segments: vec![t.bytes.as_slice()] })
             .collect()
     };
-    let wrong: Vec<NodeRecord> = moved
+    let shifted: Vec<NodeRecord> = shifted_records
         .iter()
-        .zip(tapes)
+        .zip(recordings)
         .map(|(b, t)| NodeRecord { name: format!("n{}", t.node), segments: vec![b] })
         .collect();
-    let (offsets, lines) = merge(&wrong, true).unwrap();
-    for (offset, ahead) in offsets.iter().zip(aheads) {
-        let within = offset.uncertainty_us.expect("messages went both ways") as i64;
-        assert!((offset.offset_us + ahead).abs() <= within.max(1), "{offset:?}, {ahead} ahead");
-        assert!(within < 12_000, "no more than the way of a datagram there and back: {offset:?}");
+    let (offsets, lines) = merge(&shifted, true).unwrap();
+    for (offset, clock_offset) in offsets.iter().zip(clock_offsets) {
+        let uncertainty = offset.uncertainty_us.expect("messages in both directions") as i64;
+        assert!(
+            (offset.offset_us + clock_offset).abs() <= uncertainty.max(1),
+            "{offset:?}, {clock_offset} ahead"
+        );
+        assert!(uncertainty < 12_000, "at most the round-trip time of a datagram: {offset:?}");
     }
     assert!(lines.windows(2).all(|w| w[0].at <= w[1].at));
-    let (_, right) = merge(&named(tapes), true).unwrap();
-    assert_eq!(lines.len(), right.len(), "nothing is lost");
+    let (_, expected) = merge(&node_records(recordings), true).unwrap();
+    assert_eq!(lines.len(), expected.len(), "no lines are missing");
 }
 
 #[test]
-fn records_without_words_between_them_are_put_together_as_their_clocks_say() {
-    let one = &tapes()[0].bytes;
-    let pair = [
+fn records_without_peer_messages_are_merged_by_their_clocks() {
+    let one = &recordings()[0].bytes;
+    let records = [
         NodeRecord { name: "a".into(), segments: vec![one] },
         NodeRecord { name: "b".into(), segments: vec![one] },
     ];
-    let (offsets, _) = merge(&pair, false).unwrap();
+    let (offsets, _) = merge(&records, false).unwrap();
     assert_eq!((offsets[1].offset_us, offsets[1].uncertainty_us), (0, None));
 }
 
 #[test]
-fn two_records_part_where_they_do() {
-    let tapes = tapes();
-    let bytes = &tapes[0].bytes;
+fn a_comparison_finds_the_first_difference() {
+    let recordings = recordings();
+    let bytes = &recordings[0].bytes;
     assert_eq!(compare(open(bytes), open(bytes)).first_difference, None);
     let segment = open(bytes);
     let mut writer = Writer::begin(&segment.header).unwrap();
@@ -211,17 +219,19 @@
         {
             actions.clear();
         }
-        writer.entry(entry.at, &entry.body);
+        writer.write_entry(entry.at, &entry.body);
     }
-    let other = writer.take();
-    let found = compare(open(bytes), open(&other));
+    let changed = writer.take();
+    let comparison = compare(open(bytes), open(&changed));
     assert!(
-        found.common_entries >= 500 && found.differing_events == 0 && found.differing_actions > 10,
-        "{found:?}"
+        comparison.common_entries >= 500
+            && comparison.differing_events == 0
+            && comparison.differing_actions > 10,
+        "{comparison:?}"
     );
-    // The same two questions to the module: it comes to the actions of the one, not of the other.
-    let (parting, first) = find_divergence(&mut open(&other)).unwrap();
-    assert!(parting.diverged_events > 10 && first.is_some_and(|d| d.entry >= 500), "{parting:?}");
-    assert!(parting.changes.keys().all(|kind| kind.starts_with("nothing -> ")), "{parting:?}");
+    // The module reproduces the actions of the original record, not of the changed one.
+    let (divergence, first) = find_divergence(&mut open(&changed)).unwrap();
+    assert!(divergence.diverged_events > 10 && first.is_some_and(|d| d.entry >= 500), "{divergence:?}");
+    assert!(divergence.changes.keys().all(|kind| kind.starts_with("nothing -> ")), "{divergence:?}");
     assert_eq!(find_divergence(&mut open(bytes)).unwrap().0.diverged_events, 0);
 }
--- a/crates/inquest/tests/known.rs
+++ b/crates/inquest/tests/known.rs
@@ -1,5 +1,5 @@
-//! Failures that were found and mended, each kept as a record of what the old module decided: the present module must
-//! come to another choice at the same place, and to the same one up to there.
+//! Faults that were fixed, each kept as a record of the decisions of the old module: the current module must
+//! make another decision at the same entry, and the same decisions up to there.
 
 use chalksill_inquest::divergence::find_divergence;
 use mothpier_record::Segment;
@@ -15,22 +15,22 @@
 #[serde(deny_unknown_fields)]
 struct Known {
     file: String,
-    /// What it was.
+    /// What the fault was.
     what: String,
-    /// Title of the commit that mended it.
+    /// Title of the commit that fixed it.
     mended: String,
     /// How the record was made.
     made: String,
-    /// The entry at which the choices part, and from what to what.
+    /// The entry at which the decisions differ, and the old and the new decision.
     entry: u64,
     parts: String,
 }
 
 #[test]
-fn each_known_failure_is_decided_otherwise_now_and_at_the_same_place() {
+fn each_fixed_fault_leads_to_another_decision_at_the_same_entry() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../records");
     let text = std::fs::read_to_string(format!("{folder}/index.toml")).expect("an index");
-    let index: Index = toml::from_str(&text).expect("an index that can be read");
+    let index: Index = toml::from_str(&text).expect("a valid index");
     assert!(!index.record.is_empty());
     let mut files: Vec<String> = std::fs::read_dir(folder)
         .expect("the folder")
@@ -40,24 +40,24 @@
     files.sort();
     let mut named: Vec<String> = index.record.iter().map(|k| k.file.clone()).collect();
     named.sort();
-    assert_eq!(files, named, "every record is in the index, and the other way round");
+    assert_eq!(files, named, "the index must list exactly the records of the folder");
     for known in index.record {
         let Known { file, what, mended, made, entry, parts } = known;
         assert!(
             !what.is_empty() && !mended.is_empty() && !made.is_empty(),
-            "{file}: the index says too little"
+            "{file}: the index entry is incomplete"
         );
         let bytes = std::fs::read(format!("{folder}/{file}")).expect("the record");
         let mut segment = Segment::open(&bytes).expect("a header");
         assert_eq!(
             segment.header.state_version,
             brassrouter::STATE_VERSION,
-            "{file}: made by a module of another layout"
+            "{file}: recorded by a module with another state layout"
         );
-        let (parting, first) = find_divergence(&mut segment).expect("it can be played");
+        let (divergence_found, first) = find_divergence(&mut segment).expect("a record that can be replayed");
         assert_eq!(segment.read_error(), None, "{file}");
-        let first = first.unwrap_or_else(|| panic!("{file}: nothing differs: {what} is back"));
-        assert_eq!(first.entry, entry, "{file}: the choices part elsewhere: {first:?}");
-        assert!(parting.changes.contains_key(&parts), "{file}: {:?}", parting.changes);
+        let first = first.unwrap_or_else(|| panic!("{file}: no decision differs: the fault is back: {what}"));
+        assert_eq!(first.entry, entry, "{file}: the decisions differ elsewhere: {first:?}");
+        assert!(divergence_found.changes.contains_key(&parts), "{file}: {:?}", divergence_found.changes);
     }
 }
--- a/crates/record/src/entry.rs
+++ b/crates/record/src/entry.rs
@@ -1,9 +1,9 @@
-//! Events and the actions that they called for, as the bytes of one entry, and back.
+//! Encoding of one entry: an event and the actions that it caused.
 //!
-//! An entry's body: one byte with the kind in its lower half and the number of actions in the upper (15: the number
-//! follows), the time since the entry before, the event's fields, the actions. Whole numbers are of variable length;
-//! request ids are told as differences, keys and
-//! servers by their place among those met in the segment.
+//! An entry's body consists of one byte with the kind in its lower half and the number of actions in its
+//! upper half (15: the number follows), the time since the previous entry, the event's fields, and the
+//! actions. Integers have variable length; request ids are encoded as differences; keys and servers are
+//! dictionary-encoded by their order of first occurrence in the segment.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -13,72 +13,72 @@
     OriginAllowance, Outcome, Request, RequestId, ServerEntry, ServerId, Status, ZoneRouting,
 };
 
-use crate::wire::{Bad, Input, put, put_delta, put_figure};
+use crate::wire::{DecodeError, Reader, put_decimal, put_delta, put_varint};
 
-/// Keys, and servers, that a segment knows by their place; later ones are written out.
-const MOST_MET: usize = 1 << 16;
+/// Dictionary entries per segment for keys, and as many for servers; values beyond that are written in full.
+const MAX_DICTIONARY_ENTRIES: usize = 1 << 16;
 
-/// An action as it is recorded: what is said to people and peers only by its checksum (CRC-32).
+/// An action as it is recorded. Log texts and peer messages are represented by their checksum (CRC-32) only.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RecordedAction {
-    /// As [`Action::Send`].
+    /// See [`Action::Send`].
     Send {
         /// The request.
         request: RequestId,
         /// The server.
         server: ServerId,
-        /// As there.
-        give_up_after: Micros,
+        /// Time-out of the attempt.
+        timeout: Micros,
     },
-    /// As [`Action::Refuse`].
+    /// See [`Action::Refuse`].
     Refuse {
         /// The request.
         request: RequestId,
-        /// The time told.
+        /// The advised delay before a retry.
         retry_after: Micros,
     },
-    /// As [`Action::Fail`].
+    /// See [`Action::Fail`].
     Fail(RequestId),
-    /// As [`Action::Cancel`].
+    /// See [`Action::Cancel`].
     Cancel {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: u16,
     },
-    /// As [`Action::Timer`].
+    /// See [`Action::Timer`].
     Timer {
-        /// The time from now.
+        /// Delay until the timer fires.
         after: Micros,
-        /// Given back with the event.
+        /// Returned with the timer event.
         token: u32,
     },
-    /// As [`Action::Subscribe`].
+    /// See [`Action::Subscribe`].
     Subscribe(bool),
-    /// As [`Action::FetchList`].
+    /// See [`Action::FetchList`].
     FetchList,
-    /// As [`Action::Probe`].
+    /// See [`Action::Probe`].
     Probe(ServerId),
-    /// As [`Action::CloseIdle`].
+    /// See [`Action::CloseIdle`].
     CloseIdle(ServerId),
-    /// As [`Action::SendToPeers`].
+    /// See [`Action::SendToPeers`].
     SendToPeers {
         /// The peer; `None` for all.
         to: Option<u32>,
-        /// Checksum of the bytes.
-        sum: u32,
+        /// Checksum of the message.
+        checksum: u32,
     },
-    /// As [`Action::Log`], by its checksum.
+    /// See [`Action::Log`]; the checksum of its text.
     Log(u32),
-    /// As [`Action::Fault`], by its checksum.
+    /// See [`Action::Fault`]; the checksum of its text.
     Fault(u32),
 }
 
 impl From<&Action> for RecordedAction {
     fn from(action: &Action) -> Self {
         match action {
-            Action::Send { request, server, timeout: give_up_after } => {
-                RecordedAction::Send { request: *request, server: *server, give_up_after: *give_up_after }
+            Action::Send { request, server, timeout } => {
+                RecordedAction::Send { request: *request, server: *server, timeout: *timeout }
             }
             Action::Refuse { request, retry_after } => {
                 RecordedAction::Refuse { request: *request, retry_after: *retry_after }
@@ -93,7 +93,7 @@
             Action::Probe(server) => RecordedAction::Probe(*server),
             Action::CloseIdle(server) => RecordedAction::CloseIdle(*server),
             Action::SendToPeers { to, bytes } => {
-                RecordedAction::SendToPeers { to: *to, sum: crc32fast::hash(bytes) }
+                RecordedAction::SendToPeers { to: *to, checksum: crc32fast::hash(bytes) }
             }
             Action::Log(text) => RecordedAction::Log(crc32fast::hash(text.as_bytes())),
             Action::Fault(text) => RecordedAction::Fault(crc32fast::hash(text.as_bytes())),
@@ -102,7 +102,7 @@
 }
 
 impl RecordedAction {
-    /// The request that it is about, where it is about one.
+    /// The request that the action concerns, if any.
     pub fn request(&self) -> Option<RequestId> {
         match self {
             RecordedAction::Send { request, .. } | RecordedAction::Refuse { request, .. } => Some(*request),
@@ -112,29 +112,29 @@
     }
 }
 
-/// What stands for a client's id of a request: its checksum (CRC-32), for ids are long and need not be kept.
+/// The checksum (CRC-32) that represents a client's request id: ids are long and need not be stored.
 pub fn client_id_checksum(id: &[u8]) -> u32 {
     crc32fast::hash(id)
 }
 
-/// What stands in an entry.
+/// Content of an entry.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Body {
-    /// The module's whole state, as postcard writes it.
+    /// The module's complete state, encoded by postcard.
     State(Vec<u8>),
-    /// Events are missing before this place, for want of room or of a disk.
+    /// Events before this entry are missing, for lack of memory or because of a disk failure.
     Gap {
-        /// How many.
+        /// Number of missing events.
         events: u64,
     },
-    /// The node ended in order; nothing follows.
+    /// The node shut down in order; nothing follows.
     End,
-    /// An event, and the actions that it called for.
+    /// An event, and the actions that it caused.
     Event {
         /// The event.
         event: Event,
-        /// Of a request: the checksum of the id that its client gave it ([`client_id_checksum`]).
-        reference: Option<u32>,
+        /// For a request: the checksum of the id that its client assigned ([`client_id_checksum`]).
+        client_id_checksum: Option<u32>,
         /// The actions, in order.
         actions: Vec<RecordedAction>,
     },
@@ -143,18 +143,18 @@
 /// One entry of a record.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Entry {
-    /// The clock value that the module was told.
+    /// The clock value that was passed to the module.
     pub at: Micros,
-    /// What stands in it.
+    /// The content.
     pub body: Body,
 }
 
 impl Entry {
-    /// The request that its event is about, where it is about one.
+    /// The request that the event concerns, if any.
     pub fn request(&self) -> Option<RequestId> {
         match &self.body {
-            Body::Event { event: Event::Request(r), .. } => Some(r.id),
-            Body::Event { event: Event::Outcome(o), .. } => Some(o.request),
+            Body::Event { event: Event::Request(request), .. } => Some(request.id),
+            Body::Event { event: Event::Outcome(outcome), .. } => Some(outcome.request),
             Body::Event {
                 event: Event::ResponseStarted { request, .. } | Event::ClientGone(request),
                 ..
@@ -164,472 +164,493 @@
     }
 }
 
+// Kinds of entries.
 const STATE: u8 = 0;
 const GAP: u8 = 1;
 const END: u8 = 2;
 const REQUEST: u8 = 3;
 const OUTCOME: u8 = 4;
 const TIMER: u8 = 5;
-const LIST: u8 = 6;
-const PEER: u8 = 7;
-const GONE: u8 = 8;
-const BEGAN: u8 = 9;
+const SERVER_LIST: u8 = 6;
+const PEER_MESSAGE: u8 = 7;
+const CLIENT_GONE: u8 = 8;
+const RESPONSE_STARTED: u8 = 9;
 const PROBED: u8 = 10;
 const STORM: u8 = 11;
-const LEGACY: u8 = 12;
-const SHARING: u8 = 13;
-const POOL: u8 = 14;
-/// The last kind that fits: what comes later has a byte of its own behind it, which says what it is.
-const LATER: u8 = 15;
-/// Of the later kinds.
-const ALLOWANCE: u8 = 0;
-
-/// What both sides remember from entry to entry of a segment.
+const INHERITED: u8 = 12;
+const PROCESS_COUNT: u8 = 13;
+const ZONE_ROUTING: u8 = 14;
+/// The last kind that fits into four bits: a second byte distinguishes the kinds added later.
+const EXTENDED: u8 = 15;
+/// Second byte of an extended kind.
+const EXTENDED_ORIGIN_ALLOWANCE: u8 = 0;
+
+/// State that encoder and decoder of a segment keep from entry to entry.
 #[derive(Default)]
 pub(crate) struct Context {
     at: Micros,
     request: RequestId,
-    keys: Met<Key>,
-    servers: Met<ServerId>,
+    keys: Dictionary<Key>,
+    servers: Dictionary<ServerId>,
 }
 
-/// Things that are told in full when they are first met, and by their place from then on.
+/// Values that are written in full at their first occurrence, and by their index after that.
 #[derive(Default)]
-struct Met<T> {
-    places: HashMap<T, u32>,
-    all: Vec<T>,
+struct Dictionary<T> {
+    indexes: HashMap<T, u32>,
+    values: Vec<T>,
 }
 
-impl<T: Copy + Eq + Hash> Met<T> {
-    fn put<const N: usize>(&mut self, out: &mut Vec<u8>, thing: T, bytes: [u8; N]) {
-        if let Some(place) = self.places.get(&thing) {
-            return put(out, u64::from(*place) + 1);
+impl<T: Copy + Eq + Hash> Dictionary<T> {
+    fn write<const N: usize>(&mut self, out: &mut Vec<u8>, value: T, bytes: [u8; N]) {
+        if let Some(index) = self.indexes.get(&value) {
+            return put_varint(out, u64::from(*index) + 1);
         }
-        put(out, 0);
+        put_varint(out, 0);
         out.extend(bytes);
-        if self.places.len() < MOST_MET {
-            self.places.insert(thing, self.places.len() as u32);
+        if self.indexes.len() < MAX_DICTIONARY_ENTRIES {
+            self.indexes.insert(value, self.indexes.len() as u32);
         }
     }
 
-    fn read(&mut self, input: &mut Input, full: impl FnOnce(&mut Input) -> Result<T, Bad>) -> Result<T, Bad> {
-        let place = input.number()?;
-        if place > 0 {
-            return self
-                .all
-                .get(place as usize - 1)
-                .copied()
-                .ok_or("a key or a server that was not met before");
+    fn read(
+        &mut self,
+        reader: &mut Reader,
+        full: impl FnOnce(&mut Reader) -> Result<T, DecodeError>,
+    ) -> Result<T, DecodeError> {
+        let index = reader.varint()?;
+        if index > 0 {
+            return self.values.get(index as usize - 1).copied().ok_or("unknown index of a key or server");
         }
-        let thing = full(input)?;
-        if self.all.len() < MOST_MET {
-            self.all.push(thing);
+        let value = full(reader)?;
+        if self.values.len() < MAX_DICTIONARY_ENTRIES {
+            self.values.push(value);
         }
-        Ok(thing)
+        Ok(value)
     }
 }
 
 impl Context {
-    /// Begins at a clock value.
+    /// Starts at a clock value.
     pub(crate) fn new(at: Micros) -> Self {
         Context { at, ..Context::default() }
     }
 
-    fn time(&mut self, out: &mut Vec<u8>, at: Micros) {
-        // The clock of a life only advances; should it not, nothing may be lost for that.
+    fn write_time(&mut self, out: &mut Vec<u8>, at: Micros) {
+        // The clock of an incarnation only advances; a difference of either sign can be encoded nevertheless.
         put_delta(out, at, self.at);
         self.at = at;
     }
 
-    fn request(&mut self, out: &mut Vec<u8>, request: RequestId) {
+    fn write_request_id(&mut self, out: &mut Vec<u8>, request: RequestId) {
         put_delta(out, request, self.request);
         self.request = request;
     }
 
-    fn key(&mut self, out: &mut Vec<u8>, key: Key) {
-        self.keys.put(out, key, key.to_le_bytes());
+    fn write_key(&mut self, out: &mut Vec<u8>, key: Key) {
+        self.keys.write(out, key, key.to_le_bytes());
     }
 
-    fn server(&mut self, out: &mut Vec<u8>, server: ServerId) {
-        self.servers.put(out, server, server.to_le_bytes());
+    fn write_server(&mut self, out: &mut Vec<u8>, server: ServerId) {
+        self.servers.write(out, server, server.to_le_bytes());
     }
 
-    /// Writes an entry that is no event.
-    pub(crate) fn special(&mut self, out: &mut Vec<u8>, at: Micros, body: &Body) {
+    /// Writes a complete entry.
+    pub(crate) fn write_entry(&mut self, out: &mut Vec<u8>, at: Micros, body: &Body) {
         match body {
             Body::State(state) => {
                 out.push(STATE);
-                self.time(out, at);
+                self.write_time(out, at);
                 out.extend(state);
             }
             Body::Gap { events } => {
                 out.push(GAP);
-                self.time(out, at);
-                put(out, *events);
+                self.write_time(out, at);
+                put_varint(out, *events);
             }
             Body::End => {
                 out.push(END);
-                self.time(out, at);
+                self.write_time(out, at);
             }
-            Body::Event { event, reference, actions } => {
-                let begin = out.len();
-                self.event(out, at, event, *reference);
-                self.actions(out, begin, actions.iter().cloned());
+            Body::Event { event, client_id_checksum, actions } => {
+                let body_start = out.len();
+                self.write_event(out, at, event, *client_id_checksum);
+                self.write_actions(out, body_start, actions.iter().cloned());
             }
         }
     }
 
     /// Writes the first part of an entry: the event.
-    pub(crate) fn event(&mut self, out: &mut Vec<u8>, at: Micros, event: &Event, reference: Option<u32>) {
+    pub(crate) fn write_event(
+        &mut self,
+        out: &mut Vec<u8>,
+        at: Micros,
+        event: &Event,
+        client_id_checksum: Option<u32>,
+    ) {
         let kind = match event {
             Event::Request(_) => REQUEST,
             Event::Outcome(_) => OUTCOME,
             Event::Timer(_) => TIMER,
-            Event::ServerList { .. } => LIST,
-            Event::PeerMessage { .. } => PEER,
-            Event::ClientGone(_) => GONE,
-            Event::ResponseStarted { .. } => BEGAN,
+            Event::ServerList { .. } => SERVER_LIST,
+            Event::PeerMessage { .. } => PEER_MESSAGE,
+            Event::ClientGone(_) => CLIENT_GONE,
+            Event::ResponseStarted { .. } => RESPONSE_STARTED,
             Event::Probed { .. } => PROBED,
             Event::Storm(_) => STORM,
-            Event::Inherited(_) => LEGACY,
-            Event::ProcessCount(_) => SHARING,
-            Event::ZoneRouting(_) => POOL,
-            Event::OriginAllowance(_) => LATER,
+            Event::Inherited(_) => INHERITED,
+            Event::ProcessCount(_) => PROCESS_COUNT,
+            Event::ZoneRouting(_) => ZONE_ROUTING,
+            Event::OriginAllowance(_) => EXTENDED,
         };
         out.push(kind);
-        self.time(out, at);
+        self.write_time(out, at);
         match event {
-            Event::Request(r) => {
-                self.request(out, r.id);
-                let sized = r.size != 0.0 || r.size.is_sign_negative();
-                let flags = [r.is_write, r.is_retry, r.cost.is_some(), sized, reference.is_some()];
-                out.push(flags.iter().enumerate().fold(0, |all, (i, on)| all | u8::from(*on) << i));
-                put(out, r.class as u64);
-                put(out, r.tenant as u64);
-                self.key(out, r.key);
-                put(out, r.time_left);
-                if let Some(cost) = r.cost {
-                    put(out, cost);
+            Event::Request(request) => {
+                self.write_request_id(out, request.id);
+                let has_size = request.size != 0.0 || request.size.is_sign_negative();
+                let flags = [
+                    request.is_write,
+                    request.is_retry,
+                    request.cost.is_some(),
+                    has_size,
+                    client_id_checksum.is_some(),
+                ];
+                out.push(flags.iter().enumerate().fold(0, |bits, (i, on)| bits | u8::from(*on) << i));
+                put_varint(out, request.class as u64);
+                put_varint(out, request.tenant as u64);
+                self.write_key(out, request.key);
+                put_varint(out, request.time_left);
+                if let Some(cost) = request.cost {
+                    put_varint(out, cost);
                 }
-                if sized {
-                    put_figure(out, r.size);
+                if has_size {
+                    put_decimal(out, request.size);
                 }
-                if let Some(reference) = reference {
-                    out.extend(reference.to_le_bytes());
+                if let Some(client_id_checksum) = client_id_checksum {
+                    out.extend(client_id_checksum.to_le_bytes());
                 }
             }
-            Event::Outcome(o) => {
-                self.request(out, o.request);
-                let note = NOTES.iter().position(|n| *n == o.cache_result).unwrap_or(0) as u8;
-                let status = STATUSES.iter().position(|s| *s == o.status).unwrap_or(0) as u8;
-                out.push(status | note << 4 | u8::from(o.request_finished) << 6);
-                put(out, u64::from(o.attempt));
-                self.server(out, o.server);
-                put(out, o.duration);
-                load(out, &o.load);
+            Event::Outcome(outcome) => {
+                self.write_request_id(out, outcome.request);
+                let cache_result =
+                    CACHE_RESULTS.iter().position(|n| *n == outcome.cache_result).unwrap_or(0) as u8;
+                let status = STATUSES.iter().position(|s| *s == outcome.status).unwrap_or(0) as u8;
+                out.push(status | cache_result << 4 | u8::from(outcome.request_finished) << 6);
+                put_varint(out, u64::from(outcome.attempt));
+                self.write_server(out, outcome.server);
+                put_varint(out, outcome.duration);
+                put_load(out, &outcome.load);
             }
-            Event::Timer(token) => put(out, u64::from(*token)),
+            Event::Timer(token) => put_varint(out, u64::from(*token)),
             Event::ServerList { kind, servers } => {
-                out.push(LISTS.iter().position(|k| k == kind).unwrap_or(0) as u8);
-                put(out, servers.len() as u64);
-                for line in servers {
-                    self.server(out, line.id);
-                    out.push(CONDITIONS.iter().position(|c| *c == line.condition).unwrap_or(0) as u8);
-                    out.push(line.zone);
-                    put(out, u64::from(line.cell));
-                    put(out, u64::from(line.machine_type));
-                    put_figure(out, line.weight);
-                    put(out, line.started_at);
+                out.push(LIST_KINDS.iter().position(|k| k == kind).unwrap_or(0) as u8);
+                put_varint(out, servers.len() as u64);
+                for server in servers {
+                    self.write_server(out, server.id);
+                    out.push(CONDITIONS.iter().position(|c| *c == server.condition).unwrap_or(0) as u8);
+                    out.push(server.zone);
+                    put_varint(out, u64::from(server.cell));
+                    put_varint(out, u64::from(server.machine_type));
+                    put_decimal(out, server.weight);
+                    put_varint(out, server.started_at);
                 }
             }
             Event::PeerMessage { from, bytes } => {
-                put(out, u64::from(*from));
-                put(out, bytes.len() as u64);
+                put_varint(out, u64::from(*from));
+                put_varint(out, bytes.len() as u64);
                 out.extend(bytes);
             }
-            Event::ClientGone(request) => self.request(out, *request),
+            Event::ClientGone(request) => self.write_request_id(out, *request),
             Event::ResponseStarted { request, attempt } => {
-                self.request(out, *request);
-                put(out, u64::from(*attempt));
+                self.write_request_id(out, *request);
+                put_varint(out, u64::from(*attempt));
             }
-            Event::Probed { server, succeeded: ok, duration: took, load: report } => {
-                self.server(out, *server);
-                out.push(u8::from(*ok));
-                put(out, *took);
-                load(out, report);
+            Event::Probed { server, succeeded, duration, load } => {
+                self.write_server(out, *server);
+                out.push(u8::from(*succeeded));
+                put_varint(out, *duration);
+                put_load(out, load);
             }
             Event::OriginAllowance(allowance) => {
-                out.extend([ALLOWANCE, u8::from(allowance.is_some())]);
-                if let Some(a) = allowance {
-                    let counts = [a.outstanding, a.calls_left, a.reserved_for_writes];
-                    counts.into_iter().for_each(|count| put(out, u64::from(count)));
-                    put(out, a.expires_at);
+                out.extend([EXTENDED_ORIGIN_ALLOWANCE, u8::from(allowance.is_some())]);
+                if let Some(allowance) = allowance {
+                    let counts = [allowance.outstanding, allowance.calls_left, allowance.reserved_for_writes];
+                    counts.into_iter().for_each(|count| put_varint(out, u64::from(count)));
+                    put_varint(out, allowance.expires_at);
                 }
             }
             Event::Storm(on) => out.push(u8::from(*on)),
-            Event::ProcessCount(processes) => put(out, u64::from(*processes)),
-            Event::ZoneRouting(pool) => {
-                out.push(u8::from(pool.is_some()));
-                if let Some(pool) = pool {
-                    put(out, pool.zone_rings.len() as u64);
-                    out.extend(&pool.zone_rings);
-                    put(out, pool.zone_key_shares.len() as u64);
-                    pool.cumulative_key_shares
+            Event::ProcessCount(processes) => put_varint(out, u64::from(*processes)),
+            Event::ZoneRouting(routing) => {
+                out.push(u8::from(routing.is_some()));
+                if let Some(routing) = routing {
+                    put_varint(out, routing.zone_rings.len() as u64);
+                    out.extend(&routing.zone_rings);
+                    put_varint(out, routing.zone_key_shares.len() as u64);
+                    routing
+                        .cumulative_key_shares
                         .iter()
-                        .chain(&pool.zone_key_shares)
+                        .chain(&routing.zone_key_shares)
                         .for_each(|part| out.extend(part.to_le_bytes()));
                 }
             }
-            Event::Inherited(left) => {
-                put(out, left.origin_calls.len() as u64);
-                for (fetch, until) in &left.origin_calls {
+            Event::Inherited(inherited) => {
+                put_varint(out, inherited.origin_calls.len() as u64);
+                for (fetch, until) in &inherited.origin_calls {
                     out.push(u8::from(*fetch));
-                    put(out, *until);
+                    put_varint(out, *until);
                 }
-                put(out, left.window_start);
-                left.calls_in_window.iter().for_each(|count| put(out, u64::from(*count)));
-                out.extend(left.outstanding_limit.to_le_bytes());
-                put(out, left.keyed_writes.len() as u64);
-                for (key, first) in &left.keyed_writes {
+                put_varint(out, inherited.window_start);
+                inherited.calls_in_window.iter().for_each(|count| put_varint(out, u64::from(*count)));
+                out.extend(inherited.outstanding_limit.to_le_bytes());
+                put_varint(out, inherited.keyed_writes.len() as u64);
+                for (key, first_sent) in &inherited.keyed_writes {
                     out.extend(key.to_le_bytes());
-                    put(out, *first);
+                    put_varint(out, *first_sent);
                 }
             }
         }
     }
 
-    /// Writes the second part of an entry: the actions. `begin` is where the entry's body began.
-    pub(crate) fn actions(
+    /// Writes the second part of an entry: the actions. The entry's body starts at `body_start`.
+    pub(crate) fn write_actions(
         &mut self,
         out: &mut Vec<u8>,
-        begin: usize,
+        body_start: usize,
         actions: impl ExactSizeIterator<Item = RecordedAction>,
     ) {
         let count = actions.len();
-        out[begin] |= (count.min(15) as u8) << 4;
+        out[body_start] |= (count.min(15) as u8) << 4;
         if count >= 15 {
-            put(out, count as u64);
+            put_varint(out, count as u64);
         }
         for action in actions {
             match action {
-                RecordedAction::Send { request, server, give_up_after } => {
+                RecordedAction::Send { request, server, timeout } => {
                     out.push(0);
-                    self.request(out, request);
-                    self.server(out, server);
-                    put(out, give_up_after);
+                    self.write_request_id(out, request);
+                    self.write_server(out, server);
+                    put_varint(out, timeout);
                 }
                 RecordedAction::Refuse { request, retry_after } => {
                     out.push(1);
-                    self.request(out, request);
-                    put(out, retry_after);
+                    self.write_request_id(out, request);
+                    put_varint(out, retry_after);
                 }
                 RecordedAction::Fail(request) => {
                     out.push(2);
-                    self.request(out, request);
+                    self.write_request_id(out, request);
                 }
                 RecordedAction::Cancel { request, attempt } => {
                     out.push(3);
-                    self.request(out, request);
-                    put(out, u64::from(attempt));
+                    self.write_request_id(out, request);
+                    put_varint(out, u64::from(attempt));
                 }
                 RecordedAction::Timer { after, token } => {
                     out.push(4);
-                    put(out, after);
-                    put(out, u64::from(token));
+                    put_varint(out, after);
+                    put_varint(out, u64::from(token));
                 }
                 RecordedAction::Subscribe(on) => out.extend([5, u8::from(on)]),
                 RecordedAction::FetchList => out.push(6),
                 RecordedAction::Probe(server) => {
                     out.push(7);
-                    self.server(out, server);
+                    self.write_server(out, server);
                 }
                 RecordedAction::CloseIdle(server) => {
                     out.push(8);
-                    self.server(out, server);
+                    self.write_server(out, server);
                 }
-                RecordedAction::SendToPeers { to, sum } => {
+                RecordedAction::SendToPeers { to, checksum } => {
                     out.push(9);
-                    put(out, to.map_or(0, |to| u64::from(to) + 1));
-                    out.extend(sum.to_le_bytes());
+                    put_varint(out, to.map_or(0, |to| u64::from(to) + 1));
+                    out.extend(checksum.to_le_bytes());
                 }
-                RecordedAction::Log(sum) => {
+                RecordedAction::Log(checksum) => {
                     out.push(10);
-                    out.extend(sum.to_le_bytes());
+                    out.extend(checksum.to_le_bytes());
                 }
-                RecordedAction::Fault(sum) => {
+                RecordedAction::Fault(checksum) => {
                     out.push(11);
-                    out.extend(sum.to_le_bytes());
+                    out.extend(checksum.to_le_bytes());
                 }
             }
         }
     }
 
-    /// Reads an entry's body. All of it must be used.
-    pub(crate) fn read(&mut self, body: &[u8]) -> Result<Entry, Bad> {
-        let mut input = Input(body);
-        let first = input.byte()?;
-        self.at = input.delta(self.at)?;
+    /// Decodes an entry's body, which must be used completely.
+    pub(crate) fn read(&mut self, body: &[u8]) -> Result<Entry, DecodeError> {
+        let mut reader = Reader(body);
+        let header_byte = reader.byte()?;
+        self.at = reader.delta(self.at)?;
         let at = self.at;
-        let body = match first & 15 {
-            STATE => Body::State(std::mem::take(&mut input.0).to_vec()),
-            GAP => Body::Gap { events: input.number()? },
+        let body = match header_byte & 15 {
+            STATE => Body::State(std::mem::take(&mut reader.0).to_vec()),
+            GAP => Body::Gap { events: reader.varint()? },
             END => Body::End,
             kind => {
-                let (event, reference) = self.read_event(kind, &mut input)?;
-                let count = if first >> 4 == 15 { input.count()? } else { usize::from(first >> 4) };
+                let (event, client_id_checksum) = self.read_event(kind, &mut reader)?;
+                let count =
+                    if header_byte >> 4 == 15 { reader.count()? } else { usize::from(header_byte >> 4) };
                 let mut actions = Vec::with_capacity(count.min(64));
                 for _ in 0..count {
-                    actions.push(self.read_action(&mut input)?);
+                    actions.push(self.read_action(&mut reader)?);
                 }
-                Body::Event { event, reference, actions }
+                Body::Event { event, client_id_checksum, actions }
             }
         };
-        if input.0.is_empty() { Ok(Entry { at, body }) } else { Err("there is more than its fields") }
+        if reader.0.is_empty() { Ok(Entry { at, body }) } else { Err("trailing bytes after the fields") }
     }
 
-    fn read_request(&mut self, input: &mut Input) -> Result<RequestId, Bad> {
-        self.request = input.delta(self.request)?;
+    fn read_request_id(&mut self, reader: &mut Reader) -> Result<RequestId, DecodeError> {
+        self.request = reader.delta(self.request)?;
         Ok(self.request)
     }
 
-    fn read_key(&mut self, input: &mut Input) -> Result<Key, Bad> {
-        self.keys.read(input, read_u64)
+    fn read_key(&mut self, reader: &mut Reader) -> Result<Key, DecodeError> {
+        self.keys.read(reader, read_u64)
     }
 
-    fn read_server(&mut self, input: &mut Input) -> Result<ServerId, Bad> {
-        self.servers.read(input, |input| Ok(u32::from_le_bytes(input.word()?)))
+    fn read_server(&mut self, reader: &mut Reader) -> Result<ServerId, DecodeError> {
+        self.servers.read(reader, |reader| Ok(u32::from_le_bytes(reader.word()?)))
     }
 
-    fn read_event(&mut self, kind: u8, input: &mut Input) -> Result<(Event, Option<u32>), Bad> {
-        let mut reference = None;
+    fn read_event(&mut self, kind: u8, reader: &mut Reader) -> Result<(Event, Option<u32>), DecodeError> {
+        let mut client_id_checksum = None;
         let event = match kind {
             REQUEST => {
-                let id = self.read_request(input)?;
-                let flags = input.byte()?;
+                let id = self.read_request_id(reader)?;
+                let flags = reader.byte()?;
                 let request = Request {
                     id,
-                    class: input.below()?,
-                    tenant: input.below()?,
-                    key: self.read_key(input)?,
+                    class: reader.integer()?,
+                    tenant: reader.integer()?,
+                    key: self.read_key(reader)?,
                     is_write: flags & 1 != 0,
                     is_retry: flags & 2 != 0,
-                    time_left: input.number()?,
-                    cost: if flags & 4 != 0 { Some(input.number()?) } else { None },
-                    size: if flags & 8 != 0 { input.figure()? } else { 0.0 },
+                    time_left: reader.varint()?,
+                    cost: if flags & 4 != 0 { Some(reader.varint()?) } else { None },
+                    size: if flags & 8 != 0 { reader.decimal()? } else { 0.0 },
                 };
                 if flags & 16 != 0 {
-                    reference = Some(u32::from_le_bytes(input.word()?));
+                    client_id_checksum = Some(u32::from_le_bytes(reader.word()?));
                 }
                 Event::Request(request)
             }
             OUTCOME => {
-                let request = self.read_request(input)?;
-                let ends = input.byte()?;
+                let request = self.read_request_id(reader)?;
+                let flags = reader.byte()?;
                 Event::Outcome(Outcome {
                     request,
-                    status: pick(&STATUSES, ends & 15)?,
-                    cache_result: pick(&NOTES, ends >> 4 & 3)?,
-                    request_finished: ends & 64 != 0,
-                    attempt: input.below()?,
-                    server: self.read_server(input)?,
-                    duration: input.number()?,
-                    load: read_load(input)?,
+                    status: decode_variant(&STATUSES, flags & 15)?,
+                    cache_result: decode_variant(&CACHE_RESULTS, flags >> 4 & 3)?,
+                    request_finished: flags & 64 != 0,
+                    attempt: reader.integer()?,
+                    server: self.read_server(reader)?,
+                    duration: reader.varint()?,
+                    load: read_load(reader)?,
                 })
             }
-            TIMER => Event::Timer(input.below()?),
-            LIST => {
-                let kind = pick(&LISTS, input.byte()?)?;
-                let count = input.count()?;
+            TIMER => Event::Timer(reader.integer()?),
+            SERVER_LIST => {
+                let kind = decode_variant(&LIST_KINDS, reader.byte()?)?;
+                let count = reader.count()?;
                 let mut servers = Vec::with_capacity(count.min(1024));
                 for _ in 0..count {
                     servers.push(ServerEntry {
-                        id: self.read_server(input)?,
-                        condition: pick(&CONDITIONS, input.byte()?)?,
-                        zone: input.byte()?,
-                        cell: input.below()?,
-                        machine_type: input.below()?,
-                        weight: input.figure()?,
-                        started_at: input.number()?,
+                        id: self.read_server(reader)?,
+                        condition: decode_variant(&CONDITIONS, reader.byte()?)?,
+                        zone: reader.byte()?,
+                        cell: reader.integer()?,
+                        machine_type: reader.integer()?,
+                        weight: reader.decimal()?,
+                        started_at: reader.varint()?,
                     });
                 }
                 Event::ServerList { kind, servers }
             }
-            PEER => {
-                let from = input.below()?;
-                let count = input.count()?;
-                Event::PeerMessage { from, bytes: input.bytes(count)?.to_vec() }
+            PEER_MESSAGE => {
+                let from = reader.integer()?;
+                let count = reader.count()?;
+                Event::PeerMessage { from, bytes: reader.bytes(count)?.to_vec() }
+            }
+            CLIENT_GONE => Event::ClientGone(self.read_request_id(reader)?),
+            RESPONSE_STARTED => {
+                Event::ResponseStarted { request: self.read_request_id(reader)?, attempt: reader.integer()? }
             }
-            GONE => Event::ClientGone(self.read_request(input)?),
-            BEGAN => Event::ResponseStarted { request: self.read_request(input)?, attempt: input.below()? },
             PROBED => Event::Probed {
-                server: self.read_server(input)?,
-                succeeded: input.byte()? != 0,
-                duration: input.number()?,
-                load: read_load(input)?,
+                server: self.read_server(reader)?,
+                succeeded: reader.byte()? != 0,
+                duration: reader.varint()?,
+                load: read_load(reader)?,
             },
-            STORM => Event::Storm(input.byte()? != 0),
-            SHARING => Event::ProcessCount(input.below()?),
-            POOL if input.byte()? == 0 => Event::ZoneRouting(None),
-            POOL => {
-                let count = input.count()?;
-                let rings = input.bytes(count)?.to_vec();
-                let open = input.count()?;
-                let keep = [f64::from_bits(read_u64(input)?), f64::from_bits(read_u64(input)?)];
-                let open =
-                    (0..open).map(|_| read_u64(input).map(f64::from_bits)).collect::<Result<_, _>>()?;
-                Event::ZoneRouting(Some(ZoneRouting {
-                    zone_rings: rings,
-                    cumulative_key_shares: keep,
-                    zone_key_shares: open,
-                }))
+            STORM => Event::Storm(reader.byte()? != 0),
+            PROCESS_COUNT => Event::ProcessCount(reader.integer()?),
+            ZONE_ROUTING if reader.byte()? == 0 => Event::ZoneRouting(None),
+            ZONE_ROUTING => {
+                let count = reader.count()?;
+                let zone_rings = reader.bytes(count)?.to_vec();
+                let share_count = reader.count()?;
+                let cumulative_key_shares =
+                    [f64::from_bits(read_u64(reader)?), f64::from_bits(read_u64(reader)?)];
+                let zone_key_shares = (0..share_count)
+                    .map(|_| read_u64(reader).map(f64::from_bits))
+                    .collect::<Result<_, _>>()?;
+                Event::ZoneRouting(Some(ZoneRouting { zone_rings, cumulative_key_shares, zone_key_shares }))
             }
-            LEGACY => {
-                let mut left = InheritedState::default();
-                for _ in 0..input.count()? {
-                    left.origin_calls.push((input.byte()? != 0, input.number()?));
+            INHERITED => {
+                let mut inherited = InheritedState::default();
+                for _ in 0..reader.count()? {
+                    inherited.origin_calls.push((reader.byte()? != 0, reader.varint()?));
                 }
-                left.window_start = input.number()?;
-                left.calls_in_window = [input.below()?, input.below()?];
-                left.outstanding_limit = f64::from_bits(read_u64(input)?);
-                for _ in 0..input.count()? {
-                    left.keyed_writes.push((read_u64(input)?, input.number()?));
+                inherited.window_start = reader.varint()?;
+                inherited.calls_in_window = [reader.integer()?, reader.integer()?];
+                inherited.outstanding_limit = f64::from_bits(read_u64(reader)?);
+                for _ in 0..reader.count()? {
+                    inherited.keyed_writes.push((read_u64(reader)?, reader.varint()?));
                 }
-                Event::Inherited(left)
+                Event::Inherited(inherited)
             }
-            LATER if input.byte()? == ALLOWANCE => {
-                let told = input.byte()? != 0;
-                Event::OriginAllowance(if told { Some(read_allowance(input)?) } else { None })
+            EXTENDED if reader.byte()? == EXTENDED_ORIGIN_ALLOWANCE => {
+                let is_limited = reader.byte()? != 0;
+                Event::OriginAllowance(if is_limited { Some(read_allowance(reader)?) } else { None })
             }
-            _ => return Err("an entry of an unknown kind"),
+            _ => return Err("unknown kind of entry"),
         };
-        Ok((event, reference))
+        Ok((event, client_id_checksum))
     }
 
-    fn read_action(&mut self, input: &mut Input) -> Result<RecordedAction, Bad> {
-        Ok(match input.byte()? {
+    fn read_action(&mut self, reader: &mut Reader) -> Result<RecordedAction, DecodeError> {
+        Ok(match reader.byte()? {
             0 => RecordedAction::Send {
-                request: self.read_request(input)?,
-                server: self.read_server(input)?,
-                give_up_after: input.number()?,
+                request: self.read_request_id(reader)?,
+                server: self.read_server(reader)?,
+                timeout: reader.varint()?,
+            },
+            1 => RecordedAction::Refuse {
+                request: self.read_request_id(reader)?,
+                retry_after: reader.varint()?,
             },
-            1 => RecordedAction::Refuse { request: self.read_request(input)?, retry_after: input.number()? },
-            2 => RecordedAction::Fail(self.read_request(input)?),
-            3 => RecordedAction::Cancel { request: self.read_request(input)?, attempt: input.below()? },
-            4 => RecordedAction::Timer { after: input.number()?, token: input.below()? },
-            5 => RecordedAction::Subscribe(input.byte()? != 0),
+            2 => RecordedAction::Fail(self.read_request_id(reader)?),
+            3 => {
+                RecordedAction::Cancel { request: self.read_request_id(reader)?, attempt: reader.integer()? }
+            }
+            4 => RecordedAction::Timer { after: reader.varint()?, token: reader.integer()? },
+            5 => RecordedAction::Subscribe(reader.byte()? != 0),
             6 => RecordedAction::FetchList,
-            7 => RecordedAction::Probe(self.read_server(input)?),
-            8 => RecordedAction::CloseIdle(self.read_server(input)?),
+            7 => RecordedAction::Probe(self.read_server(reader)?),
+            8 => RecordedAction::CloseIdle(self.read_server(reader)?),
             9 => {
-                let to = match input.number()? {
+                let to = match reader.varint()? {
                     0 => None,
-                    to => Some(u32::try_from(to - 1).map_err(|_| "a peer's number is too large")?),
+                    to => Some(u32::try_from(to - 1).map_err(|_| "peer number is too large")?),
                 };
-                RecordedAction::SendToPeers { to, sum: u32::from_le_bytes(input.word()?) }
+                RecordedAction::SendToPeers { to, checksum: u32::from_le_bytes(reader.word()?) }
             }
-            10 => RecordedAction::Log(u32::from_le_bytes(input.word()?)),
-            11 => RecordedAction::Fault(u32::from_le_bytes(input.word()?)),
-            _ => return Err("an action of an unknown kind"),
+            10 => RecordedAction::Log(u32::from_le_bytes(reader.word()?)),
+            11 => RecordedAction::Fault(u32::from_le_bytes(reader.word()?)),
+            _ => return Err("unknown kind of action"),
         })
     }
 }
@@ -646,42 +667,42 @@
     Status::NotSent,
     Status::LocalFailure,
 ];
-const NOTES: [CacheResult; 4] =
+const CACHE_RESULTS: [CacheResult; 4] =
     [CacheResult::None, CacheResult::Hit, CacheResult::Miss, CacheResult::MissBeingFetched];
-const LISTS: [ListKind; 4] = [ListKind::Full, ListKind::Cached, ListKind::Delta, ListKind::Failed];
+const LIST_KINDS: [ListKind; 4] = [ListKind::Full, ListKind::Cached, ListKind::Delta, ListKind::Failed];
 const CONDITIONS: [Condition; 3] = [Condition::Ready, Condition::Draining, Condition::Gone];
 
-fn pick<T: Copy>(all: &[T], place: u8) -> Result<T, Bad> {
-    all.get(usize::from(place)).copied().ok_or("a value of an unknown kind")
+fn decode_variant<T: Copy>(values: &[T], index: u8) -> Result<T, DecodeError> {
+    values.get(usize::from(index)).copied().ok_or("unknown enum value")
 }
 
-fn load(out: &mut Vec<u8>, load: &LoadReport) {
+fn put_load(out: &mut Vec<u8>, load: &LoadReport) {
     let count = load.count.min(4);
     out.push(count);
-    load.values.iter().take(usize::from(count)).for_each(|v| put_figure(out, *v));
+    load.values.iter().take(usize::from(count)).for_each(|v| put_decimal(out, *v));
 }
 
-fn read_load(input: &mut Input) -> Result<LoadReport, Bad> {
-    let mut load = LoadReport { count: input.byte()?, ..LoadReport::default() };
+fn read_load(reader: &mut Reader) -> Result<LoadReport, DecodeError> {
+    let mut load = LoadReport { count: reader.byte()?, ..LoadReport::default() };
     if load.count > 4 {
-        return Err("a load report of too many figures");
+        return Err("load report has too many values");
     }
     for value in load.values.iter_mut().take(usize::from(load.count)) {
-        *value = input.figure()?;
+        *value = reader.decimal()?;
     }
     Ok(load)
 }
 
-fn read_allowance(input: &mut Input) -> Result<OriginAllowance, Bad> {
+fn read_allowance(reader: &mut Reader) -> Result<OriginAllowance, DecodeError> {
     Ok(OriginAllowance {
-        outstanding: input.below()?,
-        calls_left: input.below()?,
-        reserved_for_writes: input.below()?,
-        expires_at: input.number()?,
+        outstanding: reader.integer()?,
+        calls_left: reader.integer()?,
+        reserved_for_writes: reader.integer()?,
+        expires_at: reader.varint()?,
     })
 }
 
-fn read_u64(input: &mut Input) -> Result<u64, Bad> {
-    let (low, high) = (input.word()?, input.word()?);
+fn read_u64(reader: &mut Reader) -> Result<u64, DecodeError> {
+    let (low, high) = (reader.word()?, reader.word()?);
     Ok(u64::from(u32::from_le_bytes(low)) | u64::from(u32::from_le_bytes(high)) << 32)
 }
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -1,22 +1,22 @@
-//! A record of what a node's decision module was told, and what it answered.
+//! Records the events that a node's decision module receives, and the actions that it returns.
 //!
-//! The module is deterministic: the same events at the same clock values from the same state bring the same actions.
-//! So a record of its events is enough to know, later, why it chose as it did, and to come back after a restart with
-//! what an earlier life left behind.
+//! The module is deterministic: the same events at the same clock values, from the same state, produce the
+//! same actions. A record of its events is therefore enough to explain a decision later, and to restore after
+//! a restart what the previous incarnation left behind.
 //!
 //! | module | what it does | I/O |
 //! | --- | --- | --- |
-//! | `wire` | whole numbers of variable length, bounded reading | no |
-//! | [`entry`] | events and actions as bytes, and back | no |
+//! | `wire` | integers of variable length, bounded reading | no |
+//! | [`entry`] | encoding of events and actions | no |
 //! | [`folder`] | the folder of segments and the names of its files | yes |
 //! | [`monotonic`] | readings of the monotonic clock | no |
 //! | [`segment`] | segments: header, framing, checksums | no |
-//! | [`recorder`] | takes events from a node, cuts segments and pieces, marks gaps | no |
-//! | [`replay`] | the same events through the module again | no |
-//! | [`recover`] | what a next life must count | no |
-//! | [`store`] | pieces to files in a folder, on a thread of its own | yes |
+//! | [`recorder`] | splits a node's events into segments and chunks, marks gaps | no |
+//! | [`replay`] | replays recorded events through the module | no |
+//! | [`recover`] | determines what the next incarnation must count | no |
+//! | [`store`] | writes chunks to files in a folder, on a separate thread | yes |
 //!
-//! The format is laid down in `docs/design/record.md`.
+//! The format is specified in `docs/design/record.md`.
 
 pub mod entry;
 pub mod folder;
--- a/crates/record/src/monotonic.rs
+++ b/crates/record/src/monotonic.rs
@@ -1,7 +1,7 @@
-//! Readings of the machine's monotonic clock: the only proof of how old a record is.
+//! Readings of the host's monotonic clock: the only proof of a record's age.
 //!
-//! The wall clock may be stepped between two incarnations of a node, or in the middle of one. The monotonic clock can't,
-//! but its readings compare within one boot of the machine only.
+//! The wall clock may be stepped between two incarnations of a node or during one. The monotonic clock is
+//! never stepped, but its readings are comparable only within one boot of the host.
 
 use brassrouter::Micros;
 use serde::{Deserialize, Serialize};
@@ -9,29 +9,29 @@
 /// A reading of the monotonic clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MonotonicReading {
-    /// Identifies the boot of the machine.
+    /// Identifies the boot of the host.
     pub boot_id: u128,
     /// Microseconds on the monotonic clock of that boot.
     pub at: Micros,
 }
 
 impl MonotonicReading {
-    /// The reading so many microseconds later.
+    /// The reading `by` microseconds later.
     pub fn later(self, by: Micros) -> MonotonicReading {
         MonotonicReading { at: self.at.saturating_add(by), ..self }
     }
 
-    /// How long ago `earlier` was; `None` for another boot, or one that lies ahead.
+    /// Time since `earlier`; `None` if that was in another boot or lies in the future.
     pub fn since(self, earlier: MonotonicReading) -> Option<Micros> {
         if self.boot_id == earlier.boot_id { self.at.checked_sub(earlier.at) } else { None }
     }
 }
 
-/// Both clocks at one moment.
+/// Readings of both clocks at one moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClockReading {
-    /// The node's clock, in which events are told: wall time at its start and monotonic time from there.
+    /// The node's clock, which timestamps events: wall time at the node's start plus monotonic time since.
     pub clock: Micros,
-    /// The monotonic clock, where it can be read.
+    /// The monotonic clock, if it can be read.
     pub monotonic: Option<MonotonicReading>,
 }
--- a/crates/record/src/recorder.rs
+++ b/crates/record/src/recorder.rs
@@ -1,8 +1,8 @@
-//! Takes events from a node and makes segments of them. No I/O: pieces go to a [`Sink`], which may refuse them.
+//! Splits a node's events into segments. No I/O: chunks go to a [`Sink`], which may refuse them.
 //!
-//! Nothing here waits. Where the sink has no room or fails, the segment ends there (what is on disk stays a valid
-//! beginning), the events that follow are counted as lost, and after a while a new segment begins with the module's
-//! state and says how many are missing before it.
+//! Nothing here blocks. If the sink is full or fails, the segment ends there (what is on disk remains a valid
+//! prefix), the events that follow are counted as lost, and after a backoff a new segment begins with the
+//! module's state and the number of missing events.
 
 use std::fmt;
 
@@ -14,21 +14,21 @@
 use crate::monotonic::{ClockReading, MonotonicReading};
 use crate::segment::{Header, Writer};
 
-/// Figures of a recorder.
+/// Settings of a recorder.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Tuning {
-    /// A segment ends when it has grown to so many mebibytes.
+    /// Size at which a segment ends, in mebibytes.
     pub segment_mib: f64,
-    /// The oldest segments go when all of the node's together would exceed so many mebibytes.
+    /// Limit of the total size of a node's segments, in mebibytes; the oldest ones are removed.
     pub most_mib: f64,
-    /// What was recorded is handed to the disk after so many milliseconds at the latest: a kill loses no more.
+    /// Longest time until recorded events are handed to the disk, in milliseconds: a kill loses no more.
     pub hand_over_ms: f64,
-    /// What was handed over is forced onto the disk (fdatasync) so often, milliseconds: a power cut loses no more.
+    /// Interval of flushing to the disk (fdatasync), in milliseconds: a power failure loses no more.
     pub sync_ms: f64,
-    /// Mebibytes that may wait for a slow disk; what comes on top is lost and marked.
+    /// Mebibytes that may be pending for a slow disk; events beyond that are lost and the gap is marked.
     pub wait_mib: f64,
-    /// After a loss, recording begins anew so much later, milliseconds.
+    /// Delay after a loss before recording resumes, in milliseconds.
     pub again_ms: f64,
 }
 
@@ -45,10 +45,10 @@
     }
 }
 
-/// A figure outside its range.
+/// A setting outside its range.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutOfRange {
-    /// Its name.
+    /// Name of the setting.
     pub key: &'static str,
     value: f64,
     range: (f64, f64),
@@ -61,15 +61,15 @@
 }
 
 impl Tuning {
-    /// Checks every figure against its range.
+    /// Checks every setting against its range.
     ///
     /// # Errors
-    /// The first one outside.
+    /// The first setting outside its range.
     pub fn validate(&self) -> Result<(), OutOfRange> {
-        let most = self.most_mib.max(0.0);
+        let max_total_mib = self.most_mib.max(0.0);
         for (key, value, range) in [
             ("most_mib", self.most_mib, (2.0, 1_048_576.0)),
-            ("segment_mib", self.segment_mib, (0.05, most / 2.0)),
+            ("segment_mib", self.segment_mib, (0.05, max_total_mib / 2.0)),
             ("hand_over_ms", self.hand_over_ms, (1.0, 1000.0)),
             ("sync_ms", self.sync_ms, (0.0, 60_000.0)),
             ("wait_mib", self.wait_mib, (0.25, 64.0)),
@@ -83,357 +83,378 @@
     }
 }
 
-/// Where a piece of a record goes, and what the recorder is told of it.
+/// Destination of a record's chunks, which reports failures to the recorder.
 pub trait Sink {
-    /// Takes a piece; `first` where it begins a segment. Never waits.
+    /// Takes a chunk; `is_first` is true for the first chunk of a segment. Must not block.
     ///
     /// # Errors
-    /// Why it could not be taken, or an earlier one not kept; the rest of its segment is not given then.
-    fn write(&mut self, header: &Header, first: bool, piece: Chunk) -> Result<(), String>;
+    /// Why this chunk was not taken or an earlier one not stored; the recorder passes no more chunks of the
+    /// segment then.
+    fn write(&mut self, header: &Header, is_first: bool, chunk: Chunk) -> Result<(), String>;
 
-    /// Events of pieces that were taken and not kept after all, since the last call.
+    /// Number of events in chunks that were taken but not stored, since the last call.
     fn take_dropped_events(&mut self) -> u64;
 }
 
 /// A part of a segment.
 pub struct Chunk {
-    /// Whole entries, except that the first piece of a segment begins with the header.
+    /// Complete entries; the first chunk of a segment starts with the header.
     pub bytes: Vec<u8>,
-    /// Events among them.
+    /// Number of events among them.
     pub events: u64,
 }
 
-/// What was recorded and lost so far.
+/// Counts of what was recorded and lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Events whose entries the sink has taken or will be given.
     pub events: u64,
     /// Events that are in no segment.
     pub lost: u64,
-    /// Bytes given to the sink.
+    /// Bytes passed to the sink.
     pub bytes: u64,
     /// Segments begun.
     pub segments: u32,
-    /// Times that the sink refused a piece.
+    /// Chunks that the sink refused.
     pub refused: u32,
 }
 
-/// A line for the log, where something has changed.
+/// A line for the log, if something has changed.
 pub type Notice = Option<String>;
 
-struct Open {
+struct OpenSegment {
     header: Header,
     writer: Writer,
-    first: bool,
-    /// When its waiting bytes began to wait.
-    since: Micros,
-    /// Events among the waiting bytes.
+    is_first: bool,
+    /// When the oldest pending event was recorded.
+    pending_since: Micros,
+    /// Number of pending events.
     events: u64,
-    /// When it began.
-    begun: Micros,
-    /// Missing before it; `None` once it is sure that this has been written.
+    /// When the segment began.
+    started_at: Micros,
+    /// Events missing before it; `None` once it is certain that this number has been written.
     gap: Option<u64>,
 }
 
-/// Makes segments of what a node's module is told.
+/// Records the events of a node's module in segments.
 pub struct Recorder {
-    figures: Tuning,
+    tuning: Tuning,
     sink: Box<dyn Sink>,
-    legacy: Option<InheritedState>,
+    inherited_state: Option<InheritedState>,
     header: Option<Header>,
-    on: bool,
-    open: Option<Open>,
-    /// An event has been written whose actions are still to come.
-    half: bool,
-    /// No segment is begun before.
-    not_before: Micros,
-    /// Lost since the last segment ended.
-    missing: u64,
-    told_of_loss: bool,
-    /// Failures in a row.
-    failures: u32,
+    enabled: bool,
+    segment: Option<OpenSegment>,
+    /// An event has been written whose actions are still missing.
+    awaiting_actions: bool,
+    /// No segment is begun before this time.
+    resume_at: Micros,
+    /// Events lost since the last segment ended.
+    missing_events: u64,
+    loss_reported: bool,
+    /// Consecutive failures.
+    consecutive_failures: u32,
     counts: Counts,
     program: String,
     secret_keys: bool,
     /// The largest incarnation in the folder.
-    largest: Option<u64>,
+    largest_incarnation: Option<u64>,
     /// Reads the monotonic clock.
     monotonic: Box<dyn Fn() -> Option<MonotonicReading>>,
-    /// Both clocks when the node began.
-    begun: ClockReading,
-    /// The clock in which the times of `legacy` are told, where it is not the node's own.
+    /// Both clocks when the node started.
+    start_clocks: ClockReading,
+    /// The clock to which the times of `inherited_state` refer, if it is not the node's own.
     recovered_at: Option<Micros>,
 }
 
 impl Recorder {
-    /// A recorder that gives its pieces to a sink. `legacy` is what an earlier life's record says that this one must
-    /// count.
-    pub fn new(figures: Tuning, on: bool, sink: Box<dyn Sink>, legacy: Option<InheritedState>) -> Self {
+    /// Creates a recorder that passes its chunks to a sink. `inherited_state` is what this incarnation must
+    /// count of the previous one, according to its record.
+    pub fn new(
+        tuning: Tuning,
+        enabled: bool,
+        sink: Box<dyn Sink>,
+        inherited_state: Option<InheritedState>,
+    ) -> Self {
         Recorder {
-            figures,
+            tuning,
             sink,
-            legacy,
+            inherited_state,
             header: None,
-            on,
-            open: None,
-            half: false,
-            not_before: 0,
-            missing: 0,
-            told_of_loss: false,
-            failures: 0,
+            enabled,
+            segment: None,
+            awaiting_actions: false,
+            resume_at: 0,
+            missing_events: 0,
+            loss_reported: false,
+            consecutive_failures: 0,
             counts: Counts::default(),
             program: String::new(),
             secret_keys: false,
-            largest: None,
+            largest_incarnation: None,
             monotonic: Box::new(|| None),
-            begun: ClockReading { clock: 0, monotonic: None },
+            start_clocks: ClockReading { clock: 0, monotonic: None },
             recovered_at: None,
         }
     }
 
-    /// The largest incarnation in the folder: that of this node is greater, whatever the wall clock says.
-    pub fn after_incarnation(mut self, largest: Option<u64>) -> Self {
-        self.largest = largest;
+    /// Sets the largest incarnation in the folder: that of this node becomes greater, whatever the wall clock
+    /// shows.
+    pub fn after_incarnation(mut self, largest_incarnation: Option<u64>) -> Self {
+        self.largest_incarnation = largest_incarnation;
         self
     }
 
-    /// Reads the monotonic clock when the node begins, so that the age of its segments can be proven later.
+    /// Reads the monotonic clock when the node starts, so that the age of its segments can be proven later.
     pub fn with_monotonic_clock(mut self, read: impl Fn() -> Option<MonotonicReading> + 'static) -> Self {
         self.monotonic = Box::new(read);
         self
     }
 
-    /// The times of the legacy are told in a clock that stood here when it was recovered: they move with the node's
-    /// own, which may have been stepped since.
+    /// Sets the clock value at which the inherited state was recovered. Its times are shifted by the
+    /// difference to the node's own clock, which may have been stepped since.
     pub fn recovered_at(mut self, clock: Micros) -> Self {
         self.recovered_at = Some(clock);
         self
     }
 
-    /// Says which program records, and whether keys were hashed with a secret.
+    /// Sets the program that records, and whether keys were hashed with a secret.
     pub fn with_program(mut self, program: &str, secret_keys: bool) -> Self {
         (self.program, self.secret_keys) = (program.into(), secret_keys);
         self
     }
 
-    /// The node begins: its name, its seed, its settings and its clock.
-    pub fn start(&mut self, node: &str, seed: u64, site: &DeploymentSettings, now: Micros) {
-        self.begun = ClockReading { clock: now, monotonic: (self.monotonic)() };
-        if let (Some(then), Some(legacy)) = (self.recovered_at.take(), &mut self.legacy) {
-            move_times(legacy, then, now);
+    /// Starts recording for a node with this name, seed, settings and clock value.
+    pub fn start(&mut self, node: &str, seed: u64, deployment: &DeploymentSettings, now: Micros) {
+        self.start_clocks = ClockReading { clock: now, monotonic: (self.monotonic)() };
+        if let (Some(then), Some(inherited_state)) = (self.recovered_at.take(), &mut self.inherited_state) {
+            shift_times(inherited_state, then, now);
         }
         self.header = Some(Header {
             node: node.into(),
-            incarnation: self.largest.map_or(now, |largest| now.max(largest.saturating_add(1))),
+            incarnation: self
+                .largest_incarnation
+                .map_or(now, |largest_incarnation| now.max(largest_incarnation.saturating_add(1))),
             number: 0,
             started_at: now,
             program: self.program.clone(),
             state_version: STATE_VERSION,
             seed,
             secret_keys: self.secret_keys,
-            settings: site.policy.clone(),
-            classes: site.class_names.clone(),
-            tenants: site.tenant_names.clone(),
+            settings: deployment.policy.clone(),
+            classes: deployment.class_names.clone(),
+            tenants: deployment.tenant_names.clone(),
             servers: Vec::new(),
             monotonic: None,
         });
     }
 
-    /// What this life must count of an earlier one; told once.
+    /// What this incarnation must count of the previous one; returned once.
     pub fn take_inherited_state(&mut self) -> Option<InheritedState> {
-        self.legacy.take()
+        self.inherited_state.take()
     }
 
-    /// What was recorded and lost so far.
+    /// Counts of what was recorded and lost.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Switches recording on or off.
-    pub fn set_enabled(&mut self, on: bool, now: Micros) -> Notice {
-        if on == self.on {
+    /// Enables or disables recording.
+    pub fn set_enabled(&mut self, enabled: bool, now: Micros) -> Notice {
+        if enabled == self.enabled {
             return None;
         }
-        if !on && let Some(mut open) = self.open.take() {
-            open.writer.entry(now, &Body::End);
-            let events = open.events;
-            if self.give(&mut open).is_err() {
-                self.lose(events);
+        if !enabled && let Some(mut segment) = self.segment.take() {
+            segment.writer.write_entry(now, &Body::End);
+            let events = segment.events;
+            if self.send_chunk(&mut segment).is_err() {
+                self.count_lost(events);
             }
         }
-        (self.on, self.not_before, self.missing) = (on, 0, 0);
-        Some(if on { "recording".into() } else { format!("recording has stopped; {}", self.line()) })
+        (self.enabled, self.resume_at, self.missing_events) = (enabled, 0, 0);
+        Some(if enabled {
+            "recording started".into()
+        } else {
+            format!("recording stopped; {}", self.summary())
+        })
     }
 
-    /// Whether events are wanted at all.
+    /// Whether recording is enabled.
     pub fn is_enabled(&self) -> bool {
-        self.on
+        self.enabled
     }
 
-    /// An event is about to be told to the module; of a request, the `reference` of its client's id.
+    /// Records an event before it is passed to the module; `client_id_checksum` belongs to the id of a
+    /// request.
     pub fn record_event(
         &mut self,
         now: Micros,
         policy: &Policy,
         event: &Event,
-        reference: Option<u32>,
+        client_id_checksum: Option<u32>,
     ) -> Notice {
-        self.half = false;
-        if !self.on {
+        self.awaiting_actions = false;
+        if !self.enabled {
             return None;
         }
         let mut notice = None;
         if self
-            .open
+            .segment
             .as_ref()
-            .is_some_and(|open| open.writer.len() as f64 > self.figures.segment_mib * 1048576.0)
+            .is_some_and(|segment| segment.writer.len() as f64 > self.tuning.segment_mib * 1048576.0)
         {
             notice = self.hand_over(now);
-            // A gap that is not yet sure to be written is said again.
-            self.missing += self.open.take().and_then(|open| open.gap).unwrap_or(0);
+            // A gap that is not certain to be written is reported again in the next segment.
+            self.missing_events += self.segment.take().and_then(|segment| segment.gap).unwrap_or(0);
         }
-        if self.open.is_none() && now >= self.not_before {
-            notice = notice.or(self.begin(now, policy));
+        if self.segment.is_none() && now >= self.resume_at {
+            notice = notice.or(self.begin_segment(now, policy));
         }
-        match &mut self.open {
-            Some(open) => {
-                open.writer.event(now, event, reference);
-                self.half = true;
+        match &mut self.segment {
+            Some(segment) => {
+                segment.writer.begin_event(now, event, client_id_checksum);
+                self.awaiting_actions = true;
             }
-            None => self.lose(1),
+            None => self.count_lost(1),
         }
         notice
     }
 
-    /// What the module wants after that event.
+    /// Records the actions that the event caused.
     pub fn record_actions(&mut self, now: Micros, actions: &[Action]) -> Notice {
-        if !std::mem::take(&mut self.half) {
+        if !std::mem::take(&mut self.awaiting_actions) {
             return None;
         }
-        let open = self.open.as_mut()?;
-        open.writer.actions(actions.iter().map(RecordedAction::from));
-        open.events += 1;
-        if open.events == 1 {
-            open.since = now;
+        let segment = self.segment.as_mut()?;
+        segment.writer.finish_event(actions.iter().map(RecordedAction::from));
+        segment.events += 1;
+        if segment.events == 1 {
+            segment.pending_since = now;
         }
-        let due = now.saturating_sub(open.since) as f64 >= self.figures.hand_over_ms * 1000.0;
-        if due || open.writer.waiting() >= ENOUGH { self.hand_over(now) } else { None }
+        let is_due = now.saturating_sub(segment.pending_since) as f64 >= self.tuning.hand_over_ms * 1000.0;
+        if is_due || segment.writer.pending_bytes() >= CHUNK_BYTES { self.hand_over(now) } else { None }
     }
 
-    /// The node ends in order.
+    /// Ends the record at an orderly shutdown of the node.
     pub fn finish(&mut self, now: Micros) -> Notice {
-        if let Some(open) = &mut self.open {
-            open.writer.entry(now, &Body::End);
+        if let Some(segment) = &mut self.segment {
+            segment.writer.write_entry(now, &Body::End);
         }
         self.hand_over(now)
     }
 
-    fn begin(&mut self, now: Micros, policy: &Policy) -> Notice {
-        self.late_losses();
+    fn begin_segment(&mut self, now: Micros, policy: &Policy) -> Notice {
+        self.count_late_losses();
         let header = self.header.as_mut()?;
         (header.started_at, header.servers) = (now, policy.listed_servers());
-        let since_birth = now.saturating_sub(self.begun.clock);
-        header.monotonic = self.begun.monotonic.map(|reading| reading.later(since_birth));
-        let begun = Writer::begin(header).and_then(|mut writer| {
-            writer.state(now, policy)?;
+        let since_start = now.saturating_sub(self.start_clocks.clock);
+        header.monotonic = self.start_clocks.monotonic.map(|reading| reading.later(since_start));
+        let created = Writer::begin(header).and_then(|mut writer| {
+            writer.write_state(now, policy)?;
             Ok(writer)
         });
-        let mut writer = match begun {
+        let mut writer = match created {
             Ok(writer) => writer,
-            Err(e) => return self.failed(now, 0, &e),
+            Err(e) => return self.handle_failure(now, 0, &e),
         };
-        if self.missing > 0 {
-            writer.entry(now, &Body::Gap { events: self.missing });
+        if self.missing_events > 0 {
+            writer.write_entry(now, &Body::Gap { events: self.missing_events });
         }
         self.counts.segments += 1;
-        let gap = Some(std::mem::take(&mut self.missing));
-        self.open = Some(Open {
+        let gap = Some(std::mem::take(&mut self.missing_events));
+        self.segment = Some(OpenSegment {
             header: header.clone(),
             writer,
-            first: true,
-            since: now,
+            is_first: true,
+            pending_since: now,
             events: 0,
-            begun: now,
+            started_at: now,
             gap,
         });
         header.number += 1;
         None
     }
 
-    /// What a disk does with a piece is known only later: after a loss, recording counts as begun again when a segment
-    /// has gone well for as long as one waits for the next try, and has been synced once.
-    fn confirm(&mut self, now: Micros) -> Notice {
-        let wait = ((self.figures.again_ms + self.figures.sync_ms) * 1000.0) as Micros;
-        let open = self.open.as_mut().filter(|open| open.gap.is_some() && now >= open.begun + wait)?;
-        let missing = open.gap.take()?;
-        self.failures = 0;
-        let told = std::mem::take(&mut self.told_of_loss);
-        told.then(|| format!("recording again; {missing} events are missing before; {}", self.line()))
+    /// Whether a disk stores a chunk is known only later. After a loss, recording counts as resumed when a
+    /// segment has been written without failure for the retry delay plus one sync interval.
+    fn confirm_resumed(&mut self, now: Micros) -> Notice {
+        let wait = ((self.tuning.again_ms + self.tuning.sync_ms) * 1000.0) as Micros;
+        let segment = self
+            .segment
+            .as_mut()
+            .filter(|segment| segment.gap.is_some() && now >= segment.started_at + wait)?;
+        let missing_events = segment.gap.take()?;
+        self.consecutive_failures = 0;
+        let was_reported = std::mem::take(&mut self.loss_reported);
+        was_reported
+            .then(|| format!("recording resumed after a gap of {missing_events} events; {}", self.summary()))
     }
 
-    fn give(&mut self, open: &mut Open) -> Result<(), String> {
-        let piece = Chunk { bytes: open.writer.take(), events: std::mem::take(&mut open.events) };
-        let (bytes, events) = (piece.bytes.len() as u64, piece.events);
-        self.sink.write(&open.header, std::mem::take(&mut open.first), piece)?;
+    fn send_chunk(&mut self, segment: &mut OpenSegment) -> Result<(), String> {
+        let chunk = Chunk { bytes: segment.writer.take(), events: std::mem::take(&mut segment.events) };
+        let (bytes, events) = (chunk.bytes.len() as u64, chunk.events);
+        self.sink.write(&segment.header, std::mem::take(&mut segment.is_first), chunk)?;
         self.counts.bytes += bytes;
         self.counts.events += events;
         Ok(())
     }
 
     fn hand_over(&mut self, now: Micros) -> Notice {
-        let mut open = self.open.take()?;
-        let events = open.events;
-        match self.give(&mut open) {
+        let mut segment = self.segment.take()?;
+        let events = segment.events;
+        match self.send_chunk(&mut segment) {
             Ok(()) => {
-                self.open = Some(open);
-                self.confirm(now)
+                self.segment = Some(segment);
+                self.confirm_resumed(now)
             }
             Err(e) => {
-                // What it would have said of the time before is to be said by the next one.
-                self.missing += open.gap.unwrap_or(0);
-                self.failed(now, events, &e)
+                // The next segment must report the gap that this one would have reported.
+                self.missing_events += segment.gap.unwrap_or(0);
+                self.handle_failure(now, events, &e)
             }
         }
     }
 
-    fn failed(&mut self, now: Micros, events: u64, why: &str) -> Notice {
-        self.lose(events);
-        self.late_losses();
+    fn handle_failure(&mut self, now: Micros, events: u64, reason: &str) -> Notice {
+        self.count_lost(events);
+        self.count_late_losses();
         self.counts.refused += 1;
-        // Every try costs a state: ever more seldom while it goes on, up to a minute.
-        let wait = (self.figures.again_ms * f64::from(1u32 << self.failures.min(6))).min(60_000.0);
-        self.failures += 1;
-        self.not_before = now + (wait * 1000.0) as Micros;
-        // Said once, until it records again.
-        (!std::mem::replace(&mut self.told_of_loss, true))
-            .then(|| format!("the record has a gap from here on: {why}"))
+        // Every attempt costs encoding a state, so the delay doubles with each failure, up to a minute.
+        let wait = (self.tuning.again_ms * f64::from(1u32 << self.consecutive_failures.min(6))).min(60_000.0);
+        self.consecutive_failures += 1;
+        self.resume_at = now + (wait * 1000.0) as Micros;
+        // Reported once, until recording resumes.
+        (!std::mem::replace(&mut self.loss_reported, true))
+            .then(|| format!("recording interrupted, events are lost: {reason}"))
     }
 
-    /// Takes in what the sink had taken and did not keep.
-    fn late_losses(&mut self) {
+    /// Counts events that the sink had taken but did not store.
+    fn count_late_losses(&mut self) {
         let dropped = self.sink.take_dropped_events();
         self.counts.events = self.counts.events.saturating_sub(dropped);
-        self.lose(dropped);
+        self.count_lost(dropped);
     }
 
-    fn lose(&mut self, events: u64) {
-        self.missing += events;
+    fn count_lost(&mut self, events: u64) {
+        self.missing_events += events;
         self.counts.lost += events;
     }
 
-    fn line(&self) -> String {
-        let c = self.counts;
-        format!("{} events in {} segments, {} bytes, {} events lost", c.events, c.segments, c.bytes, c.lost)
+    fn summary(&self) -> String {
+        let counts = self.counts;
+        format!(
+            "{} events in {} segments, {} bytes, {} events lost",
+            counts.events, counts.segments, counts.bytes, counts.lost
+        )
     }
 }
 
-/// Moves the times of a legacy from a clock that stands at `from` to one that stands at `to`.
-fn move_times(legacy: &mut InheritedState, from: Micros, to: Micros) {
-    let moved = |time: Micros| to.saturating_add_signed(time.wrapping_sub(from).cast_signed());
-    legacy.origin_calls.iter_mut().for_each(|(_, until)| *until = moved(*until));
-    legacy.keyed_writes.iter_mut().for_each(|(_, first)| *first = moved(*first));
-    legacy.window_start = moved(legacy.window_start);
+/// Shifts the times of an inherited state from a clock that shows `from` to one that shows `to`.
+fn shift_times(inherited_state: &mut InheritedState, from: Micros, to: Micros) {
+    let shifted = |time: Micros| to.saturating_add_signed(time.wrapping_sub(from).cast_signed());
+    inherited_state.origin_calls.iter_mut().for_each(|(_, until)| *until = shifted(*until));
+    inherited_state.keyed_writes.iter_mut().for_each(|(_, first_sent)| *first_sent = shifted(*first_sent));
+    inherited_state.window_start = shifted(inherited_state.window_start);
 }
 
-/// Bytes of one piece, about.
-const ENOUGH: usize = 32 * 1024;
+/// Approximate size of a chunk, in bytes.
+const CHUNK_BYTES: usize = 32 * 1024;
--- a/crates/record/src/store.rs
+++ b/crates/record/src/store.rs
@@ -1,12 +1,13 @@
-//! Pieces to files in a folder, on a thread of its own: the node never waits for a disk.
+//! Writes chunks to files in a folder, on a separate thread: the node never waits for a disk.
 //!
-//! One file for each segment, named `NODE-LIFE-NUMBER.rec` (life and number in hexadecimal, so that names sort in time).
-//! What is on disk after a power cut at any byte is a beginning of what was written: entries up to the last whole one
-//! can be read, and all that was synced is there. A new file's name is synced with its folder.
+//! There is one file for each segment, named `NODE-LIFE-NUMBER.rec` (incarnation and number in hexadecimal,
+//! so that names sort by time). After a power failure at any byte, the disk holds a prefix of what was
+//! written: entries up to the last complete one can be read, and everything that was synced is there. A new
+//! file's name is synced with its folder.
 //!
-//! Where a call fails, the segment ends there and is not written again: after a failed sync the kernel may have dropped
-//! what it held of the file, so that no later sync of it says anything. The recorder is told at its next piece, and
-//! begins a new segment after its backoff.
+//! After a failed call the segment ends and is not written again: after a failed sync the kernel may have
+//! dropped its buffers of the file, so that a later sync proves nothing. The recorder learns of the failure
+//! with its next chunk and begins a new segment after its backoff.
 
 use std::collections::VecDeque;
 use std::io;
@@ -15,44 +16,45 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use crate::folder::{incarnation, uninterrupted};
+use crate::folder::{parse_incarnation, retry_interrupted};
 use crate::recorder::{Chunk, Sink, Tuning};
 use crate::segment::Header;
 
 pub use crate::folder::{
-    FILE_EXTENSION, Files, Folder, Output, largest_incarnation, newest_first, of_node, segment_file_name,
+    FILE_EXTENSION, Folder, SegmentFile, SegmentFolder, largest_incarnation, newest_first, segment_file_name,
+    segments_of_node,
 };
 
-/// A node that ends waits no longer than this for the rest to be written.
-const LAST_WAIT: Duration = Duration::from_secs(1);
+/// Longest time that a node waits at shutdown for the pending chunks to be written.
+const SHUTDOWN_WAIT: Duration = Duration::from_secs(1);
 
 struct Job {
     node: String,
-    life: u64,
+    incarnation: u64,
     number: u32,
-    first: bool,
-    piece: Chunk,
+    is_first: bool,
+    chunk: Chunk,
 }
 
 #[derive(Default)]
-struct Shared {
-    /// What went wrong last, until it is told.
-    trouble: Option<String>,
-    waiting: usize,
-    /// Events that were taken and not written.
-    dropped: u64,
+struct SharedState {
+    /// The latest failure, until it is reported.
+    last_error: Option<String>,
+    pending_bytes: usize,
+    /// Events that were taken but not written.
+    dropped_events: u64,
 }
 
-/// What a thread that panicked left there is still whole: counts, and a line of text.
-fn locked(shared: &Mutex<Shared>) -> MutexGuard<'_, Shared> {
+/// Ignores poisoning: the counts and the error text remain valid if a thread panicked.
+fn lock(shared: &Mutex<SharedState>) -> MutexGuard<'_, SharedState> {
     shared.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The way to the thread that writes.
+/// Passes chunks to the writing thread.
 pub struct Store {
-    pieces: Option<SyncSender<Job>>,
-    shared: Arc<Mutex<Shared>>,
-    most_waiting: usize,
+    sender: Option<SyncSender<Job>>,
+    shared: Arc<Mutex<SharedState>>,
+    max_pending_bytes: usize,
     thread: Option<JoinHandle<()>>,
     ended: Receiver<()>,
 }
@@ -61,61 +63,66 @@
     /// Starts the thread.
     ///
     /// # Errors
-    /// Where the machine gives no thread.
-    pub fn start(files: impl Files, figures: &Tuning) -> io::Result<Store> {
-        let (pieces, inbox) = sync_channel(4096);
+    /// The thread can't be created.
+    pub fn start(files: impl SegmentFolder, tuning: &Tuning) -> io::Result<Store> {
+        let (sender, receiver) = sync_channel(4096);
         let (end, ended) = sync_channel(1);
-        let shared = Arc::new(Mutex::new(Shared::default()));
-        let mut writing = Writing::new(files, shared.clone(), figures);
+        let shared = Arc::new(Mutex::new(SharedState::default()));
+        let mut writer = FolderWriter::new(files, shared.clone(), tuning);
         let thread = std::thread::Builder::new().name("record".into()).spawn(move || {
-            writing.run(&inbox);
+            writer.run(&receiver);
             drop(end);
         })?;
-        let most_waiting = (figures.wait_mib * 1048576.0) as usize;
-        Ok(Store { pieces: Some(pieces), shared, most_waiting, thread: Some(thread), ended })
+        let max_pending_bytes = (tuning.wait_mib * 1048576.0) as usize;
+        Ok(Store { sender: Some(sender), shared, max_pending_bytes, thread: Some(thread), ended })
     }
 
-    fn shared(&self) -> MutexGuard<'_, Shared> {
-        locked(&self.shared)
+    fn shared(&self) -> MutexGuard<'_, SharedState> {
+        lock(&self.shared)
     }
 }
 
 impl Sink for Store {
-    fn write(&mut self, header: &Header, first: bool, piece: Chunk) -> Result<(), String> {
-        let length = piece.bytes.len();
+    fn write(&mut self, header: &Header, is_first: bool, chunk: Chunk) -> Result<(), String> {
+        let length = chunk.bytes.len();
         {
             let mut shared = self.shared();
-            if let Some(trouble) = shared.trouble.take() {
-                return Err(trouble);
+            if let Some(last_error) = shared.last_error.take() {
+                return Err(last_error);
             }
-            if shared.waiting + length > self.most_waiting {
-                return Err(format!("{} bytes wait for the disk", shared.waiting));
+            if shared.pending_bytes + length > self.max_pending_bytes {
+                return Err(format!("{} bytes are waiting for the disk", shared.pending_bytes));
             }
-            shared.waiting += length;
+            shared.pending_bytes += length;
         }
-        let job =
-            Job { node: header.node.clone(), life: header.incarnation, number: header.number, first, piece };
-        let sent = self.pieces.as_ref().map(|pieces| pieces.try_send(job));
+        let job = Job {
+            node: header.node.clone(),
+            incarnation: header.incarnation,
+            number: header.number,
+            is_first,
+            chunk,
+        };
+        let sent = self.sender.as_ref().map(|sender| sender.try_send(job));
         match sent {
             Some(Ok(())) => Ok(()),
             Some(Err(TrySendError::Full(_))) => {
-                self.shared().waiting -= length;
-                Err("too many pieces wait for the disk".into())
+                self.shared().pending_bytes -= length;
+                Err("too many chunks are waiting for the disk".into())
             }
-            Some(Err(TrySendError::Disconnected(_))) | None => Err("the thread that writes has ended".into()),
+            Some(Err(TrySendError::Disconnected(_))) | None => Err("the writing thread has ended".into()),
         }
     }
 
     fn take_dropped_events(&mut self) -> u64 {
-        std::mem::take(&mut self.shared().dropped)
+        std::mem::take(&mut self.shared().dropped_events)
     }
 }
 
 impl Drop for Store {
     fn drop(&mut self) {
-        self.pieces = None;
+        self.sender = None;
         // A disk that hangs must not keep the node from ending.
-        if let Err(RecvTimeoutError::Disconnected) = self.ended.recv_timeout(LAST_WAIT)
+        if let Err(RecvTimeoutError::Disconnected) = self.ended.recv_timeout(SHUTDOWN_WAIT)
             && let Some(thread) = self.thread.take()
         {
             let _ = thread.join();
@@ -123,21 +130,21 @@
     }
 }
 
-/// Writes where it is called, and waits for the disk: for tools, which may.
-pub struct Direct<F: Files>(Writing<F>);
+/// Writes in the calling thread and waits for the disk, for tools that may block.
+pub struct BlockingStore<F: SegmentFolder>(FolderWriter<F>);
 
-impl<F: Files> Direct<F> {
-    /// Into a folder.
-    pub fn new(files: F, figures: &Tuning) -> Self {
-        Direct(Writing::new(files, Arc::default(), figures))
+impl<F: SegmentFolder> BlockingStore<F> {
+    /// Writes to a folder.
+    pub fn new(files: F, tuning: &Tuning) -> Self {
+        BlockingStore(FolderWriter::new(files, Arc::default(), tuning))
     }
 }
 
-impl<F: Files> Sink for Direct<F> {
-    fn write(&mut self, header: &Header, first: bool, piece: Chunk) -> Result<(), String> {
-        let (node, life, number) = (header.node.clone(), header.incarnation, header.number);
-        let done = self.0.write(&Job { node, life, number, first, piece });
-        done.map(drop).inspect_err(|_| self.0.abandon())
+impl<F: SegmentFolder> Sink for BlockingStore<F> {
+    fn write(&mut self, header: &Header, is_first: bool, chunk: Chunk) -> Result<(), String> {
+        let (node, incarnation, number) = (header.node.clone(), header.incarnation, header.number);
+        let result = self.0.write_chunk(&Job { node, incarnation, number, is_first, chunk });
+        result.map(drop).inspect_err(|_| self.0.abandon())
     }
 
     fn take_dropped_events(&mut self) -> u64 {
@@ -145,159 +152,163 @@
     }
 }
 
-struct Current {
+struct CurrentSegment {
     name: String,
-    file: Box<dyn Output>,
+    file: Box<dyn SegmentFile>,
     size: u64,
-    /// Since when something waits to be synced.
+    /// Since when written data has not been synced.
     unsynced: Option<Instant>,
-    /// Whether its first piece has been written: without that nothing of it can be read.
+    /// Whether its first chunk has been written: without that, nothing in the file can be read.
     readable: bool,
 }
 
-struct Writing<F: Files> {
+struct FolderWriter<F: SegmentFolder> {
     files: F,
-    shared: Arc<Mutex<Shared>>,
-    most: u64,
-    sync: Duration,
-    current: Option<Current>,
+    shared: Arc<Mutex<SharedState>>,
+    max_total_bytes: u64,
+    sync_interval: Duration,
+    current: Option<CurrentSegment>,
     /// Older segments and their sizes, oldest first.
-    kept: VecDeque<(String, u64)>,
+    closed_segments: VecDeque<(String, u64)>,
     listed: bool,
-    /// Stands in the names for the recorder's incarnation, where the folder has one that is not smaller.
-    raised: Option<u64>,
+    /// Replaces the recorder's incarnation in file names, if the folder contains one that is not smaller.
+    incarnation_override: Option<u64>,
 }
 
-impl<F: Files> Writing<F> {
-    fn new(files: F, shared: Arc<Mutex<Shared>>, figures: &Tuning) -> Self {
-        Writing {
+impl<F: SegmentFolder> FolderWriter<F> {
+    fn new(files: F, shared: Arc<Mutex<SharedState>>, tuning: &Tuning) -> Self {
+        FolderWriter {
             files,
             shared,
-            most: (figures.most_mib * 1048576.0) as u64,
-            sync: Duration::from_secs_f64(figures.sync_ms / 1000.0),
+            max_total_bytes: (tuning.most_mib * 1048576.0) as u64,
+            sync_interval: Duration::from_secs_f64(tuning.sync_ms / 1000.0),
             current: None,
-            kept: VecDeque::new(),
+            closed_segments: VecDeque::new(),
             listed: false,
-            raised: None,
+            incarnation_override: None,
         }
     }
 
-    /// What follows of this segment would leave a hole: it is dropped until the next one begins.
+    /// Drops the rest of this segment, which would follow a hole, until the next segment begins.
     fn abandon(&mut self) {
         let Some(old) = self.current.take() else { return };
         drop(old.file);
-        // One that can't be read would hide the segment before it, and be one more with every try.
+        // An unreadable file would hide the segment before it, and every attempt would leave another one.
         if old.readable || self.files.remove(&old.name).is_err() {
-            self.kept.push_back((old.name, old.size));
+            self.closed_segments.push_back((old.name, old.size));
         }
     }
 
-    fn run(&mut self, inbox: &Receiver<Job>) {
+    fn run(&mut self, receiver: &Receiver<Job>) {
         loop {
-            let due = self.current.as_ref().and_then(|c| c.unsynced).map(|since| since + self.sync);
+            let due = self.current.as_ref().and_then(|c| c.unsynced).map(|since| since + self.sync_interval);
             let wait =
                 due.map_or(Duration::from_secs(3600), |due| due.saturating_duration_since(Instant::now()));
-            let done = match inbox.recv_timeout(wait) {
+            let result = match receiver.recv_timeout(wait) {
                 Ok(job) => {
-                    let (length, events) = (job.piece.bytes.len(), job.piece.events);
-                    let done = self.write(&job);
-                    let mut shared = locked(&self.shared);
-                    shared.waiting -= length;
-                    shared.dropped += if done == Ok(true) { 0 } else { events };
-                    done.map(drop)
+                    let (length, events) = (job.chunk.bytes.len(), job.chunk.events);
+                    let result = self.write_chunk(&job);
+                    let mut shared = lock(&self.shared);
+                    shared.pending_bytes -= length;
+                    shared.dropped_events += if result == Ok(true) { 0 } else { events };
+                    result.map(drop)
                 }
-                Err(RecvTimeoutError::Timeout) => self.sync(),
+                Err(RecvTimeoutError::Timeout) => self.sync_current(),
                 Err(RecvTimeoutError::Disconnected) => {
-                    let _ = self.sync();
+                    let _ = self.sync_current();
                     return;
                 }
             };
-            if let Err(e) = done {
+            if let Err(e) = result {
                 self.abandon();
-                locked(&self.shared).trouble = Some(e);
+                lock(&self.shared).last_error = Some(e);
             }
         }
     }
 
-    /// Writes a piece; `false` where its segment has come to an untimely end before.
-    fn write(&mut self, job: &Job) -> Result<bool, String> {
-        if job.first {
-            self.open(job)?;
+    /// Writes a chunk; `false` if its segment has already been abandoned.
+    fn write_chunk(&mut self, job: &Job) -> Result<bool, String> {
+        if job.is_first {
+            self.open_segment(job)?;
         }
         let Some(current) = &mut self.current else { return Ok(false) };
         let failed = |e: io::Error| format!("cannot write {}: {e}", current.name);
-        // What a failed write has left counts, too.
-        current.size += job.piece.bytes.len() as u64;
-        current.file.write_all(&job.piece.bytes).map_err(failed)?;
+        // Counted first, because a failed write may have written a part.
+        current.size += job.chunk.bytes.len() as u64;
+        current.file.write_all(&job.chunk.bytes).map_err(failed)?;
         current.readable = true;
         let since = *current.unsynced.get_or_insert_with(Instant::now);
-        if since.elapsed() >= self.sync {
-            self.sync()?;
+        if since.elapsed() >= self.sync_interval {
+            self.sync_current()?;
         }
-        self.make_room()?;
+        self.remove_oldest()?;
         Ok(true)
     }
 
-    fn open(&mut self, job: &Job) -> Result<(), String> {
-        self.sync()?;
+    fn open_segment(&mut self, job: &Job) -> Result<(), String> {
+        self.sync_current()?;
         if let Some(old) = self.current.take() {
-            self.kept.push_back((old.name, old.size));
+            self.closed_segments.push_back((old.name, old.size));
         }
-        self.list(job)?;
-        self.make_room()?;
-        let name = segment_file_name(&job.node, self.raised.unwrap_or(job.life), job.number);
-        let created = uninterrupted(|| self.files.create(&name));
+        self.list_existing(job)?;
+        self.remove_oldest()?;
+        let name =
+            segment_file_name(&job.node, self.incarnation_override.unwrap_or(job.incarnation), job.number);
+        let created = retry_interrupted(|| self.files.create(&name));
         let file = created.map_err(|e| format!("cannot create {name}: {e}"))?;
-        self.current = Some(Current { name, file, size: 0, unsynced: None, readable: false });
+        self.current = Some(CurrentSegment { name, file, size: 0, unsynced: None, readable: false });
         Ok(())
     }
 
-    /// Looks once at what earlier incarnations left there.
-    fn list(&mut self, job: &Job) -> Result<(), String> {
+    /// Lists the segments of earlier incarnations, once.
+    fn list_existing(&mut self, job: &Job) -> Result<(), String> {
         if self.listed {
             return Ok(());
         }
-        let files = uninterrupted(|| self.files.list());
-        let kept = of_node(&job.node, files.map_err(|e| format!("cannot read the folder: {e}"))?);
-        let largest = kept.iter().filter_map(|(name, _)| incarnation(name)).max();
-        self.raised = largest.filter(|largest| *largest >= job.life).map(|largest| largest.saturating_add(1));
-        self.kept = kept.into();
+        let files = retry_interrupted(|| self.files.list());
+        let closed_segments =
+            segments_of_node(&job.node, files.map_err(|e| format!("cannot read the folder: {e}"))?);
+        let largest = closed_segments.iter().filter_map(|(name, _)| parse_incarnation(name)).max();
+        self.incarnation_override =
+            largest.filter(|largest| *largest >= job.incarnation).map(|largest| largest.saturating_add(1));
+        self.closed_segments = closed_segments.into();
         self.listed = true;
         Ok(())
     }
 
-    fn sync(&mut self) -> Result<(), String> {
+    fn sync_current(&mut self) -> Result<(), String> {
         if let Some(current) = &mut self.current
             && current.unsynced.take().is_some()
         {
-            let synced = uninterrupted(|| current.file.sync());
+            let synced = retry_interrupted(|| current.file.sync());
             synced.map_err(|e| format!("cannot sync {}: {e}", current.name))?;
         }
         Ok(())
     }
 
-    /// The oldest segments go, whole, until all fit; one that can't be removed stays, and the next one goes.
-    fn make_room(&mut self) -> Result<(), String> {
+    /// Removes the oldest segments until all fit; skips those that can't be removed.
+    fn remove_oldest(&mut self) -> Result<(), String> {
         let current = self.current.as_ref().map_or(0, |c| c.size);
-        let mut all = current + self.kept.iter().map(|(_, size)| size).sum::<u64>();
-        let (mut stay, mut failed) = (0, Ok(()));
-        while all > self.most && stay < MOST_UNREMOVABLE {
-            let Some((name, size)) = self.kept.get(stay) else { break };
-            match uninterrupted(|| self.files.remove(name)) {
+        let mut total_bytes = current + self.closed_segments.iter().map(|(_, size)| size).sum::<u64>();
+        let (mut skipped, mut failed) = (0, Ok(()));
+        while total_bytes > self.max_total_bytes && skipped < MAX_UNREMOVABLE {
+            let Some((name, size)) = self.closed_segments.get(skipped) else { break };
+            match retry_interrupted(|| self.files.remove(name)) {
                 Err(e) if e.kind() != io::ErrorKind::NotFound => {
                     failed = Err(format!("cannot remove {name}: {e}"));
-                    stay += 1;
+                    skipped += 1;
                 }
                 _ => {
-                    all -= size;
-                    self.kept.remove(stay);
+                    total_bytes -= size;
+                    self.closed_segments.remove(skipped);
                 }
             }
         }
-        // The current segment alone may be larger than all may be: it ends soon.
-        if all > self.most { failed } else { Ok(()) }
+        // The current segment alone may exceed the limit: it ends soon.
+        if total_bytes > self.max_total_bytes { failed } else { Ok(()) }
     }
 }
 
-/// So many segments that can't be removed are passed over in one go: a folder that fails costs few calls each time.
-const MOST_UNREMOVABLE: usize = 8;
+/// Limit of segments skipped per call because they can't be removed, so that a failing folder costs few
+/// calls.
+const MAX_UNREMOVABLE: usize = 8;
--- a/crates/record/tests/state.rs
+++ b/crates/record/tests/state.rs
@@ -1,49 +1,49 @@
-//! The module's state, saved, restored and gone on with: as if it had never stopped.
+//! A module that is restored from its saved state continues exactly as if it had never stopped.
 
 mod common;
 
 use brassrouter::{Action, Policy};
 
-fn saved(policy: &Policy) -> Vec<u8> {
-    postcard::to_allocvec(policy).expect("a state can be written")
+fn save(policy: &Policy) -> Vec<u8> {
+    postcard::to_allocvec(policy).expect("an encodable state")
 }
 
-fn restored(bytes: &[u8]) -> Policy {
-    postcard::from_bytes(bytes).expect("a state that was written can be read")
+fn restore(bytes: &[u8]) -> Policy {
+    postcard::from_bytes(bytes).expect("a decodable state")
 }
 
 #[test]
-fn restored_at_any_event_it_goes_on_as_if_it_had_never_stopped() {
+fn a_module_restored_at_any_event_continues_identically() {
     const EVENTS: usize = 240;
     for seed in 0..6 {
-        // The pool is no part of the state: a node tells it again after each start.
-        let mut day = common::Day::new(seed).without_pools();
+        // Zone routing is not part of the state: a node sets it again after each start.
+        let mut workload = common::Workload::new(seed).without_zone_routing();
         let mut policy = common::policy(seed);
-        let (mut events, mut wanted, mut states) = (Vec::new(), Vec::<Vec<Action>>::new(), Vec::new());
+        let (mut events, mut expected, mut states) = (Vec::new(), Vec::<Vec<Action>>::new(), Vec::new());
         for _ in 0..EVENTS {
-            let event = day.next();
+            let event = workload.next_event();
             let mut actions = Vec::new();
-            states.push(saved(&policy));
-            policy.handle(day.now, event.clone(), &mut actions);
-            day.take(&actions);
-            events.push((day.now, event));
-            wanted.push(actions);
+            states.push(save(&policy));
+            policy.handle(workload.now, event.clone(), &mut actions);
+            workload.apply_actions(&actions);
+            events.push((workload.now, event));
+            expected.push(actions);
         }
-        let end = saved(&policy);
+        let end = save(&policy);
         for (from, state) in states.iter().enumerate() {
-            let mut again = restored(state);
+            let mut restored_policy = restore(state);
             assert_eq!(
-                saved(&again),
+                save(&restored_policy),
                 *state,
-                "seed {seed}: the state before event {from} changes by being saved"
+                "seed {seed}: the state before event {from} changes when it is saved and restored"
             );
             for (i, (now, event)) in events.iter().enumerate().skip(from) {
                 let mut actions = Vec::new();
-                again.handle(*now, event.clone(), &mut actions);
-                assert_eq!(actions, wanted[i], "seed {seed}: restored before event {from}, at event {i}");
+                restored_policy.handle(*now, event.clone(), &mut actions);
+                assert_eq!(actions, expected[i], "seed {seed}: restored before event {from}, at event {i}");
             }
             assert_eq!(
-                saved(&again),
+                save(&restored_policy),
                 end,
                 "seed {seed}: restored before event {from}, the states at the end"
             );
@@ -52,17 +52,17 @@
 }
 
 #[test]
-fn a_state_that_is_cut_off_or_spoilt_is_refused_or_read_and_nothing_else() {
-    let mut day = common::Day::new(9);
+fn a_truncated_state_is_rejected() {
+    let mut workload = common::Workload::new(9);
     let mut policy = common::policy(9);
     for _ in 0..80 {
-        let event = day.next();
+        let event = workload.next_event();
         let mut actions = Vec::new();
-        policy.handle(day.now, event, &mut actions);
-        day.take(&actions);
+        policy.handle(workload.now, event, &mut actions);
+        workload.apply_actions(&actions);
     }
-    let state = saved(&policy);
+    let state = save(&policy);
     for length in 0..state.len() {
-        assert!(postcard::from_bytes::<Policy>(&state[..length]).is_err(), "cut to {length} bytes");
+        assert!(postcard::from_bytes::<Policy>(&state[..length]).is_err(), "truncated to {length} bytes");
     }
 }
