--- a/crates/chalksill/src/explore.rs
+++ b/crates/chalksill/src/explore.rs
@@ -1,4 +1,4 @@
-//! `chalksill sim explore`: many seeds on all cores.
+//! `chalksill sim explore`: runs many seeds of a scenario on all cores.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::IsTerminal;
@@ -24,42 +24,42 @@
 use crate::Verdict;
 use crate::files::{self, Replay};
 
-/// Many runs.
+/// Arguments of `sim explore`.
 #[derive(Args)]
 pub struct Explore {
     /// The scenario, a TOML file
     scenario: PathBuf,
-    /// The seeds, from and to (not included), as 0..1000
-    #[arg(long, value_parser = seeds, default_value = "0..100")]
+    /// The range of seeds, its end excluded, such as 0..1000
+    #[arg(long, value_parser = parse_seed_range, default_value = "0..100")]
     seeds: (u64, u64),
-    /// Runs side by side; all cores by default
+    /// Number of concurrent runs; one for each core by default
     #[arg(long)]
     jobs: Option<usize>,
-    /// Where replay files of broken seeds go
+    /// The folder for replay files of seeds that break a rule
     #[arg(long, default_value = "found")]
     out: PathBuf,
-    /// Prints the figures as JSON
+    /// Prints the summary as JSON
     #[arg(long)]
     json: bool,
-    /// Ends at the first seed that breaks a rule
+    /// Stops at the first seed that breaks a rule
     #[arg(long)]
     first: bool,
-    /// Plants a fault in the nodes, to see within how many seeds the checker finds it
-    #[arg(long, value_parser = crate::sim::mutant)]
+    /// Plants a fault in the nodes, to measure within how many seeds the checker finds it
+    #[arg(long, value_parser = crate::sim::parse_mutant)]
     mutant: Option<Mutant>,
-    /// Has all nodes record, plays each record through the decision module again, with its state saved and restored
-    /// at a random event, and asks that the same actions come of it
+    /// Records all nodes and replays each record through the decision module, with the state saved and restored at a
+    /// random event; the replay must give the same actions
     #[arg(long)]
     record: bool,
-    /// As --record, and nodes that restart count what their records say
+    /// As --record, and nodes that restart recover from their records
     #[arg(long)]
     recover: bool,
-    /// With --record: a folder for the records
+    /// With --record, a folder to keep the records in
     #[arg(long, requires = "record")]
     keep: Option<PathBuf>,
 }
 
-/// What came of many runs.
+/// Totals over all runs.
 #[derive(Serialize)]
 struct Summary {
     scenario: String,
@@ -76,27 +76,27 @@
     packets: u64,
     in_time: f64,
     origin_calls: u64,
-    /// Of these, those that came while all calls of their node, of all its lives, were at its cap or over.
+    /// Origin calls made while the calls of their node, over all its incarnations, were at its limit or above.
     origin_over: u64,
     attempts: Attempts,
-    /// The digests of all runs, in the order of the seeds, as one number.
+    /// The digests of all runs, combined in the order of the seeds.
     digest: String,
     #[serde(skip_serializing_if = "Option::is_none")]
-    records: Option<Taped>,
+    records: Option<ReplayTotals>,
 }
 
-/// What servers had to do for the requests of clients.
+/// Work of cache servers and the origin for the requests of clients.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 struct Attempts {
-    /// Requests that clients sent, repeats included.
+    /// Requests that clients sent, retries included.
     requests: u64,
-    /// Attempts at boxes.
+    /// Attempts at cache servers.
     boxes: u64,
-    /// Calls at the origin.
+    /// Calls to the origin.
     origin: u64,
-    /// Answers that boxes gave a second time.
+    /// Duplicate responses of cache servers.
     second_answers: u64,
-    /// Those that were given while a later command of their connection waited for its answer.
+    /// Duplicate responses sent while a later command on the same connection waited for its response.
     second_answers_before_others: u64,
 }
 
@@ -110,35 +110,35 @@
     }
 
     fn print(&self) {
-        let a_request = |count: u64| count as f64 / self.requests.max(1) as f64;
+        let per_request = |count: u64| count as f64 / self.requests.max(1) as f64;
         println!(
-            "{} second answers, {} of them before others were answered; {} requests, {:.3} attempts and \
-             {:.3} calls at the origin each",
+            "{} duplicate responses, {} of them while a later command waited; {} requests, {:.3} attempts and \
+             {:.3} origin calls per request",
             self.second_answers,
             self.second_answers_before_others,
             self.requests,
-            a_request(self.boxes),
-            a_request(self.origin)
+            per_request(self.boxes),
+            per_request(self.origin)
         );
     }
 }
 
-/// What was recorded and played again.
+/// Totals of the records that were replayed.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-struct Taped {
+struct ReplayTotals {
     segments: u64,
     events: u64,
     actions: u64,
     requests: u64,
     bytes: u64,
-    /// States saved and restored at random events.
+    /// States that were saved and restored at a random event.
     restored: u64,
-    /// Lives of nodes that began with what an earlier life left behind.
+    /// Incarnations that started from the state of an earlier incarnation.
     inherited: u64,
 }
 
-impl Taped {
-    fn add(&mut self, other: &Taped) {
+impl ReplayTotals {
+    fn add(&mut self, other: &ReplayTotals) {
         self.segments += other.segments;
         self.events += other.events;
         self.actions += other.actions;
@@ -149,108 +149,117 @@
     }
 }
 
-/// Plays the records of a run again, each with the state saved and restored at one random event. The error says what
-/// came out otherwise.
-fn check(plan: &RunPlan, tapes: &[RecordedSegment], keep: Option<&Path>) -> Result<Taped, String> {
-    let mut taped = Taped::default();
-    for (i, tape) in tapes.iter().enumerate() {
-        let named = |e: String| {
-            format!("node {}, segment {} of life {}: {e}", tape.node, tape.number, tape.incarnation)
+/// Replays the records of a run, each with the state saved and restored at one random event. The error describes the
+/// first difference.
+fn verify_records(
+    plan: &RunPlan,
+    recorded: &[RecordedSegment],
+    keep: Option<&Path>,
+) -> Result<ReplayTotals, String> {
+    let mut totals = ReplayTotals::default();
+    for (index, segment) in recorded.iter().enumerate() {
+        let segment_error = |e: String| {
+            format!(
+                "node {}, segment {} of incarnation {}: {e}",
+                segment.node, segment.number, segment.incarnation
+            )
         };
         if let Some(folder) = keep {
             let name = format!(
                 "{}-{}-{}",
                 plan.scenario.name,
                 plan.seed,
-                segment_file_name(&tape.node.to_string(), tape.incarnation, tape.number)
+                segment_file_name(&segment.node.to_string(), segment.incarnation, segment.number)
             );
-            files::write_bytes(&folder.join(name), &tape.bytes)?;
+            files::write_bytes(&folder.join(name), &segment.bytes)?;
         }
-        let open = || Segment::open(&tape.bytes).map_err(|torn| named(torn.to_string()));
-        let mut reading = open()?;
-        let count = reading.by_ref().count() as u64;
-        // Any event but the first, whose state is restored anyhow.
-        let at =
-            1 + plan.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15).wrapping_add(i as u64 * 7919) % count.max(2);
-        let (mut number, mut restored, mut unreadable) = (0, 0, None);
-        let swap = |policy: &mut Policy, _: &Entry| {
-            number += 1;
-            if number == at {
-                let again = postcard::to_allocvec(policy).and_then(|bytes| postcard::from_bytes(&bytes));
-                match again {
-                    Ok(again) => (*policy, restored) = (again, 1),
-                    Err(e) => unreadable = Some(e.to_string()),
+        let open_segment = || Segment::open(&segment.bytes).map_err(|torn| segment_error(torn.to_string()));
+        let mut entries = open_segment()?;
+        let count = entries.by_ref().count() as u64;
+        // Any event but the first: there the replay restores the recorded state anyway.
+        let restore_at = 1 + plan.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15).wrapping_add(index as u64 * 7919)
+            % count.max(2);
+        let (mut event_number, mut restored, mut restore_error) = (0, 0, None);
+        let restore_state = |policy: &mut Policy, _: &Entry| {
+            event_number += 1;
+            if event_number == restore_at {
+                let copy = postcard::to_allocvec(policy).and_then(|bytes| postcard::from_bytes(&bytes));
+                match copy {
+                    Ok(copy) => (*policy, restored) = (copy, 1),
+                    Err(e) => restore_error = Some(e.to_string()),
                 }
             }
         };
         let mut inherited = 0;
-        let (outcome, policy) = replay::replay_with(&mut open()?, InitialState::Recorded, swap, |step| {
-            inherited += u64::from(matches!(step.entry.body, Body::Event { event: Event::Inherited(_), .. }));
-        })
-        .map_err(named)?;
-        if let Some(e) = unreadable {
-            return Err(named(e));
+        let (outcome, policy) =
+            replay::replay_with(&mut open_segment()?, InitialState::Recorded, restore_state, |step| {
+                inherited +=
+                    u64::from(matches!(step.entry.body, Body::Event { event: Event::Inherited(_), .. }));
+            })
+            .map_err(segment_error)?;
+        if let Some(e) = restore_error {
+            return Err(segment_error(e));
         }
-        if let Some(d) = outcome.first_difference {
-            return Err(named(format!(
-                "entry {}: {:?} brought {:?} then and {:?} now",
-                d.entry, d.event, d.recorded, d.replayed
+        if let Some(difference) = outcome.first_difference {
+            return Err(segment_error(format!(
+                "entry {}: {:?} was recorded with {:?} and replays to {:?}",
+                difference.entry, difference.event, difference.recorded, difference.replayed
             )));
         }
-        if let Some(torn) = outcome.read_error {
-            return Err(named(torn.to_string()));
+        if let Some(error) = outcome.read_error {
+            return Err(segment_error(error.to_string()));
         }
-        // The next segment of the same life begins where this one has come to, bit by bit.
-        if let Some(next) = tapes
-            .iter()
-            .find(|t| (t.node, t.incarnation, t.number) == (tape.node, tape.incarnation, tape.number + 1))
-        {
-            let first = Segment::open(&next.bytes).map_err(|t| named(t.to_string()))?.next();
-            let here = postcard::to_allocvec(&policy).map_err(|e| named(e.to_string()))?;
-            if !matches!(first.map(|e| e.body), Some(Body::State(there)) if there == here) {
-                return Err(named("the next segment begins with another state".into()));
+        // The next segment of the same incarnation must begin with exactly the state at the end of this one.
+        if let Some(next) = recorded.iter().find(|other| {
+            (other.node, other.incarnation, other.number)
+                == (segment.node, segment.incarnation, segment.number + 1)
+        }) {
+            let first = Segment::open(&next.bytes).map_err(|t| segment_error(t.to_string()))?.next();
+            let end_state = postcard::to_allocvec(&policy).map_err(|e| segment_error(e.to_string()))?;
+            if !matches!(first.map(|e| e.body), Some(Body::State(start_state)) if start_state == end_state) {
+                return Err(segment_error("the next segment begins with a different state".into()));
             }
         }
-        taped.add(&Taped {
+        totals.add(&ReplayTotals {
             segments: 1,
             events: outcome.events,
             actions: outcome.actions,
             requests: outcome.requests,
-            bytes: tape.bytes.len() as u64,
+            bytes: segment.bytes.len() as u64,
             restored,
             inherited,
         });
     }
-    Ok(taped)
+    Ok(totals)
 }
 
-/// Reads a range of seeds.
-pub fn seeds(text: &str) -> Result<(u64, u64), String> {
-    let (from, to) = text.split_once("..").ok_or("two numbers, as 0..1000")?;
+/// Parses a range of seeds.
+pub fn parse_seed_range(text: &str) -> Result<(u64, u64), String> {
+    let (from, to) = text.split_once("..").ok_or("expected two numbers, such as 0..1000")?;
     let number = |t: &str| t.trim().parse::<u64>().map_err(|e| format!("{t:?}: {e}"));
     let range = (number(from)?, number(to)?);
     if range.0 >= range.1 { Err("the range is empty".into()) } else { Ok(range) }
 }
 
-/// Threads that this machine runs at once.
-pub fn cores() -> usize {
+/// Number of threads that this machine can run at the same time.
+pub fn available_cores() -> usize {
     std::thread::available_parallelism().map_or(1, usize::from)
 }
 
-/// Plays the seeds of a range on several threads and gives what came of each as it comes; ends early when told
-/// `false`.
-pub fn play<T: Send>(
+/// Runs the seeds of a range on several threads and passes each result to `on_result` as it completes. Stops early when
+/// `on_result` returns `false`.
+pub fn run_seeds<T: Send>(
     plan_of: impl Fn(u64) -> RunPlan + Sync,
     (from, to): (u64, u64),
     jobs: usize,
     run: impl Fn(&RunPlan) -> T + Sync,
-    mut each: impl FnMut(u64, RunPlan, T) -> bool,
+    mut on_result: impl FnMut(u64, RunPlan, T) -> bool,
 ) {
     let next = AtomicU64::new(from);
     std::thread::scope(|scope| {
-        let (done, reports) = mpsc::sync_channel(jobs);
+        let (sender, results) = mpsc::sync_channel(jobs);
         for _ in 0..jobs.clamp(1, 256) {
-            let (done, next, plan_of, run) = (done.clone(), &next, &plan_of, &run);
+            let (sender, next, plan_of, run) = (sender.clone(), &next, &plan_of, &run);
             scope.spawn(move || {
                 loop {
                     let seed = next.fetch_add(1, Ordering::Relaxed);
@@ -258,16 +267,16 @@
                         return;
                     }
                     let plan = plan_of(seed);
-                    let ran = run(&plan);
-                    if done.send((seed, plan, ran)).is_err() {
+                    let result = run(&plan);
+                    if sender.send((seed, plan, result)).is_err() {
                         return;
                     }
                 }
             });
         }
-        drop(done);
-        for (seed, plan, ran) in reports {
-            if !each(seed, plan, ran) {
+        drop(sender);
+        for (seed, plan, result) in results {
+            if !on_result(seed, plan, result) {
                 next.store(to, Ordering::Relaxed);
                 return;
             }
@@ -275,11 +284,11 @@
     });
 }
 
-/// Carries the subcommand out.
+/// Executes the subcommand.
 pub fn execute(args: &Explore) -> Result<Verdict, String> {
-    let scenario = files::scenario(&args.scenario)?;
-    let jobs = args.jobs.unwrap_or(cores()).clamp(1, 256);
-    let plan = |seed| RunPlan { scenario: scenario.clone(), seed, script: None, mutant: args.mutant };
+    let scenario = files::read_scenario(&args.scenario)?;
+    let jobs = args.jobs.unwrap_or(available_cores()).clamp(1, 256);
+    let plan_of = |seed| RunPlan { scenario: scenario.clone(), seed, script: None, mutant: args.mutant };
     let count = args.seeds.1 - args.seeds.0;
     let bar = if std::io::stderr().is_terminal() { ProgressBar::new(count) } else { ProgressBar::hidden() };
     let style = ProgressStyle::with_template("{bar:40} {pos}/{len} seeds, {msg} broken, {eta} left");
@@ -288,25 +297,25 @@
     let begin = Instant::now();
     let (mut broken, mut rules_broken) = (BTreeMap::new(), BTreeMap::new());
     let mut attempts = Attempts::default();
-    let mut failed = None;
+    let mut error = None;
     let mut digests = BTreeMap::new();
     let (mut origin_calls, mut origin_over) = (0, 0);
     let (mut virtual_s, mut offered, mut tries, mut packets, mut in_time) = (0.0, 0, 0.0, 0, 0);
-    let mut taped = Taped::default();
-    let ran = |plan: &RunPlan| {
+    let mut replay_totals = ReplayTotals::default();
+    let execute_plan = |plan: &RunPlan| {
         if !args.record && !args.recover {
-            return (run(plan, None), Ok(Taped::default()));
+            return (run(plan, None), Ok(ReplayTotals::default()));
         }
         let recording = RecordingOptions { recover: args.recover, ..RecordingOptions::default() };
-        let (report, tapes) = run_recorded(plan, None, recording);
-        (report, check(plan, &tapes, args.keep.as_deref()))
+        let (report, recorded) = run_recorded(plan, None, recording);
+        (report, verify_records(plan, &recorded, args.keep.as_deref()))
     };
-    play(plan, args.seeds, jobs, ran, |seed, plan, (report, tapes)| {
+    run_seeds(plan_of, args.seeds, jobs, execute_plan, |seed, plan, (report, replayed)| {
         bar.inc(1);
-        match tapes {
-            Ok(one) => taped.add(&one),
+        match replayed {
+            Ok(totals) => replay_totals.add(&totals),
             Err(e) => {
-                failed = Some(format!("seed {seed}: {e}"));
+                error = Some(format!("seed {seed}: {e}"));
                 return false;
             }
         }
@@ -326,13 +335,13 @@
             broken.insert(seed, first.rule);
             bar.set_message(broken.len().to_string());
             let path = args.out.join(format!("{}-{seed}.json", scenario.name));
-            let written = files::json(&Replay::of(&plan, &plan.script(), &report))
+            let written = files::to_json(&Replay::from_run(&plan, &plan.script(), &report))
                 .and_then(|text| files::write(&path, &text));
             if !args.json {
                 bar.suspend(|| println!("seed {seed}: BROKEN {first} ({})", path.display()));
             }
             if let Err(e) = written {
-                failed = Some(e);
+                error = Some(e);
                 return false;
             }
             return !args.first;
@@ -340,7 +349,7 @@
         true
     });
     bar.finish_and_clear();
-    if let Some(e) = failed {
+    if let Some(e) = error {
         return Err(e);
     }
     let digest = digests
@@ -360,16 +369,16 @@
         origin_over,
         attempts,
         digest: format!("{digest:016x}"),
-        records: (args.record || args.recover).then_some(taped),
+        records: (args.record || args.recover).then_some(replay_totals),
         broken,
         rules_broken,
     };
     if args.json {
-        println!("{}", files::json(&summary)?);
+        println!("{}", files::to_json(&summary)?);
     } else {
         println!(
-            "{}: {} seeds on {} threads, {} broken; {:.0} virtual s in {:.1} s ({:.0} a second and thread), \
-             {:.0} tries a second, {:.1}% in time, digest {}",
+            "{}: {} seeds on {} threads, {} broken; {:.0} virtual s in {:.1} s ({:.0} per second and thread), \
+             {:.0} client requests per second, {:.1}% in time, digest {}",
             summary.scenario,
             summary.seeds,
             jobs,
@@ -389,20 +398,20 @@
         }
         if origin_over > 0 {
             println!(
-                "{origin_over} of {origin_calls} calls at the origin were over the cap of their node, all its lives together"
+                "{origin_over} of {origin_calls} origin calls were over the limit of their node, all its incarnations together"
             );
         }
-        if let Some(t) = summary.records {
+        if let Some(totals) = summary.records {
             println!(
-                "records: {} segments, {} events, {} actions, {} requests, played again identically; {} states \
-                 restored in the middle; {:.1} bytes an event; {} lives began with what was left behind",
-                t.segments,
-                t.events,
-                t.actions,
-                t.requests,
-                t.restored,
-                t.bytes as f64 / t.events.max(1) as f64,
-                t.inherited
+                "records: {} segments, {} events, {} actions, {} requests, replayed identically; {} states restored \
+                 at a random event; {:.1} bytes per event; {} incarnations started from inherited state",
+                totals.segments,
+                totals.events,
+                totals.actions,
+                totals.requests,
+                totals.restored,
+                totals.bytes as f64 / totals.events.max(1) as f64,
+                totals.inherited
             );
         }
     }
--- a/crates/chalksill/src/files.rs
+++ b/crates/chalksill/src/files.rs
@@ -1,4 +1,4 @@
-//! Files of the command: scenarios, replay files, reports. Errors name the file and the place in it.
+//! Reads and writes scenarios, replay files and reports. Errors name the file and the position in it.
 
 use std::path::Path;
 
@@ -10,35 +10,35 @@
 use chalksill_world::sim::RunPlan;
 use serde::{Deserialize, Serialize};
 
-/// The version of replay files that this program writes and reads.
-pub const VERSION: u32 = 1;
+/// Version of the replay file format that this program writes and reads.
+pub const REPLAY_VERSION: u32 = 1;
 
-/// All that is needed to play a run again, and what came of it.
+/// Everything needed to repeat a run, and its outcome.
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Replay {
-    /// [`VERSION`].
+    /// Format version, [`REPLAY_VERSION`].
     pub version: u32,
-    /// The seed of everything.
+    /// The seed of everything that is random.
     pub seed: u64,
-    /// The faults, not to be drawn anew.
+    /// The faults of the run; none are drawn from the seed when it is repeated.
     pub script: Vec<Fault>,
-    /// A fault that was planted in the nodes.
+    /// A fault that was planted in the code of the nodes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub mutant: Option<Mutant>,
     /// The digest of the run.
     pub digest: String,
-    /// The rules that it broke.
+    /// The rule violations of the run.
     pub violations: Vec<Violation>,
-    /// The scenario as it was.
+    /// The scenario of the run.
     pub scenario: Scenario,
 }
 
 impl Replay {
-    /// The file of a run.
-    pub fn of(plan: &RunPlan, script: &[Fault], report: &Report) -> Replay {
+    /// The replay file of a completed run.
+    pub fn from_run(plan: &RunPlan, script: &[Fault], report: &Report) -> Replay {
         Replay {
-            version: VERSION,
+            version: REPLAY_VERSION,
             seed: plan.seed,
             script: script.to_vec(),
             mutant: plan.mutant,
@@ -48,8 +48,8 @@
         }
     }
 
-    /// The run.
-    pub fn plan(&self) -> RunPlan {
+    /// The plan that repeats the run.
+    pub fn run_plan(&self) -> RunPlan {
         RunPlan {
             scenario: self.scenario.clone(),
             seed: self.seed,
@@ -65,58 +65,61 @@
 }
 
 /// Reads a scenario.
-pub fn scenario(path: &Path) -> Result<Scenario, String> {
+pub fn read_scenario(path: &Path) -> Result<Scenario, String> {
     Scenario::read(&text(path)?).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-/// Reads a replay file. A file of another version is said to be one, whatever else is in it.
-pub fn replay(path: &Path) -> Result<Replay, String> {
+/// Reads a replay file. The version is checked first, so that a file of another version is reported as such, whatever
+/// else differs in it.
+pub fn read_replay(path: &Path) -> Result<Replay, String> {
     let text = text(path)?;
-    let named =
+    let parse_error =
         |e: serde_json::Error| format!("{}, line {}, column {}: {e}", path.display(), e.line(), e.column());
-    let any: serde_json::Value = serde_json::from_str(&text).map_err(named)?;
-    match any.get("version").and_then(serde_json::Value::as_u64) {
-        Some(version) if version == u64::from(VERSION) => {}
+    let document: serde_json::Value = serde_json::from_str(&text).map_err(parse_error)?;
+    match document.get("version").and_then(serde_json::Value::as_u64) {
+        Some(version) if version == u64::from(REPLAY_VERSION) => {}
         Some(version) => {
             return Err(format!(
-                "{}: version {version}, and this program reads version {VERSION}",
+                "{}: version {version}, and this program reads version {REPLAY_VERSION}",
                 path.display()
             ));
         }
-        None => return Err(format!("{}: no replay file: it names no version", path.display())),
+        None => return Err(format!("{}: not a replay file: it names no version", path.display())),
     }
-    let replay: Replay = serde_json::from_str(&text).map_err(named)?;
+    let replay: Replay = serde_json::from_str(&text).map_err(parse_error)?;
     replay.scenario.validate().map_err(|e| format!("{}: scenario: {e}", path.display()))?;
-    let boxes = replay.scenario.boxes.count;
+    let cache_servers = replay.scenario.boxes.count;
     let nodes = replay.scenario.nodes.count;
-    for (i, fault) in replay.script.iter().enumerate() {
-        fault.validate(boxes, nodes).map_err(|e| format!("{}: script, fault {i}: {e}", path.display()))?;
+    for (index, fault) in replay.script.iter().enumerate() {
+        fault
+            .validate(cache_servers, nodes)
+            .map_err(|e| format!("{}: script, fault {index}: {e}", path.display()))?;
     }
     Ok(replay)
 }
 
 /// Reads a report.
-pub fn report(path: &Path) -> Result<Report, String> {
+pub fn read_report(path: &Path) -> Result<Report, String> {
     serde_json::from_str(&text(path)?)
         .map_err(|e| format!("{}, line {}, column {}: {e}", path.display(), e.line(), e.column()))
 }
 
-/// Writes a file whole, or not at all.
+/// Writes a text file atomically: into a temporary file that is then renamed.
 pub fn write(path: &Path, text: &str) -> Result<(), String> {
     write_bytes(path, text.as_bytes())
 }
 
-/// Writes a file whole, or not at all.
+/// Writes a file atomically, and creates its folder where it does not exist.
 pub fn write_bytes(path: &Path, bytes: &[u8]) -> Result<(), String> {
-    let failed = |e: std::io::Error| format!("cannot write {}: {e}", path.display());
+    let write_error = |e: std::io::Error| format!("cannot write {}: {e}", path.display());
     if let Some(folder) = path.parent().filter(|p| !p.as_os_str().is_empty()) {
-        std::fs::create_dir_all(folder).map_err(failed)?;
+        std::fs::create_dir_all(folder).map_err(write_error)?;
     }
-    let part = path.with_extension("part");
-    std::fs::write(&part, bytes).and_then(|()| std::fs::rename(&part, path)).map_err(failed)
+    let temporary = path.with_extension("part");
+    std::fs::write(&temporary, bytes).and_then(|()| std::fs::rename(&temporary, path)).map_err(write_error)
 }
 
-/// Something as JSON for a file or a script.
-pub fn json(value: &impl Serialize) -> Result<String, String> {
+/// Formats a value as indented JSON.
+pub fn to_json(value: &impl Serialize) -> Result<String, String> {
     serde_json::to_string_pretty(value).map_err(|e| e.to_string())
 }
--- a/crates/chalksill/src/main.rs
+++ b/crates/chalksill/src/main.rs
@@ -15,10 +15,10 @@
 
 use clap::{Parser, Subcommand};
 
-/// Exit code for bad input: a flag, a file or a figure.
+/// Exit code for invalid input: a flag, a file or a value.
 const BAD_INPUT: u8 = 2;
 
-/// Worlds round a mothpier node: run them on a virtual clock, break them, and see that the rules hold.
+/// Simulated environments around mothpier nodes: runs them on a virtual clock, injects faults and checks that the rules hold
 #[derive(Parser)]
 #[command(version, max_term_width = 100)]
 struct Cli {
@@ -28,39 +28,39 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Whole worlds on a virtual clock: the node's own code against stand-ins, faults from a seed, every rule checked
+    /// Whole environments on a virtual clock: the node's own code against stubs, faults from a seed, every rule checked
     #[command(subcommand)]
     Sim(sim::Sim),
-    /// The same stand-ins on loopback sockets in real time, round real mothpier processes
+    /// The same stubs on loopback sockets in real time, around real mothpier processes
     #[command(subcommand)]
     World(world::World),
-    /// Loads of a special kind: storms after an outage
+    /// Special loads: retry storms after an outage
     #[command(subcommand)]
     Load(load::Load),
-    /// Records of what nodes decided: check, replay, ask why, cut, compare, put together
+    /// Records of what nodes decided: verify, replay, explain, cut, compare, merge
     #[command(subcommand)]
     Record(record::Record),
-    /// Zones of running nodes: what each acts on, and zones kept in or out by hand
+    /// Zones of running nodes: what each node acts on, and zones held in or out by an operator
     #[command(subcommand)]
     Places(places::Places),
-    /// Trials of real nodes: several processes, faults on the ways between them and on themselves
+    /// Trials of real nodes: several processes, faults on the links between them and in the processes themselves
     #[command(subcommand)]
     Trial(trial::Trial),
-    /// What control costs by the size of a fleet: runs, fits over sizes, and the capacity page
+    /// Cost of control by fleet size: runs, fits over sizes, and the capacity page
     #[command(subcommand)]
     Scale(scale::Scale),
 }
 
-/// How a command ended that did not fail.
+/// The result of a command that could be carried out.
 enum Verdict {
-    /// All is well.
+    /// Everything that was checked holds; the exit code is 0.
     Good,
-    /// It did its work, and found something broken.
+    /// The command completed and found a check that does not hold; the exit code is 1.
     Broken,
 }
 
 fn main() -> ExitCode {
-    let done = match Cli::parse().command {
+    let result = match Cli::parse().command {
         Command::Sim(sim) => sim::execute(sim),
         Command::World(world) => world::execute(world),
         Command::Load(load) => load::execute(load),
@@ -69,7 +69,7 @@
         Command::Trial(trial) => trial::execute(trial),
         Command::Scale(scale) => scale::execute(scale),
     };
-    match done {
+    match result {
         Ok(Verdict::Good) => ExitCode::SUCCESS,
         Ok(Verdict::Broken) => ExitCode::FAILURE,
         Err(e) => {
--- a/crates/chalksill/src/plot.rs
+++ b/crates/chalksill/src/plot.rs
@@ -1,4 +1,4 @@
-//! One page of SVG about a run: requests by outcome, the in-time share, load on boxes, and the faults over time.
+//! Draws a report as one SVG page: requests by outcome, the in-time share, load on cache servers, and faults over time.
 
 use std::path::Path;
 
@@ -6,14 +6,16 @@
 use plotters::coord::Shift;
 use plotters::prelude::*;
 
-const SIZE: (u32, u32) = (1100, 1000);
+const WIDTH_PIXELS: u32 = 1100;
+const HEIGHT_PIXELS: u32 = 1000;
 const FONT: &str = "sans-serif";
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
-type Part = (&'static str, RGBColor, fn(&chalksill_world::report::Counts) -> u64);
+/// Name, colour and count of an outcome.
+type OutcomeSeries = (&'static str, RGBColor, fn(&chalksill_world::report::Counts) -> u64);
 
-/// The outcomes, from the bottom of the stack to its top.
-const PARTS: [Part; 5] = [
+/// The outcomes, from the bottom of the stacked bars to the top.
+const OUTCOMES: [OutcomeSeries; 5] = [
     ("in time", RGBColor(70, 140, 90), |c| c.in_time),
     ("late", RGBColor(225, 180, 60), |c| c.late),
     ("refused", RGBColor(90, 130, 200), |c| c.refused),
@@ -21,16 +23,16 @@
     ("unanswered", RGBColor(120, 120, 120), |c| c.unanswered),
 ];
 
-/// Draws a report.
+/// Draws a report as SVG to a file.
 pub fn draw(report: &Report, path: &Path) -> Result<(), String> {
     if report.seconds.is_empty() {
         return Err("the report has no seconds to draw".into());
     }
-    let root = SVGBackend::new(path, SIZE).into_drawing_area();
-    page(report, &root).map_err(|e| format!("cannot draw {}: {e}", path.display()))
+    let root = SVGBackend::new(path, (WIDTH_PIXELS, HEIGHT_PIXELS)).into_drawing_area();
+    draw_page(report, &root).map_err(|e| format!("cannot draw {}: {e}", path.display()))
 }
 
-fn page(report: &Report, root: &Area<'_>) -> Result<(), Box<dyn std::error::Error>> {
+fn draw_page(report: &Report, root: &Area<'_>) -> Result<(), Box<dyn std::error::Error>> {
     root.fill(&WHITE)?;
     let title = format!(
         "{}, seed {}: {:.1}% of {} in time, {} rules broken",
@@ -41,32 +43,33 @@
         report.violations.len()
     );
     let root = root.titled(&title, (FONT, 22))?;
-    let parts = root.split_evenly((4, 1));
-    outcomes(report, &parts[0])?;
-    share(report, &parts[1])?;
-    boxes(report, &parts[2])?;
-    faults(report, &parts[3])?;
+    let panels = root.split_evenly((4, 1));
+    draw_outcomes(report, &panels[0])?;
+    draw_in_time_share(report, &panels[1])?;
+    draw_server_load(report, &panels[2])?;
+    draw_faults(report, &panels[3])?;
     root.present()?;
     Ok(())
 }
 
-fn end(report: &Report) -> f64 {
+/// Length of the run in seconds.
+fn duration_s(report: &Report) -> f64 {
     report.seconds.len() as f64
 }
 
-fn outcomes(report: &Report, area: &Area<'_>) -> Result<(), Box<dyn std::error::Error>> {
-    let most = report.seconds.iter().map(|s| s.counts.offered).max().unwrap_or(1).max(1) as f64;
+fn draw_outcomes(report: &Report, area: &Area<'_>) -> Result<(), Box<dyn std::error::Error>> {
+    let max_offered = report.seconds.iter().map(|s| s.counts.offered).max().unwrap_or(1).max(1) as f64;
     let mut chart = ChartBuilder::on(area)
-        .caption("First tries a second, by how they ended", (FONT, 16))
+        .caption("First requests per second by outcome", (FONT, 16))
         .margin(8)
         .x_label_area_size(22)
         .y_label_area_size(56)
-        .build_cartesian_2d(0.0..end(report), 0.0..most * 1.1)?;
+        .build_cartesian_2d(0.0..duration_s(report), 0.0..max_offered * 1.1)?;
     chart.configure_mesh().disable_x_mesh().draw()?;
-    for (at, (name, color, _)) in PARTS.iter().enumerate() {
+    for (index, (name, color, _)) in OUTCOMES.iter().enumerate() {
         let bars = report.seconds.iter().enumerate().map(|(i, second)| {
-            let below: u64 = PARTS[..at].iter().map(|(.., of)| of(&second.counts)).sum();
-            let top = below + (PARTS[at].2)(&second.counts);
+            let below: u64 = OUTCOMES[..index].iter().map(|(.., of)| of(&second.counts)).sum();
+            let top = below + (OUTCOMES[index].2)(&second.counts);
             let x = i as f64;
             Rectangle::new([(x + 0.05, below as f64), (x + 0.95, top as f64)], color.filled())
         });
@@ -80,19 +83,19 @@
     Ok(())
 }
 
-fn share(report: &Report, area: &Area<'_>) -> Result<(), Box<dyn std::error::Error>> {
+fn draw_in_time_share(report: &Report, area: &Area<'_>) -> Result<(), Box<dyn std::error::Error>> {
     let mut chart = ChartBuilder::on(area)
-        .caption("Part of them in time, and tries a first try (tenths)", (FONT, 16))
+        .caption("In-time share, and client requests per first request (tenths)", (FONT, 16))
         .margin(8)
         .x_label_area_size(22)
         .y_label_area_size(56)
-        .build_cartesian_2d(0.0..end(report), 0.0..1.05)?;
+        .build_cartesian_2d(0.0..duration_s(report), 0.0..1.05)?;
     chart.configure_mesh().disable_x_mesh().draw()?;
     let middle = |i: usize| i as f64 + 0.5;
     let offered = || report.seconds.iter().enumerate().filter(|(_, s)| s.counts.offered > 0);
     chart.draw_series(LineSeries::new(
         offered().map(|(i, s)| (middle(i), s.counts.in_time_share())),
-        PARTS[0].1.stroke_width(2),
+        OUTCOMES[0].1.stroke_width(2),
     ))?;
     chart.draw_series(LineSeries::new(
         offered().map(|(i, s)| (middle(i), (s.tries as f64 / s.counts.offered as f64 / 10.0).min(1.05))),
@@ -101,21 +104,23 @@
     Ok(())
 }
 
-fn boxes(report: &Report, area: &Area<'_>) -> Result<(), Box<dyn std::error::Error>> {
-    let each = report.seconds.iter().flat_map(|s| s.boxes.values());
-    let most = each.chain(report.seconds.iter().map(|s| &s.origin)).max().copied().unwrap_or(1).max(1) as f64;
+fn draw_server_load(report: &Report, area: &Area<'_>) -> Result<(), Box<dyn std::error::Error>> {
+    let server_loads = report.seconds.iter().flat_map(|s| s.boxes.values());
+    let max_load =
+        server_loads.chain(report.seconds.iter().map(|s| &s.origin)).max().copied().unwrap_or(1).max(1)
+            as f64;
     let mut chart = ChartBuilder::on(area)
-        .caption("Attempts a second at each box, and at the origin (black)", (FONT, 16))
+        .caption("Attempts per second at each cache server, and at the origin (black)", (FONT, 16))
         .margin(8)
         .x_label_area_size(22)
         .y_label_area_size(56)
-        .build_cartesian_2d(0.0..end(report), 0.0..most * 1.1)?;
+        .build_cartesian_2d(0.0..duration_s(report), 0.0..max_load * 1.1)?;
     chart.configure_mesh().disable_x_mesh().draw()?;
-    let all: std::collections::BTreeSet<usize> =
+    let servers: std::collections::BTreeSet<usize> =
         report.seconds.iter().flat_map(|s| s.boxes.keys().copied()).collect();
-    for (i, number) in all.iter().enumerate() {
+    for (i, server) in servers.iter().enumerate() {
         let line = report.seconds.iter().enumerate();
-        let line = line.map(|(at, s)| (at as f64 + 0.5, s.boxes.get(number).copied().unwrap_or(0) as f64));
+        let line = line.map(|(at, s)| (at as f64 + 0.5, s.boxes.get(server).copied().unwrap_or(0) as f64));
         chart.draw_series(LineSeries::new(line, Palette99::pick(i).stroke_width(1)))?;
     }
     let origin = report.seconds.iter().enumerate().map(|(at, s)| (at as f64 + 0.5, s.origin as f64));
@@ -123,30 +128,32 @@
     Ok(())
 }
 
-fn faults(report: &Report, area: &Area<'_>) -> Result<(), Box<dyn std::error::Error>> {
-    // A beginning with its end, where the run saw one.
-    let mut spans: Vec<(f64, f64, &str)> = Vec::new();
+fn draw_faults(report: &Report, area: &Area<'_>) -> Result<(), Box<dyn std::error::Error>> {
+    // Pairs the begin and the end of each fault; a fault without an end lasts until the end of the run.
+    let mut intervals: Vec<(f64, f64, &str)> = Vec::new();
     for (at, what) in &report.faults {
         if let Some(what) = what.strip_prefix("begins: ") {
-            spans.push((at / 1e3, end(report), what));
+            intervals.push((at / 1e3, duration_s(report), what));
         } else if let Some(what) = what.strip_prefix("is over: ") {
-            if let Some(span) = spans.iter_mut().find(|(_, to, w)| *w == what && *to == end(report)) {
-                span.1 = at / 1e3;
+            if let Some(interval) =
+                intervals.iter_mut().find(|(_, to, name)| *name == what && *to == duration_s(report))
+            {
+                interval.1 = at / 1e3;
             }
         } else {
-            spans.push((at / 1e3, at / 1e3 + 0.1, what));
+            intervals.push((at / 1e3, at / 1e3 + 0.1, what));
         }
     }
-    let rows = (spans.len() + report.violations.len().min(5)).max(1);
+    let rows = (intervals.len() + report.violations.len().min(5)).max(1);
     let mut chart = ChartBuilder::on(area)
-        .caption("Faults, and rules broken (red)", (FONT, 16))
+        .caption("Faults, and broken rules (red)", (FONT, 16))
         .margin(8)
         .x_label_area_size(22)
         .y_label_area_size(56)
-        .build_cartesian_2d(0.0..end(report), 0.0..rows as f64)?;
+        .build_cartesian_2d(0.0..duration_s(report), 0.0..rows as f64)?;
     chart.configure_mesh().disable_mesh().y_labels(0).x_desc("seconds").draw()?;
     let color = RGBColor(190, 170, 120);
-    for (row, (from, to, what)) in spans.iter().enumerate() {
+    for (row, (from, to, what)) in intervals.iter().enumerate() {
         let y = (rows - 1 - row) as f64;
         chart.draw_series([Rectangle::new([(*from, y + 0.1), (*to, y + 0.9)], color.mix(0.5).filled())])?;
         let short: String = what.chars().take(90).collect();
--- a/crates/chalksill/src/scale/mod.rs
+++ b/crates/chalksill/src/scale/mod.rs
@@ -1,4 +1,4 @@
-//! `chalksill scale`: what control costs by the size of a fleet.
+//! `chalksill scale`: the cost of control by fleet size.
 
 mod fit;
 mod page;
@@ -9,29 +9,29 @@
 
 use crate::Verdict;
 
-/// The subcommands.
+/// Subcommands of `chalksill scale`.
 #[derive(Subcommand)]
 pub enum Scale {
-    /// Fits models to the runs of one kind, and says what they tell of the target
+    /// Fits models to the runs of one kind, and extrapolates them to the target size
     Fit(fit::Fit),
-    /// Writes the tables of the capacity page from the runs that are kept, or checks them
+    /// Writes the tables of the capacity page from the committed runs, or checks them
     Page(page::Page),
-    /// Runs a fleet's control code at each size of a scenario, and tells what each role cost
+    /// Runs a fleet's control code at each size of a scenario, and prints the cost of each role
     Run(run::Run),
-    /// Runs hollow and real nodes on loopback sockets by a plan that tells how many of each
+    /// Runs hollow and real nodes on loopback sockets by a plan that sets the number of each
     RealSockets(real_sockets::RealSockets),
-    /// A worker process of a run on real sockets; its plan comes on standard input
+    /// A worker process of a run on real sockets; reads its plan from standard input
     #[command(hide = true)]
     Worker,
 }
 
-/// Carries a subcommand out.
+/// Executes a subcommand.
 pub fn execute(scale: Scale) -> Result<Verdict, String> {
     match scale {
         Scale::Fit(fit) => fit::execute(&fit),
         Scale::Page(page) => page::execute(&page),
         Scale::Run(run) => run::execute(&run),
         Scale::RealSockets(args) => real_sockets::execute(&args),
-        Scale::Worker => real_sockets::work(),
+        Scale::Worker => real_sockets::execute_worker(),
     }
 }
--- a/crates/chalksill/src/scale/page.rs
+++ b/crates/chalksill/src/scale/page.rs
@@ -1,4 +1,4 @@
-//! `chalksill scale page`.
+//! `chalksill scale page`: writes or checks the tables of the capacity page.
 
 use std::path::PathBuf;
 
@@ -8,21 +8,21 @@
 
 use crate::{Verdict, files};
 
-/// The capacity page.
+/// Arguments of `scale page`.
 #[derive(Args)]
 pub struct Page {
-    /// Writes nothing, and fails where the page and the runs differ
+    /// Writes nothing; exit code 1 where the page and the runs differ
     #[arg(long)]
     check: bool,
-    /// The folder of the runs that are kept
+    /// The folder of the committed runs
     #[arg(long, default_value = "scale/runs", value_name = "FOLDER")]
     runs: PathBuf,
-    /// The page
+    /// The capacity page
     #[arg(long, default_value = "docs/CAPACITY.md", value_name = "FILE")]
     page: PathBuf,
 }
 
-/// Carries it out.
+/// Executes the subcommand.
 pub fn execute(args: &Page) -> Result<Verdict, String> {
     let records = records::read_folder(&args.runs).map_err(|e| e.to_string())?;
     let page = files::text(&args.page)?;
--- a/crates/chalksill/src/scale/run.rs
+++ b/crates/chalksill/src/scale/run.rs
@@ -1,4 +1,4 @@
-//! `chalksill scale run`: every size of a scenario as often as it says, one run at a time.
+//! `chalksill scale run`: runs each size of a scenario with all its repetitions, one run at a time.
 
 use std::io::Read;
 use std::path::{Path, PathBuf};
@@ -14,16 +14,17 @@
 use super::real_sockets;
 use crate::{Verdict, files};
 
-/// Between two looks whether a run has ended.
-const LOOK: Duration = Duration::from_millis(20);
-/// Characters of a day in a time as RFC 3339 has it.
-const DAY: usize = 10;
+/// Interval between checks whether a run has ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Length of the date in an RFC 3339 timestamp.
+const DATE_LENGTH: usize = 10;
 
-/// Of a scenario's nodes on real sockets, two are real ones, and the others share processes by fifty; a plan can say otherwise.
-const REAL_SOCKETS: RealSocketsOptions =
+/// How a scenario's nodes run on real sockets: two are real, the others are hollow and share processes. A plan for
+/// `scale real-sockets` can set other values.
+const REAL_SOCKETS_OPTIONS: RealSocketsOptions =
     RealSocketsOptions { real_nodes: 2, nodes_per_process: 50, discovery_down_s: 3.0 };
 
-/// Running.
+/// Arguments of `scale run`.
 #[derive(Args)]
 pub struct Run {
     /// The scenario, a TOML file
@@ -34,17 +35,17 @@
     /// Writes the record to this file
     #[arg(short, long, value_name = "FILE")]
     out: Option<PathBuf>,
-    /// Runs one size once in this process, and prints that run as JSON: the size's place and the repetition, from 0
+    /// Runs one size once in this process, and prints that run as JSON: the index of the size and the repetition, from 0
     #[arg(long, hide = true, num_args = 2, value_names = ["SIZE", "REPETITION"])]
     one: Option<Vec<u32>>,
 }
 
-/// Carries the subcommand out.
+/// Executes the subcommand.
 pub fn execute(args: &Run) -> Result<Verdict, String> {
     let scenario = Scenario::parse(&files::text(&args.scenario)?)
         .map_err(|e| format!("{}: {e}", args.scenario.display()))?;
     if scenario.host == HostKind::RealSockets {
-        let plan = RealSocketsPlan::from_scenario(&scenario, &REAL_SOCKETS);
+        let plan = RealSocketsPlan::from_scenario(&scenario, &REAL_SOCKETS_OPTIONS);
         return real_sockets::execute_plan(&plan, None, args.out.as_deref(), args.json);
     }
     let machine = usage::machine();
@@ -59,18 +60,18 @@
         host: scenario.host,
         state: scenario.state,
         machine,
-        commit: commit(),
-        date: humantime::format_rfc3339(SystemTime::now()).to_string()[..DAY].to_owned(),
+        commit: current_commit(),
+        date: humantime::format_rfc3339(SystemTime::now()).to_string()[..DATE_LENGTH].to_owned(),
         runs: run_all(&scenario, &args.scenario)?,
     };
-    let json = files::json(&record)?;
+    let json = files::to_json(&record)?;
     if let Some(path) = &args.out {
         files::write(path, &(json.clone() + "\n"))?;
     }
     if args.json {
         println!("{json}");
     } else {
-        print(&record);
+        print_record(&record);
     }
     Ok(Verdict::Good)
 }
@@ -83,20 +84,20 @@
     Ok(Verdict::Good)
 }
 
-/// Runs every size as often as the scenario says, each time in a process of its own, so that memory is told for it alone.
+/// Executes all repetitions of each size, each run in a process of its own so that its memory is measured alone.
 fn run_all(scenario: &Scenario, path: &Path) -> Result<Vec<record::Run>, String> {
     let mut runs = Vec::new();
-    let all = scenario.sizes.len() as u32 * scenario.repetitions;
-    for (place, size) in scenario.sizes.iter().enumerate() {
+    let total = scenario.sizes.len() as u32 * scenario.repetitions;
+    for (index, size) in scenario.sizes.iter().enumerate() {
         for repetition in 0..scenario.repetitions {
             eprintln!(
-                "run {} of {all}: {} nodes, {} cache servers, {} changes a second, repetition {repetition}",
+                "run {} of {total}: {} nodes, {} cache servers, {} changes per second, repetition {repetition}",
                 runs.len() + 1,
                 size.nodes,
                 size.cache_servers,
                 size.changes_per_s
             );
-            let run = run_in_child(path, place, repetition, scenario.bounds.max_wall_time)?;
+            let run = run_in_child(path, index, repetition, scenario.bounds.max_wall_time)?;
             eprintln!("  took {:.1} s", run.wall_s);
             runs.push(run);
         }
@@ -104,8 +105,15 @@
     Ok(runs)
 }
 
-fn run_in_child(path: &Path, size: usize, repetition: u32, wall: Duration) -> Result<record::Run, String> {
-    let program = std::env::current_exe().map_err(|e| format!("where this program is: {e}"))?;
+/// Executes one run in a process of its own.
+fn run_in_child(
+    path: &Path,
+    size: usize,
+    repetition: u32,
+    max_wall_time: Duration,
+) -> Result<record::Run, String> {
+    let program =
+        std::env::current_exe().map_err(|e| format!("cannot determine the path of this program: {e}"))?;
     let mut child = Command::new(program)
         .args(["scale", "run", "--one", &size.to_string(), &repetition.to_string(), "--"])
         .arg(path)
@@ -113,46 +121,46 @@
         .stdout(Stdio::piped())
         .spawn()
         .map_err(|e| format!("cannot start a run: {e}"))?;
-    // Its one line fits into the pipe, so that it can end before anybody reads.
-    wait(&mut child, wall)?;
+    // The one line of output fits into the pipe, so the run can end before its output is read.
+    wait_for_exit(&mut child, max_wall_time)?;
     let mut line = String::new();
-    let mut output = child.stdout.take().ok_or("a run without output")?;
-    output.read_to_string(&mut line).map_err(|e| format!("what a run told: {e}"))?;
-    serde_json::from_str(&line).map_err(|e| format!("what a run told: {e}"))
+    let mut output = child.stdout.take().ok_or("cannot read the output of a run")?;
+    output.read_to_string(&mut line).map_err(|e| format!("invalid output of a run: {e}"))?;
+    serde_json::from_str(&line).map_err(|e| format!("invalid output of a run: {e}"))
 }
 
-/// Waits until a run has ended; one that takes longer than its bound is killed.
-fn wait(child: &mut Child, wall: Duration) -> Result<(), String> {
+/// Waits until a run has ended, and kills it where it takes longer than `max_wall_time`.
+fn wait_for_exit(child: &mut Child, max_wall_time: Duration) -> Result<(), String> {
     let begin = Instant::now();
     loop {
-        match child.try_wait().map_err(|e| format!("waiting for a run: {e}"))? {
+        match child.try_wait().map_err(|e| format!("cannot wait for a run: {e}"))? {
             Some(status) if status.success() => return Ok(()),
-            Some(status) => return Err(format!("a run has failed: {status}")),
-            None if begin.elapsed() > wall => {
+            Some(status) => return Err(format!("a run failed: {status}")),
+            None if begin.elapsed() > max_wall_time => {
                 let _ = child.kill();
                 let _ = child.wait();
-                return Err(format!("a run took more than {wall:?} and was ended (bounds.wall_s)"));
+                return Err(format!("a run took more than {max_wall_time:?} and was killed (bounds.wall_s)"));
             }
-            None => std::thread::sleep(LOOK),
+            None => std::thread::sleep(POLL_INTERVAL),
         }
     }
 }
 
-/// The commit of the tree that this is run in, as git names it.
-pub(super) fn commit() -> String {
-    let told =
+/// The commit of the working directory as `git describe` names it, or "unknown".
+pub(super) fn current_commit() -> String {
+    let output =
         Command::new("git").args(["describe", "--always", "--dirty", "--abbrev=12", "--exclude=*"]).output();
-    let told = told.ok().filter(|output| output.status.success());
-    told.map_or("unknown".into(), |output| String::from_utf8_lossy(&output.stdout).trim().to_owned())
+    let output = output.ok().filter(|output| output.status.success());
+    output.map_or("unknown".into(), |output| String::from_utf8_lossy(&output.stdout).trim().to_owned())
 }
 
-/// Prints a record for a person.
-pub(super) fn print(record: &RunRecord) {
+/// Prints a record as text.
+pub(super) fn print_record(record: &RunRecord) {
     println!("{}, {:?}, {:?}, commit {}", record.scenario, record.host, record.state, record.commit);
     for run in &record.runs {
         let size = &run.size;
         println!(
-            "{} nodes at {} sites in {} zones of {} regions, {} cache servers, {} changes a second; repetition {}, \
+            "{} nodes at {} sites in {} zones of {} regions, {} cache servers, {} changes per second; repetition {}, \
              {:.0} s measured in {:.1} s",
             size.nodes,
             size.sites,
@@ -193,7 +201,7 @@
         "  {:<22} {:>7} {:>9} {:>9} {:>10} {:>10} {:>8} {:>8} {:>7}",
         "role", "members", "msg/s in", "msg/s out", "B/s in", "B/s out", "core %", "MB", "conns"
     );
-    let figure = |value: Option<f64>, digits| value.map_or("-".to_owned(), |v| format!("{v:.digits$}"));
+    let optional = |value: Option<f64>, digits| value.map_or("-".to_owned(), |v| format!("{v:.digits$}"));
     for (role, cost) in &run.roles {
         let cpu = cost.user_cpu.zip(cost.system_cpu).map(|(user, system)| 100.0 * (user + system));
         println!(
@@ -204,8 +212,8 @@
             cost.messages_out_per_s,
             cost.bytes_in_per_s,
             cost.bytes_out_per_s,
-            figure(cpu, 4),
-            figure(cost.resident_bytes.map(|b| b / 1e6), 3),
+            optional(cpu, 4),
+            optional(cost.resident_bytes.map(|b| b / 1e6), 3),
             cost.connections
         );
     }
--- a/crates/chalksill/src/sim.rs
+++ b/crates/chalksill/src/sim.rs
@@ -1,4 +1,4 @@
-//! `chalksill sim`: one run, many, shrinking, replaying, plotting.
+//! `chalksill sim`: single runs, seed exploration, shrinking, replaying and plotting.
 
 use std::cell::RefCell;
 use std::io::{BufWriter, Write};
@@ -15,33 +15,33 @@
 use crate::files::{self, Replay};
 use crate::{Verdict, explore, plot};
 
-/// The subcommands.
+/// Subcommands of `chalksill sim`.
 #[derive(Subcommand)]
 pub enum Sim {
-    /// Plays one run and prints its figures; exit code 1 where a rule was broken
+    /// Executes one run and prints its report; exit code 1 where a rule was broken
     Run(Run),
-    /// Plays many seeds on all cores; exit code 1 where a rule was broken, and a replay file for each such seed
+    /// Runs many seeds on all cores; exit code 1 where a rule was broken, and a replay file for each such seed
     Explore(explore::Explore),
-    /// Cuts the faults of a replay file down to what is needed to break the same rule
+    /// Reduces the faults of a replay file to those needed to break the same rule
     Shrink(Shrink),
-    /// Plays a replay file again; exit code 0 where it ends in the same digest, 1 where it does not
-    Replay(Again),
-    /// Draws a report (of run --json) as one page of SVG
+    /// Repeats the run of a replay file; exit code 0 where it gives the same digest, 1 where it does not
+    Replay(ReplayArgs),
+    /// Draws a report (of run --json) as a one-page SVG
     Plot(Plot),
 }
 
-/// One run.
+/// Arguments of `sim run`.
 #[derive(Args)]
 pub struct Run {
     /// The scenario, a TOML file
     scenario: PathBuf,
-    /// The seed of everything that is left to chance
+    /// The seed of everything that is random
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Writes all that is seen, and the logs of the nodes, to this file
+    /// Writes a trace of all observed events, and the logs of the nodes, to this file
     #[arg(long)]
     trace: Option<PathBuf>,
-    /// Prints the figures as JSON
+    /// Prints the report as JSON
     #[arg(long)]
     json: bool,
     /// Leaves out all faults
@@ -50,119 +50,119 @@
     /// Writes a replay file of the run
     #[arg(long)]
     record: Option<PathBuf>,
-    /// Plants a fault in the nodes, to see the checker find it
-    #[arg(long, value_parser = mutant)]
+    /// Plants a fault in the nodes, to test that the checker finds it
+    #[arg(long, value_parser = parse_mutant)]
     mutant: Option<Mutant>,
 }
 
-/// Shrinking.
+/// Arguments of `sim shrink`.
 #[derive(Args)]
 pub struct Shrink {
     /// The replay file; it must break a rule
     file: PathBuf,
-    /// Where the smaller one goes; beside the file, ending in .small.json, by default
+    /// Where the reduced replay file is written; by default beside the file, ending in .small.json
     #[arg(short, long)]
     out: Option<PathBuf>,
 }
 
-/// Replaying.
+/// Arguments of `sim replay`.
 #[derive(Args)]
-pub struct Again {
+pub struct ReplayArgs {
     /// The replay file
     file: PathBuf,
-    /// Writes all that is seen, and the logs of the nodes, to this file
+    /// Writes a trace of all observed events, and the logs of the nodes, to this file
     #[arg(long)]
     trace: Option<PathBuf>,
-    /// Prints the figures as JSON
+    /// Prints the report as JSON
     #[arg(long)]
     json: bool,
 }
 
-/// Plotting.
+/// Arguments of `sim plot`.
 #[derive(Args)]
 pub struct Plot {
     /// The report, as run --json prints it
     report: PathBuf,
-    /// Where the page goes
+    /// Where the page is written
     #[arg(short, long, default_value = "out.svg")]
     out: PathBuf,
 }
 
-/// Reads the name of a mutant.
-pub fn mutant(name: &str) -> Result<Mutant, String> {
+/// Parses the name of a mutant.
+pub fn parse_mutant(name: &str) -> Result<Mutant, String> {
     let quoted = serde_json::Value::String(name.into());
     let names = || {
         let all = Mutant::ALL.iter().filter_map(|(m, _)| serde_json::to_value(m).ok());
         all.filter_map(|v| v.as_str().map(str::to_owned)).collect::<Vec<_>>().join(", ")
     };
-    serde_json::from_value(quoted).map_err(|_| format!("no mutant; there are {}", names()))
+    serde_json::from_value(quoted).map_err(|_| format!("unknown mutant; the mutants are {}", names()))
 }
 
-/// Carries a subcommand out.
+/// Executes a subcommand.
 pub fn execute(sim: Sim) -> Result<Verdict, String> {
     match sim {
-        Sim::Run(args) => one(&args),
+        Sim::Run(args) => run_one(&args),
         Sim::Explore(args) => explore::execute(&args),
         Sim::Shrink(args) => shrink(&args),
-        Sim::Replay(args) => again(&args),
+        Sim::Replay(args) => replay_file(&args),
         Sim::Plot(args) => {
-            plot::draw(&files::report(&args.report)?, &args.out)?;
+            plot::draw(&files::read_report(&args.report)?, &args.out)?;
             println!("{}", args.out.display());
             Ok(Verdict::Good)
         }
     }
 }
 
-/// Plays a plan, with all that is seen written to a file where one is named.
-pub fn traced(plan: &RunPlan, trace: Option<&PathBuf>) -> Result<Report, String> {
+/// Executes a run, and writes every observed event to a trace file where one is named.
+pub fn run_with_trace(plan: &RunPlan, trace: Option<&PathBuf>) -> Result<Report, String> {
     let Some(path) = trace else { return Ok(run(plan, None)) };
-    let failed = |e: std::io::Error| format!("cannot write {}: {e}", path.display());
-    let file = Rc::new(RefCell::new(BufWriter::new(std::fs::File::create(path).map_err(failed)?)));
-    let broken = Rc::new(RefCell::new(None));
+    let trace_error = |e: std::io::Error| format!("cannot write {}: {e}", path.display());
+    let file = Rc::new(RefCell::new(BufWriter::new(std::fs::File::create(path).map_err(trace_error)?)));
+    let write_error = Rc::new(RefCell::new(None));
     let report = {
-        let (file, broken) = (file.clone(), broken.clone());
+        let (file, write_error) = (file.clone(), write_error.clone());
         let sink = move |line: &str| {
             if let Err(e) = writeln!(file.borrow_mut(), "{line}") {
-                broken.borrow_mut().get_or_insert(e);
+                write_error.borrow_mut().get_or_insert(e);
             }
         };
         run(plan, Some(Rc::new(RefCell::new(sink))))
     };
-    if let Some(e) = broken.borrow_mut().take() {
-        return Err(failed(e));
+    if let Some(e) = write_error.borrow_mut().take() {
+        return Err(trace_error(e));
     }
-    file.borrow_mut().flush().map_err(failed)?;
+    file.borrow_mut().flush().map_err(trace_error)?;
     Ok(report)
 }
 
-fn one(args: &Run) -> Result<Verdict, String> {
-    let scenario = files::scenario(&args.scenario)?;
+fn run_one(args: &Run) -> Result<Verdict, String> {
+    let scenario = files::read_scenario(&args.scenario)?;
     let script = args.calm.then(Vec::new);
     let plan = RunPlan { scenario, seed: args.seed, script, mutant: args.mutant };
     let begin = Instant::now();
-    let report = traced(&plan, args.trace.as_ref())?;
+    let report = run_with_trace(&plan, args.trace.as_ref())?;
     if let Some(path) = &args.record {
-        files::write(path, &files::json(&Replay::of(&plan, &plan.script(), &report))?)?;
+        files::write(path, &files::to_json(&Replay::from_run(&plan, &plan.script(), &report))?)?;
     }
     if args.json {
-        println!("{}", files::json(&report)?);
+        println!("{}", files::to_json(&report)?);
     } else {
-        print(&report, begin.elapsed().as_secs_f64());
+        print_report(&report, begin.elapsed().as_secs_f64());
     }
     Ok(if report.violations.is_empty() { Verdict::Good } else { Verdict::Broken })
 }
 
-/// Prints the figures of a run for a person.
-pub fn print(report: &Report, real_s: f64) {
-    let row = |name: &str, c: &Counts| {
+/// Prints the report of a run as text.
+pub fn print_report(report: &Report, real_s: f64) {
+    let row = |name: &str, counts: &Counts| {
         println!(
             "{name:<16} {:>8} {:>8.1}% {:>7.1}% {:>8.1}% {:>7.1}% {:>10.1}%",
-            c.offered,
-            100.0 * c.in_time_share(),
-            part(c.late, c.offered),
-            part(c.refused, c.offered),
-            part(c.failed, c.offered),
-            part(c.unanswered, c.offered)
+            counts.offered,
+            100.0 * counts.in_time_share(),
+            percentage(counts.late, counts.offered),
+            percentage(counts.refused, counts.offered),
+            percentage(counts.failed, counts.offered),
+            percentage(counts.unanswered, counts.offered)
         );
     };
     println!("{}, seed {}", report.scenario, report.seed);
@@ -174,72 +174,74 @@
         "", "offered", "in time", "late", "refused", "failed", "unanswered"
     );
     row("all", &report.all);
-    report.classes.iter().for_each(|(name, c)| row(name, c));
-    report.tenants.iter().for_each(|(name, c)| row(name, c));
-    let l = report.latency;
+    report.classes.iter().for_each(|(name, counts)| row(name, counts));
+    report.tenants.iter().for_each(|(name, counts)| row(name, counts));
+    let latency = report.latency;
     println!(
-        "latency of those served, ms: p50 {:.1}, p95 {:.1}, p99 {:.1}, p99.9 {:.1}, max {:.1}",
-        l.p50, l.p95, l.p99, l.p999, l.max
+        "latency of served requests, ms: p50 {:.1}, p95 {:.1}, p99 {:.1}, p99.9 {:.1}, max {:.1}",
+        latency.p50, latency.p95, latency.p99, latency.p999, latency.max
     );
     println!(
-        "boxes: {} attempts, {} misses, {} turned away; origin: {} calls; tries a first try {:.2}",
+        "cache servers: {} attempts, {} misses, {} refused as busy; origin: {} calls; client requests per first request {:.2}",
         report.attempts, report.misses, report.turned_away, report.origin_calls, report.tries
     );
     println!(
-        "second answers: {}, {} of them before others were answered; {} requests, {:.3} attempts and calls each",
+        "duplicate responses: {}, {} of them while a later command waited; {} requests, {:.3} attempts and calls each",
         report.second_answers,
         report.second_answers_before_others,
         report.requests,
         report.attempts_per_request()
     );
-    println!("refusals: {} with {:.0} ms advice in the mean", report.refusals, report.advice_ms);
+    println!("refusals: {}, with a mean retry-after of {:.0} ms", report.refusals, report.advice_ms);
     println!(
         "{:.1} virtual seconds in {real_s:.2} s, {} packets, digest {}",
         report.virtual_s, report.packets, report.digest
     );
     match report.violations.as_slice() {
-        [] => println!("rules kept"),
+        [] => println!("all rules hold"),
         broken => broken.iter().for_each(|v| println!("BROKEN {v}")),
     }
 }
 
-fn part(of: u64, all: u64) -> f64 {
-    100.0 * of as f64 / all.max(1) as f64
+/// `part` in percent of `whole`; 0 where both are.
+fn percentage(part: u64, whole: u64) -> f64 {
+    100.0 * part as f64 / whole.max(1) as f64
 }
 
-fn again(args: &Again) -> Result<Verdict, String> {
-    let replay = files::replay(&args.file)?;
+fn replay_file(args: &ReplayArgs) -> Result<Verdict, String> {
+    let replay = files::read_replay(&args.file)?;
     let begin = Instant::now();
-    let report = traced(&replay.plan(), args.trace.as_ref())?;
+    let report = run_with_trace(&replay.run_plan(), args.trace.as_ref())?;
     if args.json {
-        println!("{}", files::json(&report)?);
+        println!("{}", files::to_json(&report)?);
     } else {
-        print(&report, begin.elapsed().as_secs_f64());
+        print_report(&report, begin.elapsed().as_secs_f64());
     }
     if report.digest == replay.digest {
-        eprintln!("the same digest as in the file");
+        eprintln!("the digest is the same as in the file");
         return Ok(Verdict::Good);
     }
     eprintln!(
-        "another digest than the file's {}: the program has changed, or is not deterministic",
+        "the digest differs from the {} of the file: the program has changed, or is not deterministic",
         replay.digest
     );
     Ok(Verdict::Broken)
 }
 
-/// Cuts faults away for as long as the same rule breaks: halves first, then one by one.
+/// Removes faults for as long as the run still breaks the same rule: first half of them at a time, then smaller groups
+/// down to single faults.
 fn shrink(args: &Shrink) -> Result<Verdict, String> {
-    let replay = files::replay(&args.file)?;
-    let mut plan = replay.plan();
-    let first = run(&plan, None);
-    let Some(rule) = first.violations.first().map(|v| v.rule) else {
+    let replay = files::read_replay(&args.file)?;
+    let mut plan = replay.run_plan();
+    let original = run(&plan, None);
+    let Some(rule) = original.violations.first().map(|v| v.rule) else {
         return Err(format!(
-            "{}: it breaks no rule now, so there is nothing to cut down to",
+            "{}: the run breaks no rule with this program, so there is nothing to shrink",
             args.file.display()
         ));
     };
     let mut script: Vec<Fault> = replay.script.clone();
-    let (whole, mut runs) = (script.len(), 0);
+    let (original_count, mut runs) = (script.len(), 0);
     let mut breaks = |plan: &mut RunPlan, script: &[Fault]| {
         runs += 1;
         plan.script = Some(script.to_vec());
@@ -247,34 +249,37 @@
     };
     let mut size = script.len().div_ceil(2);
     while size > 0 && !script.is_empty() {
-        let (mut at, mut cut) = (0, false);
-        while at < script.len() {
+        let (mut start, mut reduced) = (0, false);
+        while start < script.len() {
             let mut fewer = script.clone();
-            fewer.drain(at..(at + size).min(fewer.len()));
+            fewer.drain(start..(start + size).min(fewer.len()));
             if breaks(&mut plan, &fewer) {
-                (script, cut) = (fewer, true);
+                (script, reduced) = (fewer, true);
             } else {
-                at += size;
+                start += size;
             }
         }
-        if !cut || size > 1 {
+        if !reduced || size > 1 {
             size /= 2;
         }
     }
     plan.script = Some(script.clone());
-    // No longer than needed: the end of the arrivals goes to just after the break.
+    // Shorten the load to end just after the violation, if the shortened run still breaks the rule.
     let report = run(&plan, None);
-    let last = report.violations.iter().find(|v| v.rule == rule).map_or(0.0, |v| v.at_ms);
-    let shorter = (last / 1e3 + 0.5).min(plan.scenario.seconds);
-    let mut short = plan.clone();
-    short.scenario.seconds = shorter.max(0.1);
-    let cut = run(&short, None);
-    let (plan, report) =
-        if cut.violations.iter().any(|v| v.rule == rule) { (short, cut) } else { (plan, report) };
+    let broken_at_ms = report.violations.iter().find(|v| v.rule == rule).map_or(0.0, |v| v.at_ms);
+    let short_seconds = (broken_at_ms / 1e3 + 0.5).min(plan.scenario.seconds);
+    let mut shortened = plan.clone();
+    shortened.scenario.seconds = short_seconds.max(0.1);
+    let short_report = run(&shortened, None);
+    let (plan, report) = if short_report.violations.iter().any(|v| v.rule == rule) {
+        (shortened, short_report)
+    } else {
+        (plan, report)
+    };
     let out = args.out.clone().unwrap_or_else(|| args.file.with_extension("small.json"));
-    files::write(&out, &files::json(&Replay::of(&plan, &script, &report))?)?;
+    files::write(&out, &files::to_json(&Replay::from_run(&plan, &script, &report))?)?;
     println!(
-        "{}: {} of {whole} faults, {:.1} of {:.1} s, after {runs} runs",
+        "{}: {} of {original_count} faults, {:.1} of {:.1} s, after {runs} runs",
         out.display(),
         script.len(),
         plan.scenario.seconds,
--- a/crates/chalksill/src/trial.rs
+++ b/crates/chalksill/src/trial.rs
@@ -1,4 +1,4 @@
-//! `chalksill trial`: real nodes as processes, a relay on every way between two parties, faults by a script.
+//! `chalksill trial`: real nodes as processes, a relay on each link between two endpoints, and scripted faults.
 
 use std::path::PathBuf;
 
@@ -13,38 +13,38 @@
 
 use soak::Soak;
 
-/// The subcommands.
+/// Subcommands of `chalksill trial`.
 #[derive(Subcommand)]
 pub enum Trial {
-    /// Plays a trial and says whether all held that must
+    /// Runs a trial and reports whether all of its expectations hold
     Run(Run),
-    /// Plays seeds of drains, ends and new versions under clients that go on, each with processes of its own
+    /// Runs seeds of drains, process ends and upgrades under clients that continue, each seed with processes of its own
     Soak(Soak),
-    /// Reads a trial and says what is wrong with it, without playing it
+    /// Checks the file of a trial without running it
     Check {
         /// The trial, a TOML file
         trial: PathBuf,
     },
 }
 
-/// Playing.
+/// Arguments of `trial run`.
 #[derive(Args)]
 pub struct Run {
     /// The trial, a TOML file
     trial: PathBuf,
-    /// The seed of the load, the stand-ins and the ways
+    /// The seed of the load, the stubs and the links
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// The daemon; the one beside this program by default
+    /// The mothpier program; by default the one in the folder of this program
     #[arg(long)]
     mothpier: Option<PathBuf>,
-    /// An operator's file for all nodes, instead of the world's
+    /// The operator configuration of all nodes, instead of the one in the trial's environment
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
-    /// Prints the report as JSON, the nodes' logs included
+    /// Prints the report as JSON, including the logs of the nodes
     #[arg(long)]
     json: bool,
-    /// Draws the line of time as SVG
+    /// Draws the timeline as SVG
     #[arg(long, value_name = "FILE")]
     svg: Option<PathBuf>,
     /// Keeps configurations, logs and the report in this folder
@@ -52,13 +52,13 @@
     keep: Option<PathBuf>,
 }
 
-/// Carries a subcommand out.
+/// Executes a subcommand.
 pub fn execute(trial: Trial) -> Result<Verdict, String> {
     match trial {
         Trial::Check { trial } => {
             let plan = Plan::read(&trial)?;
             let (nodes, boxes) = (plan.world.nodes.count, plan.world.boxes.count);
-            println!("{}: {nodes} nodes, {boxes} boxes, {} steps", plan.name, plan.steps.len());
+            println!("{}: {nodes} nodes, {boxes} cache servers, {} steps", plan.name, plan.steps.len());
             Ok(Verdict::Good)
         }
         Trial::Run(run) => execute_run(&run),
@@ -72,20 +72,20 @@
         plan.world.nodes.operator = files::text(path)?;
         plan.world.validate().map_err(|e| format!("{}: {e}", path.display()))?;
     }
-    let program = world::program(args.mothpier.as_ref())?;
-    let folder = world::folder(args.keep.as_ref());
+    let program = world::mothpier_program(args.mothpier.as_ref())?;
+    let folder = world::run_folder(args.keep.as_ref());
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| format!("no runtime: {e}"))?;
+    let runtime = runtime.map_err(|e| format!("cannot start the runtime: {e}"))?;
     let ended = LocalSet::new().block_on(&runtime, play(plan, args.seed, &program, &folder));
     if args.keep.is_none() {
-        // What is not asked for is not left behind; nothing is lost where that fails.
+        // Files are kept only with --keep. A failure to remove them does no harm.
         let _ = std::fs::remove_dir_all(&folder);
     }
     let report = match ended? {
         Ended::Played(report) => report,
-        Ended::Interrupted => return Err("interrupted; all that was started has ended".into()),
+        Ended::Interrupted => return Err("interrupted; all processes that were started have ended".into()),
     };
-    let json = files::json(&report)?;
+    let json = files::to_json(&report)?;
     if let Some(folder) = &args.keep {
         files::write(&folder.join("report.json"), &json)?;
         let lines: Vec<String> = report
--- a/crates/chalksill/src/trial/soak.rs
+++ b/crates/chalksill/src/trial/soak.rs
@@ -1,4 +1,4 @@
-//! `chalksill trial soak`: seeds of a soak, some side by side, a line each.
+//! `chalksill trial soak`: runs seeds of the soak test, some at the same time, and prints a line for each.
 
 use std::path::{Path, PathBuf};
 use std::sync::Mutex;
@@ -11,29 +11,29 @@
 
 use crate::{Verdict, explore, world};
 
-/// Seeds of a soak.
+/// Arguments of `trial soak`.
 #[derive(Args)]
 pub struct Soak {
-    /// The seeds, from and to (not included), as 0..50
-    #[arg(long, default_value = "0..8", value_parser = explore::seeds)]
+    /// The range of seeds, its end excluded, such as 0..50
+    #[arg(long, default_value = "0..8", value_parser = explore::parse_seed_range)]
     seeds: (u64, u64),
-    /// Seeds side by side: each has some processes, and threads of a machine that is too busy judge wrongly
+    /// Number of seeds at the same time: each starts several processes, and an overloaded machine gives wrong verdicts
     #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u64).range(1..=32))]
     jobs: u64,
-    /// The daemon; the one beside this program by default
+    /// The mothpier program; by default the one in the folder of this program
     #[arg(long)]
     mothpier: Option<PathBuf>,
-    /// Where configurations and logs of seeds that broke something are kept
+    /// The folder for configurations and logs of seeds that break a rule
     #[arg(long, value_name = "FOLDER", default_value = "found")]
     out: PathBuf,
 }
 
-/// Plays the seeds.
+/// Executes the subcommand.
 pub fn execute(args: &Soak) -> Result<Verdict, String> {
-    let program = world::program(args.mothpier.as_ref())?;
+    let program = world::mothpier_program(args.mothpier.as_ref())?;
     let (first, end) = args.seeds;
     let next = AtomicU64::new(first);
-    let (failed, hindered) = (Mutex::new(Vec::new()), Mutex::new(Vec::new()));
+    let (failed, not_run) = (Mutex::new(Vec::new()), Mutex::new(Vec::new()));
     let worker = || {
         loop {
             let seed = next.fetch_add(1, Ordering::Relaxed);
@@ -41,7 +41,7 @@
                 return;
             }
             let folder = args.out.join(format!("soak-{seed}"));
-            match play_one(seed, &program, &folder) {
+            match run_seed(seed, &program, &folder) {
                 Ok(outcome) => {
                     println!("{outcome}");
                     if outcome.good() {
@@ -51,9 +51,9 @@
                         let _ = std::fs::write(folder.join("events"), outcome.events.join("\n") + "\n");
                     }
                 }
-                Err(what) => {
-                    println!("seed {seed}: not played: {what}");
-                    hindered.lock().map(|mut hindered| hindered.push(seed)).unwrap_or_default();
+                Err(error) => {
+                    println!("seed {seed}: not run: {error}");
+                    not_run.lock().map(|mut not_run| not_run.push(seed)).unwrap_or_default();
                 }
             }
         }
@@ -62,23 +62,23 @@
         (0..args.jobs).for_each(|_| drop(scope.spawn(worker)));
     });
     let failed = failed.into_inner().unwrap_or_default();
-    let hindered = hindered.into_inner().unwrap_or_default();
+    let not_run = not_run.into_inner().unwrap_or_default();
     let count = end.saturating_sub(first);
     println!(
-        "soak: {count} seeds, {} broken {failed:?}, {} not played {hindered:?}",
+        "soak: {count} seeds, {} broken {failed:?}, {} not run {not_run:?}",
         failed.len(),
-        hindered.len()
+        not_run.len()
     );
-    match (hindered.is_empty(), failed.is_empty()) {
-        (false, _) => Err("not all seeds could be played".into()),
+    match (not_run.is_empty(), failed.is_empty()) {
+        (false, _) => Err("not all seeds could be run".into()),
         (true, true) => Ok(Verdict::Good),
         (true, false) => Ok(Verdict::Broken),
     }
 }
 
-/// Plays one seed on a runtime of this thread's own.
-fn play_one(seed: u64, program: &Path, folder: &Path) -> Result<Outcome, String> {
+/// Runs one seed on a runtime of the calling thread.
+fn run_seed(seed: u64, program: &Path, folder: &Path) -> Result<Outcome, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| format!("no runtime: {e}"))?;
+    let runtime = runtime.map_err(|e| format!("cannot start the runtime: {e}"))?;
     LocalSet::new().block_on(&runtime, play(seed, program, folder))
 }
--- a/crates/chalksill/tests/capacity.rs
+++ b/crates/chalksill/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! `chalksill scale fit` and `chalksill scale page` as processes: exit codes, files that are written, and the page that is kept.
+//! `chalksill scale fit` and `chalksill scale page` as processes: exit codes, written files and the committed page.
 #![allow(missing_docs)]
 
 use std::path::{Path, PathBuf};
@@ -15,7 +15,8 @@
     Command::new(program).arg("scale").args(args).current_dir(root()).output().unwrap()
 }
 
-fn folder(name: &str) -> PathBuf {
+/// A folder of one test with a subfolder `runs`, empty at its start.
+fn test_folder(name: &str) -> PathBuf {
     let folder =
         Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("process-{}", std::process::id())).join(name);
     let _ = std::fs::remove_dir_all(&folder);
@@ -23,11 +24,12 @@
     folder
 }
 
-fn said(output: &Output) -> String {
+/// What a process printed: standard error, then standard output.
+fn output_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned() + &String::from_utf8_lossy(&output.stdout)
 }
 
-fn run(nodes: u32, repetition: u32) -> Value {
+fn run_record(nodes: u32, repetition: u32) -> Value {
     let size = json!({
         "nodes": nodes, "sites": 1, "zones": 3, "regions": 1, "cache_servers": 20, "changes_per_s": 0.1
     });
@@ -43,7 +45,7 @@
 }
 
 fn record(state: &str, sizes: &[u32]) -> Value {
-    let runs: Vec<Value> = sizes.iter().flat_map(|nodes| (0..3).map(|r| run(*nodes, r))).collect();
+    let runs: Vec<Value> = sizes.iter().flat_map(|nodes| (0..3).map(|r| run_record(*nodes, r))).collect();
     json!({
         "version": 1, "scenario": "made-up", "host": "virtual-clock", "state": state, "commit": "0123abc",
         "machine": {"cores": 8, "memory_bytes": 1000, "processor": "some"}, "date": "2026-12-02", "runs": runs
@@ -56,14 +58,18 @@
 }
 
 #[test]
-fn a_fit_is_printed_and_written_as_json_and_as_a_picture() {
-    let folder = folder("fit");
+fn fit_prints_and_writes_json_and_svg() {
+    let folder = test_folder("fit");
     let runs = write(&folder.join("runs/calm.json"), &record("calm", &[10, 20, 40, 80]));
     let (json_file, svg) = (folder.join("fit.json"), folder.join("fit.svg"));
-    let files = ["--json", json_file.to_str().unwrap(), "--svg", svg.to_str().unwrap()];
-    let told = scale(&[&["fit", &runs][..], &files].concat());
-    assert_eq!(told.status.code(), Some(0), "{}", said(&told));
-    assert!(said(&told).contains("hollow-node") && said(&told).contains("linear"), "{}", said(&told));
+    let output_args = ["--json", json_file.to_str().unwrap(), "--svg", svg.to_str().unwrap()];
+    let output = scale(&[&["fit", &runs][..], &output_args].concat());
+    assert_eq!(output.status.code(), Some(0), "{}", output_text(&output));
+    assert!(
+        output_text(&output).contains("hollow-node") && output_text(&output).contains("linear"),
+        "{}",
+        output_text(&output)
+    );
     let fits: Value = serde_json::from_str(&std::fs::read_to_string(&json_file).unwrap()).unwrap();
     let bytes = fits.as_array().unwrap().iter().find(|fit| fit["quantity"] == "bytes/s").unwrap();
     assert_eq!(bytes["fit"]["model"], "linear");
@@ -72,8 +78,8 @@
 }
 
 #[test]
-fn bad_records_and_mixed_ones_are_named_with_exit_code_2() {
-    let folder = folder("bad-fit");
+fn invalid_and_mixed_records_are_rejected() {
+    let folder = test_folder("bad-fit");
     let calm = write(&folder.join("calm.json"), &record("calm", &[10]));
     let lost = write(&folder.join("lost.json"), &record("zone-lost", &[10]));
     let mut unknown = record("calm", &[10]);
@@ -87,29 +93,29 @@
         (vec![&calm, &lost], "lost.json holds scenario made-up, host virtual-clock, state zone-lost"),
         (vec![&unknown], "unknown.json, line 4, column 9: unknown field `extra`"),
         (vec![&other], "other.json: version 2, and this program reads version 1"),
-        (vec![&none], "none.json: no run with a figure in it"),
+        (vec![&none], "none.json: no run with a measured value in it"),
     ] {
         let files: Vec<&str> = files.into_iter().map(String::as_str).collect();
-        let told = scale(&[&["fit"][..], &files].concat());
-        assert_eq!(told.status.code(), Some(2), "{expected}: {}", said(&told));
-        assert!(said(&told).contains(expected), "{}", said(&told));
+        let output = scale(&[&["fit"][..], &files].concat());
+        assert_eq!(output.status.code(), Some(2), "{expected}: {}", output_text(&output));
+        assert!(output_text(&output).contains(expected), "{}", output_text(&output));
     }
 }
 
 #[test]
-fn the_check_of_a_page_fails_on_a_changed_figure_and_passes_once_it_is_written() {
-    let folder = folder("page");
+fn page_check_fails_until_changed_values_are_written() {
+    let folder = test_folder("page");
     let file = folder.join("runs/calm.json");
     write(&file, &record("calm", &[10, 20, 40, 80]));
     let page = folder.join("page.md");
     std::fs::write(&page, "# Page\n<!-- begin generated -->\n<!-- end generated -->\n").unwrap();
     let (runs, name) = (folder.join("runs"), page.to_str().unwrap().to_owned());
-    let places = ["--runs", runs.to_str().unwrap(), "--page", &name];
-    let check = || scale(&[&["page", "--check"][..], &places].concat());
-    let write_page = || scale(&[&["page"][..], &places].concat()).status.code();
-    let red = check();
-    assert_eq!(red.status.code(), Some(1), "{}", said(&red));
-    assert!(said(&red).contains("page.md, line 3: the page says"), "{}", said(&red));
+    let page_args = ["--runs", runs.to_str().unwrap(), "--page", &name];
+    let check = || scale(&[&["page", "--check"][..], &page_args].concat());
+    let write_page = || scale(&[&["page"][..], &page_args].concat()).status.code();
+    let stale = check();
+    assert_eq!(stale.status.code(), Some(1), "{}", output_text(&stale));
+    assert!(output_text(&stale).contains("page.md, line 3: the page says"), "{}", output_text(&stale));
     assert_eq!(write_page(), Some(0));
     assert_eq!(check().status.code(), Some(0));
     let mut changed = record("calm", &[10, 20, 40, 80]);
@@ -119,13 +125,17 @@
     assert_eq!(write_page(), Some(0));
     assert_eq!(check().status.code(), Some(0));
     std::fs::write(&page, "# Page\n").unwrap();
-    let told = check();
-    assert_eq!(told.status.code(), Some(2), "{}", said(&told));
-    assert!(said(&told).contains("the marker <!-- begin generated --> is missing"), "{}", said(&told));
+    let output = check();
+    assert_eq!(output.status.code(), Some(2), "{}", output_text(&output));
+    assert!(
+        output_text(&output).contains("the marker <!-- begin generated --> is missing"),
+        "{}",
+        output_text(&output)
+    );
 }
 
 #[test]
-fn the_kept_page_is_as_the_kept_runs_say() {
-    let told = scale(&["page", "--check"]);
-    assert_eq!(told.status.code(), Some(0), "{}", said(&told));
+fn committed_page_matches_committed_runs() {
+    let output = scale(&["page", "--check"]);
+    assert_eq!(output.status.code(), Some(0), "{}", output_text(&output));
 }
