--- a/crates/chalksill/tests/command.rs
+++ b/crates/chalksill/tests/command.rs
@@ -1,4 +1,4 @@
-//! The command as a process: exit codes, files that are wrong, and runs that repeat from one process to the next.
+//! `chalksill` as a process: exit codes, invalid files, and runs that repeat across processes.
 #![allow(missing_docs)]
 
 use std::path::{Path, PathBuf};
@@ -14,7 +14,7 @@
 }
 
 /// A folder of one test, empty at its start.
-fn folder(name: &str) -> PathBuf {
+fn test_folder(name: &str) -> PathBuf {
     let folder =
         Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("process-{}", std::process::id())).join(name);
     let _ = std::fs::remove_dir_all(&folder);
@@ -22,80 +22,88 @@
     folder
 }
 
-fn said(output: &Output) -> String {
+fn stderr_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
 #[test]
-fn a_recorded_run_replays_in_another_process_and_a_changed_one_is_told() {
-    let folder = folder("replay");
+fn recorded_run_repeats_and_changed_run_is_detected() {
+    let folder = test_folder("replay");
     let file = folder.join("run.json");
-    let (name, picture) = (file.to_str().unwrap(), folder.join("run.svg"));
+    let (name, drawing) = (file.to_str().unwrap(), folder.join("run.svg"));
     let run = chalksill(&["sim", "run", "scenarios/small.toml", "--seed", "3", "--record", name, "--json"]);
-    assert_eq!(run.status.code(), Some(0), "{}", said(&run));
+    assert_eq!(run.status.code(), Some(0), "{}", stderr_text(&run));
     assert_eq!(chalksill(&["sim", "replay", name]).status.code(), Some(0));
 
     let report = folder.join("report.json");
     std::fs::write(&report, &run.stdout).unwrap();
-    let plot = ["sim", "plot", report.to_str().unwrap(), "-o", picture.to_str().unwrap()];
+    let plot = ["sim", "plot", report.to_str().unwrap(), "-o", drawing.to_str().unwrap()];
     assert_eq!(chalksill(&plot).status.code(), Some(0));
-    assert!(std::fs::read_to_string(&picture).unwrap().starts_with("<svg"));
+    assert!(std::fs::read_to_string(&drawing).unwrap().starts_with("<svg"));
 
     let text = std::fs::read_to_string(&file).unwrap();
-    let other = text.replacen("\"seed\": 3", "\"seed\": 4", 1);
-    assert_ne!(other, text);
-    std::fs::write(&file, other).unwrap();
-    assert_eq!(chalksill(&["sim", "replay", name]).status.code(), Some(1), "another run, the same digest");
+    let changed = text.replacen("\"seed\": 3", "\"seed\": 4", 1);
+    assert_ne!(changed, text);
+    std::fs::write(&file, changed).unwrap();
+    assert_eq!(
+        chalksill(&["sim", "replay", name]).status.code(),
+        Some(1),
+        "a different run must not give the same digest"
+    );
 }
 
 #[test]
-fn a_broken_seed_leaves_a_file_that_shrinks_and_still_breaks_the_rule() {
-    let folder = folder("broken");
+fn replay_file_of_broken_seed_shrinks_and_still_breaks_the_rule() {
+    let folder = test_folder("broken");
     let out = folder.to_str().unwrap();
     let explore = ["sim", "explore", "scenarios/small.toml", "--seeds", "0..3", "--jobs", "2"];
-    let planted = [&explore[..], &["--mutant", "wrong-value", "--first", "--out", out]].concat();
-    let found = chalksill(&planted);
-    assert_eq!(found.status.code(), Some(1), "{}", said(&found));
+    let args = [&explore[..], &["--mutant", "wrong-value", "--first", "--out", out]].concat();
+    let explored = chalksill(&args);
+    assert_eq!(explored.status.code(), Some(1), "{}", stderr_text(&explored));
     let file = std::fs::read_dir(&folder).unwrap().next().unwrap().unwrap().path();
     let small = folder.join("small.json");
     let shrink = ["sim", "shrink", file.to_str().unwrap(), "-o", small.to_str().unwrap()];
     assert_eq!(chalksill(&shrink).status.code(), Some(1));
     let text = std::fs::read_to_string(&small).unwrap();
     assert!(text.contains("\"script\": []"), "no fault is needed to give a wrong value");
-    let again = chalksill(&["sim", "replay", small.to_str().unwrap()]);
-    assert_eq!(again.status.code(), Some(0), "{}", said(&again));
-    assert!(String::from_utf8_lossy(&again.stdout).contains("BROKEN OneAnswer"));
+    let replayed = chalksill(&["sim", "replay", small.to_str().unwrap()]);
+    assert_eq!(replayed.status.code(), Some(0), "{}", stderr_text(&replayed));
+    assert!(String::from_utf8_lossy(&replayed.stdout).contains("BROKEN OneAnswer"));
 }
 
 #[test]
-fn bad_input_is_named_with_its_place_and_exit_code_2() {
-    let folder = folder("bad");
+fn invalid_input_is_reported_with_position() {
+    let folder = test_folder("bad");
     let file = folder.join("bad.json");
     let name = file.to_str().unwrap();
     let good = chalksill(&["sim", "run", "scenarios/small.toml", "--record", name, "--calm"]);
-    assert_eq!(good.status.code(), Some(0), "{}", said(&good));
+    assert_eq!(good.status.code(), Some(0), "{}", stderr_text(&good));
     let text = std::fs::read_to_string(&file).unwrap();
-    let edited = |from: &str, to: &str| {
-        let bad = text.replacen(from, to, 1);
-        assert_ne!(bad, text, "{from}");
-        bad
+    let replaced = |from: &str, to: &str| {
+        let invalid = text.replacen(from, to, 1);
+        assert_ne!(invalid, text, "{from}");
+        invalid
     };
-    let gone = "\"script\": [{\"at_ms\": 1, \"kind\": \"cut-off\", \"at\": 99, \"for_ms\": 5}]";
-    for (bad, expected) in [
+    let cut_off_fault = "\"script\": [{\"at_ms\": 1, \"kind\": \"cut-off\", \"at\": 99, \"for_ms\": 5}]";
+    for (invalid, expected) in [
         (text[..text.len() / 2].to_owned(), "EOF while parsing"),
-        (edited("\"version\": 1", "\"version\": 7"), "version 7, and this program reads version 1"),
-        (edited("\"version\": 1,", ""), "names no version"),
-        (edited("\"script\": []", gone), "fault 0: there is no box 99"),
+        (replaced("\"version\": 1", "\"version\": 7"), "version 7, and this program reads version 1"),
+        (replaced("\"version\": 1,", ""), "names no version"),
+        (replaced("\"script\": []", cut_off_fault), "fault 0: there is no box 99"),
         (
-            edited("\"script\": []", "\"script\": [{\"at_ms\": 1, \"kind\": \"quake\"}]"),
+            replaced("\"script\": []", "\"script\": [{\"at_ms\": 1, \"kind\": \"quake\"}]"),
             "unknown variant `quake`",
         ),
-        (edited("\"rate\": 60.0", "\"rate\": -60.0"), "load.rate: -60 is not within"),
+        (replaced("\"rate\": 60.0", "\"rate\": -60.0"), "load.rate: -60 is not within"),
     ] {
-        std::fs::write(&file, bad).unwrap();
-        let told = chalksill(&["sim", "replay", name]);
-        assert_eq!(told.status.code(), Some(2), "{expected}: {}", said(&told));
-        assert!(said(&told).contains(expected) && said(&told).contains("bad.json"), "{}", said(&told));
+        std::fs::write(&file, invalid).unwrap();
+        let output = chalksill(&["sim", "replay", name]);
+        assert_eq!(output.status.code(), Some(2), "{expected}: {}", stderr_text(&output));
+        assert!(
+            stderr_text(&output).contains(expected) && stderr_text(&output).contains("bad.json"),
+            "{}",
+            stderr_text(&output)
+        );
     }
     for args in [
         &["sim", "run", "scenarios/none.toml"][..],
--- a/crates/chalksill/tests/scale.rs
+++ b/crates/chalksill/tests/scale.rs
@@ -1,4 +1,4 @@
-//! `chalksill scale run` as a process: its record, and files that are refused before anything starts.
+//! `chalksill scale run` as a process: its record, and scenarios that are rejected before any run starts.
 #![allow(missing_docs)]
 
 use std::path::{Path, PathBuf};
@@ -15,22 +15,22 @@
     Command::new(program).args(args).current_dir(root()).output().unwrap()
 }
 
-fn said(output: &Output) -> String {
+fn stderr_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
-/// Where a file or folder of a test goes: runs of the same tests side by side must not share any.
-fn scratch(name: &str) -> PathBuf {
+/// A path for a file or folder of a test, unique to this process so that concurrent test runs do not share files.
+fn scratch_path(name: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("process-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     folder.join(name)
 }
 
 #[test]
-fn a_small_scenario_is_run_as_often_as_it_says_and_its_record_reads_back() {
-    let file = scratch("scale-small.json");
+fn scenario_runs_all_repetitions_and_writes_its_record() {
+    let file = scratch_path("scale-small.json");
     let run = chalksill(&["scale", "run", "scale/small.toml", "--out", file.to_str().unwrap(), "--json"]);
-    assert_eq!(run.status.code(), Some(0), "{}", said(&run));
+    assert_eq!(run.status.code(), Some(0), "{}", stderr_text(&run));
     let record: RunRecord = serde_json::from_slice(&run.stdout).unwrap();
     let written: RunRecord = serde_json::from_str(&std::fs::read_to_string(&file).unwrap()).unwrap();
     assert_eq!(record, written);
@@ -41,34 +41,38 @@
         let node = &run.roles[&Role::HollowNode];
         assert!(node.resident_bytes.unwrap() > 0.0 && node.bytes_in_per_s > 0.0, "{node:?}");
     }
-    assert!(said(&run).contains("run 2 of 2: 50 nodes, 8 cache servers"), "{}", said(&run));
+    assert!(stderr_text(&run).contains("run 2 of 2: 50 nodes, 8 cache servers"), "{}", stderr_text(&run));
 }
 
 #[test]
-fn bad_scenarios_end_with_code_2_and_the_place_and_start_nothing() {
-    let file = scratch("scale-bad.toml");
+fn invalid_scenarios_are_rejected_before_any_run() {
+    let file = scratch_path("scale-bad.toml");
     let good = std::fs::read_to_string(root().join("scale/small.toml")).unwrap();
-    let no_memory = "[bounds]\nmemory_part = 0.01\n[[size]]\nnodes = 10000\ncache_servers = 2000\n";
+    let too_large = "[bounds]\nmemory_part = 0.01\n[[size]]\nnodes = 10000\ncache_servers = 2000\n";
     for (from, to, expected) in [
         ("nodes = 50", "nodes = 0", "size.0.nodes: 0 is not within 1 to 10000"),
         ("nodes = 50", "nodes = 50\nsoup = 1", "unknown field `soup`"),
         ("\"virtual-clock\"", "\"cloud\"", "line 3: unknown variant `cloud`"),
         ("state = \"calm\"", "state = \"zone-lost\"", "state: zone-lost can't be run"),
-        ("[[size]]", no_memory, "10000 nodes with 2000 cache servers are expected to need"),
+        ("[[size]]", too_large, "10000 nodes with 2000 cache servers are expected to need"),
     ] {
         let to = if from == "[[size]]" { format!("{to}\n[[size]]") } else { to.to_owned() };
         let bad = good.replacen(from, &to, 1);
         assert_ne!(bad, good, "{from}");
         std::fs::write(&file, bad).unwrap();
-        let told = chalksill(&["scale", "run", file.to_str().unwrap()]);
-        assert_eq!(told.status.code(), Some(2), "{expected}: {}", said(&told));
-        assert!(said(&told).contains(expected) && said(&told).contains("scale-bad.toml"), "{}", said(&told));
-        assert!(!said(&told).contains("run 1 of"), "{}", said(&told));
+        let output = chalksill(&["scale", "run", file.to_str().unwrap()]);
+        assert_eq!(output.status.code(), Some(2), "{expected}: {}", stderr_text(&output));
+        assert!(
+            stderr_text(&output).contains(expected) && stderr_text(&output).contains("scale-bad.toml"),
+            "{}",
+            stderr_text(&output)
+        );
+        assert!(!stderr_text(&output).contains("run 1 of"), "{}", stderr_text(&output));
     }
 }
 
 #[test]
-fn all_scenarios_that_are_kept_can_be_read() {
+fn committed_scenarios_are_valid() {
     let mut read = 0;
     for entry in std::fs::read_dir(root().join("scale")).unwrap() {
         let path = entry.unwrap().path();
--- a/crates/chalksill/tests/trials.rs
+++ b/crates/chalksill/tests/trials.rs
@@ -1,19 +1,20 @@
-//! Trials of several real processes with faults between them: what must hold does, what the program does not do yet is
-//! shown, and nothing that was started is left.
+//! Trials of several real processes with faults between them: all expectations hold, the known shortcomings of
+//! nodes without zone routing or agreement are shown, and no started process is left behind.
 #![allow(missing_docs)]
 
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
-/// Only what has hung waits for so long.
-const HUNG: Duration = Duration::from_secs(60);
+/// Time limit for a trial to make progress; only a hung process reaches it.
+const HANG_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-fn command(args: &[&str]) -> Command {
+/// `chalksill trial run` with these arguments.
+fn trial_command(args: &[&str]) -> Command {
     let program = Path::new(env!("CARGO_BIN_EXE_chalksill"));
     let daemon = program.with_file_name("mothpier");
     assert!(daemon.is_file(), "the daemon is not built: cargo build -p mothpier");
@@ -22,145 +23,150 @@
     command
 }
 
-fn play(trial: &str, more: &[&str]) -> (Output, serde_json::Value) {
+/// Runs a trial: the output of the process, and its report.
+fn run_trial(trial: &str, more: &[&str]) -> (Output, serde_json::Value) {
     let path = format!("trials/{trial}.toml");
-    let output = command(&[&[path.as_str(), "--json"], more].concat()).output().unwrap();
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
-    let report = serde_json::from_slice(&output.stdout).unwrap_or_else(|e| panic!("{trial}: {e}: {said}"));
+    let output = trial_command(&[&[path.as_str(), "--json"], more].concat()).output().unwrap();
+    let output_text = String::from_utf8_lossy(&output.stderr).into_owned();
+    let report =
+        serde_json::from_slice(&output.stdout).unwrap_or_else(|e| panic!("{trial}: {e}: {output_text}"));
     (output, report)
 }
 
-/// What the trial itself demands of every program: rules kept, every request with one end, facts that came.
-fn kept(report: &serde_json::Value) {
-    let told = |key: &str| report[key].as_array().unwrap().clone();
-    assert!(told("violations").is_empty(), "{:#?}", report["violations"]);
-    assert!(told("broken").is_empty(), "{:#?}\n{:#?}", report["broken"], report["line"]);
+/// Asserts what every trial requires: no rule broken, exactly one result for each request, all awaited conditions met.
+fn assert_rules_kept(report: &serde_json::Value) {
+    let list = |key: &str| report[key].as_array().unwrap().clone();
+    assert!(list("violations").is_empty(), "{:#?}", report["violations"]);
+    assert!(list("broken").is_empty(), "{:#?}\n{:#?}", report["broken"], report["line"]);
     assert_eq!((&report["sums"]["open"], &report["sums"]["twice"]), (&0.into(), &0.into()));
     assert!(report["sums"]["answered"].as_u64().unwrap() > 1000, "{:#?}", report["sums"]);
 }
 
-/// The figures that did not hold, with what they were.
-fn unmet(report: &serde_json::Value) -> Vec<String> {
-    let musts = report["musts"].as_array().unwrap();
-    let unmet = musts.iter().filter(|held| held["holds"] == false);
+/// The metrics whose expectations did not hold.
+fn unmet_expectations(report: &serde_json::Value) -> Vec<String> {
+    let expectations = report["musts"].as_array().unwrap();
+    let unmet = expectations.iter().filter(|held| held["holds"] == false);
     unmet.map(|held| held["must"]["figure"].as_str().unwrap().to_owned()).collect()
 }
 
-fn holds(trial: &str, more: &[&str]) {
-    let (output, report) = play(trial, more);
-    kept(&report);
-    assert_eq!(unmet(&report), Vec::<String>::new(), "{:#?}", report["musts"]);
+/// Asserts that a trial succeeds.
+fn assert_holds(trial: &str, more: &[&str]) {
+    let (output, report) = run_trial(trial, more);
+    assert_rules_kept(&report);
+    assert_eq!(unmet_expectations(&report), Vec::<String>::new(), "{:#?}", report["musts"]);
     assert_eq!(output.status.code(), Some(0));
 }
 
-/// What the program without common decisions does not hold, and why these are built.
-fn falls_short(trial: &str, of: &[&str]) {
-    let (output, report) = play(trial, &[]);
-    kept(&report);
-    assert_eq!(unmet(&report), of, "{:#?}", report["musts"]);
+/// Asserts that exactly these metrics miss their expectations. The trials run without zone routing and without the
+/// agreement on zones, and show what both are for.
+fn assert_falls_short(trial: &str, metrics: &[&str]) {
+    let (output, report) = run_trial(trial, &[]);
+    assert_rules_kept(&report);
+    assert_eq!(unmet_expectations(&report), metrics, "{:#?}", report["musts"]);
     assert_eq!(output.status.code(), Some(1));
 }
 
-/// Where a file or folder of a test goes: runs of the same tests side by side must not share any.
-fn scratch(name: &str) -> PathBuf {
+/// A path for a file or folder of a test, unique to this process so that concurrent test runs do not share files.
+fn scratch_path(name: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("process-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     folder.join(name)
 }
 
 #[test]
-fn every_request_has_one_end_whatever_becomes_of_processes() {
-    holds("processes", &[]);
+fn every_request_has_one_result_under_process_faults() {
+    assert_holds("processes", &[]);
 }
 
 #[test]
-fn bad_but_bearable_weather_breaks_nothing() {
-    holds("weather", &[]);
+fn moderate_network_faults_break_nothing() {
+    assert_holds("weather", &[]);
 }
 
 #[test]
-fn without_places_traffic_leaves_the_region_in_calm() {
-    falls_short("calm-near", &["leaves_region"]);
+fn traffic_leaves_the_region_without_zone_routing() {
+    assert_falls_short("calm-near", &["leaves_region"]);
 }
 
 #[test]
-fn without_common_decisions_a_silent_zone_is_left_late() {
-    falls_short("zone-silent", &["acts_half_s", "acts_most_s", "waits"]);
+fn unresponsive_zone_is_left_late_without_agreement() {
+    assert_falls_short("zone-silent", &["acts_half_s", "acts_most_s", "waits"]);
 }
 
 #[test]
-fn without_common_decisions_nodes_part_over_a_zone_that_some_cannot_reach() {
-    falls_short("one-sided", &["split", "acts_most_s"]);
+fn nodes_disagree_on_partly_reachable_zone_without_agreement() {
+    assert_falls_short("one-sided", &["split", "acts_most_s"]);
 }
 
-/// The operator's file that keeps traffic near, which `run` does not name.
-const NEAR: [&str; 2] = ["--operator", "deploy/places.toml"];
+/// The operator configuration with zone routing, for trials that do not name it.
+const ZONE_ROUTING: [&str; 2] = ["--operator", "deploy/places.toml"];
 
 #[test]
-fn with_places_no_traffic_leaves_the_region_in_calm() {
-    holds("calm-near", &NEAR);
+fn zone_routing_keeps_traffic_in_the_region() {
+    assert_holds("calm-near", &ZONE_ROUTING);
 }
 
 #[test]
-fn with_places_a_silent_near_zone_is_left_within_seconds_and_taken_back() {
-    holds("zone-silent", &NEAR);
+fn zone_routing_leaves_unresponsive_zone_and_returns() {
+    assert_holds("zone-silent", &ZONE_ROUTING);
 }
 
-/// Not for every run: CI plays both without places. `cargo test -p chalksill --test trials -- --ignored`
+/// Not part of every run: CI runs both trials without zone routing. `cargo test -p chalksill --test trials -- --ignored`
 #[test]
 #[ignore = "takes half a minute"]
-fn with_places_whatever_becomes_of_processes_and_weather_is_borne_as_well() {
-    holds("processes", &NEAR);
-    holds("weather", &NEAR);
+fn zone_routing_holds_under_process_and_network_faults() {
+    assert_holds("processes", &ZONE_ROUTING);
+    assert_holds("weather", &ZONE_ROUTING);
 }
 
-/// Nodes that agree, with keys over all zones, so that every node uses what fails.
-const AGREED: [&str; 2] = ["--operator", "trials/operators/accord-all.toml"];
+/// The operator configuration with the agreement on zones and keys over all zones, so that every node uses the zone that
+/// fails.
+const AGREEMENT: [&str; 2] = ["--operator", "trials/operators/accord-all.toml"];
 
 #[test]
-fn with_common_decisions_all_nodes_leave_a_silent_zone_within_seconds() {
-    holds("zone-silent", &AGREED);
+fn agreeing_nodes_leave_unresponsive_zone_within_seconds() {
+    assert_holds("zone-silent", &AGREEMENT);
 }
 
 #[test]
-fn with_common_decisions_all_nodes_give_up_what_a_third_cannot_reach_or_none_does() {
-    holds("one-sided", &AGREED);
+fn agreeing_nodes_give_up_partly_reachable_zone_together() {
+    assert_holds("one-sided", &AGREEMENT);
 }
 
 #[test]
-fn nodes_of_regions_that_are_cut_from_each_other_act_on_one_plan() {
-    holds("regions-apart", &AGREED);
+fn partitioned_regions_act_on_one_plan() {
+    assert_holds("regions-apart", &AGREEMENT);
 }
 
 #[test]
-fn what_one_node_alone_cannot_reach_it_leaves_by_itself() {
-    holds("one-node-blind", &AGREED);
+fn single_node_leaves_zone_only_it_cannot_reach() {
+    assert_holds("one-node-blind", &AGREEMENT);
 }
 
 #[test]
-fn a_zone_that_is_cut_off_goes_on_and_comes_back() {
-    holds("zone-cut", &AGREED);
+fn partitioned_zone_continues_and_returns() {
+    assert_holds("zone-cut", &AGREEMENT);
 }
 
 #[test]
-fn keyed_writes_keep_their_window_over_a_move_and_back() {
-    holds("writes-moved", &AGREED);
+fn keyed_writes_keep_their_dedup_window_across_moves() {
+    assert_holds("writes-moved", &AGREEMENT);
 }
 
 #[test]
-fn nodes_of_a_version_from_before_stand_beside_those_that_agree() {
-    holds("versions-mixed", &AGREED);
+fn older_versions_coexist_with_agreeing_nodes() {
+    assert_holds("versions-mixed", &AGREEMENT);
 }
 
 #[test]
-fn a_list_that_lies_about_a_zone_moves_no_plan() {
-    holds("list-lies", &AGREED);
+fn false_server_list_of_a_zone_changes_no_plan() {
+    assert_holds("list-lies", &AGREEMENT);
 }
 
-/// The rest, for people and for nights: `cargo test -p chalksill --test trials -- --ignored`
+/// The remaining trials, for manual and nightly runs: `cargo test -p chalksill --test trials -- --ignored`
 #[test]
 #[ignore = "takes three minutes"]
-fn the_other_hard_cases_of_zones_hold_as_well() {
+fn remaining_zone_trials_hold() {
     for trial in [
         "zone-returns",
         "flapping",
@@ -172,18 +178,19 @@
         "thirty",
         "no-room",
     ] {
-        holds(trial, &AGREED);
+        assert_holds(trial, &AGREEMENT);
     }
 }
 
 #[test]
-fn a_decider_that_dies_in_the_middle_of_a_move_or_is_stopped_for_leases_costs_no_agreement() {
-    holds("decider-dies", &AGREED);
+fn leader_loss_in_the_middle_of_a_move_keeps_agreement() {
+    assert_holds("decider-dies", &AGREEMENT);
 }
 
-struct Ended(Child);
+/// A child process that is killed when dropped.
+struct ChildGuard(Child);
 
-impl Drop for Ended {
+impl Drop for ChildGuard {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
@@ -191,45 +198,45 @@
 }
 
 #[test]
-fn an_interrupted_trial_ends_all_that_it_started() {
-    let folder = scratch("interrupted");
+fn interrupted_trial_stops_all_processes() {
+    let folder = scratch_path("interrupted");
     let _ = std::fs::remove_dir_all(&folder);
-    let mut command = command(&["trials/processes.toml", "--keep", folder.to_str().unwrap()]);
-    let mut running = Ended(command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap());
-    let processes = || {
+    let mut command = trial_command(&["trials/processes.toml", "--keep", folder.to_str().unwrap()]);
+    let mut running = ChildGuard(command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap());
+    let started = || {
         let text = std::fs::read_to_string(folder.join("processes")).unwrap_or_default();
         text.lines().map(|line| line.parse::<u32>().unwrap()).collect::<Vec<u32>>()
     };
-    let runs = |id: u32| {
+    let is_running = |id: u32| {
         let name = std::fs::read_to_string(format!("/proc/{id}/comm")).unwrap_or_default();
-        // What waits to be reaped by nobody else is gone but for its entry.
+        // A zombie that nobody reaps counts as ended.
         let dead = std::fs::read_to_string(format!("/proc/{id}/stat")).is_ok_and(|s| s.contains(") Z "));
         name.trim() == "mothpier" && !dead
     };
     let begin = Instant::now();
-    // The tenth is one that was killed and started again: the trial is in its midst then, with one node stopped.
-    while processes().len() < 10 {
-        assert!(begin.elapsed() < HUNG, "it does not get so far");
+    // The tenth process is the restart of a killed one: the trial is in progress then, with one node stopped.
+    while started().len() < 10 {
+        assert!(begin.elapsed() < HANG_TIMEOUT, "the trial does not start its processes");
         std::thread::sleep(Duration::from_millis(20));
     }
-    let all = processes();
-    assert!(all.iter().filter(|id| runs(**id)).count() > 5);
+    let all = started();
+    assert!(all.iter().filter(|id| is_running(**id)).count() > 5);
     let id = running.0.id().to_string();
     assert!(Command::new("kill").args(["-TERM", &id]).status().unwrap().success());
     let status = loop {
         if let Some(status) = running.0.try_wait().unwrap() {
             break status;
         }
-        assert!(begin.elapsed() < HUNG, "it does not end");
+        assert!(begin.elapsed() < HANG_TIMEOUT, "the trial does not end");
         std::thread::sleep(Duration::from_millis(20));
     };
     assert_eq!(status.code(), Some(2));
-    assert_eq!(processes().into_iter().filter(|id| runs(*id)).collect::<Vec<_>>(), Vec::<u32>::new());
+    assert_eq!(started().into_iter().filter(|id| is_running(*id)).collect::<Vec<_>>(), Vec::<u32>::new());
 }
 
 #[test]
-fn a_trial_that_makes_no_sense_is_refused_with_its_place_and_nothing_is_started() {
-    let folder = scratch("nonsense");
+fn invalid_trial_is_rejected_before_any_process_starts() {
+    let folder = scratch_path("nonsense");
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).unwrap();
     let file = folder.join("bad.toml");
@@ -237,83 +244,90 @@
     let text = format!("name = \"bad\"\nworld = {world:?}\n[[step]]\ndo = \"kill\"\nwho = \"node:9\"\n");
     std::fs::write(&file, text).unwrap();
     let keep = folder.join("keep");
-    let output = command(&[file.to_str().unwrap(), "--keep", keep.to_str().unwrap()]).output().unwrap();
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
+    let output = trial_command(&[file.to_str().unwrap(), "--keep", keep.to_str().unwrap()]).output().unwrap();
+    let output_text = String::from_utf8_lossy(&output.stderr).into_owned();
     assert_eq!(output.status.code(), Some(2));
-    assert!(said.ends_with("bad.toml: line 5: step.0.who: there is no node:9\n"), "{said}");
+    assert!(output_text.ends_with("bad.toml: line 5: step.0.who: there is no node:9\n"), "{output_text}");
     assert!(!keep.exists());
 }
 
-/// `chalksill places` with these arguments, and the second addresses of nodes at its end.
-fn places(args: &[&str], at: &[String]) -> (Option<i32>, String) {
+/// Runs `chalksill places` with these arguments and the operations endpoints of nodes: its exit code and output.
+fn places(args: &[&str], addresses: &[String]) -> (Option<i32>, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_chalksill"));
     command.arg("places").args(args);
-    for address in at {
+    for address in addresses {
         command.args(["--at", address]);
     }
     let output = command.output().unwrap();
-    let said = [output.stdout, output.stderr].map(|bytes| String::from_utf8_lossy(&bytes).into_owned());
-    (output.status.code(), said.concat())
+    let output_text =
+        [output.stdout, output.stderr].map(|bytes| String::from_utf8_lossy(&bytes).into_owned());
+    (output.status.code(), output_text.concat())
 }
 
-/// The second address that a node's configuration names, once it is written.
-fn staffed(folder: &Path, node: usize) -> Option<String> {
+/// The operations endpoint in a node's configuration, once that is written.
+fn ops_address(folder: &Path, node: usize) -> Option<String> {
     let text = std::fs::read_to_string(folder.join(format!("n{node}.json"))).ok()?;
     let config: serde_json::Value = serde_json::from_str(&text).ok()?;
     Some(config["ops"].as_str()?.to_owned())
 }
 
 #[test]
-fn a_zone_kept_out_by_hand_stays_out_whoever_dies_and_staff_see_what_each_node_acts_on() {
-    let folder = scratch("held-out");
+fn held_out_zone_stays_out_and_status_shows_each_plan() {
+    let folder = scratch_path("held-out");
     let _ = std::fs::remove_dir_all(&folder);
     let keep = ["--json", "--keep", folder.to_str().unwrap()];
-    let mut trial = command(&[&["trials/held-out.toml"], &keep[..], &AGREED].concat());
-    let mut running = Ended(trial.stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap());
+    let mut trial = trial_command(&[&["trials/held-out.toml"], &keep[..], &AGREEMENT].concat());
+    let mut running = ChildGuard(trial.stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap());
     let begin = Instant::now();
-    let until = |what: &str, holds: &mut dyn FnMut() -> bool| {
-        while !holds() {
-            assert!(begin.elapsed() < HUNG, "it never comes to this: {what}");
+    let wait_until = |what: &str, condition: &mut dyn FnMut() -> bool| {
+        while !condition() {
+            assert!(begin.elapsed() < HANG_TIMEOUT, "timed out waiting for: {what}");
             std::thread::sleep(Duration::from_millis(50));
         }
     };
     let mut all = Vec::new();
-    until("configurations", &mut || {
-        all = (0..9).filter_map(|node| staffed(&folder, node)).collect();
+    wait_until("configurations", &mut || {
+        all = (0..9).filter_map(|node| ops_address(&folder, node)).collect();
         all.len() == 9
     });
-    let mut said = String::new();
-    until("all nodes act on one plan", &mut || {
-        let (code, told) = places(&["status"], &all);
-        said = told;
-        code == Some(0) && said.starts_with("node ")
+    let mut output_text = String::new();
+    wait_until("all nodes act on one plan", &mut || {
+        let (code, text) = places(&["status"], &all);
+        output_text = text;
+        code == Some(0) && output_text.starts_with("node ")
     });
-    assert_eq!(said.matches("near zones well; plan ").count(), 9, "{said}");
+    assert_eq!(output_text.matches("near zones well; plan ").count(), 9, "{output_text}");
     let order = ["hold", "east", "in", "--for", "1h"];
-    let (code, said) = places(&order, &all[3..6]);
-    assert_eq!(code, Some(0), "{said}");
-    assert!(said.contains("east in for 3600 s\nall 3 nodes that were asked act on it\n"), "{said}");
-    let (code, said) = places(&["hold", "nowhere", "out", "--for", "1m"], &all[3..4]);
+    let (code, output_text) = places(&order, &all[3..6]);
+    assert_eq!(code, Some(0), "{output_text}");
+    assert!(
+        output_text.contains("east in for 3600 s\nall 3 nodes that were asked act on it\n"),
+        "{output_text}"
+    );
+    let (code, output_text) = places(&["hold", "nowhere", "out", "--for", "1m"], &all[3..4]);
     assert_eq!(code, Some(2));
-    assert!(said.contains("zone: there is no \"nowhere\"; there are east, west, south"), "{said}");
-    let (code, said) = places(&["release", "east"], &all[7..9]);
-    assert_eq!((code, said.contains("east released\nall 2 nodes")), (Some(0), true), "{said}");
-    // Nobody has this address.
-    let (code, said) = places(&["status"], &["127.0.0.1:1".to_owned()]);
-    assert_eq!((code, said.contains("127.0.0.1:1: ")), (Some(2), true), "{said}");
+    assert!(
+        output_text.contains("zone: there is no \"nowhere\"; there are east, west, south"),
+        "{output_text}"
+    );
+    let (code, output_text) = places(&["release", "east"], &all[7..9]);
+    assert_eq!((code, output_text.contains("east released\nall 2 nodes")), (Some(0), true), "{output_text}");
+    // No process listens on this address.
+    let (code, output_text) = places(&["status"], &["127.0.0.1:1".to_owned()]);
+    assert_eq!((code, output_text.contains("127.0.0.1:1: ")), (Some(2), true), "{output_text}");
     let mut status = None;
-    until("its end", &mut || {
+    wait_until("the end of the trial", &mut || {
         status = running.0.try_wait().unwrap();
         status.is_some()
     });
     let text = std::fs::read_to_string(folder.join("report.json")).unwrap();
     let report: serde_json::Value = serde_json::from_str(&text).unwrap();
-    kept(&report);
-    assert_eq!(unmet(&report), Vec::<String>::new(), "{:#?}", report["musts"]);
+    assert_rules_kept(&report);
+    assert_eq!(unmet_expectations(&report), Vec::<String>::new(), "{:#?}", report["musts"]);
     assert_eq!(status.and_then(|s| s.code()), Some(0));
 }
 
 #[test]
-fn a_drained_zone_serves_nobody_loses_nobody_and_is_back_when_its_time_is_over() {
-    holds("zone-drained", &AGREED);
+fn drained_zone_serves_no_requests_and_returns_after_its_time() {
+    assert_holds("zone-drained", &AGREEMENT);
 }
