--- a/crates/scale/src/arithmetic/failures.rs
+++ b/crates/scale/src/arithmetic/failures.rs
@@ -1,30 +1,35 @@
-//! What the failures of a day, and rarer ones, set off in the fleet at the target.
+//! Consequences of daily and of rarer failures in a fleet of the target size.
 
 use mothpier_accord::Timing;
 
 use super::formulas::*;
 use crate::target::Target;
-use crate::text::figure;
+use crate::text::format_number;
 
-/// What a kind of failure sets off at the target.
+/// A kind of failure and its consequences at the target size.
 #[derive(Clone, Debug)]
 pub struct Failure {
-    /// What fails.
-    pub what: &'static str,
-    /// How often.
-    pub how_often: &'static str,
-    /// What it sets off.
-    pub sets_off: &'static str,
-    /// How long that lasts.
-    pub lasts: String,
-    /// What it costs.
-    pub costs: String,
+    /// The component that fails.
+    pub component: &'static str,
+    /// How often it fails.
+    pub frequency: &'static str,
+    /// What the failure causes.
+    pub effect: &'static str,
+    /// How long the consequences last.
+    pub duration: String,
+    /// What the failure costs.
+    pub cost: String,
 }
 
-/// The failures of a day, and rarer ones.
+/// Lists daily and rarer failures.
 pub fn failures(fleet: &Target) -> Vec<Failure> {
-    let failure =
-        |what, how_often, sets_off, lasts, costs| Failure { what, how_often, sets_off, lasts, costs };
+    let failure = |component, frequency, effect, duration, cost| Failure {
+        component,
+        frequency,
+        effect,
+        duration,
+        cost,
+    };
     vec![
         failure(
             "a node dies",
@@ -37,15 +42,15 @@
             "the leader of the agreement dies",
             "one node of all",
             "voters hold their grant until it has run out, then one campaigns; followers go on with their plan",
-            format!("{} s at the most without loss of messages", figure(leader_change_s())),
-            format!("no new plan in that time; the plan held lives {} s", figure(plan_life_s())),
+            format!("{} s at the most without loss of messages", format_number(leader_change_s())),
+            format!("no new plan in that time; the plan held lives {} s", format_number(plan_validity_s())),
         ),
         failure(
             "a node is restarted",
             "most of 910 machines a day",
             "it asks discovery for the list; as a voter it abstains for its hold",
-            format!("{} s as a voter", figure(Timing::default().grant as f64 / 1_000.0)),
-            format!("{} bytes of lists a day", figure(restart_bytes_per_day(fleet))),
+            format!("{} s as a voter", format_number(Timing::default().grant as f64 / 1_000.0)),
+            format!("{} bytes of lists a day", format_number(restart_bytes_per_day(fleet))),
         ),
         failure(
             "a cache server is restarted",
@@ -54,9 +59,9 @@
             "10 s of warming by default".into(),
             format!(
                 "{} answers of discovery; {} calls at once allowed to it, {} due to it",
-                figure(CHANGES_PER_RESTART * fleet.nodes),
-                figure(cold_calls(fleet)),
-                figure(cold_calls_bound(fleet))
+                format_number(CHANGES_PER_RESTART * fleet.nodes),
+                format_number(cold_calls(fleet)),
+                format_number(cold_calls_bound(fleet))
             ),
         ),
         failure(
@@ -64,7 +69,7 @@
             "one a week",
             "nothing knows of racks or sites: its nodes and cache servers are lost one by one",
             "as for each of them; none measured together".into(),
-            format!("{} nodes where it takes a site", figure(nodes_per_site(fleet))),
+            format!("{} nodes where it takes a site", format_number(nodes_per_site(fleet))),
         ),
         failure(
             "a zone",
@@ -75,20 +80,20 @@
                 .into(),
             format!(
                 "{} messages/s at the leader; {} nodes and {} cache servers are gone",
-                figure(leader_messages_hurried(fleet)),
-                figure(nodes_per_zone(fleet)),
-                figure(servers_per_zone(fleet))
+                format_number(leader_messages_urgent(fleet)),
+                format_number(nodes_per_zone(fleet)),
+                format_number(servers_per_zone(fleet))
             ),
         ),
         failure(
             "a region loses all others",
             "for an hour now and then",
             "its nodes ask voters in turn and fall back to no plan; each leaves by itself zones that it can't reach",
-            format!("{} s until they fall back, then as long as it lasts", figure(plan_life_s())),
+            format!("{} s until they fall back, then as long as it lasts", format_number(plan_validity_s())),
             format!(
                 "{} messages/s without an answer, {} in an hour",
-                figure(apart_messages(fleet)),
-                figure(3_600.0 * apart_messages(fleet))
+                format_number(partitioned_region_messages(fleet)),
+                format_number(3_600.0 * partitioned_region_messages(fleet))
             ),
         ),
         failure(
@@ -97,10 +102,10 @@
             "every watch is opened anew at once, and asks for the whole list where the revision is not known",
             format!(
                 "{} s of turns at 1 ms a call, and calls that have waited {} s are failed",
-                figure(discovery_restart_s(fleet)),
-                figure(DISCOVERY_TURN_S)
+                format_number(discovery_restart_s(fleet)),
+                format_number(DISCOVERY_QUEUE_TIMEOUT_S)
             ),
-            format!("{} bytes", figure(discovery_restart_bytes(fleet))),
+            format!("{} bytes", format_number(discovery_restart_bytes(fleet))),
         ),
     ]
 }
--- a/crates/scale/src/arithmetic/mod.rs
+++ b/crates/scale/src/arithmetic/mod.rs
@@ -1,5 +1,6 @@
-//! What the protocols cost at a size, by arithmetic from their constants, without a run. Each formula is a function of the
-//! fleet, so that the page and the search for the size at which a limit is passed use the same one.
+//! What the protocols cost at a given fleet size, computed from their constants without a run. Each formula
+//! is a function of the fleet, so that the capacity page and the search for the size at which a limit is
+//! exceeded use the same one.
 
 mod failures;
 mod formulas;
@@ -7,4 +8,4 @@
 
 pub use failures::{Failure, failures};
 pub use formulas::*;
-pub use rows::{Bound, BoundKind, CONTROL, LOAD, Passed, Row};
+pub use rows::{Bound, BoundKind, CONTROL_ROWS, Exceedance, LOAD_ROWS, Row};
--- a/crates/scale/src/arithmetic/rows.rs
+++ b/crates/scale/src/arithmetic/rows.rs
@@ -1,4 +1,5 @@
-//! The rows of the capacity page by arithmetic: a formula, its bound, and where the bound is passed.
+//! Rows of the capacity page that are computed: a formula, its bound, and the size from which on the bound is
+//! exceeded.
 
 use mothpier_accord::MAX_MESSAGE_BYTES;
 use mothpier_plan::MOST_ZONES;
@@ -6,15 +7,15 @@
 use super::formulas::*;
 use crate::target::{TARGET, Target};
 
-fn budget_bytes(fleet: &Target) -> f64 {
+fn budget_bytes_per_s(fleet: &Target) -> f64 {
     fleet.budget.bytes_per_s
 }
 
-fn most_zones(_: &Target) -> f64 {
+fn max_zones(_: &Target) -> f64 {
     MOST_ZONES as f64
 }
 
-fn most_message(_: &Target) -> f64 {
+fn max_message_bytes(_: &Target) -> f64 {
     MAX_MESSAGE_BYTES as f64
 }
 
@@ -22,110 +23,111 @@
     DISCOVERY_CALLS_PER_S
 }
 
-fn discovery_turn(_: &Target) -> f64 {
-    DISCOVERY_TURN_S
+fn discovery_queue_timeout_s(_: &Target) -> f64 {
+    DISCOVERY_QUEUE_TIMEOUT_S
 }
 
-fn tier_connections(_: &Target) -> f64 {
-    TIER_CONNECTIONS
+fn intended_connections_per_server(_: &Target) -> f64 {
+    INTENDED_CONNECTIONS_PER_SERVER
 }
 
 fn server_descriptors(_: &Target) -> f64 {
-    DESCRIPTORS * SERVER_DESCRIPTORS
+    NODE_DESCRIPTORS * SERVER_DESCRIPTOR_SHARE
 }
 
-/// The kind of a bound.
+/// What defines a bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum BoundKind {
-    /// A rule or limit of the design: passed, something does not work or a promise is not kept.
+    /// A rule or limit of the design. If it is exceeded, something does not work or a guarantee is broken.
     Design,
     /// What control may cost a node.
     Budget,
-    /// A figure of a stand-in: of the real service none is known.
-    StandIn,
+    /// A limit of a stub; the limit of the real service is unknown.
+    Stub,
 }
 
 impl BoundKind {
-    /// A few words.
-    pub fn words(self) -> &'static str {
+    /// The name of this kind on the capacity page.
+    pub fn label(self) -> &'static str {
         match self {
             BoundKind::Design => "design",
             BoundKind::Budget => "budget",
-            BoundKind::StandIn => "stand-in",
+            BoundKind::Stub => "stand-in",
         }
     }
 }
 
-/// What a figure may be at the most.
+/// The maximum of a value.
 #[derive(Clone, Copy, Debug)]
 pub struct Bound {
-    /// The limit.
-    pub most: fn(&Target) -> f64,
-    /// Its kind.
+    /// The maximum in a given fleet.
+    pub max: fn(&Target) -> f64,
+    /// What defines it.
     pub kind: BoundKind,
 }
 
-/// One figure of the page by arithmetic.
+/// One computed row of the capacity page.
 #[derive(Clone, Copy, Debug)]
 pub struct Row {
-    /// Whose.
+    /// The role that bears the cost.
     pub role: &'static str,
-    /// What, with its unit.
-    pub what: &'static str,
-    /// The figure of a fleet.
+    /// The quantity, with its unit.
+    pub quantity: &'static str,
+    /// The value in a given fleet.
     pub value: fn(&Target) -> f64,
-    /// Its bound, where it has one.
+    /// The maximum, if there is one.
     pub bound: Option<Bound>,
-    /// The type in the code that carries it.
+    /// The type of the code that implements it.
     pub mechanism: &'static str,
 }
 
-/// The nodes from which on a row's bound is passed while all else is at the target.
+/// The number of nodes from which on a row's bound is exceeded, everything else being at the target.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Passed {
+pub enum Exceedance {
     /// Not up to the target.
     Never,
-    /// Whatever the number of nodes.
+    /// With any number of nodes.
     Always,
-    /// From so many nodes on.
+    /// From this number of nodes on.
     From(f64),
 }
 
 impl Row {
     fn exceeds(&self, nodes: f64) -> bool {
         let fleet = with_nodes(&TARGET, nodes);
-        self.bound.is_some_and(|bound| (self.value)(&fleet) > (bound.most)(&fleet))
+        self.bound.is_some_and(|bound| (self.value)(&fleet) > (bound.max)(&fleet))
     }
 
-    /// Where its bound is passed; its figure must not fall with the nodes.
-    pub fn passed(&self) -> Passed {
+    /// Finds the number of nodes from which on the bound is exceeded, by bisection. The value must not fall
+    /// as the number of nodes grows.
+    pub fn exceedance(&self) -> Exceedance {
         let (mut within, mut beyond) = (1, TARGET.nodes as u32);
         if self.exceeds(f64::from(within)) {
-            return Passed::Always;
+            return Exceedance::Always;
         }
         if !self.exceeds(f64::from(beyond)) {
-            return Passed::Never;
+            return Exceedance::Never;
         }
         while beyond - within > 1 {
             let middle = u32::midpoint(within, beyond);
             if self.exceeds(f64::from(middle)) { beyond = middle } else { within = middle }
         }
-        Passed::From(f64::from(beyond))
+        Exceedance::From(f64::from(beyond))
     }
 }
 
-const fn bound(most: fn(&Target) -> f64, kind: BoundKind) -> Option<Bound> {
-    Some(Bound { most, kind })
+const fn bound(max: fn(&Target) -> f64, kind: BoundKind) -> Option<Bound> {
+    Some(Bound { max, kind })
 }
 
 const fn row(
     role: &'static str,
-    what: &'static str,
+    quantity: &'static str,
     value: fn(&Target) -> f64,
     bound: Option<Bound>,
     mechanism: &'static str,
 ) -> Row {
-    Row { role, what, value, bound, mechanism }
+    Row { role, quantity, value, bound, mechanism }
 }
 
 const MEMBER: &str = "`mothpier_accord::Member`";
@@ -135,30 +137,30 @@
 const SERVERS: &str = "`node::servers::Servers`";
 const NONE: &str = "none";
 
-/// Control, by role.
-pub const CONTROL: &[Row] = &[
+/// Cost of control, by role.
+pub const CONTROL_ROWS: &[Row] = &[
     row(
         "node",
         "bytes/s of the agreement, calm",
         follower_bytes,
-        bound(budget_bytes, BoundKind::Budget),
+        bound(budget_bytes_per_s, BoundKind::Budget),
         MEMBER,
     ),
     row(
         "node",
         "bytes/s of the agreement, a zone moves",
-        follower_bytes_hurried,
-        bound(budget_bytes, BoundKind::Budget),
+        follower_bytes_urgent,
+        bound(budget_bytes_per_s, BoundKind::Budget),
         MEMBER,
     ),
     row(
         "node",
         "bytes/s between peers, longest messages, aim of 1 s",
         peer_bytes,
-        bound(budget_bytes, BoundKind::Budget),
+        bound(budget_bytes_per_s, BoundKind::Budget),
         PEERS,
     ),
-    row("node", "peers heard of lately, of all others", peers_heard, None, PEERS),
+    row("node", "peers heard of lately, of all others", remembered_peers, None, PEERS),
     row(
         "node",
         "connections to cache servers, one each, where the node may have 1,024 sockets",
@@ -171,14 +173,14 @@
         "cache server",
         "connections, one of each node (32 of the whole tier are aimed at)",
         connections_per_server,
-        bound(tier_connections, BoundKind::Design),
+        bound(intended_connections_per_server, BoundKind::Design),
         SERVERS,
     ),
     row(
         "cache server",
         "connections, nodes of its region alone",
         connections_per_server_of_region,
-        bound(tier_connections, BoundKind::Design),
+        bound(intended_connections_per_server, BoundKind::Design),
         "`mothpier_places::Near`",
     ),
     row(
@@ -188,50 +190,50 @@
         bound(cold_calls_bound, BoundKind::Design),
         "`Policy::cold_bucket`",
     ),
-    row("discovery", "calls/s, calm", discovery_calls, bound(discovery_capacity, BoundKind::StandIn), WATCH),
+    row("discovery", "calls/s, calm", discovery_calls, bound(discovery_capacity, BoundKind::Stub), WATCH),
     row(
         "discovery",
         "answers/s because cache servers restart",
         discovery_change_answers,
-        bound(discovery_capacity, BoundKind::StandIn),
+        bound(discovery_capacity, BoundKind::Stub),
         WATCH,
     ),
     row(
         "discovery",
         "seconds of waiting after its restart",
         discovery_restart_s,
-        bound(discovery_turn, BoundKind::StandIn),
+        bound(discovery_queue_timeout_s, BoundKind::Stub),
         WATCH,
     ),
     row("discovery", "bytes after its restart, whole lists", discovery_restart_bytes, None, WATCH),
     row("leader", "messages/s, calm", leader_messages, None, MEMBER),
-    row("leader", "messages/s, a zone moves", leader_messages_hurried, None, MEMBER),
-    row("leader", "bytes/s, calm", leader_bytes, bound(budget_bytes, BoundKind::Budget), MEMBER),
+    row("leader", "messages/s, a zone moves", leader_messages_urgent, None, MEMBER),
+    row("leader", "bytes/s, calm", leader_bytes, bound(budget_bytes_per_s, BoundKind::Budget), MEMBER),
     row(
         "leader",
         "bytes/s, a zone moves",
-        leader_bytes_hurried,
-        bound(budget_bytes, BoundKind::Budget),
+        leader_bytes_urgent,
+        bound(budget_bytes_per_s, BoundKind::Budget),
         MEMBER,
     ),
     row(
         "leader",
         "zones to tell apart",
         zones,
-        bound(most_zones, BoundKind::Design),
+        bound(max_zones, BoundKind::Design),
         "`mothpier_plan::MOST_ZONES`",
     ),
     row(
         "leader",
         "bytes of an answer, an order for each zone",
-        told_bytes_with_orders,
-        bound(most_message, BoundKind::Design),
+        reply_bytes_with_orders,
+        bound(max_message_bytes, BoundKind::Design),
         "`mothpier_accord::Message`",
     ),
     row(
         "voter",
         "messages/s to pass on while one region has no way to the leader",
-        pass_messages,
+        relay_messages,
         None,
         "`Member::pass`",
     ),
@@ -257,21 +259,21 @@
         GATE,
     ),
     row("origin's allowance", "calls/s that nodes' tallies add up to", origin_rate, None, GATE),
-    row("settings", "messages/s, one to each node for each change", settings_messages, None, NONE),
+    row("settings", "messages/s, one to each node for each change", settings_change_messages, None, NONE),
     row(
         "settings",
         "seconds between two changes, each a restart of every node",
-        settings_every_s,
+        settings_change_interval_s,
         None,
         "`mothpier::handover`",
     ),
-    row("settings", "changes under way at a time", settings_under_way, None, NONE),
+    row("settings", "changes under way at a time", settings_changes_in_progress, None, NONE),
     row("purges", "messages/s, one to each cache server for each purge", purge_messages, None, NONE),
-    row("purges", "purges under way at a time", purges_under_way, None, NONE),
+    row("purges", "purges under way at a time", purges_in_progress, None, NONE),
 ];
 
-/// Requests, bytes and objects, and what a day's failures touch.
-pub const LOAD: &[Row] = &[
+/// Requests, bytes, objects, and what the failures of a day affect.
+pub const LOAD_ROWS: &[Row] = &[
     row("requests", "requests/s of a node", requests_per_node, None, "`node::clients`"),
     row(
         "requests",
@@ -288,15 +290,21 @@
     row(
         "keys",
         "hit share of the tenth most asked for, Zipf's exponent 1",
-        hit_share_of_tenth,
+        hit_share_of_top_tenth,
         None,
         "`Policy::pick`",
     ),
-    row("keys", "hit share from which misses fit the tallies", hit_share_for_origin, None, GATE),
-    row("failures", "seconds between two restarts of machines", restart_every_s, None, WATCH),
+    row("keys", "hit share from which misses fit the tallies", hit_share_within_origin_limits, None, GATE),
+    row("failures", "seconds between two restarts of machines", restart_interval_s, None, WATCH),
     row("failures", "changes/s of the list that restarts make", list_changes, None, WATCH),
     row("failures", "nodes of a site", nodes_per_site, None, NONE),
     row("failures", "nodes of a zone", nodes_per_zone, None, MEMBER),
     row("failures", "cache servers of a zone", servers_per_zone, None, MEMBER),
-    row("failures", "messages/s of a region that has no way to the leader", apart_messages, None, MEMBER),
+    row(
+        "failures",
+        "messages/s of a region that has no way to the leader",
+        partitioned_region_messages,
+        None,
+        MEMBER,
+    ),
 ];
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -1,9 +1,8 @@
-//! Scale runs: the control code of many nodes is run at several sizes, what each role costs is measured, a model is
-//! fitted over the sizes, and the capacity page is written from the runs that were kept.
+//! Scale runs: runs the control code of many nodes at several sizes, measures what each role costs, fits a
+//! model over the sizes, and generates the capacity page from the stored runs.
 
 pub mod arithmetic;
 pub mod fit;
-pub mod kept;
 pub mod models;
 pub mod page;
 pub mod plot;
@@ -11,6 +10,7 @@
 pub mod record;
 pub mod records;
 pub mod report;
+pub mod run_groups;
 pub mod scenario;
 pub mod series;
 pub mod summary;
--- a/crates/scale/src/models.rs
+++ b/crates/scale/src/models.rs
@@ -1,29 +1,29 @@
-//! Candidate models of a cost over a size, and least squares of one model to points.
+//! Candidate models of a cost as a function of a size, and least-squares fits.
 
 use std::fmt;
 
-/// Deviations below this part of the largest value are what rounding leaves of none.
-pub(crate) const ROUNDING: f64 = 1e-12;
+/// Deviations below this share of the largest value are rounding errors.
+pub(crate) const ROUNDING_TOLERANCE: f64 = 1e-12;
 
 /// One measured value at one size.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Point {
-    /// The size: nodes, cache servers, or changes a second.
+    /// The size: nodes, cache servers, or changes per second.
     pub size: f64,
-    /// What was measured there.
+    /// The measured value.
     pub value: f64,
 }
 
-/// How a cost may grow with a size `n`: `intercept + slope * basis(n)`.
+/// How a cost grows with a size `n`: `intercept + slope * basis(n)`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Model {
-    /// Not at all.
+    /// Does not depend on `n`.
     Constant,
-    /// With `n`.
+    /// Grows with `n`.
     Linear,
-    /// With `n ln n`.
+    /// Grows with `n ln n`.
     LinearLog,
-    /// With `n` squared.
+    /// Grows with `n²`.
     Quadratic,
 }
 
@@ -31,7 +31,7 @@
     /// All candidates, the simplest first.
     pub const ALL: [Model; 4] = [Model::Constant, Model::Linear, Model::LinearLog, Model::Quadratic];
 
-    /// What the slope is multiplied with at a size.
+    /// The function of the size that the slope is multiplied with.
     pub fn basis(self, size: f64) -> f64 {
         match self {
             Model::Constant => 0.0,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Coefficients that least squares finds.
+    /// Number of coefficients to fit.
     fn coefficients(self) -> usize {
         if self == Model::Constant { 1 } else { 2 }
     }
@@ -59,32 +59,32 @@
     }
 }
 
-/// A model with the coefficients that least squares gave it.
+/// A fitted model.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Curve {
     /// The model.
     pub model: Model,
-    /// Its value where the basis is 0.
+    /// The value where the basis is 0.
     pub intercept: f64,
-    /// What one unit of the basis adds; 0 for a constant.
+    /// The increase per unit of the basis; 0 for a constant.
     pub slope: f64,
     /// The standard error of the slope.
     pub slope_error: f64,
-    /// The standard deviation of the points round the curve, by their degrees of freedom.
+    /// The residual standard deviation, with the degrees of freedom taken into account.
     pub deviation: f64,
     points: f64,
     basis_mean: f64,
-    /// Sum of squared distances of the points' bases from their mean.
+    /// Sum of squared deviations of the points' bases from their mean.
     basis_squares: f64,
 }
 
 impl Curve {
-    /// The value at a size.
+    /// The predicted value at a size.
     pub fn predict(&self, size: f64) -> f64 {
         self.intercept + self.slope * self.model.basis(size)
     }
 
-    /// The standard error of [`predict`](Self::predict) at a size, where the model is the right one.
+    /// The standard error of [`predict`](Self::predict) at a size, assuming that the model is correct.
     pub fn prediction_error(&self, size: f64) -> f64 {
         let mean = 1.0 / self.points;
         let distance = self.model.basis(size) - self.basis_mean;
@@ -93,10 +93,12 @@
     }
 }
 
-/// Fits a model to points by least squares. `None` where the points can't tell its coefficients: fewer than one more than there are
-/// coefficients, all of one size, or values that are no numbers.
+/// Fits a model to points by least squares. Returns `None` if the points do not determine the coefficients
+/// (no degree of freedom, or all points at one size) or values are not finite.
 pub fn least_squares(model: Model, points: &[Point]) -> Option<Curve> {
-    let freedom = points.len().checked_sub(model.coefficients()).filter(|freedom| *freedom > 0)? as f64;
+    let degrees_of_freedom =
+        points.len().checked_sub(model.coefficients()).filter(|degrees_of_freedom| *degrees_of_freedom > 0)?
+            as f64;
     let count = points.len() as f64;
     let basis = |point: &Point| model.basis(point.size);
     let basis_mean = points.iter().map(basis).sum::<f64>() / count;
@@ -110,8 +112,8 @@
     let intercept = value_mean - slope * basis_mean;
     let residuals: f64 = points.iter().map(|p| (p.value - intercept - slope * basis(p)).powi(2)).sum();
     let largest = points.iter().map(|p| p.value.abs()).fold(0.0, f64::max);
-    let deviation = match (residuals / freedom).sqrt() {
-        rounded if rounded <= ROUNDING * largest => 0.0,
+    let deviation = match (residuals / degrees_of_freedom).sqrt() {
+        rounded if rounded <= ROUNDING_TOLERANCE * largest => 0.0,
         deviation => deviation,
     };
     let slope_error = if model == Model::Constant { 0.0 } else { deviation / basis_squares.sqrt() };
--- a/crates/scale/src/page.rs
+++ b/crates/scale/src/page.rs
@@ -1,32 +1,33 @@
-//! The capacity page: its tables are generated from the arithmetic and from the runs that are kept, and stand between two markers.
+//! The capacity page. Its tables are generated from formulas and stored runs, and are inserted between two
+//! markers.
 
 use std::collections::BTreeMap;
 use std::fmt;
 use std::path::PathBuf;
 
-use crate::arithmetic::{BoundKind, CONTROL, Failure, LOAD, Passed, Row, failures, with_nodes};
-use crate::fit::by_size;
-use crate::kept::{Kept, group};
+use crate::arithmetic::{BoundKind, CONTROL_ROWS, Exceedance, Failure, LOAD_ROWS, Row, failures, with_nodes};
+use crate::fit::group_by_size;
 use crate::record::RunRecord;
 use crate::report::HEADS;
+use crate::run_groups::{RunGroup, group_records};
 use crate::series::Axis;
 use crate::summary::roles_at_target;
-use crate::target::{FLEET_TODAY, TARGET};
-use crate::text::{figure, table};
+use crate::target::{LARGEST_TESTED_NODES, TARGET};
+use crate::text::{format_number, markdown_table};
 
-/// Before the tables.
+/// Marker before the tables.
 pub const BEGIN: &str = "<!-- begin generated -->";
-/// After them.
+/// Marker after the tables.
 pub const END: &str = "<!-- end generated -->";
 
-/// Why a page can't be written or checked.
+/// Why a page cannot be written or checked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MarkerError {
     /// A marker is missing.
     Missing(&'static str),
-    /// A marker stands there more than once.
-    Doubled(&'static str),
-    /// The end stands before the beginning.
+    /// A marker occurs more than once.
+    Duplicate(&'static str),
+    /// The end marker precedes the begin marker.
     Order,
 }
 
@@ -34,22 +35,22 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             MarkerError::Missing(marker) => write!(f, "the marker {marker} is missing"),
-            MarkerError::Doubled(marker) => write!(f, "the marker {marker} stands there more than once"),
-            MarkerError::Order => write!(f, "the marker {END} stands before {BEGIN}"),
+            MarkerError::Duplicate(marker) => write!(f, "the marker {marker} occurs more than once"),
+            MarkerError::Order => write!(f, "the marker {END} precedes {BEGIN}"),
         }
     }
 }
 
 impl std::error::Error for MarkerError {}
 
-/// The first line in which a page differs from what its runs say.
+/// The first line that differs between a page and its runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Difference {
-    /// The line, from 1.
+    /// The line number, from 1.
     pub line: usize,
-    /// What the page says there.
+    /// The line of the page.
     pub page: String,
-    /// What the runs say.
+    /// The line generated from the runs.
     pub runs: String,
 }
 
@@ -59,25 +60,25 @@
     }
 }
 
-fn only(page: &str, marker: &'static str) -> Result<usize, MarkerError> {
-    let mut places = page.match_indices(marker).map(|(place, _)| place);
+fn find_marker(page: &str, marker: &'static str) -> Result<usize, MarkerError> {
+    let mut places = page.match_indices(marker).map(|(index, _)| index);
     let first = places.next().ok_or(MarkerError::Missing(marker))?;
-    if places.next().is_some() { Err(MarkerError::Doubled(marker)) } else { Ok(first) }
+    if places.next().is_some() { Err(MarkerError::Duplicate(marker)) } else { Ok(first) }
 }
 
-/// The page with these tables between its markers.
+/// Inserts tables between the markers of a page.
 ///
 /// # Errors
-/// Markers that are missing, doubled or in the wrong order.
+/// Markers are missing, duplicated or in the wrong order.
 pub fn with_tables(page: &str, tables: &str) -> Result<String, MarkerError> {
-    let (begin, end) = (only(page, BEGIN)?, only(page, END)?);
+    let (begin, end) = (find_marker(page, BEGIN)?, find_marker(page, END)?);
     if end < begin {
         return Err(MarkerError::Order);
     }
     Ok(format!("{}\n\n{}\n{}", &page[..begin + BEGIN.len()], tables, &page[end..]))
 }
 
-/// Where a page differs from what it should be.
+/// Finds the first line in which a page differs from the expected one.
 pub fn difference(page: &str, expected: &str) -> Option<Difference> {
     let (mut have, mut want) = (page.split('\n'), expected.split('\n'));
     let mut line = 0;
@@ -94,34 +95,37 @@
     }
 }
 
-/// All tables of the page.
+/// Generates all tables of the page.
 pub fn tables(records: &[(PathBuf, RunRecord)]) -> String {
-    let kept = group(records);
-    let parts = [
-        part("Control at the target, by arithmetic from the protocols", &arithmetic(CONTROL)),
-        part("Requests, objects and machines at the target, by arithmetic", &arithmetic(LOAD)),
-        part("What failures set off at the target", &failure_table(&failures(&TARGET))),
-        part(
+    let groups = group_records(records);
+    let sections = [
+        section("Control at the target, by arithmetic from the protocols", &formula_table(CONTROL_ROWS)),
+        section("Requests, objects and machines at the target, by arithmetic", &formula_table(LOAD_ROWS)),
+        section("What failures set off at the target", &failure_table(&failures(&TARGET))),
+        section(
             "Roles in calm at the target's number of nodes",
-            &or_none(!kept.is_empty(), || roles_at_target(&kept)),
+            &or_no_runs(!groups.is_empty(), || roles_at_target(&groups)),
         ),
-        part("Runs that are kept", &or_none(!kept.is_empty(), || runs(&kept))),
-        part("Measured", &or_none(!kept.is_empty(), || measured(&kept))),
-        part("Slopes, and what they say of the target", &or_none(!kept.is_empty(), || fits(&kept))),
-        part("Where bounds are passed, up to the target's number of nodes", &passed(&kept)),
+        section("Runs that are kept", &or_no_runs(!groups.is_empty(), || run_table(&groups))),
+        section("Measured", &or_no_runs(!groups.is_empty(), || measurement_table(&groups))),
+        section(
+            "Slopes, and what they say of the target",
+            &or_no_runs(!groups.is_empty(), || fit_table(&groups)),
+        ),
+        section("Where bounds are passed, up to the target's number of nodes", &exceedance_table(&groups)),
     ];
-    parts.concat().trim_end().to_owned() + "\n"
+    sections.concat().trim_end().to_owned() + "\n"
 }
 
-fn part(head: &str, text: &str) -> String {
+fn section(head: &str, text: &str) -> String {
     format!("### {head}\n\n{text}\n")
 }
 
-fn or_none(some: bool, text: impl FnOnce() -> String) -> String {
+fn or_no_runs(some: bool, text: impl FnOnce() -> String) -> String {
     if some { text() } else { "No run is kept.\n".into() }
 }
 
-fn arithmetic(rows: &[Row]) -> String {
+fn formula_table(rows: &[Row]) -> String {
     let heads = [
         "role",
         "figure",
@@ -133,44 +137,44 @@
         "from",
     ];
     let cells = |row: &Row| {
-        let (today, target) = (with_nodes(&TARGET, FLEET_TODAY), TARGET);
-        let bound = row.bound.map(|bound| ((bound.most)(&target), bound.kind));
+        let (today, target) = (with_nodes(&TARGET, LARGEST_TESTED_NODES), TARGET);
+        let bound = row.bound.map(|bound| ((bound.max)(&target), bound.kind));
         let value = (row.value)(&target);
-        let left = |(most, _): (f64, BoundKind)| {
-            if value > most {
-                format!("none: {} times it", figure(value / most))
+        let left = |(max, _): (f64, BoundKind)| {
+            if value > max {
+                format!("none: {} times it", format_number(value / max))
             } else {
-                figure(most - value)
+                format_number(max - value)
             }
         };
         vec![
             row.role.into(),
-            row.what.into(),
-            figure((row.value)(&today)),
-            figure(value),
-            bound.map_or("-".into(), |(most, kind)| format!("{} ({})", figure(most), kind.words())),
+            row.quantity.into(),
+            format_number((row.value)(&today)),
+            format_number(value),
+            bound.map_or("-".into(), |(max, kind)| format!("{} ({})", format_number(max), kind.label())),
             bound.map_or("-".into(), left),
             row.mechanism.into(),
             "arithmetic".into(),
         ]
     };
-    table(&heads, &rows.iter().map(cells).collect::<Vec<_>>())
+    markdown_table(&heads, &rows.iter().map(cells).collect::<Vec<_>>())
 }
 
 fn failure_table(failures: &[Failure]) -> String {
     let heads = ["what fails", "how often", "what it sets off", "how long", "what it costs"];
     let cells = |f: &Failure| {
-        vec![f.what.into(), f.how_often.into(), f.sets_off.into(), f.lasts.clone(), f.costs.clone()]
+        vec![f.component.into(), f.frequency.into(), f.effect.into(), f.duration.clone(), f.cost.clone()]
     };
-    table(&heads, &failures.iter().map(cells).collect::<Vec<_>>())
+    markdown_table(&heads, &failures.iter().map(cells).collect::<Vec<_>>())
 }
 
-fn runs(kept: &[Kept<'_>]) -> String {
+fn run_table(groups: &[RunGroup<'_>]) -> String {
     let heads =
         ["runs", "sizes (nodes / cache servers / changes a second)", "number", "machine", "commit", "day"];
     let mut rows = Vec::new();
-    for kept in kept {
-        for record in &kept.records {
+    for group in groups {
+        for record in &group.records {
             let mut sizes: Vec<String> = Vec::new();
             for run in &record.runs {
                 let size = &run.size;
@@ -181,24 +185,24 @@
             }
             let machine = &record.machine;
             rows.push(vec![
-                kept.name.clone(),
+                group.name.clone(),
                 sizes.join("; "),
                 record.runs.len().to_string(),
                 format!(
                     "{}, {} cores, {} bytes",
                     machine.processor,
                     machine.cores,
-                    figure(machine.memory_bytes as f64)
+                    format_number(machine.memory_bytes as f64)
                 ),
                 record.commit.clone(),
                 record.date.clone(),
             ]);
         }
     }
-    table(&heads, &rows)
+    markdown_table(&heads, &rows)
 }
 
-fn measured(kept: &[Kept<'_>]) -> String {
+fn measurement_table(groups: &[RunGroup<'_>]) -> String {
     let heads = [
         "runs",
         "whose",
@@ -208,105 +212,119 @@
         "bound",
     ];
     let mut rows = Vec::new();
-    for kept in kept {
-        for fitted in &kept.fits {
+    for group in groups {
+        for fitted in &group.fits {
             let key = &fitted.series.key;
             let size = |s: &crate::fit::SizeValues| {
-                format!("{}: {} ({})", figure(s.size), figure(s.mean()), s.spread_words())
+                format!("{}: {} ({})", format_number(s.size), format_number(s.mean()), s.spread_text())
             };
-            let sizes: Vec<String> = by_size(&fitted.series.points).iter().map(size).collect();
+            let sizes: Vec<String> = group_by_size(&fitted.series.points).iter().map(size).collect();
             rows.push(vec![
-                kept.name.clone(),
+                group.name.clone(),
                 key.subject.to_string(),
                 key.quantity.to_string(),
                 format!("{} ({})", key.axis, key.others),
                 sizes.join("; "),
-                fitted.bound().map_or("-".into(), |bound| figure(bound.most)),
+                fitted.bound().map_or("-".into(), |bound| format_number(bound.max)),
             ]);
         }
     }
-    table(&heads, &rows) + "\nWhat is 0 in every run is left out.\n"
+    markdown_table(&heads, &rows) + "\nWhat is 0 in every run is left out.\n"
 }
 
-fn fits(kept: &[Kept<'_>]) -> String {
+fn fit_table(groups: &[RunGroup<'_>]) -> String {
     let heads = [&["runs"][..], &HEADS[..]].concat();
     let mut rows = Vec::new();
     let mut without: BTreeMap<(&str, String), usize> = BTreeMap::new();
-    for kept in kept {
-        for fitted in &kept.fits {
+    for group in groups {
+        for fitted in &group.fits {
             match &fitted.outcome {
-                Ok(_) => rows.push([vec![kept.name.clone()], fitted.cells()].concat()),
-                Err(none) => *without.entry((&kept.name, none.to_string())).or_default() += 1,
+                Ok(_) => rows.push([vec![group.name.clone()], fitted.cells()].concat()),
+                Err(error) => *without.entry((&group.name, error.to_string())).or_default() += 1,
             }
         }
     }
-    let mut text = if rows.is_empty() { "No series has a fit.\n".into() } else { table(&heads, &rows) };
-    for (place, ((kind, why), series)) in without.into_iter().enumerate() {
-        let gap = if place == 0 { "\n" } else { "" };
-        text.push_str(&format!("{gap}- {kind}: {series} series have {why}.\n"));
+    let mut text =
+        if rows.is_empty() { "No series has a fit.\n".into() } else { markdown_table(&heads, &rows) };
+    for (index, ((kind, error), series)) in without.into_iter().enumerate() {
+        let gap = if index == 0 { "\n" } else { "" };
+        text.push_str(&format!("{gap}- {kind}: {series} series have {error}.\n"));
     }
     text
 }
 
-/// One bound that is passed.
-struct Crossing {
+/// One bound that is exceeded.
+struct ExceededBound {
     kind: BoundKind,
     nodes: f64,
-    at: String,
-    whose: String,
-    what: String,
+    nodes_text: String,
+    subject: String,
+    quantity: String,
     from: String,
 }
 
-fn arithmetic_crossings() -> Vec<Crossing> {
-    let crossing = |row: &Row| {
-        let (nodes, at) = match row.passed() {
-            Passed::Never => return None,
-            Passed::Always => (0.0, "any number".into()),
-            Passed::From(nodes) => (nodes, figure_whole(nodes)),
+fn computed_exceedances() -> Vec<ExceededBound> {
+    let exceeded = |row: &Row| {
+        let (nodes, nodes_text) = match row.exceedance() {
+            Exceedance::Never => return None,
+            Exceedance::Always => (0.0, "any number".into()),
+            Exceedance::From(nodes) => (nodes, format_whole(nodes)),
         };
         let kind = row.bound?.kind;
         let from = "arithmetic, all else at the target".into();
-        Some(Crossing { kind, nodes, at, whose: row.role.into(), what: row.what.into(), from })
+        Some(ExceededBound {
+            kind,
+            nodes,
+            nodes_text,
+            subject: row.role.into(),
+            quantity: row.quantity.into(),
+            from,
+        })
     };
-    CONTROL.iter().filter_map(crossing).collect()
+    CONTROL_ROWS.iter().filter_map(exceeded).collect()
 }
 
-fn measured_crossings(kept: &[Kept<'_>]) -> Vec<Crossing> {
-    let mut crossings = Vec::new();
-    for kept in kept {
-        for fitted in kept.fits.iter().filter(|fitted| fitted.series.key.axis == Axis::Nodes) {
+fn measured_exceedances(groups: &[RunGroup<'_>]) -> Vec<ExceededBound> {
+    let mut exceeded = Vec::new();
+    for group in groups {
+        for fitted in group.fits.iter().filter(|fitted| fitted.series.key.axis == Axis::Nodes) {
             let Some(bound) = fitted.bound() else { continue };
-            let (nodes, most, from) = match (fitted.measured_beyond(), fitted.fitted_beyond()) {
-                (Some(m), _) => (m.size, m.bound, format!("measured: {} there", figure(m.value))),
-                (None, Some(nodes)) => (nodes, bound.most, "the slope".into()),
+            let (nodes, max, from) = match (fitted.measured_exceedance(), fitted.fitted_exceedance()) {
+                (Some(m), _) => (m.size, m.bound, format!("measured: {} there", format_number(m.value))),
+                (None, Some(nodes)) => (nodes, bound.max, "the slope".into()),
                 (None, None) => continue,
             };
             let key = &fitted.series.key;
-            crossings.push(Crossing {
+            exceeded.push(ExceededBound {
                 kind: bound.kind,
                 nodes,
-                at: figure_whole(nodes),
-                whose: format!("{}, {}", key.subject, kept.name),
-                what: format!("{} over {}", key.quantity, figure(most)),
+                nodes_text: format_whole(nodes),
+                subject: format!("{}, {}", key.subject, group.name),
+                quantity: format!("{} over {}", key.quantity, format_number(max)),
                 from,
             });
         }
     }
-    crossings
+    exceeded
 }
 
-fn figure_whole(value: f64) -> String {
+fn format_whole(value: f64) -> String {
     format!("{value:.0}")
 }
 
-fn passed(kept: &[Kept<'_>]) -> String {
-    let mut crossings = measured_crossings(kept);
-    crossings.extend(arithmetic_crossings());
-    crossings.sort_by(|a, b| a.kind.cmp(&b.kind).then(a.nodes.total_cmp(&b.nodes)));
-    let cells = |c: &Crossing| {
-        vec![c.kind.words().into(), c.at.clone(), c.whose.clone(), c.what.clone(), c.from.clone()]
+fn exceedance_table(groups: &[RunGroup<'_>]) -> String {
+    let mut exceeded = measured_exceedances(groups);
+    exceeded.extend(computed_exceedances());
+    exceeded.sort_by(|a, b| a.kind.cmp(&b.kind).then(a.nodes.total_cmp(&b.nodes)));
+    let cells = |c: &ExceededBound| {
+        vec![
+            c.kind.label().into(),
+            c.nodes_text.clone(),
+            c.subject.clone(),
+            c.quantity.clone(),
+            c.from.clone(),
+        ]
     };
-    let rows: Vec<Vec<String>> = crossings.iter().map(cells).collect();
-    table(&["bound of", "passed from, nodes", "whose", "what", "from"], &rows)
+    let rows: Vec<Vec<String>> = exceeded.iter().map(cells).collect();
+    markdown_table(&["bound of", "passed from, nodes", "whose", "what", "from"], &rows)
 }
--- a/crates/scale/src/real_sockets/costs.rs
+++ b/crates/scale/src/real_sockets/costs.rs
@@ -1,47 +1,47 @@
-//! What each role cost between two looks at a run.
+//! The cost of each role between two snapshots of a run.
 
 use std::collections::BTreeMap;
 
 use super::counting::{Channel, ChannelTraffic, HostCounts, Traffic};
 use super::plan::SizePlan;
-use super::stage::{Look, Returned};
+use super::running_fleet::{ReturnTimes, Snapshot};
 use super::usage::Usage;
-use crate::record::{Change, ChangeSpread, Role, RoleCost};
+use crate::record::{Change, ChangePropagation, Role, RoleCost};
 
-/// Two looks at a run, and the time between.
-pub(super) struct Measured<'a> {
-    /// The size.
+/// Two snapshots of a run.
+pub(super) struct Measurement<'a> {
+    /// The size of the fleet.
     pub size: SizePlan,
-    /// Voters of the agreement: the first nodes.
+    /// The number of voters of the agreement, which are the first nodes.
     pub voters: u32,
-    /// The look before.
-    pub before: &'a Look,
-    /// The look after.
-    pub after: &'a Look,
+    /// The snapshot before the measurement.
+    pub before: &'a Snapshot,
+    /// The snapshot after the measurement.
+    pub after: &'a Snapshot,
 }
 
-impl Measured<'_> {
-    /// The time between, in seconds.
+impl Measurement<'_> {
+    /// The time between the snapshots, in seconds.
     pub fn seconds(&self) -> f64 {
         (self.after.at - self.before.at).as_secs_f64()
     }
 
-    /// What each role cost.
+    /// The cost of each role.
     pub fn roles(&self) -> BTreeMap<Role, RoleCost> {
         let mut roles = BTreeMap::new();
-        let mut put = |role, cost: RoleCost| {
+        let mut insert = |role, cost: RoleCost| {
             if cost.members > 0 {
                 roles.insert(role, cost);
             }
         };
-        put(Role::HollowNode, self.hollow_nodes());
-        put(Role::RealNode, self.real_nodes());
-        put(Role::Discovery, self.discovery());
-        put(Role::CacheServerControl, self.cache_servers());
+        insert(Role::HollowNode, self.hollow_nodes());
+        insert(Role::RealNode, self.real_nodes());
+        insert(Role::Discovery, self.discovery());
+        insert(Role::CacheServerControl, self.cache_servers());
         let (leaders, voters, followers) = self.agreement_members();
-        put(Role::AgreementLeader, self.agreement(&leaders));
-        put(Role::AgreementVoter, self.agreement(&voters));
-        put(Role::AgreementFollower, self.agreement(&followers));
+        insert(Role::AgreementLeader, self.agreement(&leaders));
+        insert(Role::AgreementVoter, self.agreement(&voters));
+        insert(Role::AgreementFollower, self.agreement(&followers));
         roles
     }
 
@@ -55,33 +55,33 @@
         self.cost(members, traffic, f64::from(connections)).with_usage(members, processes, Some(idle), self)
     }
 
-    /// What stand-ins and hollow nodes saw of real nodes. What real nodes say to each other is not seen.
+    /// The traffic of real nodes with stubs and hollow nodes. Traffic between real nodes is not counted.
     fn real_nodes(&self) -> RoleCost {
         let members = self.size.real_nodes;
         let all: Vec<u32> = (0..self.size.hollow_nodes).collect();
-        let mut seen = self.hollow_traffic(&all, |c| c.with_real_node);
-        seen.add(&stand_in_traffic(&self.before.discovery.real, &self.after.discovery.real));
+        let mut traffic = self.hollow_traffic(&all, |c| c.with_real_node);
+        traffic.add(&stub_traffic(&self.before.discovery.real, &self.after.discovery.real));
         let processes = self.before.usage.real.iter().zip(&self.after.usage.real);
         let connections = f64::from(self.after.discovery.real.connections);
-        self.cost(members, seen.mirrored(), connections).with_usage(members, processes, None, self)
+        self.cost(members, traffic.mirrored(), connections).with_usage(members, processes, None, self)
     }
 
     fn discovery(&self) -> RoleCost {
         let (before, after) = (&self.before.discovery, &self.after.discovery);
-        let mut traffic = stand_in_traffic(&before.hollow, &after.hollow);
-        traffic.add(&stand_in_traffic(&before.real, &after.real));
+        let mut traffic = stub_traffic(&before.hollow, &after.hollow);
+        traffic.add(&stub_traffic(&before.real, &after.real));
         let connections = f64::from(after.hollow.connections + after.real.connections);
         let idle = (&self.before.usage.idle, &self.after.usage.idle);
         let process = [(&self.before.usage.discovery, &self.after.usage.discovery)];
         self.cost(1, traffic, connections).with_usage(1, process, Some(idle), self)
     }
 
-    /// The cache servers' side of what hollow nodes do; that of real ones is clients' data for the most part, and where there are
-    /// some, the processor time can't be told apart.
+    /// The cache servers' side of the traffic of hollow nodes. The traffic of real nodes is mostly client
+    /// data; if there are any, the processor time for control cannot be separated.
     fn cache_servers(&self) -> RoleCost {
         let (before, after) = (&self.before.cache_servers.hollow, &self.after.cache_servers.hollow);
         let members = self.size.cache_servers;
-        let cost = self.cost(members, stand_in_traffic(before, after), f64::from(after.connections));
+        let cost = self.cost(members, stub_traffic(before, after), f64::from(after.connections));
         if self.size.real_nodes > 0 {
             return cost;
         }
@@ -90,17 +90,18 @@
         cost.with_usage(members, process, Some(idle), self)
     }
 
-    /// The agreement's leader, its other voters, and its other members; one whose leader changed has none.
+    /// The agreement's leader, its other voters, and its other members. There is no leader in the result if
+    /// it changed between the snapshots.
     fn agreement_members(&self) -> (Vec<u32>, Vec<u32>, Vec<u32>) {
         let voters = self.voters;
         if voters == 0 {
             return Default::default();
         }
-        let led = |look: &Look| -> Vec<u32> {
-            (0..voters).filter(|v| look.hollow.get(*v as usize).is_some_and(|node| node.leads)).collect()
+        let leaders_in = |snapshot: &Snapshot| -> Vec<u32> {
+            (0..voters).filter(|v| snapshot.hollow.get(*v as usize).is_some_and(|node| node.leads)).collect()
         };
-        let before = led(self.before);
-        let leaders = if before == led(self.after) && before.len() == 1 { before } else { Vec::new() };
+        let before = leaders_in(self.before);
+        let leaders = if before == leaders_in(self.after) && before.len() == 1 { before } else { Vec::new() };
         let others = (0..voters).filter(|v| !leaders.contains(v)).collect();
         (leaders, others, (voters..self.size.hollow_nodes).collect())
     }
@@ -110,12 +111,12 @@
         self.cost(members.len() as u32, traffic, 0.0)
     }
 
-    fn hollow_traffic(&self, members: &[u32], wanted: impl Fn(&ChannelTraffic) -> bool + Copy) -> Traffic {
+    fn hollow_traffic(&self, members: &[u32], matches: impl Fn(&ChannelTraffic) -> bool + Copy) -> Traffic {
         let mut sum = Traffic::default();
         for member in members {
             let at = *member as usize;
             if let (Some(before), Some(after)) = (self.before.hollow.get(at), self.after.hollow.get(at)) {
-                sum.add(&after.sum(wanted).since(&before.sum(wanted)));
+                sum.add(&after.sum(matches).since(&before.sum(matches)));
             }
         }
         sum
@@ -136,13 +137,13 @@
 }
 
 impl RoleCost {
-    /// With what its processes used, each less what one that idles did.
+    /// Adds the resource usage of the role's processes, each minus that of the idle worker.
     fn with_usage<'a>(
         mut self,
         members: u32,
         processes: impl IntoIterator<Item = (&'a Usage, &'a Usage)>,
         idle: Option<(&Usage, &Usage)>,
-        measured: &Measured<'_>,
+        measurement: &Measurement<'_>,
     ) -> RoleCost {
         let nothing = Usage::default();
         let (idle_before, idle_after) = idle.unwrap_or((&nothing, &nothing));
@@ -156,24 +157,24 @@
         }
         let each = |sum: f64| Some(sum.max(0.0) / f64::from(members.max(1)));
         self.resident_bytes = each(resident);
-        self.user_cpu = each(user / measured.seconds());
-        self.system_cpu = each(system / measured.seconds());
+        self.user_cpu = each(user / measurement.seconds());
+        self.system_cpu = each(system / measurement.seconds());
         self
     }
 }
 
-fn stand_in_traffic(before: &HostCounts, after: &HostCounts) -> Traffic {
+fn stub_traffic(before: &HostCounts, after: &HostCounts) -> Traffic {
     after.sum(|_| true).since(&before.sum(|_| true))
 }
 
-/// How long it took until nodes were answered again.
-pub(super) fn spread(mut returned: Returned, expected: u32) -> ChangeSpread {
+/// How long the nodes took to be answered by discovery again.
+pub(super) fn propagation(mut returned: ReturnTimes, expected: u32) -> ChangePropagation {
     returned.sort_by(f64::total_cmp);
     let at = |part: f64| {
         let place = (part * returned.len() as f64).ceil() as usize;
         returned.get(place.saturating_sub(1)).copied().unwrap_or(0.0)
     };
-    ChangeSpread {
+    ChangePropagation {
         change: Change::List,
         acted: returned.len() as u32,
         expected,
--- a/crates/scale/src/real_sockets/counting.rs
+++ b/crates/scale/src/real_sockets/counting.rs
@@ -1,8 +1,8 @@
-//! A [`Host`] that counts what goes through it: bytes and messages of TCP connections and datagrams, by channel.
+//! A [`Host`] that counts bytes and messages of TCP connections and datagrams, by channel.
 //!
-//! A datagram is one message. On a TCP connection a message begins where the direction of the bytes turns: on one that
-//! carries a request and its answer in turn, as the watch on discovery does, these are exactly its messages; requests that
-//! are sent before the answer to an earlier one count as one message with it.
+//! A datagram is one message. On a TCP connection a new message begins when the direction of the bytes
+//! changes. This is exact where requests and responses alternate, as in the watch on discovery; requests that
+//! are sent before the response to an earlier one count as one message with it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -20,7 +20,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// What a connection or a datagram is for.
+/// The purpose of a connection or datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Channel {
@@ -32,7 +32,7 @@
     Agreement,
     /// Connections to cache servers and to the origin.
     Server,
-    /// Connections that were accepted: clients of a node, nodes at a stand-in.
+    /// Accepted connections: of clients at a node, or of nodes at a stub.
     Accepted,
 }
 
@@ -50,7 +50,7 @@
 }
 
 impl Traffic {
-    /// Adds another to it.
+    /// Adds the counts of another traffic.
     pub fn add(&mut self, other: &Traffic) {
         self.messages_in += other.messages_in;
         self.messages_out += other.messages_out;
@@ -58,7 +58,7 @@
         self.bytes_out += other.bytes_out;
     }
 
-    /// What has come since an earlier count.
+    /// The traffic since an earlier count.
     pub fn since(&self, earlier: &Traffic) -> Traffic {
         Traffic {
             messages_in: self.messages_in.saturating_sub(earlier.messages_in),
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The same seen from the other side.
+    /// The same traffic as seen by the remote end.
     pub fn mirrored(&self) -> Traffic {
         Traffic {
             messages_in: self.messages_out,
@@ -79,56 +79,56 @@
     }
 }
 
-/// What was counted of one channel.
+/// The counts of one channel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChannelTraffic {
     /// The channel.
     pub channel: Channel,
-    /// Whether the other side is the address of a real node.
+    /// Whether the remote end is a real node.
     pub with_real_node: bool,
-    /// What was counted.
+    /// The counts.
     pub traffic: Traffic,
 }
 
-/// What was counted of one host.
+/// The counts of one host.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostCounts {
-    /// By channel.
+    /// Counts by channel.
     pub channels: Vec<ChannelTraffic>,
-    /// The most TCP connections that were open at a time.
+    /// The maximum number of concurrent TCP connections.
     pub connections: u32,
-    /// Whether its log said last that it leads the agreement.
+    /// Whether the host leads the agreement according to its log.
     pub leads: bool,
-    /// When discovery first answered on the latest connection to it, in milliseconds of Unix time.
+    /// When discovery first answered on the most recent connection to it, in milliseconds of Unix time.
     pub watch_answered_ms: Option<u64>,
 }
 
 impl HostCounts {
-    /// The sum over some channels.
-    pub fn sum(&self, wanted: impl Fn(&ChannelTraffic) -> bool) -> Traffic {
+    /// The sum over the channels that match.
+    pub fn sum(&self, matches: impl Fn(&ChannelTraffic) -> bool) -> Traffic {
         let mut sum = Traffic::default();
-        self.channels.iter().filter(|c| wanted(c)).for_each(|c| sum.add(&c.traffic));
+        self.channels.iter().filter(|c| matches(c)).for_each(|c| sum.add(&c.traffic));
         sum
     }
 }
 
-/// How a host tells channels apart.
+/// How a host assigns traffic to channels.
 #[derive(Clone, Debug)]
 pub struct ChannelMap {
-    /// Where discovery is; `None` on hosts that do not ask it.
+    /// The address of discovery; `None` on hosts that do not call it.
     pub discovery: Option<SocketAddr>,
-    /// The local port of the agreement's datagrams; those of any other port are messages of peers.
+    /// The local port of the agreement's datagrams. All other ports are for messages between peers.
     pub agreement_port: u16,
-    /// Addresses of real nodes.
+    /// The addresses of real nodes.
     pub real_nodes: Rc<[IpAddr]>,
 }
 
 impl ChannelMap {
-    fn of_connection(&self, to: SocketAddr) -> Channel {
+    fn channel_of_connection(&self, to: SocketAddr) -> Channel {
         if self.discovery == Some(to) { Channel::Discovery } else { Channel::Server }
     }
 
-    fn of_socket(&self, at: SocketAddr) -> Channel {
+    fn channel_of_socket(&self, at: SocketAddr) -> Channel {
         if at.port() == self.agreement_port { Channel::Agreement } else { Channel::Peer }
     }
 }
@@ -144,12 +144,12 @@
 }
 
 impl Counters {
-    fn change(&self, channel: Channel, with_real_node: bool, change: impl FnOnce(&mut Traffic)) {
-        change(self.channels.borrow_mut().entry((channel, with_real_node)).or_default());
+    fn update(&self, channel: Channel, with_real_node: bool, update: impl FnOnce(&mut Traffic)) {
+        update(self.channels.borrow_mut().entry((channel, with_real_node)).or_default());
     }
 }
 
-/// A host that counts.
+/// A host that counts its traffic.
 #[derive(Clone)]
 pub struct CountingHost<H: Host> {
     host: H,
@@ -158,12 +158,12 @@
 }
 
 impl<H: Host> CountingHost<H> {
-    /// A host that counts what goes through another.
+    /// Wraps a host whose traffic is to be counted.
     pub fn new(host: H, map: ChannelMap) -> CountingHost<H> {
         CountingHost { host, map: Rc::new(map), counters: Rc::default() }
     }
 
-    /// What was counted since the start.
+    /// The counts since the start.
     pub fn counts(&self) -> HostCounts {
         let counters = &self.counters;
         let channels = counters.channels.borrow();
@@ -198,7 +198,7 @@
 
     async fn connect(&self, to: SocketAddr) -> io::Result<CountingStream<H>> {
         let stream = self.host.connect(to).await?;
-        Ok(CountingStream { stream, connection: self.connection(self.map.of_connection(to)) })
+        Ok(CountingStream { stream, connection: self.connection(self.map.channel_of_connection(to)) })
     }
 
     async fn listen(&self, at: SocketAddr) -> io::Result<CountingListener<H>> {
@@ -207,14 +207,15 @@
 
     async fn datagrams(&self, at: SocketAddr) -> io::Result<CountingDatagrams<H>> {
         let socket = self.host.datagrams(at).await?;
-        Ok(CountingDatagrams { socket, channel: self.map.of_socket(at), host: self.clone() })
+        Ok(CountingDatagrams { socket, channel: self.map.channel_of_socket(at), host: self.clone() })
     }
 
     fn unix_time(&self) -> Duration {
         self.host.unix_time()
     }
 
-    /// Lines are not written: hundreds of nodes would fill a disk. What they tell of the agreement is kept.
+    /// Does not write the lines, which would fill a disk with hundreds of nodes. Only records from them
+    /// whether the node leads the agreement.
     fn log(&self, line: fmt::Arguments<'_>) {
         if let Some(leads) = agreement::leadership_change(&line.to_string()) {
             self.counters.leads.set(leads);
@@ -222,14 +223,14 @@
     }
 }
 
-/// The way that bytes last went on a connection.
+/// The direction in which bytes were last sent on a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Direction {
     In,
     Out,
 }
 
-/// One TCP connection; it is open until both halves are dropped.
+/// One TCP connection. It is open until both halves are dropped.
 struct Connection<H: Host> {
     host: CountingHost<H>,
     channel: Channel,
@@ -237,7 +238,7 @@
 }
 
 impl<H: Host> Connection<H> {
-    fn turns(&self, to: Direction) -> u64 {
+    fn new_messages(&self, to: Direction) -> u64 {
         u64::from(self.direction.replace(Some(to)) != Some(to))
     }
 
@@ -245,9 +246,9 @@
         if bytes == 0 {
             return;
         }
-        let messages = self.turns(Direction::In);
+        let messages = self.new_messages(Direction::In);
         let counters = &self.host.counters;
-        counters.change(self.channel, false, |traffic| {
+        counters.update(self.channel, false, |traffic| {
             traffic.messages_in += messages;
             traffic.bytes_in += bytes as u64;
         });
@@ -260,8 +261,8 @@
         if bytes == 0 {
             return;
         }
-        let messages = self.turns(Direction::Out);
-        self.host.counters.change(self.channel, false, |traffic| {
+        let messages = self.new_messages(Direction::Out);
+        self.host.counters.update(self.channel, false, |traffic| {
             traffic.messages_out += messages;
             traffic.bytes_out += bytes as u64;
         });
@@ -310,13 +311,13 @@
     connection: Rc<Connection<H>>,
 }
 
-/// Its half that is read from.
+/// The read half of a counted connection.
 pub struct CountingReading<H: Host> {
     reading: <H::Stream as Stream>::Reading,
     connection: Rc<Connection<H>>,
 }
 
-/// Its half that is written to.
+/// The write half of a counted connection.
 pub struct CountingWriting<H: Host> {
     writing: <H::Stream as Stream>::Writing,
     connection: Rc<Connection<H>>,
@@ -414,9 +415,9 @@
 }
 
 impl<H: Host> CountingDatagrams<H> {
-    fn count(&self, other: SocketAddr, change: impl FnOnce(&mut Traffic)) {
+    fn count(&self, other: SocketAddr, update: impl FnOnce(&mut Traffic)) {
         let with_real_node = self.host.map.real_nodes.contains(&other.ip());
-        self.host.counters.change(self.channel, with_real_node, change);
+        self.host.counters.update(self.channel, with_real_node, update);
     }
 }
 
--- a/crates/scale/src/real_sockets/error.rs
+++ b/crates/scale/src/real_sockets/error.rs
@@ -1,43 +1,43 @@
-//! Why a run on real sockets did not come to its end.
+//! Errors of runs on real sockets.
 
 use std::fmt;
 
-/// Why a run on real sockets did not come to its end.
+/// Why a run on real sockets failed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RealSocketsError {
-    /// A plan that makes no sense.
+    /// The plan is invalid.
     Plan(String),
-    /// A plan that needs more than this machine may give it; nothing was started.
-    Bound(BoundExceeded),
-    /// A process that can't be started, ended too early, or said something else than was asked.
+    /// The plan needs more than this machine may provide. Nothing was started.
+    Resource(ResourceExceeded),
+    /// A worker process could not be started, ended early, or sent an unexpected reply.
     Worker(String),
-    /// Something did not come to pass within its time.
+    /// Something did not happen in time.
     Deadline(&'static str),
-    /// The kernel does not tell what a process uses.
+    /// The kernel does not report the resource usage of a process.
     Usage(String),
-    /// Ctrl-C.
+    /// The run was interrupted with Ctrl-C.
     Interrupted,
 }
 
-/// A bound, with what was wanted of it.
+/// A limit that a plan exceeds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct BoundExceeded {
-    /// Which.
-    pub bound: Bound,
+pub struct ResourceExceeded {
+    /// The limit.
+    pub resource: Resource,
     /// What the plan needs.
-    pub wanted: u64,
-    /// What it may have.
+    pub needed: u64,
+    /// What is permitted.
     pub allowed: u64,
 }
 
-/// What a run may use of its machine.
+/// A limit on the resources of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bound {
-    /// Bytes of memory over all processes.
+pub enum Resource {
+    /// Bytes of memory of all processes together.
     Memory,
-    /// Processes.
+    /// Number of processes.
     Processes,
-    /// Descriptors of the process that has most of them.
+    /// Descriptors of the process that has the most.
     Descriptors,
     /// Local ports of outgoing connections.
     Ports,
@@ -45,28 +45,28 @@
     Addresses,
 }
 
-impl fmt::Display for BoundExceeded {
+impl fmt::Display for ResourceExceeded {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let what = match self.bound {
-            Bound::Memory => "bytes of memory",
-            Bound::Processes => "processes",
-            Bound::Descriptors => "descriptors in one process",
-            Bound::Ports => "local ports",
-            Bound::Addresses => "nodes with an address each",
+        let unit = match self.resource {
+            Resource::Memory => "bytes of memory",
+            Resource::Processes => "processes",
+            Resource::Descriptors => "descriptors in one process",
+            Resource::Ports => "local ports",
+            Resource::Addresses => "nodes with an address each",
         };
-        write!(f, "the run needs {} {what}, and {} are allowed", self.wanted, self.allowed)
+        write!(f, "the run needs {} {unit}, and {} are allowed", self.needed, self.allowed)
     }
 }
 
 impl fmt::Display for RealSocketsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RealSocketsError::Plan(what) => write!(f, "plan: {what}"),
-            RealSocketsError::Bound(exceeded) => write!(f, "{exceeded}"),
-            RealSocketsError::Worker(what) => write!(f, "worker process: {what}"),
-            RealSocketsError::Deadline(what) => write!(f, "not within its time: {what}"),
-            RealSocketsError::Usage(what) => write!(f, "/proc: {what}"),
-            RealSocketsError::Interrupted => f.write_str("interrupted; all that was started has ended"),
+            RealSocketsError::Plan(reason) => write!(f, "plan: {reason}"),
+            RealSocketsError::Resource(exceeded) => write!(f, "{exceeded}"),
+            RealSocketsError::Worker(reason) => write!(f, "worker process: {reason}"),
+            RealSocketsError::Deadline(reason) => write!(f, "timed out: {reason}"),
+            RealSocketsError::Usage(reason) => write!(f, "/proc: {reason}"),
+            RealSocketsError::Interrupted => f.write_str("interrupted; all started processes have ended"),
         }
     }
 }
--- a/crates/scale/src/real_sockets/hollow.rs
+++ b/crates/scale/src/real_sockets/hollow.rs
@@ -1,4 +1,5 @@
-//! Hollow nodes: the whole code of a node without clients, many in one process, each at an address of its own.
+//! Hollow nodes: the complete code of a node without clients. Many run in one process, each with its own
+//! address.
 
 use std::future::pending;
 use std::net::IpAddr;
@@ -17,98 +18,98 @@
 use super::counting::{ChannelMap, CountingHost, HostCounts};
 use super::error::RealSocketsError;
 use super::protocol::{HollowPlan, Reply, Request};
-use super::worker::{Command, reply};
+use super::worker::{RequestReceiver, reply};
 
-/// The machine of a hollow node.
-const MACHINE: SystemHost = SystemHost { program: "mothpier" };
-/// All nodes have heard of discovery within this time.
-const READY: Duration = Duration::from_secs(60);
-/// Between two looks whether they have.
-const LOOK: Duration = Duration::from_millis(20);
-/// Words to a node that wait; it is told none.
-const WORDS: usize = 1;
-/// Ends of nodes that wait to be told: one is enough to end the worker.
-const ENDS: usize = 1;
+/// The system host of hollow nodes.
+const SYSTEM_HOST: SystemHost = SystemHost { program: "mothpier" };
+/// Time within which all nodes must have been answered by discovery.
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
+/// Interval at which this is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Capacity of the control channel of a node; nothing is sent on it.
+const CONTROL_CAPACITY: usize = 1;
+/// Capacity of the channel that reports ended nodes: one is enough to end the worker.
+const ENDED_CAPACITY: usize = 1;
 
 /// Runs hollow nodes until the process ends.
 ///
 /// # Errors
-/// A node that can't start, or ends.
-pub(super) async fn serve(plan: HollowPlan, mut command: Command) -> Result<(), RealSocketsError> {
+/// A node cannot start, or ends.
+pub(super) async fn serve(plan: HollowPlan, mut requests: RequestReceiver) -> Result<(), RealSocketsError> {
     let real_nodes: Rc<[IpAddr]> =
         plan.fleet.real_nodes().map(|node| plan.fleet.network.address(node)).collect();
     let map = ChannelMap { discovery: Some(plan.discovery), agreement_port: agreement::PORT, real_nodes };
-    let (ends, mut ended) = mpsc::channel(ENDS);
+    let (ended_sender, mut ended) = mpsc::channel(ENDED_CAPACITY);
     let mut hosts = Vec::new();
     for node in plan.first..plan.first + plan.count {
         let config = configuration(&plan, node)?;
-        let host = CountingHost::new(MACHINE, map.clone());
+        let host = CountingHost::new(SYSTEM_HOST, map.clone());
         hosts.push(host.clone());
-        start(node, host, config, ends.clone());
+        start(node, host, config, ended_sender.clone());
     }
-    let answers = async {
-        ready(&hosts).await?;
+    let serve_requests = async {
+        wait_until_ready(&hosts).await?;
         reply(&Reply::HollowReady);
         loop {
-            match command.next().await {
+            match requests.next().await {
                 Request::Count => reply(&Reply::HollowCounts(counts(&hosts))),
                 Request::Restart { .. } => {
-                    return Err(RealSocketsError::Worker("hollow nodes are not restarted".into()));
+                    return Err(RealSocketsError::Worker("hollow nodes cannot be restarted".into()));
                 }
             }
         }
     };
     tokio::select! {
-        failed = answers => failed,
-        Some(why) = ended.recv() => Err(RealSocketsError::Worker(why)),
+        result = serve_requests => result,
+        Some(reason) = ended.recv() => Err(RealSocketsError::Worker(reason)),
     }
 }
 
-/// Starts a node on a set of tasks of its own.
-fn start(node: u32, host: CountingHost<SystemHost>, config: Config, ends: mpsc::Sender<String>) {
+/// Starts a node with its own task set.
+fn start(node: u32, host: CountingHost<SystemHost>, config: Config, ended_sender: mpsc::Sender<String>) {
     let local = LocalSet::new();
     local.spawn_local(async move {
-        let desk = OpsEndpoint::new(&config.site.class_names);
-        // Kept until the node ends: one that nobody can tell anything any more would end.
-        let (words, told): (mpsc::Sender<Control>, _) = mpsc::channel(WORDS);
-        let end = run(host, config, desk, told, StartOptions::default()).await;
-        drop(words);
-        let why = end.err().unwrap_or_else(|| "ended by itself".into());
-        let _ = ends.send(format!("hollow node {node}: {why}")).await;
+        let ops_endpoint = OpsEndpoint::new(&config.site.class_names);
+        // Kept until the node ends: a node ends when its control channel is closed.
+        let (control, commands): (mpsc::Sender<Control>, _) = mpsc::channel(CONTROL_CAPACITY);
+        let end = run(host, config, ops_endpoint, commands, StartOptions::default()).await;
+        drop(control);
+        let reason = end.err().unwrap_or_else(|| "exited unexpectedly".into());
+        let _ = ended_sender.send(format!("hollow node {node}: {reason}")).await;
         pending::<()>().await;
     });
     spawn_local(local);
 }
 
-/// What a node is told, read as the daemon would read it.
+/// The configuration of a node, read in the same way as by the daemon.
 fn configuration(plan: &HollowPlan, node: u32) -> Result<Config, RealSocketsError> {
-    let bad = |what: String| RealSocketsError::Plan(format!("node {node}: {what}"));
+    let invalid = |reason: String| RealSocketsError::Plan(format!("node {node}: {reason}"));
     let peers = plan.fleet.peers();
-    let at = process::NodeAddresses {
+    let addresses = process::NodeAddresses {
         listen: plan.fleet.network.client(node),
         discovery: plan.discovery,
         peers: &peers,
         operations: None,
     };
     let seed = plan.fleet.seed.wrapping_add(u64::from(node));
-    let world = plan.fleet.world()?;
-    let file = process::node_configuration(&world, node as usize, &at, seed, plan.known.clone());
-    let text = serde_json::to_vec(&file).map_err(|e| bad(e.to_string()))?;
-    let mut config = config::read(&text, Environment::default(), Precedence::File).map_err(bad)?;
+    let world = plan.fleet.world_scenario()?;
+    let file = process::node_configuration(&world, node as usize, &addresses, seed, plan.known.clone());
+    let text = serde_json::to_vec(&file).map_err(|e| invalid(e.to_string()))?;
+    let mut config = config::read(&text, Environment::default(), Precedence::File).map_err(invalid)?;
     let text = plan.fleet.operator(node)?;
-    config.operator = operator::read(&text).map_err(bad)?;
-    config.operator.check_against(&text, &config.site).map_err(bad)?;
+    config.operator = operator::read(&text).map_err(invalid)?;
+    config.operator.check_against(&text, &config.site).map_err(invalid)?;
     Ok(config)
 }
 
 /// Waits until discovery has answered every node.
-async fn ready(hosts: &[CountingHost<SystemHost>]) -> Result<(), RealSocketsError> {
-    let until = Instant::now() + READY;
+async fn wait_until_ready(hosts: &[CountingHost<SystemHost>]) -> Result<(), RealSocketsError> {
+    let deadline = Instant::now() + READY_TIMEOUT;
     while hosts.iter().any(|host| host.counts().watch_answered_ms.is_none()) {
-        if Instant::now() > until {
-            return Err(RealSocketsError::Deadline("discovery's first answers to hollow nodes"));
+        if Instant::now() > deadline {
+            return Err(RealSocketsError::Deadline("waiting for discovery's first answers to hollow nodes"));
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
     Ok(())
 }
--- a/crates/scale/src/real_sockets/plan.rs
+++ b/crates/scale/src/real_sockets/plan.rs
@@ -1,4 +1,4 @@
-//! What a run on real sockets consists of, and what its nodes and stand-ins are told.
+//! The plan of runs on real sockets, and the configuration of their nodes and stubs.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, UdpSocket};
 
@@ -10,82 +10,82 @@
 use crate::record::{FleetSize, FleetState};
 use crate::scenario::Scenario;
 
-/// The port on which a node listens for clients, at an address of its own.
+/// The port on which a node listens for clients, at its own address.
 const CLIENT_PORT: u16 = 7945;
 /// The port of messages between decision modules.
 const PEER_PORT: u16 = 7946;
-/// Nodes on one third byte of an address.
+/// Nodes whose addresses have the same third byte.
 const NODES_PER_BLOCK: u32 = 250;
-/// Second bytes of the loopback networks that runs use: trials have those below.
+/// The first of the second bytes of the loopback networks for runs; those below are used by trials.
 const FIRST_NETWORK: u8 = 96;
-/// How many of these there are.
+/// Number of these networks.
 const NETWORKS: u32 = 128;
-/// The agreement knows this many zones at most; a fleet of more zones is run with this many.
-const MOST_ZONES: u32 = 16;
-/// The most voters of the agreement that a run has.
-const MOST_VOTERS: u32 = 5;
+/// Maximum number of zones of the agreement; a fleet of more zones is run with this many.
+const MAX_ZONES: u32 = 16;
+/// Maximum number of voters of the agreement.
+const MAX_VOTERS: u32 = 5;
 
-/// A series of runs of one state.
+/// A series of runs in one state of the fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RealSocketsPlan {
-    /// Its name.
+    /// The plan's name.
     pub name: String,
     /// The state in which the fleet is measured.
     pub state: FleetState,
-    /// The sizes.
+    /// The sizes of the fleet.
     pub sizes: Vec<SizePlan>,
-    /// Runs at each size.
+    /// The number of runs at each size.
     pub repetitions: u32,
-    /// The seed of the first run; each further one has the next.
+    /// The seed of the first run; each further run has the next seed.
     pub seed: u64,
-    /// For how long nodes run before they are measured, in seconds.
+    /// How long nodes run before they are measured, in seconds.
     pub settle_s: f64,
-    /// For how long they are measured, in seconds.
+    /// How long nodes are measured, in seconds.
     pub measured_s: f64,
     /// Whether nodes agree on which zones serve.
     pub agreement: bool,
-    /// Requests a second that clients send to each real node; 0 for none.
+    /// Requests per second that clients send to each real node; 0 for none.
     pub load_per_real_node: f64,
-    /// Hollow nodes that share a process.
+    /// Number of hollow nodes that share a process.
     pub nodes_per_process: u32,
-    /// For how long discovery is down where it restarts, in seconds.
+    /// How long discovery is down when it is restarted, in seconds.
     pub discovery_down_s: f64,
 }
 
-/// One size.
+/// One size of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SizePlan {
-    /// Hollow nodes.
+    /// Number of hollow nodes.
     pub hollow_nodes: u32,
-    /// Real nodes beside them.
+    /// Number of real nodes.
     pub real_nodes: u32,
-    /// Sites that they stand at.
+    /// Number of sites with nodes.
     pub sites: u32,
-    /// Zones that the sites form.
+    /// Number of zones, which consist of sites.
     pub zones: u32,
-    /// Regions that the zones form.
+    /// Number of regions, which consist of zones.
     pub regions: u32,
-    /// Cache servers.
+    /// Number of cache servers.
     pub cache_servers: u32,
-    /// Changes of discovery's list in a second.
+    /// Changes of discovery's list per second.
     pub changes_per_s: f64,
 }
 
-/// What a scenario does not say, for it is of real sockets alone.
+/// Options that only real sockets have, and which scenarios therefore lack.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RealSocketsOptions {
     /// How many of the nodes of each size are real ones.
     pub real_nodes: u32,
-    /// Hollow nodes that share a process.
+    /// Number of hollow nodes that share a process.
     pub nodes_per_process: u32,
-    /// For how long discovery is down where it restarts, in seconds.
+    /// How long discovery is down when it is restarted, in seconds.
     pub discovery_down_s: f64,
 }
 
 impl RealSocketsPlan {
-    /// The plan of a scenario.
+    /// Converts a scenario to a plan.
     pub fn from_scenario(scenario: &Scenario, options: &RealSocketsOptions) -> RealSocketsPlan {
         let real = |size: &FleetSize| options.real_nodes.min(size.nodes);
         let plan = |size: &FleetSize| SizePlan {
@@ -114,43 +114,43 @@
 }
 
 impl SizePlan {
-    /// All nodes.
+    /// The number of all nodes.
     pub fn nodes(&self) -> u32 {
         self.hollow_nodes + self.real_nodes
     }
 
-    /// Zones that the nodes are told: no more than the agreement knows.
-    pub fn zones_told(&self) -> u32 {
-        self.zones.clamp(1, MOST_ZONES)
+    /// The number of zones in the nodes' configuration: at most as many as the agreement supports.
+    pub fn configured_zones(&self) -> u32 {
+        self.zones.clamp(1, MAX_ZONES)
     }
 
-    /// Processes of hollow nodes.
+    /// The number of processes of hollow nodes.
     pub fn hollow_processes(&self, nodes_per_process: u32) -> u32 {
         self.hollow_nodes.div_ceil(nodes_per_process.max(1))
     }
 
-    /// The size as the record has it.
+    /// The size as written to the run's record.
     pub fn recorded(&self) -> FleetSize {
         FleetSize {
             nodes: self.nodes(),
             sites: self.sites,
-            zones: self.zones_told(),
-            regions: self.regions.clamp(1, self.zones_told()),
+            zones: self.configured_zones(),
+            regions: self.regions.clamp(1, self.configured_zones()),
             cache_servers: self.cache_servers,
             changes_per_s: self.changes_per_s,
         }
     }
 }
 
-/// The loopback network of one run, in which each node has an address of its own.
+/// The loopback network of one run, in which each node has its own address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Network(u8);
 
 impl Network {
-    /// A network that nobody uses now: each process and each run looks for it from another place on.
+    /// Finds a network that is not in use. Each process and each run starts the search at a different place.
     ///
     /// # Errors
-    /// All are in use.
+    /// All networks are in use.
     pub fn free(process: u32, run: u32) -> Result<Network, RealSocketsError> {
         let first = process.wrapping_mul(7).wrapping_add(run);
         let network = |offset: u32| Network(FIRST_NETWORK + (first.wrapping_add(offset) % NETWORKS) as u8);
@@ -165,52 +165,52 @@
         Ipv4Addr::new(127, self.0, 1 + block as u8, 1 + host as u8).into()
     }
 
-    /// Where a node listens for clients.
+    /// The address at which a node listens for clients.
     pub fn client(self, node: u32) -> SocketAddr {
         (self.address(node), CLIENT_PORT).into()
     }
 
-    /// Where a node hears the decision modules of its peers.
+    /// The address at which a node receives messages of its peers' decision modules.
     pub fn peer(self, node: u32) -> SocketAddr {
         (self.address(node), PEER_PORT).into()
     }
 
-    /// Where a node hears the agreement.
+    /// The address at which a node receives messages of the agreement.
     pub fn agreement(self, node: u32) -> SocketAddr {
         (self.address(node), agreement::PORT).into()
     }
 }
 
-/// What all processes of a run are told.
+/// What all processes of a run know about its fleet.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FleetPlan {
-    /// Its size.
+    /// The size of the fleet.
     pub size: SizePlan,
-    /// Its network.
+    /// The network of the run.
     pub network: Network,
-    /// Its seed.
+    /// The seed of the run.
     pub seed: u64,
     /// Whether nodes agree on which zones serve.
     pub agreement: bool,
-    /// Requests a second over all real nodes.
+    /// Requests per second to all real nodes together.
     pub load: f64,
 }
 
 impl FleetPlan {
-    /// Voters of the agreement: the first nodes, an odd number of hollow ones, so that all they say is counted; none where there is
-    /// nothing to agree on.
+    /// The number of voters of the agreement, which are the first nodes: an odd number of hollow ones, so
+    /// that all their messages are counted. There are none if there is nothing to agree on.
     pub fn voters(&self) -> u32 {
-        let most = self.size.hollow_nodes.min(MOST_VOTERS);
-        let odd = most - u32::from(most.is_multiple_of(2) && most > 0);
-        if self.agreement && self.size.zones_told() > 1 { odd } else { 0 }
+        let max = self.size.hollow_nodes.min(MAX_VOTERS);
+        let odd = max - u32::from(max.is_multiple_of(2) && max > 0);
+        if self.agreement && self.size.configured_zones() > 1 { odd } else { 0 }
     }
 
-    /// The world of the stand-ins, and of the settings that nodes are told.
+    /// The scenario of the stubs, and of the settings of the nodes.
     ///
     /// # Errors
-    /// A text that is no scenario.
-    pub fn world(&self) -> Result<world::Scenario, RealSocketsError> {
-        let zones: Vec<String> = (0..self.size.zones_told()).map(zone_name).collect();
+    /// The generated text is not a valid scenario.
+    pub fn world_scenario(&self) -> Result<world::Scenario, RealSocketsError> {
+        let zones: Vec<String> = (0..self.size.configured_zones()).map(zone_name).collect();
         let text = format!(
             r#"
             name = "scale"
@@ -255,19 +255,19 @@
         world::parse(&text).map_err(|fault| RealSocketsError::Plan(fault.to_string()))
     }
 
-    /// The operator's file of a node: zones agreed on where there are any to agree on.
+    /// The operator's file of a node, with the agreement on zones if there is more than one.
     ///
     /// # Errors
-    /// A text that is no TOML.
+    /// The generated text is not valid TOML.
     pub fn operator(&self, node: u32) -> Result<String, RealSocketsError> {
         let voters = self.voters();
         if voters == 0 {
             return Ok(String::new());
         }
-        let regions = self.size.regions.clamp(1, self.size.zones_told());
+        let regions = self.size.regions.clamp(1, self.size.configured_zones());
         let mut text = String::from("[places]\non = true\npool = \"all\"\n");
         for region in 0..regions {
-            let zones = (0..self.size.zones_told()).filter(|zone| zone % regions == region);
+            let zones = (0..self.size.configured_zones()).filter(|zone| zone % regions == region);
             let zones: Vec<String> = zones.map(zone_name).collect();
             text += &format!("[[places.region]]\nname = \"r{region:02}\"\nzones = {zones:?}\n");
         }
@@ -278,12 +278,12 @@
         operator.map_err(RealSocketsError::Plan)
     }
 
-    /// Where decision modules hear each other, by node.
+    /// The addresses of the decision modules, by node.
     pub fn peers(&self) -> Vec<SocketAddr> {
         (0..self.size.nodes()).map(|node| self.network.peer(node)).collect()
     }
 
-    /// The numbers of the real nodes: those after the hollow ones.
+    /// The numbers of the real nodes, which follow those of the hollow ones.
     pub fn real_nodes(&self) -> std::ops::Range<u32> {
         self.size.hollow_nodes..self.size.nodes()
     }
--- a/crates/scale/src/real_sockets/processes.rs
+++ b/crates/scale/src/real_sockets/processes.rs
@@ -1,4 +1,4 @@
-//! Worker processes, from outside: started, asked, and ended by their ids.
+//! Worker processes as seen by the command: starts them, sends requests to them, and ends them.
 
 use std::cell::RefCell;
 use std::path::{Path, PathBuf};
@@ -13,65 +13,66 @@
 use super::error::RealSocketsError;
 use super::protocol::{Reply, Request, WorkerPlan};
 
-/// A worker has begun within this time.
-const BEGIN: Duration = Duration::from_secs(90);
-/// A worker has answered within this time, beside that for which it is to be down.
-const ANSWER: Duration = Duration::from_secs(20);
-/// A worker whose standard input has ended has ended within this time; it is killed then.
-const END: Duration = Duration::from_secs(5);
+/// Time within which a worker must have started.
+const START_TIMEOUT: Duration = Duration::from_secs(90);
+/// Time within which a worker must have replied, in addition to that for which it is to be down.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time after which a worker is killed if it has not ended although its standard input was closed.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The programs that a run starts.
 #[derive(Clone, Debug)]
 pub struct Programs {
-    /// `chalksill`, whose hidden command `scale worker` is a worker.
+    /// `chalksill`, whose hidden command `scale worker` runs a worker.
     pub chalksill: PathBuf,
     /// The daemon.
     pub mothpier: PathBuf,
 }
 
-/// All worker processes of a run. They end by themselves when the command's end of their standard input is closed, as it is when
-/// the command ends in any way; this one waits for them.
+/// All worker processes of a run. They end by themselves when their standard input is closed, which also
+/// happens when the command ends for any reason. [`Workers::end`] waits for them.
 #[derive(Clone, Default)]
 pub(super) struct Workers(Rc<RefCell<Vec<Child>>>);
 
-/// One worker process. Dropping it closes its standard input.
+/// One worker process. Dropping it closes the standard input of the process.
 pub(super) struct Worker {
-    /// The number by which the machine knows it.
+    /// The process id.
     pub process: u32,
     input: ChildStdin,
     output: Lines<BufReader<ChildStdout>>,
 }
 
 impl Workers {
-    /// Starts a worker, which is ready when [`Worker::begun`] says so. Its process group is its own: Ctrl-C at a terminal is told to
-    /// the command alone.
+    /// Starts a worker, which is ready when [`Worker::ready`] returns. It has its own process group, so that
+    /// Ctrl-C in a terminal interrupts only the command.
     ///
     /// # Errors
-    /// A program that can't be started.
+    /// The program cannot be started.
     pub async fn start(&self, chalksill: &Path, plan: &WorkerPlan) -> Result<Worker, RealSocketsError> {
-        let cannot = |e: std::io::Error| RealSocketsError::Worker(format!("{}: {e}", chalksill.display()));
+        let failed = |e: std::io::Error| RealSocketsError::Worker(format!("{}: {e}", chalksill.display()));
         let mut child = Command::new(chalksill)
             .args(["scale", "worker"])
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
             .process_group(0)
             .spawn()
-            .map_err(cannot)?;
+            .map_err(failed)?;
         let pipes = (child.stdin.take(), child.stdout.take(), child.id());
         self.0.borrow_mut().push(child);
         let (Some(input), Some(output), Some(process)) = pipes else {
-            return Err(RealSocketsError::Worker("a process without pipes".into()));
+            return Err(RealSocketsError::Worker("worker started without pipes".into()));
         };
         let mut worker = Worker { process, input, output: BufReader::new(output).lines() };
         worker.write(plan).await?;
         Ok(worker)
     }
 
-    /// Waits for the end of all workers, whose standard inputs must be closed; kills those that do not end.
+    /// Waits for the end of all workers, whose standard inputs must be closed; kills those that do not end in
+    /// time.
     pub async fn end(&self) {
         let children = std::mem::take(&mut *self.0.borrow_mut());
         for mut child in children {
-            if timeout(END, child.wait()).await.is_err() {
+            if timeout(EXIT_TIMEOUT, child.wait()).await.is_err() {
                 let _ = child.kill().await;
             }
         }
@@ -80,48 +81,48 @@
 
 impl Worker {
     async fn write(&mut self, line: &impl serde::Serialize) -> Result<(), RealSocketsError> {
-        let bad = |what: String| RealSocketsError::Worker(what);
-        let mut bytes = serde_json::to_vec(line).map_err(|e| bad(e.to_string()))?;
+        let failed = |reason: String| RealSocketsError::Worker(reason);
+        let mut bytes = serde_json::to_vec(line).map_err(|e| failed(e.to_string()))?;
         bytes.push(b'\n');
-        let written = timeout(ANSWER, self.input.write_all(&bytes)).await;
-        // One that can't be written to has ended: what it said before tells why, and is read next.
-        let _ = written.map_err(|_| RealSocketsError::Deadline("a worker's reading of a request"))?;
+        let written = timeout(REPLY_TIMEOUT, self.input.write_all(&bytes)).await;
+        // A worker that cannot be written to has ended. Its last line has the reason, and is read next.
+        let _ = written.map_err(|_| RealSocketsError::Deadline("sending a request to a worker"))?;
         Ok(())
     }
 
     async fn read(&mut self, within: Duration) -> Result<Reply, RealSocketsError> {
-        let bad = |what: String| RealSocketsError::Worker(what);
+        let failed = |reason: String| RealSocketsError::Worker(reason);
         let line = timeout(within, self.output.next_line()).await;
-        let line = line.map_err(|_| RealSocketsError::Deadline("a worker's answer"))?;
-        let line = line.map_err(|e| bad(e.to_string()))?;
-        let line = line.ok_or_else(|| bad("it has ended without a word".into()))?;
-        match serde_json::from_str(&line).map_err(|e| bad(e.to_string()))? {
-            Reply::Failed(why) => Err(bad(why)),
+        let line = line.map_err(|_| RealSocketsError::Deadline("waiting for a worker's reply"))?;
+        let line = line.map_err(|e| failed(e.to_string()))?;
+        let line = line.ok_or_else(|| failed("ended without a reply".into()))?;
+        match serde_json::from_str(&line).map_err(|e| failed(e.to_string()))? {
+            Reply::Failed(reason) => Err(failed(reason)),
             reply => Ok(reply),
         }
     }
 
-    /// Waits until it has begun, which its first line tells.
+    /// Waits until the worker has started, which it reports in its first line.
     ///
     /// # Errors
-    /// A worker that fails, or takes too long.
-    pub async fn begun(&mut self) -> Result<Reply, RealSocketsError> {
-        self.read(BEGIN).await
+    /// The worker fails, or takes too long.
+    pub async fn ready(&mut self) -> Result<Reply, RealSocketsError> {
+        self.read(START_TIMEOUT).await
     }
 
-    /// Asks it something, and waits for the answer; it may take a time beyond the usual one.
+    /// Sends a request and waits for the reply, for up to `extra` beyond the usual time.
     ///
     /// # Errors
-    /// A worker that fails, or takes too long.
-    pub async fn ask(&mut self, request: Request, beyond: Duration) -> Result<Reply, RealSocketsError> {
+    /// The worker fails, or takes too long.
+    pub async fn request(&mut self, request: Request, extra: Duration) -> Result<Reply, RealSocketsError> {
         self.write(&request).await?;
-        self.read(ANSWER + beyond).await
+        self.read(REPLY_TIMEOUT + extra).await
     }
 }
 
-/// An answer of another kind than was asked for.
-pub(super) fn unasked(reply: &Reply) -> RealSocketsError {
-    let mut text = format!("an answer that was not asked for: {reply:?}");
+/// The error for a reply that does not belong to the request.
+pub(super) fn unexpected_reply(reply: &Reply) -> RealSocketsError {
+    let mut text = format!("unexpected reply: {reply:?}");
     text.truncate(text.char_indices().nth(200).map_or(text.len(), |(at, _)| at));
     RealSocketsError::Worker(text)
 }
--- a/crates/scale/src/real_sockets/protocol.rs
+++ b/crates/scale/src/real_sockets/protocol.rs
@@ -1,4 +1,4 @@
-//! What the command and its worker processes say to each other: a line of JSON each, the plan first.
+//! The protocol between the command and its worker processes: one line of JSON per message, the plan first.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,78 +8,78 @@
 use super::counting::HostCounts;
 use super::plan::FleetPlan;
 
-/// The first line that a worker reads: what it is to be.
+/// The first line that a worker reads: its task.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WorkerPlan {
-    /// Hollow nodes.
+    /// Run hollow nodes.
     Hollow(HollowPlan),
-    /// Cache servers and the origin.
+    /// Run the cache servers and the origin.
     CacheServers(FleetPlan),
-    /// Discovery.
+    /// Run discovery.
     Discovery(DiscoveryPlan),
-    /// Real nodes: processes of the daemon that end with the worker.
+    /// Run real nodes: processes of the daemon that end with the worker.
     RealNodes(RealNodesPlan),
 }
 
-/// Which hollow nodes a worker runs.
+/// The hollow nodes of a worker.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HollowPlan {
     /// The fleet.
     pub fleet: FleetPlan,
-    /// The first of its nodes.
+    /// The first node.
     pub first: u32,
-    /// How many; with none it idles.
+    /// The number of nodes; a worker with none is idle.
     pub count: u32,
-    /// Where they ask for the list.
+    /// The address at which they call discovery.
     pub discovery: SocketAddr,
     /// The list that they start with.
     pub known: serde_json::Value,
 }
 
-/// What discovery lists.
+/// The list of discovery.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DiscoveryPlan {
     /// The fleet.
     pub fleet: FleetPlan,
-    /// Cache servers, then the origin.
+    /// The cache servers, followed by the origin.
     pub servers: Vec<ServerAddresses>,
 }
 
-/// The real nodes that a worker keeps.
+/// The real nodes of a worker.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RealNodesPlan {
     /// The fleet.
     pub fleet: FleetPlan,
-    /// The daemon.
+    /// The daemon's program file.
     pub program: PathBuf,
-    /// Where its configurations and logs go.
+    /// The folder for configurations and logs.
     pub folder: PathBuf,
-    /// Where they ask for the list.
+    /// The address at which they call discovery.
     pub discovery: SocketAddr,
     /// The list that they start with.
     pub known: serde_json::Value,
 }
 
-/// Where a cache server or the origin is reached. Each kind of nodes has an address of its own, so that their traffic is told
-/// apart.
+/// Addresses of a cache server or of the origin. Hollow and real nodes have different ones, so that their
+/// traffic is counted separately.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct ServerAddresses {
-    /// By hollow nodes.
+    /// The address for hollow nodes.
     pub hollow: SocketAddr,
-    /// By real nodes.
+    /// The address for real nodes.
     pub real: SocketAddr,
 }
 
-/// A further line that a worker reads.
+/// A later line that a worker reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Request {
-    /// Tell what was counted.
+    /// Report the counts.
     Count,
-    /// Discovery alone: go down for so many milliseconds.
+    /// Restart: only for discovery.
     Restart {
-        /// For how long.
+        /// How long to be down, in milliseconds.
         down_ms: u64,
     },
 }
@@ -88,33 +88,34 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reply {
-    /// Hollow nodes run.
+    /// The hollow nodes are running.
     HollowReady,
-    /// Cache servers and the origin serve.
+    /// The cache servers and the origin are serving.
     CacheServersReady(Vec<ServerAddresses>),
-    /// Discovery serves.
+    /// Discovery is serving.
     DiscoveryReady(DiscoveryReady),
-    /// Real nodes run, as these processes.
+    /// The real nodes are running, with these process ids.
     RealNodesReady(Vec<u32>),
-    /// What hollow nodes counted, in their order.
+    /// The counts of hollow nodes, in their order.
     HollowCounts(Vec<HostCounts>),
-    /// What a stand-in counted.
-    StandInCounts(StandInCounts),
-    /// Discovery serves again, from this time on (Unix time in milliseconds).
+    /// The counts of a stub.
+    #[serde(rename = "stand-in-counts")]
+    StubCounts(StubCounts),
+    /// Discovery is serving again.
     Restarted {
-        /// When.
+        /// When it started again, in milliseconds of Unix time.
         at_ms: u64,
     },
-    /// It can't go on.
+    /// The worker failed.
     Failed(String),
 }
 
-/// Where discovery is, and what it lists.
+/// The addresses and lists of discovery.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DiscoveryReady {
-    /// Where hollow nodes ask.
+    /// The address for hollow nodes.
     pub hollow: SocketAddr,
-    /// Where real nodes ask.
+    /// The address for real nodes.
     pub real: SocketAddr,
     /// The list for hollow nodes.
     pub known_hollow: serde_json::Value,
@@ -122,11 +123,11 @@
     pub known_real: serde_json::Value,
 }
 
-/// What a stand-in counted, by the kind of nodes.
+/// The counts of a stub, by kind of node.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct StandInCounts {
-    /// With hollow nodes.
+pub struct StubCounts {
+    /// Traffic with hollow nodes.
     pub hollow: HostCounts,
-    /// With real nodes.
+    /// Traffic with real nodes.
     pub real: HostCounts,
 }
--- a/crates/scale/src/real_sockets/real_nodes.rs
+++ b/crates/scale/src/real_sockets/real_nodes.rs
@@ -1,4 +1,5 @@
-//! Real nodes: processes of the daemon, kept by a worker that ends them when its own standard input ends.
+//! Real nodes: processes of the daemon, supervised by a worker that ends them when its own standard input is
+//! closed.
 
 use std::future::pending;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -10,27 +11,28 @@
 
 use super::error::RealSocketsError;
 use super::protocol::{RealNodesPlan, Reply};
-use super::worker::{AtEnd, Command, reply};
+use super::worker::{ExitHook, RequestReceiver, reply};
 
-/// Between two looks whether a node has ended by itself.
-const LOOK: Duration = Duration::from_millis(200);
+/// Interval at which it is checked whether a node has ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The processes that were started. Who holds the lock starts or ends some: none is started after the end has begun.
+/// The started processes. The lock is held while processes are started or ended, so that none is started once
+/// the end has begun.
 #[derive(Default)]
-pub(super) struct Nodes(Arc<Mutex<Vec<Process>>>);
+pub(super) struct NodeProcesses(Arc<Mutex<Vec<Process>>>);
 
-impl Nodes {
+impl NodeProcesses {
     fn lock(&self) -> MutexGuard<'_, Vec<Process>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Kills all of them, and lets none be started after that.
-    pub fn killer(&self) -> AtEnd {
+    /// A hook that kills all processes and prevents further starts.
+    pub fn kill_hook(&self) -> ExitHook {
         let nodes = self.0.clone();
         Box::new(move || {
             let nodes = nodes.lock().unwrap_or_else(PoisonError::into_inner);
             nodes.iter().for_each(|node| node.signal(Signal::SIGKILL));
-            // The process ends with the lock held.
+            // Keeps the lock until the process exits.
             std::mem::forget(nodes);
         })
     }
@@ -39,29 +41,29 @@
 /// Runs real nodes until the process ends.
 ///
 /// # Errors
-/// A node that can't be started, does not answer, or ends by itself.
+/// A node cannot be started, does not answer, or ends.
 pub(super) async fn serve(
     plan: RealNodesPlan,
-    nodes: &Nodes,
-    mut command: Command,
+    nodes: &NodeProcesses,
+    mut requests: RequestReceiver,
 ) -> Result<(), RealSocketsError> {
     let worker = RealSocketsError::Worker;
     let started = start_all(&plan, nodes).await;
-    let watched = async {
+    let supervised = async {
         started?;
         reply(&Reply::RealNodesReady(nodes.lock().iter().filter_map(Process::id).collect()));
         loop {
             tokio::select! {
-                _ = command.next() => return Err(worker("real nodes count nothing".into())),
-                () = sleep(LOOK) => {
+                _ = requests.next() => return Err(worker("real nodes have no counts".into())),
+                () = sleep(POLL_INTERVAL) => {
                     if let Some(status) = nodes.lock().iter_mut().find_map(Process::exit_status) {
-                        return Err(worker(format!("a real node has ended: {status}")));
+                        return Err(worker(format!("a real node exited: {status}")));
                     }
                 }
             }
         }
     };
-    let failed: Result<(), _> = watched.await;
+    let failed: Result<(), _> = supervised.await;
     nodes.lock().iter().for_each(|node| node.signal(Signal::SIGKILL));
     if let Err(e) = failed {
         reply(&Reply::Failed(e.to_string()));
@@ -69,17 +71,17 @@
     pending().await
 }
 
-async fn start_all(plan: &RealNodesPlan, nodes: &Nodes) -> Result<(), RealSocketsError> {
-    let world = plan.fleet.world()?;
+async fn start_all(plan: &RealNodesPlan, nodes: &NodeProcesses) -> Result<(), RealSocketsError> {
+    let world = plan.fleet.world_scenario()?;
     let peers = plan.fleet.peers();
     let worker = RealSocketsError::Worker;
     std::fs::create_dir_all(&plan.folder).map_err(|e| worker(e.to_string()))?;
     for node in plan.fleet.real_nodes() {
         let listen = plan.fleet.network.client(node);
-        let at =
+        let addresses =
             process::NodeAddresses { listen, discovery: plan.discovery, peers: &peers, operations: None };
         let seed = plan.fleet.seed.wrapping_add(u64::from(node));
-        let config = process::node_configuration(&world, node as usize, &at, seed, plan.known.clone());
+        let config = process::node_configuration(&world, node as usize, &addresses, seed, plan.known.clone());
         let files = plan.folder.join(format!("n{node}"));
         process::write_files(&files, &config, &plan.fleet.operator(node)?).map_err(worker)?;
         let mut started = nodes.lock();
--- a/crates/scale/src/real_sockets/bounds.rs
+++ b/crates/scale/src/real_sockets/resources.rs
@@ -1,40 +1,42 @@
-//! What a run will use of its machine, counted before anything is started.
+//! Resources that a run will need, checked against the machine's limits before anything is started.
 
 use procfs::{Current, Meminfo};
 
-use super::error::{Bound, BoundExceeded, RealSocketsError};
+use super::error::{RealSocketsError, Resource, ResourceExceeded};
 use super::plan::{RealSocketsPlan, SizePlan};
 
-/// All processes of a run together, the command's own included.
-const MOST_PROCESSES: u64 = 200;
-/// Memory that a process is counted with before it has any node: the program's pages and its runtime.
+/// Maximum number of processes of a run, including the command itself.
+const MAX_PROCESSES: u64 = 200;
+/// Memory of a process without nodes: the program's pages and its runtime.
 const PROCESS_BYTES: u64 = 24 << 20;
-/// Memory that a node is counted with: the budget of its control code.
+/// Memory of a real node: the budget of its control code.
 const NODE_BYTES: u64 = 64 << 20;
-/// Memory that a hollow node is counted with: it has no clients' data, and shares the program's pages. One before 100 cache servers
-/// was seen to need 0.3 MB; the list that it holds may be ten times as long.
+/// Memory of a hollow node, which has no client data and shares the program's pages. With 100 cache servers
+/// one needed 0.3 MB; the list may be ten times as long.
 const HOLLOW_NODE_BYTES: u64 = 8 << 20;
-/// Memory that a cache server's stand-in is counted with: 500 short keys.
+/// Memory of a stub cache server: 500 short keys.
 const CACHE_SERVER_BYTES: u64 = 1 << 20;
-/// Descriptors of a hollow node: its listener, two sockets for datagrams, the watch, and one that is being opened anew.
+/// Descriptors of a hollow node: its listener, two datagram sockets, the watch, and a new watch that is being
+/// opened.
 const HOLLOW_NODE_DESCRIPTORS: u64 = 6;
 /// Connections that a real node under light load may have to one cache server.
 const CONNECTIONS_PER_SERVER: u64 = 4;
-/// Descriptors of a process beside: standard streams, the runtime, pipes.
+/// Other descriptors of a process: standard streams, the runtime, pipes.
 const OWN_DESCRIPTORS: u64 = 32;
-/// Descriptors of the command for each worker process: two pipes and the process.
+/// Descriptors of the command for each worker: two pipes and the process.
 const WORKER_DESCRIPTORS: u64 = 4;
-/// Connections that the command's clients keep to one real node.
+/// Connections of the command's clients to one real node.
 const CLIENT_CONNECTIONS: u64 = 256;
-/// Beside processes of nodes: the command, discovery, cache servers, the keeper of real nodes and the one that idles.
+/// Processes without hollow or real nodes: the command, discovery, the cache servers, the supervisor of real
+/// nodes and the idle worker.
 const OTHER_PROCESSES: u64 = 5;
-/// Nodes that a loopback network of a run has addresses for.
-const MOST_NODES: u64 = 250 * 250;
+/// Nodes for which a run's loopback network has addresses.
+const MAX_NODES: u64 = 250 * 250;
 
-/// What the machine lets a run have.
+/// Limits of the machine for a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Allowed {
-    /// Bytes of memory: half of the machine's.
+pub struct MachineLimits {
+    /// Memory in bytes: half of the machine's.
     pub memory: u64,
     /// Descriptors of one process: the soft limit.
     pub descriptors: u64,
@@ -42,12 +44,12 @@
     pub ports: u64,
 }
 
-impl Allowed {
-    /// What this machine allows.
+impl MachineLimits {
+    /// Reads the limits of this machine.
     ///
     /// # Errors
-    /// A kernel that does not tell.
-    pub fn here() -> Result<Allowed, RealSocketsError> {
+    /// The kernel does not report them.
+    pub fn detect() -> Result<MachineLimits, RealSocketsError> {
         let usage = |e: procfs::ProcError| RealSocketsError::Usage(e.to_string());
         let memory = Meminfo::current().map_err(usage)?.mem_total / 2;
         let limits = procfs::process::Process::myself().and_then(|p| p.limits()).map_err(usage)?;
@@ -61,13 +63,13 @@
         let &[first, last] = ends.as_slice() else {
             return Err(RealSocketsError::Usage(format!("ip_local_port_range: {range:?}")));
         };
-        Ok(Allowed { memory, descriptors, ports: (last + 1).saturating_sub(first) })
+        Ok(MachineLimits { memory, descriptors, ports: (last + 1).saturating_sub(first) })
     }
 }
 
 /// What one size needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Needed {
+struct Requirements {
     memory: u64,
     processes: u64,
     descriptors: u64,
@@ -75,8 +77,8 @@
     addresses: u64,
 }
 
-impl Needed {
-    fn of(size: &SizePlan, plan: &RealSocketsPlan) -> Needed {
+impl Requirements {
+    fn of(size: &SizePlan, plan: &RealSocketsPlan) -> Requirements {
         let (hollow, real) = (u64::from(size.hollow_nodes), u64::from(size.real_nodes));
         let servers = u64::from(size.cache_servers);
         let hollow_processes = u64::from(size.hollow_processes(plan.nodes_per_process));
@@ -86,12 +88,12 @@
         let per_process = u64::from(plan.nodes_per_process).min(hollow);
         let descriptors = [
             per_process * HOLLOW_NODE_DESCRIPTORS,
-            // A node that opens its watch anew may have two for a moment.
+            // A node that reopens its watch may briefly have two.
             (hollow + real) * 2,
             servers * 2 + server_connections,
             workers * WORKER_DESCRIPTORS + loaded * CLIENT_CONNECTIONS,
         ];
-        Needed {
+        Requirements {
             memory: (workers + 1) * PROCESS_BYTES
                 + hollow * HOLLOW_NODE_BYTES
                 + real * NODE_BYTES
@@ -104,23 +106,23 @@
     }
 }
 
-/// Looks whether every size of a plan keeps to the bounds.
+/// Checks whether every size of a plan stays within the limits.
 ///
 /// # Errors
-/// The first bound that one does not keep to, with the figures.
-pub fn check(plan: &RealSocketsPlan, allowed: &Allowed) -> Result<(), RealSocketsError> {
+/// The first limit that is exceeded, with the needed and the permitted value.
+pub fn check_resources(plan: &RealSocketsPlan, allowed: &MachineLimits) -> Result<(), RealSocketsError> {
     for size in &plan.sizes {
-        let needed = Needed::of(size, plan);
+        let requirements = Requirements::of(size, plan);
         let pairs = [
-            (Bound::Processes, needed.processes, MOST_PROCESSES),
-            (Bound::Memory, needed.memory, allowed.memory),
-            (Bound::Descriptors, needed.descriptors, allowed.descriptors),
-            (Bound::Ports, needed.ports, allowed.ports),
-            (Bound::Addresses, needed.addresses, MOST_NODES),
+            (Resource::Processes, requirements.processes, MAX_PROCESSES),
+            (Resource::Memory, requirements.memory, allowed.memory),
+            (Resource::Descriptors, requirements.descriptors, allowed.descriptors),
+            (Resource::Ports, requirements.ports, allowed.ports),
+            (Resource::Addresses, requirements.addresses, MAX_NODES),
         ];
-        for (bound, wanted, allowed) in pairs {
-            if wanted > allowed {
-                return Err(RealSocketsError::Bound(BoundExceeded { bound, wanted, allowed }));
+        for (resource, needed, allowed) in pairs {
+            if needed > allowed {
+                return Err(RealSocketsError::Resource(ResourceExceeded { resource, needed, allowed }));
             }
         }
     }
--- a/crates/scale/src/real_sockets/stage.rs
+++ b/crates/scale/src/real_sockets/running_fleet.rs
@@ -1,4 +1,5 @@
-//! One run: its workers started in order, the state brought about, and what was counted and used between two looks.
+//! The running fleet of one run: starts its workers in order, restarts discovery, and takes snapshots of
+//! counts and resource usage.
 
 use std::path::Path;
 use std::time::Duration;
@@ -13,66 +14,67 @@
 use super::counting::HostCounts;
 use super::error::RealSocketsError;
 use super::plan::{FleetPlan, RealSocketsPlan};
-use super::processes::{Programs, Worker, Workers, unasked};
+use super::processes::{Programs, Worker, Workers, unexpected_reply};
 use super::protocol::{
-    DiscoveryPlan, DiscoveryReady, HollowPlan, RealNodesPlan, Reply, Request, StandInCounts, WorkerPlan,
+    DiscoveryPlan, DiscoveryReady, HollowPlan, RealNodesPlan, Reply, Request, StubCounts, WorkerPlan,
 };
 use super::usage::Usage;
 
-/// The machine of the command's clients.
-const MACHINE: SystemHost = SystemHost { program: "chalksill" };
-/// The agreement has a leader within this time.
-const LEADER: Duration = Duration::from_secs(30);
-/// All watches are open again within this time after discovery's return.
-const RETURN: Duration = Duration::from_secs(60);
-/// Between two looks for either.
-const LOOK: Duration = Duration::from_millis(200);
+/// The system host of the command's clients.
+const SYSTEM_HOST: SystemHost = SystemHost { program: "chalksill" };
+/// Time within which the agreement must have a leader.
+const LEADER_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time within which all watches must be open again after the return of discovery.
+const RETURN_TIMEOUT: Duration = Duration::from_secs(60);
+/// Interval at which both are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What all parts of a run have counted and used, at one time.
-pub(super) struct Look {
-    /// When.
+/// Counts and resource usage of all parts of a run at one time.
+pub(super) struct Snapshot {
+    /// The time of the snapshot.
     pub at: Instant,
-    /// Hollow nodes, by number.
+    /// Counts of hollow nodes, by number.
     pub hollow: Vec<HostCounts>,
-    /// What discovery has counted.
-    pub discovery: StandInCounts,
-    /// What cache servers and the origin have counted.
-    pub cache_servers: StandInCounts,
-    /// What the processes use.
-    pub usage: Usages,
+    /// Counts of discovery.
+    pub discovery: StubCounts,
+    /// Counts of the cache servers and the origin.
+    pub cache_servers: StubCounts,
+    /// Resource usage of the processes.
+    pub usage: FleetUsage,
 }
 
-/// What processes use.
-pub(super) struct Usages {
+/// Resource usage of the processes of a run.
+pub(super) struct FleetUsage {
     /// Processes of hollow nodes.
     pub hollow: Vec<Usage>,
-    /// The one that idles.
+    /// The idle worker.
     pub idle: Usage,
     /// Real nodes.
     pub real: Vec<Usage>,
     /// Discovery.
     pub discovery: Usage,
-    /// Cache servers and the origin.
+    /// The cache servers and the origin.
     pub cache_servers: Usage,
 }
 
-/// How long after discovery's return each hollow node was answered, in seconds; those that were not are missing.
-pub(super) type Returned = Vec<f64>;
+/// Seconds from the return of discovery until each hollow node was answered by it; nodes that were not
+/// answered are missing.
+pub(super) type ReturnTimes = Vec<f64>;
 
 /// The workers of a run.
-pub(super) struct Stage {
+pub(super) struct RunningFleet {
     plan: FleetPlan,
     hollow: Vec<Worker>,
     idle: Worker,
     discovery: Worker,
     cache_servers: Worker,
-    /// Held, so that its standard input stays open.
+    /// Keeps the worker's standard input open.
     _real: Option<Worker>,
     real_processes: Vec<u32>,
     load: Option<AbortHandle>,
 }
 
-impl Drop for Stage {
+impl Drop for RunningFleet {
     fn drop(&mut self) {
         if let Some(load) = &self.load {
             load.abort();
@@ -80,35 +82,35 @@
     }
 }
 
-impl Stage {
+impl RunningFleet {
     /// Starts all workers: cache servers, discovery, then nodes.
     ///
     /// # Errors
-    /// A worker that fails.
+    /// A worker fails.
     pub async fn start(
         workers: &Workers,
         programs: &Programs,
         run: &RealSocketsPlan,
         plan: FleetPlan,
         folder: &Path,
-    ) -> Result<Stage, RealSocketsError> {
+    ) -> Result<RunningFleet, RealSocketsError> {
         let start = |plan: WorkerPlan| {
             let (workers, program) = (workers.clone(), programs.chalksill.clone());
             async move { workers.start(&program, &plan).await }
         };
         let mut cache_servers = start(WorkerPlan::CacheServers(plan.clone())).await?;
-        let servers = match cache_servers.begun().await? {
+        let servers = match cache_servers.ready().await? {
             Reply::CacheServersReady(servers) => servers,
-            other => return Err(unasked(&other)),
+            other => return Err(unexpected_reply(&other)),
         };
         let mut discovery =
             start(WorkerPlan::Discovery(DiscoveryPlan { fleet: plan.clone(), servers })).await?;
-        let lists = match discovery.begun().await? {
+        let lists = match discovery.ready().await? {
             Reply::DiscoveryReady(lists) => lists,
-            other => return Err(unasked(&other)),
+            other => return Err(unexpected_reply(&other)),
         };
         let mut hollow = Vec::new();
-        for group in groups(plan.size.hollow_nodes, run.nodes_per_process) {
+        for group in process_groups(plan.size.hollow_nodes, run.nodes_per_process) {
             hollow.push(start(hollow_plan(&plan, group, &lists)).await?);
         }
         let mut idle = start(hollow_plan(&plan, (0, 0), &lists)).await?;
@@ -124,48 +126,57 @@
             real = Some(start(WorkerPlan::RealNodes(real_plan)).await?);
         }
         for worker in hollow.iter_mut().chain([&mut idle]) {
-            match worker.begun().await? {
+            match worker.ready().await? {
                 Reply::HollowReady => {}
-                other => return Err(unasked(&other)),
+                other => return Err(unexpected_reply(&other)),
             }
         }
         let mut real_processes = Vec::new();
         if let Some(real) = &mut real {
-            match real.begun().await? {
+            match real.ready().await? {
                 Reply::RealNodesReady(processes) => real_processes = processes,
-                other => return Err(unasked(&other)),
+                other => return Err(unexpected_reply(&other)),
             }
         }
-        Ok(Stage { plan, hollow, idle, discovery, cache_servers, _real: real, real_processes, load: None })
+        Ok(RunningFleet {
+            plan,
+            hollow,
+            idle,
+            discovery,
+            cache_servers,
+            _real: real,
+            real_processes,
+            load: None,
+        })
     }
 
-    /// Lets clients ask the real nodes, open loop, for a time.
+    /// Starts clients that send requests to the real nodes in an open loop for this time.
     ///
     /// # Errors
-    /// A plan that makes no world.
-    pub fn load_real_nodes(&mut self, span: Duration) -> Result<(), RealSocketsError> {
-        let world = self.plan.world()?;
+    /// No simulated environment can be built from the plan.
+    pub fn start_clients(&mut self, duration: Duration) -> Result<(), RealSocketsError> {
+        let world = self.plan.world_scenario()?;
         let fleet = Fleet::new(world, self.plan.seed, Observer::starting_now());
         let nodes = self.plan.real_nodes().map(|node| self.plan.network.client(node)).collect();
-        let clients = Clients::new(MACHINE, &fleet, nodes, |_| {});
-        self.load = Some(spawn_local(clients.generate_load(span)).abort_handle());
+        let clients = Clients::new(SYSTEM_HOST, &fleet, nodes, |_| {});
+        self.load = Some(spawn_local(clients.generate_load(duration)).abort_handle());
         Ok(())
     }
 
-    /// Waits until the agreement has a leader, where there is one.
+    /// Waits until the agreement has a leader, if there is an agreement.
     ///
     /// # Errors
-    /// None in time.
-    pub async fn agreed(&mut self) -> Result<(), RealSocketsError> {
+    /// There is no leader in time.
+    pub async fn wait_for_leader(&mut self) -> Result<(), RealSocketsError> {
         if self.plan.voters() == 0 {
             return Ok(());
         }
-        let until = Instant::now() + LEADER;
+        let deadline = Instant::now() + LEADER_TIMEOUT;
         while !self.hollow_counts().await?.iter().any(|node| node.leads) {
-            if Instant::now() > until {
-                return Err(RealSocketsError::Deadline("a leader of the agreement"));
+            if Instant::now() > deadline {
+                return Err(RealSocketsError::Deadline("waiting for a leader of the agreement"));
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
@@ -173,43 +184,44 @@
     async fn hollow_counts(&mut self) -> Result<Vec<HostCounts>, RealSocketsError> {
         let mut all = Vec::new();
         for worker in &mut self.hollow {
-            match worker.ask(Request::Count, Duration::ZERO).await? {
+            match worker.request(Request::Count, Duration::ZERO).await? {
                 Reply::HollowCounts(counts) => all.extend(counts),
-                other => return Err(unasked(&other)),
+                other => return Err(unexpected_reply(&other)),
             }
         }
         Ok(all)
     }
 
-    /// The look before the measured time: counts first, so that counting is no part of what processes use in it.
+    /// Takes the snapshot before the measurement. Counts are collected first, so that collecting them does
+    /// not add to the measured resource usage.
     ///
     /// # Errors
-    /// A worker that fails, or a process that is no more.
-    pub async fn look_before(&mut self) -> Result<Look, RealSocketsError> {
+    /// A worker fails, or a process has ended.
+    pub async fn snapshot_before(&mut self) -> Result<Snapshot, RealSocketsError> {
         let at = Instant::now();
         let hollow = self.hollow_counts().await?;
-        let discovery = stand_in_counts(&mut self.discovery).await?;
-        let cache_servers = stand_in_counts(&mut self.cache_servers).await?;
-        Ok(Look { at, hollow, discovery, cache_servers, usage: self.usage()? })
+        let discovery = stub_counts(&mut self.discovery).await?;
+        let cache_servers = stub_counts(&mut self.cache_servers).await?;
+        Ok(Snapshot { at, hollow, discovery, cache_servers, usage: self.usage()? })
     }
 
-    /// The look after the measured time: counts last.
+    /// Takes the snapshot after the measurement. Counts are collected last.
     ///
     /// # Errors
-    /// As [`look_before`](Self::look_before).
-    pub async fn look_after(&mut self) -> Result<Look, RealSocketsError> {
+    /// As for [`snapshot_before`](Self::snapshot_before).
+    pub async fn snapshot_after(&mut self) -> Result<Snapshot, RealSocketsError> {
         let usage = self.usage()?;
         let at = Instant::now();
         let hollow = self.hollow_counts().await?;
-        let discovery = stand_in_counts(&mut self.discovery).await?;
-        let cache_servers = stand_in_counts(&mut self.cache_servers).await?;
-        Ok(Look { at, hollow, discovery, cache_servers, usage })
+        let discovery = stub_counts(&mut self.discovery).await?;
+        let cache_servers = stub_counts(&mut self.cache_servers).await?;
+        Ok(Snapshot { at, hollow, discovery, cache_servers, usage })
     }
 
-    fn usage(&self) -> Result<Usages, RealSocketsError> {
+    fn usage(&self) -> Result<FleetUsage, RealSocketsError> {
         let hollow: Result<Vec<Usage>, _> = self.hollow.iter().map(|w| Usage::of(w.process)).collect();
         let real: Result<Vec<Usage>, _> = self.real_processes.iter().map(|p| Usage::of(*p)).collect();
-        Ok(Usages {
+        Ok(FleetUsage {
             hollow: hollow?,
             idle: Usage::of(self.idle.process)?,
             real: real?,
@@ -218,34 +230,35 @@
         })
     }
 
-    /// Restarts discovery, and waits until all hollow nodes have been answered by it again, or for as long as that may take.
+    /// Restarts discovery, and waits until it has answered all hollow nodes again or the time limit is
+    /// reached.
     ///
     /// # Errors
-    /// A worker that fails.
-    pub async fn restart_discovery(&mut self, down: Duration) -> Result<Returned, RealSocketsError> {
+    /// A worker fails.
+    pub async fn restart_discovery(&mut self, down: Duration) -> Result<ReturnTimes, RealSocketsError> {
         let request = Request::Restart { down_ms: down.as_millis() as u64 };
-        let back_ms = match self.discovery.ask(request, down).await? {
+        let back_ms = match self.discovery.request(request, down).await? {
             Reply::Restarted { at_ms } => at_ms,
-            other => return Err(unasked(&other)),
+            other => return Err(unexpected_reply(&other)),
         };
-        let until = Instant::now() + RETURN;
+        let deadline = Instant::now() + RETURN_TIMEOUT;
         loop {
             let counts = self.hollow_counts().await?;
-            let returned: Returned = counts
+            let returned: ReturnTimes = counts
                 .iter()
                 .filter_map(|node| node.watch_answered_ms.and_then(|at| at.checked_sub(back_ms)))
                 .map(|after_ms| after_ms as f64 / 1e3)
                 .collect();
-            if returned.len() == counts.len() || Instant::now() > until {
+            if returned.len() == counts.len() || Instant::now() > deadline {
                 return Ok(returned);
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-/// Hollow nodes in groups of a process each: the first, and how many.
-fn groups(nodes: u32, per_process: u32) -> impl Iterator<Item = (u32, u32)> {
+/// Splits hollow nodes into groups of one process each; returns the first node and the size of each group.
+fn process_groups(nodes: u32, per_process: u32) -> impl Iterator<Item = (u32, u32)> {
     let per_process = per_process.max(1);
     (0..nodes).step_by(per_process as usize).map(move |first| (first, per_process.min(nodes - first)))
 }
@@ -260,9 +273,9 @@
     })
 }
 
-async fn stand_in_counts(worker: &mut Worker) -> Result<StandInCounts, RealSocketsError> {
-    match worker.ask(Request::Count, Duration::ZERO).await? {
-        Reply::StandInCounts(counts) => Ok(counts),
-        other => Err(unasked(&other)),
+async fn stub_counts(worker: &mut Worker) -> Result<StubCounts, RealSocketsError> {
+    match worker.request(Request::Count, Duration::ZERO).await? {
+        Reply::StubCounts(counts) => Ok(counts),
+        other => Err(unexpected_reply(&other)),
     }
 }
--- a/crates/scale/src/real_sockets/stand_ins.rs
+++ b/crates/scale/src/real_sockets/stubs.rs
@@ -1,4 +1,4 @@
-//! Stand-ins of what nodes talk to, in processes of their own: cache servers and the origin in one, discovery in another.
+//! Stubs in processes of their own: the cache servers and the origin in one, discovery in another.
 
 use std::collections::BTreeMap;
 use std::future::pending;
@@ -18,19 +18,19 @@
 use super::counting::{ChannelMap, CountingHost, CountingListener};
 use super::error::RealSocketsError;
 use super::plan::FleetPlan;
-use super::protocol::{DiscoveryPlan, DiscoveryReady, Reply, Request, ServerAddresses, StandInCounts};
-use super::worker::{Command, reply};
-
-/// The machine of a stand-in.
-const MACHINE: SystemHost = SystemHost { program: "chalksill" };
-/// Hollow nodes are this one to stand-ins, all together.
-const HOLLOW: NodeIndex = 0;
-/// Real nodes are this one.
-const REAL: NodeIndex = 1;
-/// A port that is free.
-const ANY: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
-
-/// A host for each kind of nodes, so that their traffic is told apart.
+use super::protocol::{DiscoveryPlan, DiscoveryReady, Reply, Request, ServerAddresses, StubCounts};
+use super::worker::{RequestReceiver, reply};
+
+/// The system host of the stubs.
+const SYSTEM_HOST: SystemHost = SystemHost { program: "chalksill" };
+/// The number under which stubs know all hollow nodes together.
+const HOLLOW_NODES: NodeIndex = 0;
+/// The number under which stubs know all real nodes together.
+const REAL_NODES: NodeIndex = 1;
+/// Any free port.
+const ANY_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+
+/// One host for each kind of node, so that their traffic is counted separately.
 struct Hosts {
     hollow: CountingHost<SystemHost>,
     real: CountingHost<SystemHost>,
@@ -39,26 +39,26 @@
 impl Hosts {
     fn new() -> Hosts {
         let map = || ChannelMap { discovery: None, agreement_port: 0, real_nodes: Rc::new([]) };
-        Hosts { hollow: CountingHost::new(MACHINE, map()), real: CountingHost::new(MACHINE, map()) }
+        Hosts { hollow: CountingHost::new(SYSTEM_HOST, map()), real: CountingHost::new(SYSTEM_HOST, map()) }
     }
 
-    fn counts(&self) -> StandInCounts {
-        StandInCounts { hollow: self.hollow.counts(), real: self.real.counts() }
+    fn counts(&self) -> StubCounts {
+        StubCounts { hollow: self.hollow.counts(), real: self.real.counts() }
     }
 
     async fn listen(&self) -> Result<Listeners, RealSocketsError> {
-        self.listen_at(&ServerAddresses { hollow: ANY, real: ANY }).await
+        self.listen_at(&ServerAddresses { hollow: ANY_PORT, real: ANY_PORT }).await
     }
 
     async fn listen_at(&self, at: &ServerAddresses) -> Result<Listeners, RealSocketsError> {
-        let cannot = |e: std::io::Error| RealSocketsError::Worker(format!("cannot listen: {e}"));
-        let hollow = self.hollow.listen(at.hollow).await.map_err(cannot)?;
-        let real = self.real.listen(at.real).await.map_err(cannot)?;
+        let failed = |e: std::io::Error| RealSocketsError::Worker(format!("cannot listen: {e}"));
+        let hollow = self.hollow.listen(at.hollow).await.map_err(failed)?;
+        let real = self.real.listen(at.real).await.map_err(failed)?;
         Ok(Listeners { hollow, real })
     }
 }
 
-/// A listener for each kind of nodes.
+/// One listener for each kind of node.
 struct Listeners {
     hollow: CountingListener<SystemHost>,
     real: CountingListener<SystemHost>,
@@ -66,21 +66,21 @@
 
 impl Listeners {
     fn addresses(&self) -> Result<ServerAddresses, RealSocketsError> {
-        let cannot = |e: std::io::Error| RealSocketsError::Worker(e.to_string());
-        let hollow = self.hollow.local_addr().map_err(cannot)?;
-        Ok(ServerAddresses { hollow, real: self.real.local_addr().map_err(cannot)? })
+        let failed = |e: std::io::Error| RealSocketsError::Worker(e.to_string());
+        let hollow = self.hollow.local_addr().map_err(failed)?;
+        Ok(ServerAddresses { hollow, real: self.real.local_addr().map_err(failed)? })
     }
 }
 
-/// Serves as all cache servers and as the origin until the process ends.
+/// Runs all cache servers and the origin until the process ends.
 ///
 /// # Errors
-/// A socket that can't be opened.
+/// A socket cannot be opened.
 pub(super) async fn serve_cache_servers(
     plan: FleetPlan,
-    mut command: Command,
+    mut requests: RequestReceiver,
 ) -> Result<(), RealSocketsError> {
-    let fleet = Fleet::new(plan.world()?, plan.seed, Observer::starting_now());
+    let fleet = Fleet::new(plan.world_scenario()?, plan.seed, Observer::starting_now());
     let hosts = Hosts::new();
     let origin = plan.size.cache_servers as usize;
     let mut addresses = Vec::new();
@@ -95,35 +95,35 @@
             cold: false,
         });
         fleet.add_cache_server(number, cache.clone());
-        spawn_local(cache.clone().serve::<CountingHost<SystemHost>>(listeners.hollow, |_| HOLLOW));
-        spawn_local(cache.serve::<CountingHost<SystemHost>>(listeners.real, |_| REAL));
+        spawn_local(cache.clone().serve::<CountingHost<SystemHost>>(listeners.hollow, |_| HOLLOW_NODES));
+        spawn_local(cache.serve::<CountingHost<SystemHost>>(listeners.real, |_| REAL_NODES));
     }
     let listeners = hosts.listen().await?;
     addresses.push(listeners.addresses()?);
-    let all = Origin::new(&fleet, origin);
-    spawn_local(all.clone().serve::<CountingHost<SystemHost>>(listeners.hollow, |_| HOLLOW));
-    spawn_local(all.serve::<CountingHost<SystemHost>>(listeners.real, |_| REAL));
+    let origin_stub = Origin::new(&fleet, origin);
+    spawn_local(origin_stub.clone().serve::<CountingHost<SystemHost>>(listeners.hollow, |_| HOLLOW_NODES));
+    spawn_local(origin_stub.serve::<CountingHost<SystemHost>>(listeners.real, |_| REAL_NODES));
     fleet.warm_caches(&(0..origin).collect::<Vec<_>>());
     reply(&Reply::CacheServersReady(addresses));
     loop {
-        match command.next().await {
-            Request::Count => reply(&Reply::StandInCounts(hosts.counts())),
+        match requests.next().await {
+            Request::Count => reply(&Reply::StubCounts(hosts.counts())),
             Request::Restart { .. } => {
-                return Err(RealSocketsError::Worker("cache servers are not restarted".into()));
+                return Err(RealSocketsError::Worker("cache servers cannot be restarted".into()));
             }
         }
     }
 }
 
-/// Serves as discovery until the process ends.
+/// Runs discovery until the process ends.
 ///
 /// # Errors
-/// A socket that can't be opened.
+/// A socket cannot be opened.
 pub(super) async fn serve_discovery(
     plan: DiscoveryPlan,
-    mut command: Command,
+    mut requests: RequestReceiver,
 ) -> Result<(), RealSocketsError> {
-    let fleet = Fleet::new(plan.fleet.world()?, plan.fleet.seed, Observer::starting_now());
+    let fleet = Fleet::new(plan.fleet.world_scenario()?, plan.fleet.seed, Observer::starting_now());
     let hosts = Hosts::new();
     let discovery = Discovery::new(&fleet, members(&plan));
     let listeners = hosts.listen().await?;
@@ -132,33 +132,34 @@
     reply(&Reply::DiscoveryReady(DiscoveryReady {
         hollow: at.hollow,
         real: at.real,
-        known_hollow: discovery.known_list(HOLLOW),
-        known_real: discovery.known_list(REAL),
+        known_hollow: discovery.known_list(HOLLOW_NODES),
+        known_real: discovery.known_list(REAL_NODES),
     }));
     spawn_local(change_list(discovery.clone(), plan.fleet.size.changes_per_s));
     loop {
-        match command.next().await {
-            Request::Count => reply(&Reply::StandInCounts(hosts.counts())),
+        match requests.next().await {
+            Request::Count => reply(&Reply::StubCounts(hosts.counts())),
             Request::Restart { down_ms } => {
                 serving.abort();
                 sleep(Duration::from_millis(down_ms)).await;
                 serving = serve_lists(&discovery, hosts.listen_at(&at).await?);
-                reply(&Reply::Restarted { at_ms: MACHINE.unix_time().as_millis() as u64 });
+                reply(&Reply::Restarted { at_ms: SYSTEM_HOST.unix_time().as_millis() as u64 });
             }
         }
     }
 }
 
-/// Serves the list; what is aborted by the handle takes all connections with it.
+/// Serves the list. Aborting the returned handle also closes all connections.
 fn serve_lists(discovery: &Rc<Discovery>, listeners: Listeners) -> AbortHandle {
     let local = LocalSet::new();
-    local.spawn_local(discovery.clone().serve::<CountingHost<SystemHost>>(listeners.hollow, |_| HOLLOW));
-    local.spawn_local(discovery.clone().serve::<CountingHost<SystemHost>>(listeners.real, |_| REAL));
+    local
+        .spawn_local(discovery.clone().serve::<CountingHost<SystemHost>>(listeners.hollow, |_| HOLLOW_NODES));
+    local.spawn_local(discovery.clone().serve::<CountingHost<SystemHost>>(listeners.real, |_| REAL_NODES));
     spawn_local(local).abort_handle()
 }
 
 fn members(plan: &DiscoveryPlan) -> BTreeMap<usize, Member> {
-    let zones = plan.fleet.size.zones_told() as usize;
+    let zones = plan.fleet.size.configured_zones() as usize;
     let origin = plan.servers.len().saturating_sub(1);
     let member = |(number, server): (usize, &ServerAddresses)| {
         let member = Member {
@@ -174,8 +175,8 @@
     plan.servers.iter().enumerate().map(member).collect()
 }
 
-/// Changes an entry of the list every so often: one cache server after the other is told to drain, and is ready again with the
-/// change after it.
+/// Changes an entry of the list at this rate: sets one server after another to draining, and back to ready
+/// with the next change.
 async fn change_list(discovery: Rc<Discovery>, changes_per_s: f64) {
     let servers = discovery.ready_servers();
     if changes_per_s <= 0.0 || servers.is_empty() {
--- a/crates/scale/src/real_sockets/usage.rs
+++ b/crates/scale/src/real_sockets/usage.rs
@@ -1,25 +1,25 @@
-//! What the kernel tells of a run's processes.
+//! Resource usage of a run's processes, as reported by the kernel.
 
 use procfs::process::Process;
 
 use super::error::RealSocketsError;
 
-/// What a process uses.
+/// The resource usage of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
     /// Resident memory, in bytes.
     pub resident_bytes: f64,
-    /// Processor time of its main thread since its start, in seconds.
+    /// Processor time of the main thread since its start, in seconds.
     pub cpu_s: f64,
-    /// The part of that which was in user mode, as the process's coarser clocks have it.
+    /// Share of that time in user mode, according to the coarser clocks of the process.
     pub user_part: f64,
 }
 
 impl Usage {
-    /// What a process uses now. All work of the processes of a run is on their main thread.
+    /// Reads the current usage of a process. All processes of a run do all their work on the main thread.
     ///
     /// # Errors
-    /// A process that is no more, or a kernel that does not tell.
+    /// The process has ended, or the kernel does not report its usage.
     pub fn of(process: u32) -> Result<Usage, RealSocketsError> {
         let read = || {
             let process = Process::new(process as i32)?;
@@ -31,9 +31,9 @@
                 process.schedstat()?.sum_exec_runtime,
             ))
         };
-        let told: Result<_, procfs::ProcError> = read();
+        let usage: Result<_, procfs::ProcError> = read();
         let (resident, user, system, nanoseconds) =
-            told.map_err(|e| RealSocketsError::Usage(e.to_string()))?;
+            usage.map_err(|e| RealSocketsError::Usage(e.to_string()))?;
         Ok(Usage {
             resident_bytes: resident as f64,
             cpu_s: nanoseconds as f64 / 1e9,
@@ -41,8 +41,9 @@
         })
     }
 
-    /// Processor time in user mode and in the system since an earlier look, in seconds. Their sum is exact to the nanosecond;
-    /// how it is divided is known in clock ticks only, and therefore taken over the whole life of the process.
+    /// Processor time in user mode and in the system since an earlier reading, in seconds. The sum is exact
+    /// to the nanosecond. Its split is known in clock ticks only, and is therefore that of the whole run time
+    /// of the process.
     pub fn cpu_since(&self, earlier: &Usage) -> (f64, f64) {
         let spent = (self.cpu_s - earlier.cpu_s).max(0.0);
         (spent * self.user_part, spent * (1.0 - self.user_part))
--- a/crates/scale/src/real_sockets/worker.rs
+++ b/crates/scale/src/real_sockets/worker.rs
@@ -1,4 +1,5 @@
-//! A worker process, from within: it reads its plan from standard input, answers requests, and ends when standard input does.
+//! A worker process as seen from inside: reads its plan from standard input, replies to requests, and ends
+//! when standard input is closed.
 
 use std::io::{BufRead, Write};
 
@@ -7,21 +8,21 @@
 
 use super::error::RealSocketsError;
 use super::protocol::{Reply, Request, WorkerPlan};
-use super::{hollow, real_nodes, stand_ins};
+use super::{hollow, real_nodes, stubs};
 
-/// Requests that wait; the command sends one at a time.
-const REQUESTS: usize = 4;
+/// Capacity of the queue of requests; the command sends one at a time.
+const REQUEST_CAPACITY: usize = 4;
 
-/// What a worker does as the last thing before it ends.
-pub(super) type AtEnd = Box<dyn FnOnce() + Send>;
+/// Called by a worker right before it exits.
+pub(super) type ExitHook = Box<dyn FnOnce() + Send>;
 
-/// The command's side, as a worker sees it.
-pub(super) struct Command {
+/// The requests of the command.
+pub(super) struct RequestReceiver {
     requests: mpsc::Receiver<Request>,
 }
 
-impl Command {
-    /// The next request. None comes after the end of standard input, for the process ends with it.
+impl RequestReceiver {
+    /// Returns the next request. Never returns after the end of standard input, for the process exits then.
     pub async fn next(&mut self) -> Request {
         match self.requests.recv().await {
             Some(request) => request,
@@ -30,7 +31,8 @@
     }
 }
 
-/// Writes a line to the command. One that is no more needs no answer: standard input ends then, and the process with it.
+/// Writes a line to the command. Errors are ignored: if the command has ended, standard input is closed, too,
+/// and the process exits.
 pub(super) fn reply(reply: &Reply) {
     let mut line = serde_json::to_vec(reply).unwrap_or_default();
     line.push(b'\n');
@@ -38,53 +40,53 @@
     let _ = output.write_all(&line).and_then(|()| output.flush());
 }
 
-/// Runs a worker until standard input ends.
+/// Runs a worker until standard input is closed.
 ///
 /// # Errors
-/// Why it can't go on, which the command is told, too.
+/// The reason why it failed, which is also sent to the command.
 pub fn run_worker() -> Result<(), RealSocketsError> {
-    let ended = begin();
-    if let Err(e) = &ended {
+    let result = run();
+    if let Err(e) = &result {
         reply(&Reply::Failed(e.to_string()));
     }
-    ended
+    result
 }
 
-fn begin() -> Result<(), RealSocketsError> {
-    let bad = |what: String| RealSocketsError::Worker(what);
+fn run() -> Result<(), RealSocketsError> {
+    let failed = |reason: String| RealSocketsError::Worker(reason);
     let mut first = String::new();
-    std::io::stdin().lock().read_line(&mut first).map_err(|e| bad(e.to_string()))?;
-    let plan: WorkerPlan = serde_json::from_str(&first).map_err(|e| bad(e.to_string()))?;
+    std::io::stdin().lock().read_line(&mut first).map_err(|e| failed(e.to_string()))?;
+    let plan: WorkerPlan = serde_json::from_str(&first).map_err(|e| failed(e.to_string()))?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| bad(e.to_string()))?;
-    let (sender, requests) = mpsc::channel(REQUESTS);
-    let command = Command { requests };
+    let runtime = runtime.map_err(|e| failed(e.to_string()))?;
+    let (sender, requests) = mpsc::channel(REQUEST_CAPACITY);
+    let requests = RequestReceiver { requests };
     let local = LocalSet::new();
-    let guarded = |at_end: AtEnd| follow_standard_input(sender, at_end);
+    let forward = |exit_hook: ExitHook| forward_requests(sender, exit_hook);
     match plan {
         WorkerPlan::Hollow(plan) => {
-            guarded(Box::new(|| {}))?;
-            local.block_on(&runtime, hollow::serve(plan, command))
+            forward(Box::new(|| {}))?;
+            local.block_on(&runtime, hollow::serve(plan, requests))
         }
         WorkerPlan::CacheServers(plan) => {
-            guarded(Box::new(|| {}))?;
-            local.block_on(&runtime, stand_ins::serve_cache_servers(plan, command))
+            forward(Box::new(|| {}))?;
+            local.block_on(&runtime, stubs::serve_cache_servers(plan, requests))
         }
         WorkerPlan::Discovery(plan) => {
-            guarded(Box::new(|| {}))?;
-            local.block_on(&runtime, stand_ins::serve_discovery(plan, command))
+            forward(Box::new(|| {}))?;
+            local.block_on(&runtime, stubs::serve_discovery(plan, requests))
         }
         WorkerPlan::RealNodes(plan) => {
-            let nodes = real_nodes::Nodes::default();
-            guarded(nodes.killer())?;
-            local.block_on(&runtime, real_nodes::serve(plan, &nodes, command))
+            let nodes = real_nodes::NodeProcesses::default();
+            forward(nodes.kill_hook())?;
+            local.block_on(&runtime, real_nodes::serve(plan, &nodes, requests))
         }
     }
 }
 
-/// Passes requests on from a thread of its own, which ends the process at the end of standard input whatever its main thread is
-/// at.
-fn follow_standard_input(requests: mpsc::Sender<Request>, at_end: AtEnd) -> Result<(), RealSocketsError> {
+/// Forwards requests from a separate thread, which exits the process at the end of standard input whatever
+/// the main thread is doing.
+fn forward_requests(requests: mpsc::Sender<Request>, exit_hook: ExitHook) -> Result<(), RealSocketsError> {
     let follow = move || {
         for line in std::io::stdin().lock().lines().map_while(Result::ok) {
             let Ok(request) = serde_json::from_str(&line) else { break };
@@ -92,7 +94,7 @@
                 break;
             }
         }
-        at_end();
+        exit_hook();
         std::process::exit(0);
     };
     let thread = std::thread::Builder::new().name("standard-input".into()).spawn(follow);
--- a/crates/scale/src/record.rs
+++ b/crates/scale/src/record.rs
@@ -1,32 +1,32 @@
-//! The record of a scale run: what was run, on which machine, and what was measured at each size. Records are kept as
-//! JSON files in `scale/runs/`; fits and the capacity page are made from them alone.
+//! The record of a scale run: what was run, on which machine, and what was measured at each size. Records are
+//! stored as JSON files in `scale/runs/`, from which fits and the capacity page are generated.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// The version of the record's format that this program writes and reads.
+/// The version of the record format that this program writes and reads.
 pub const VERSION: u32 = 1;
 
-/// One kept file: all runs of one scenario.
+/// A record file: all runs of one scenario.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RunRecord {
-    /// The format's version, [`VERSION`].
+    /// The version of the format, [`VERSION`].
     pub version: u32,
     /// The scenario's name.
     pub scenario: String,
-    /// Where the nodes ran.
+    /// The host on which the nodes ran.
     pub host: HostKind,
-    /// The state that the fleet was in.
+    /// The state in which the fleet was measured.
     pub state: FleetState,
-    /// The machine that ran it.
+    /// The machine that executed the runs.
     pub machine: Machine,
-    /// The commit of the program that ran, as git names it; `-dirty` follows where the tree had changes.
+    /// The commit of the program, as named by git; `-dirty` is appended if the tree had changes.
     pub commit: String,
-    /// The day of the run, as `YYYY-MM-DD` in UTC.
+    /// The date of the runs in UTC, as `YYYY-MM-DD`.
     pub date: String,
-    /// Every run, by size, then repetition.
+    /// All runs, ordered by size, then repetition.
     pub runs: Vec<Run>,
 }
 
@@ -34,33 +34,33 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Machine {
-    /// Cores that the machine has.
+    /// Number of cores.
     pub cores: u32,
-    /// Its memory, in bytes.
+    /// Memory, in bytes.
     pub memory_bytes: u64,
-    /// The processor's name as the system tells it.
+    /// The name of the processor as reported by the system.
     pub processor: String,
 }
 
-/// Where nodes ran.
+/// The host on which nodes run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HostKind {
     /// Loopback sockets, in real time.
     RealSockets,
-    /// A simulated network under a virtual clock.
+    /// A simulated network with a virtual clock.
     VirtualClock,
 }
 
-/// The state that a fleet is in while it is measured.
+/// The state of a fleet while it is measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FleetState {
-    /// No fault.
+    /// No faults.
     Calm,
-    /// Discovery restarts: every watch is opened anew at once.
+    /// Discovery is restarted: all watches are reopened at the same time.
     DiscoveryRestart,
-    /// Regions lose each other, and are joined again.
+    /// Regions are partitioned, and connected again.
     RegionsApart,
     /// One node in ten is restarted.
     NodesRestarted,
@@ -72,17 +72,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetSize {
-    /// Nodes, hollow and real together.
+    /// Number of nodes, hollow and real ones together.
     pub nodes: u32,
-    /// Sites that they stand at.
+    /// Number of sites with nodes.
     pub sites: u32,
-    /// Zones that the sites form.
+    /// Number of zones, which consist of sites.
     pub zones: u32,
-    /// Regions that the zones form.
+    /// Number of regions, which consist of zones.
     pub regions: u32,
-    /// Cache servers.
+    /// Number of cache servers.
     pub cache_servers: u32,
-    /// Changes of discovery's list in a second.
+    /// Changes of discovery's list per second.
     pub changes_per_s: f64,
 }
 
@@ -90,69 +90,71 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Run {
-    /// The size.
+    /// The size of the fleet.
     pub size: FleetSize,
-    /// Which repetition at this size, from 0.
+    /// The repetition at this size, from 0.
     pub repetition: u32,
     /// The seed.
     pub seed: u64,
-    /// For how long it was measured, in seconds of the nodes' clock.
+    /// Duration of the measurement, in seconds on the nodes' clock.
     pub measured_s: f64,
-    /// How long the run took, in seconds of real time.
+    /// Duration of the run, in seconds of real time.
     pub wall_s: f64,
-    /// What each role cost, by role.
+    /// The cost of each role.
     pub roles: BTreeMap<Role, RoleCost>,
-    /// Sums over the fleet that the design sets a limit to.
+    /// Sums over the fleet that are limited by the design.
     pub sums: Vec<FleetSum>,
-    /// How long it took until all acted on a change.
-    pub spreads: Vec<ChangeSpread>,
+    /// How long changes took until all nodes acted on them.
+    pub spreads: Vec<ChangePropagation>,
 }
 
-/// A part that a process plays in the control of a fleet.
+/// The role of a process in the control of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
-    /// A node's control code without clients' data.
+    /// A node's control code without client data.
     HollowNode,
     /// A real process of the daemon under light load.
     RealNode,
-    /// A cache server's side of control: probes, handshakes.
+    /// A cache server's part in control: probes and handshakes.
     CacheServerControl,
-    /// The service that tells the list of cache servers.
+    /// The service that publishes the list of cache servers.
     Discovery,
     /// The leader of the agreement on zones.
     AgreementLeader,
-    /// A voter of the agreement that does not lead.
+    /// A voter of the agreement that is not its leader.
     AgreementVoter,
-    /// A member of the agreement that is no voter.
+    /// A member of the agreement that is not a voter.
     AgreementFollower,
-    /// Whoever divides the origin's allowance among nodes.
+    /// The process that divides the origin's allowance among nodes.
     OriginAllowance,
-    /// Whoever spreads settings or purges.
+    /// The process that distributes settings or purges.
     ChangeSpreader,
 }
 
-/// What a member of a role costs, as the mean over the members that were measured.
+/// The cost of a role, as mean over its measured members.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RoleCost {
-    /// Members that were measured.
+    /// Number of measured members.
     pub members: u32,
-    /// Resident memory, in bytes, less that of a run without members; absent where it can't be told apart.
+    /// Resident memory in bytes minus that of a run without members; absent if it cannot be separated from
+    /// that of other roles.
     pub resident_bytes: Option<f64>,
-    /// Processor time in user mode, seconds a second, less that of a run that idles; absent where it can't be told apart.
+    /// Processor time in user mode, in seconds per second, minus that of an idle run; absent if it cannot be
+    /// separated from that of other roles.
     pub user_cpu: Option<f64>,
     /// Processor time in the system, likewise.
     pub system_cpu: Option<f64>,
-    /// Messages (datagrams, requests or answers of control) received, a second.
+    /// Control messages received per second: datagrams, requests or responses.
     pub messages_in_per_s: f64,
-    /// The same, sent.
+    /// Control messages sent per second.
     pub messages_out_per_s: f64,
-    /// Bytes received, a second, without headers of IP, TCP and UDP.
+    /// Bytes received per second, without headers of IP, TCP and UDP.
     pub bytes_in_per_s: f64,
-    /// The same, sent.
+    /// Bytes sent per second, likewise.
     pub bytes_out_per_s: f64,
-    /// Connections open for control, the most at a time.
+    /// Maximum number of concurrent control connections.
     pub connections: f64,
 }
 
@@ -160,43 +162,43 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetSum {
-    /// What is summed.
+    /// The limited quantity.
     pub limit: Limit,
-    /// What the design lets all together have.
+    /// What the design permits for the whole fleet.
     pub bound: f64,
-    /// The most that the nodes' own limits add up to: what they might have at once.
+    /// What the nodes' own limits add up to at most.
     pub allowed: f64,
-    /// The most that was seen at once.
+    /// The highest value observed.
     pub peak: f64,
 }
 
-/// A limit of the design that holds over all processes.
+/// A limit of the design on the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Limit {
-    /// Calls outstanding at the origin.
+    /// Outstanding calls at the origin.
     OriginOutstanding,
-    /// Calls at the origin in one window of the tally.
+    /// Calls at the origin per window of the gate's limit.
     OriginWindow,
-    /// Calls to a cold cache server in the span that the settings name.
+    /// Calls to a cold cache server within the time that the settings define.
     ColdServerCalls,
 }
 
 /// How long a change took until nodes acted on it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ChangeSpread {
-    /// What changed.
+pub struct ChangePropagation {
+    /// The kind of change.
     pub change: Change,
-    /// Nodes that acted on it, of those that should have.
+    /// Number of nodes that acted on it.
     pub acted: u32,
-    /// Those that should have.
+    /// Number of nodes that should have acted on it.
     pub expected: u32,
-    /// Half of them acted within this time, in seconds.
+    /// Time within which half of them acted, in seconds.
     pub p50_s: f64,
-    /// 99 in 100, in seconds.
+    /// Time within which 99% of them acted, in seconds.
     pub p99_s: f64,
-    /// All that acted, in seconds.
+    /// Time within which all nodes acted that did so at all, in seconds.
     pub last_s: f64,
 }
 
@@ -208,6 +210,6 @@
     List,
     /// The agreement's plan of zones.
     Plan,
-    /// The node's settings.
+    /// The settings of the nodes.
     Settings,
 }
--- a/crates/scale/src/records.rs
+++ b/crates/scale/src/records.rs
@@ -1,50 +1,50 @@
-//! Reading kept records. What can't be read is told with its file, and its place there where it is known.
+//! Reads stored records. Errors name the file and, if known, the place in it.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
 
 use crate::record::{RunRecord, VERSION};
 
-/// Why a record, or several together, can't be used.
+/// Why a record, or a set of records, cannot be used.
 #[derive(Debug)]
 pub enum RecordError {
-    /// The file or folder can't be read.
+    /// The file or folder cannot be read.
     Unreadable {
-        /// Which.
+        /// The path.
         path: PathBuf,
-        /// Why.
+        /// The reason.
         error: std::io::Error,
     },
-    /// It is no record: bad JSON, an unknown key, or a missing one.
+    /// The file is not a valid record: invalid JSON, or an unknown or missing key.
     Malformed {
         /// The file.
         path: PathBuf,
-        /// What and where.
+        /// The reason and the place.
         error: serde_json::Error,
     },
-    /// A record of another version.
+    /// The record has another version.
     Version {
         /// The file.
         path: PathBuf,
-        /// Its version, where it names one.
+        /// Its version, if it has one.
         found: Option<u64>,
     },
-    /// A figure that can't be measured: below 0.
+    /// A value that cannot be negative is.
     Negative {
         /// The file.
         path: PathBuf,
-        /// The run in it, from 0, and what is negative there.
+        /// The run in the file, from 0, and the negative value.
         place: String,
     },
-    /// Records of several scenarios, hosts or states, which no fit can go through.
+    /// The records belong to several scenarios, hosts or states, which cannot be fitted together.
     Mixed {
         /// The first file.
         path: PathBuf,
-        /// What it holds.
+        /// What it contains.
         holds: String,
-        /// The first that holds something else.
+        /// The first file with something else.
         other_path: PathBuf,
-        /// What that one holds.
+        /// What that file contains.
         other: String,
     },
 }
@@ -62,14 +62,14 @@
                 write!(f, "{}: version {found}, and this program reads version {VERSION}", path.display())
             }
             RecordError::Version { path, found: None } => {
-                write!(f, "{}: no record of a run: it names no version", path.display())
+                write!(f, "{}: not a run record: it has no version", path.display())
             }
             RecordError::Negative { path, place } => {
                 write!(f, "{}: {place} is below 0", path.display())
             }
             RecordError::Mixed { path, holds, other_path, other } => write!(
                 f,
-                "{} holds {holds}, and {} holds {other}: one fit goes through runs of one kind",
+                "{} holds {holds}, and {} holds {other}: only runs of the same kind can be fitted together",
                 path.display(),
                 other_path.display()
             ),
@@ -79,10 +79,10 @@
 
 impl std::error::Error for RecordError {}
 
-/// Reads one record. One of another version is said to be one, whatever else is in it.
+/// Reads one record. A record of another version is reported as such, whatever else is wrong with it.
 ///
 /// # Errors
-/// What is wrong with it, and where.
+/// What is wrong with the record, and where.
 pub fn read(path: &Path) -> Result<RunRecord, RecordError> {
     let unreadable = |error| RecordError::Unreadable { path: path.into(), error };
     let malformed = |error| RecordError::Malformed { path: path.into(), error };
@@ -93,15 +93,15 @@
         return Err(RecordError::Version { path: path.into(), found });
     }
     let record: RunRecord = serde_json::from_str(&text).map_err(malformed)?;
-    match negative(&record) {
+    match first_negative(&record) {
         Some(place) => Err(RecordError::Negative { path: path.into(), place }),
         None => Ok(record),
     }
 }
 
-/// The first figure of a record that is below 0, where there is one. Memory and processor time may be: they are differences from a
-/// run without members.
-fn negative(record: &RunRecord) -> Option<String> {
+/// The first value of a record that is negative although it cannot be. Memory and processor time may be
+/// negative, since they are differences from a run without members.
+fn first_negative(record: &RunRecord) -> Option<String> {
     for (index, run) in record.runs.iter().enumerate() {
         for (role, cost) in &run.roles {
             let figures = [
@@ -125,10 +125,10 @@
     None
 }
 
-/// Reads every `.json` file of a folder, in the order of names. A folder that is not there holds none.
+/// Reads all `.json` files of a folder, ordered by name. A missing folder counts as empty.
 ///
 /// # Errors
-/// The first that can't be read.
+/// The first file that cannot be read.
 pub fn read_folder(folder: &Path) -> Result<Vec<(PathBuf, RunRecord)>, RecordError> {
     let unreadable = |error| RecordError::Unreadable { path: folder.into(), error };
     let entries = match std::fs::read_dir(folder) {
@@ -145,32 +145,37 @@
     paths.into_iter().map(|path| read(&path).map(|record| (path, record))).collect()
 }
 
-/// What a record holds runs of, in words.
-pub fn kind(record: &RunRecord) -> String {
-    format!("scenario {}, host {}, state {}", record.scenario, word(&record.host), word(&record.state))
+/// Describes what a record contains runs of.
+pub fn describe_kind(record: &RunRecord) -> String {
+    format!(
+        "scenario {}, host {}, state {}",
+        record.scenario,
+        serialized_name(&record.host),
+        serialized_name(&record.state)
+    )
 }
 
-/// Looks whether all records are of one scenario, host and state.
+/// Checks whether all records are of the same scenario, host and state.
 ///
 /// # Errors
-/// The first that is not.
+/// The first record that differs.
 pub fn check_one_kind(records: &[(PathBuf, RunRecord)]) -> Result<(), RecordError> {
     let Some((path, first)) = records.first() else { return Ok(()) };
-    match records.iter().find(|(_, record)| kind(record) != kind(first)) {
+    match records.iter().find(|(_, record)| describe_kind(record) != describe_kind(first)) {
         Some((other_path, record)) => Err(RecordError::Mixed {
             path: path.clone(),
-            holds: kind(first),
+            holds: describe_kind(first),
             other_path: other_path.clone(),
-            other: kind(record),
+            other: describe_kind(record),
         }),
         None => Ok(()),
     }
 }
 
-/// A word of the record's format, as it is written there.
-pub fn word(value: &impl serde::Serialize) -> String {
+/// The name of an enum value in the record format.
+pub fn serialized_name(value: &impl serde::Serialize) -> String {
     match serde_json::to_value(value) {
-        Ok(serde_json::Value::String(word)) => word,
+        Ok(serde_json::Value::String(name)) => name,
         _ => String::new(),
     }
 }
--- a/crates/scale/src/report.rs
+++ b/crates/scale/src/report.rs
@@ -1,47 +1,48 @@
-//! Fits of all series of some runs, as a table and as JSON, with the bounds that the design or the target sets them.
+//! Fits of all series of some runs, as table and as JSON, together with the bounds set by the design or the
+//! target.
 
 use serde::Serialize;
 
 use crate::arithmetic::{BoundKind, list_changes};
-use crate::fit::{Fit, NoFit, SizeValues, Verdict, by_size, fit};
-use crate::models::{Model, ROUNDING};
+use crate::fit::{Fit, FitError, SizeValues, Verdict, fit, group_by_size};
+use crate::models::{Model, ROUNDING_TOLERANCE};
 use crate::record::{Change, Role, Run};
 use crate::series::{self, Axis, Quantity, Series, Subject};
 use crate::target::TARGET;
-use crate::text::{figure, percent};
+use crate::text::{format_number, format_percent};
 
-/// A series and its fit, or why it has none.
+/// A series with its fit, or the reason why there is none.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fitted {
+pub struct FittedSeries {
     /// The series.
     pub series: Series,
     /// The fit.
-    pub outcome: Result<Fit, NoFit>,
+    pub outcome: Result<Fit, FitError>,
 }
 
 /// A bound of a series.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SeriesBound {
-    /// The most that it may be.
-    pub most: f64,
-    /// Its kind.
+    /// The maximum value.
+    pub max: f64,
+    /// What defines the bound.
     pub kind: BoundKind,
 }
 
-/// A size that was measured beyond its bound.
+/// A measured size at which the bound is exceeded.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct MeasuredBeyond {
+pub struct MeasuredExceedance {
     /// The size.
     pub size: f64,
-    /// The mean there.
+    /// The mean at this size.
     pub value: f64,
-    /// The bound there.
+    /// The bound at this size.
     pub bound: f64,
 }
 
 /// Fits each series of runs of one kind.
-pub fn fit_all(runs: &[&Run]) -> Vec<Fitted> {
-    let fitted = |series: Series| Fitted { outcome: fit(&series.points), series };
+pub fn fit_all(runs: &[&Run]) -> Vec<FittedSeries> {
+    let fitted = |series: Series| FittedSeries { outcome: fit(&series.points), series };
     series::all(runs).into_iter().map(fitted).collect()
 }
 
@@ -54,18 +55,18 @@
     }
 }
 
-impl Fitted {
-    /// What the series may be at the most at the largest size. Members of the agreement are nodes, for the operator's file takes no others, and have a node's
-    /// budget.
+impl FittedSeries {
+    /// The bound at the largest size. Members of the agreement have a node's budget, since the operator's
+    /// file permits only nodes as members.
     pub fn bound(&self) -> Option<SeriesBound> {
         self.bound_at(f64::INFINITY)
     }
 
     fn bound_at(&self, size: f64) -> Option<SeriesBound> {
         let budget = TARGET.budget;
-        let (most, kind) = match (self.series.key.subject, self.series.key.quantity) {
+        let (max, kind) = match (self.series.key.subject, self.series.key.quantity) {
             (Subject::Sum(_), _) => (self.series.bound_at(size)?, BoundKind::Design),
-            (Subject::Spread(Change::Settings), _) => (TARGET.settings_within_s, BoundKind::Design),
+            (Subject::Propagation(Change::Settings), _) => (TARGET.settings_within_s, BoundKind::Design),
             (Subject::Role(role), quantity) if is_node(role) => match quantity {
                 Quantity::Bytes => (budget.bytes_per_s, BoundKind::Budget),
                 Quantity::Cpu => (budget.cores, BoundKind::Budget),
@@ -74,33 +75,33 @@
             },
             _ => return None,
         };
-        Some(SeriesBound { most, kind })
+        Some(SeriesBound { max, kind })
     }
 
-    /// The smallest size that was measured at which the mean is beyond the bound there.
-    pub fn measured_beyond(&self) -> Option<MeasuredBeyond> {
+    /// The smallest measured size at which the mean exceeds the bound.
+    pub fn measured_exceedance(&self) -> Option<MeasuredExceedance> {
         let beyond = |size: &SizeValues| {
             let value = size.mean();
             let bound = self.bound_at(size.size)?;
-            (value > bound.most * (1.0 + ROUNDING)).then_some(MeasuredBeyond {
+            (value > bound.max * (1.0 + ROUNDING_TOLERANCE)).then_some(MeasuredExceedance {
                 size: size.size,
                 value,
-                bound: bound.most,
+                bound: bound.max,
             })
         };
-        by_size(&self.series.points).iter().find_map(beyond)
+        group_by_size(&self.series.points).iter().find_map(beyond)
     }
 
-    /// The size, beyond those measured and up to the target, from which on the fit is beyond the bound. Only of a fit that is understood and whose
-    /// slope is larger than its spread, and of a bound that is the same at all sizes.
-    pub fn fitted_beyond(&self) -> Option<f64> {
+    /// The smallest size between the measured ones and the target at which the fit exceeds the bound. Only if
+    /// the fit is reliable, its slope is larger than its spread, and the bound is the same at all sizes.
+    pub fn fitted_exceedance(&self) -> Option<f64> {
         if self.series.bound_varies() {
             return None;
         }
         let (bound, fit) = (self.bound()?, self.outcome.as_ref().ok()?);
         let (mut within, mut beyond) = (fit.held_out_size, target_size(self.series.key.axis));
-        let exceeds = |size: f64| fit.chosen.curve.predict(size) > bound.most;
-        let relied_upon = fit.verdict() == Verdict::Understood && fit.slope_is_told();
+        let exceeds = |size: f64| fit.chosen.curve.predict(size) > bound.max;
+        let relied_upon = fit.verdict() == Verdict::Understood && fit.slope_is_significant();
         if !relied_upon || beyond <= within || !exceeds(beyond) {
             return None;
         }
@@ -114,17 +115,17 @@
         Some(beyond.floor())
     }
 
-    /// Whether it is 0 in every run.
-    pub fn is_nothing(&self) -> bool {
+    /// Whether the value is 0 in every run.
+    pub fn is_zero(&self) -> bool {
         self.series.points.iter().all(|point| point.value == 0.0)
     }
 
-    /// What else is to be said of it.
-    fn note(&self) -> String {
+    /// The verdict, and what else limits the reliability of the values.
+    fn verdict_text(&self) -> String {
         let verdict = match &self.outcome {
             Err(none) => none.to_string(),
             Ok(fit) if fit.verdict() == Verdict::NotUnderstood => "not understood".into(),
-            Ok(fit) if fit.chosen.curve.model != Model::Constant && !fit.slope_is_told() => {
+            Ok(fit) if fit.chosen.curve.model != Model::Constant && !fit.slope_is_significant() => {
                 "understood, but a slope within its spread".into()
             }
             Ok(_) => "understood".into(),
@@ -135,27 +136,31 @@
         }
     }
 
-    /// The cells of [`HEADS`].
+    /// The cells below [`HEADS`].
     pub fn cells(&self) -> Vec<String> {
         let key = &self.series.key;
         let what =
             vec![key.subject.to_string(), key.quantity.to_string(), format!("{} ({})", key.axis, key.others)];
         let dash = || "-".to_string();
-        let bound = self.bound().map_or_else(dash, |bound| figure(bound.most));
+        let bound = self.bound().map_or_else(dash, |bound| format_number(bound.max));
         let figures = match &self.outcome {
             Err(_) => vec![dash(), dash(), dash(), dash(), dash()],
             Ok(fit) => {
                 let target = fit.extrapolate(target_size(key.axis));
                 vec![
                     fit.chosen.curve.model.to_string(),
-                    format!("{} ± {}", figure(fit.chosen.curve.slope), figure(fit.slope_spread())),
-                    percent(fit.repetition_spread),
-                    percent(fit.chosen.held_out_error),
-                    format!("{} ± {}", figure(target.value), figure(target.spread)),
+                    format!(
+                        "{} ± {}",
+                        format_number(fit.chosen.curve.slope),
+                        format_number(fit.slope_spread())
+                    ),
+                    format_percent(fit.repetition_spread),
+                    format_percent(fit.chosen.held_out_error),
+                    format!("{} ± {}", format_number(target.value), format_number(target.spread)),
                 ]
             }
         };
-        [what, figures, vec![bound, self.note()]].concat()
+        [what, figures, vec![bound, self.verdict_text()]].concat()
     }
 }
 
@@ -164,8 +169,9 @@
     matches!(role, HollowNode | AgreementLeader | AgreementVoter | AgreementFollower)
 }
 
-/// Heads of a table of fits. Slopes and values at the target are given with two standard errors either way, or with the held-out error
-/// where that is more; repetitions with the largest part by which one differs from its size's mean.
+/// Heads of a table of fits. Slopes and values at the target are followed by two standard errors in either
+/// direction, or by the held-out error if that is more; repetitions are given as the largest relative
+/// deviation from the mean of their size.
 pub const HEADS: [&str; 10] = [
     "whose",
     "what",
@@ -179,10 +185,10 @@
     "verdict",
 ];
 
-/// A table for a terminal.
-pub fn terminal_table(fits: &[Fitted]) -> String {
+/// Formats a table for a terminal.
+pub fn terminal_table(fits: &[FittedSeries]) -> String {
     let heads: Vec<String> = HEADS.iter().map(|head| (*head).into()).collect();
-    let rows: Vec<Vec<String>> = std::iter::once(heads).chain(fits.iter().map(Fitted::cells)).collect();
+    let rows: Vec<Vec<String>> = std::iter::once(heads).chain(fits.iter().map(FittedSeries::cells)).collect();
     let width = |column: usize| rows.iter().map(|row| row[column].chars().count()).max().unwrap_or(0);
     let widths: Vec<usize> = (0..HEADS.len()).map(width).collect();
     let mut text = String::new();
@@ -198,23 +204,23 @@
 /// One series as JSON.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct FitJson {
-    /// Whose.
+    /// What the series describes.
     pub subject: String,
-    /// What.
+    /// The measured quantity.
     pub quantity: String,
-    /// Over what.
+    /// The size that varies.
     pub axis: String,
     /// The other axes.
     pub others: String,
-    /// Sizes and the values there.
+    /// The sizes and the values measured there.
     pub points: Vec<(f64, Vec<f64>)>,
     /// The bound.
     pub bound: Option<f64>,
-    /// Runs in which not all acted that should have.
+    /// Number of runs in which not all expected nodes acted.
     pub incomplete: usize,
     /// The fit.
     pub fit: Option<ModelJson>,
-    /// Why there is none, or whether it is understood.
+    /// The verdict, or why there is no fit.
     pub verdict: String,
 }
 
@@ -223,30 +229,30 @@
 pub struct ModelJson {
     /// The model.
     pub model: String,
-    /// Its value where the basis is 0.
+    /// The value where the basis is 0.
     pub intercept: f64,
-    /// What one unit of its basis adds.
+    /// The increase per unit of the basis.
     pub slope: f64,
-    /// The slope's spread, either way.
+    /// The spread of the slope, in either direction.
     pub slope_spread: f64,
-    /// That of repetitions, a part of the mean.
+    /// The spread of repetitions, as a share of the mean.
     pub repetition_spread: f64,
     /// The size that was held out.
     pub held_out_size: f64,
-    /// The error there, a part of the mean.
+    /// The error at the held-out size, as a share of the mean.
     pub held_out_error: f64,
     /// The size of the target.
     pub target_size: f64,
-    /// The value there.
+    /// The predicted value at the target.
     pub target_value: f64,
-    /// Its spread, either way.
+    /// The spread of the predicted value, in either direction.
     pub target_spread: f64,
 }
 
-impl From<&Fitted> for FitJson {
-    fn from(fitted: &Fitted) -> FitJson {
+impl From<&FittedSeries> for FitJson {
+    fn from(fitted: &FittedSeries) -> FitJson {
         let key = &fitted.series.key;
-        let sizes = by_size(&fitted.series.points);
+        let sizes = group_by_size(&fitted.series.points);
         let model = |fit: &Fit| {
             let target_size = target_size(key.axis);
             let target = fit.extrapolate(target_size);
@@ -269,10 +275,10 @@
             axis: key.axis.to_string(),
             others: key.others.clone(),
             points: sizes.into_iter().map(|size| (size.size, size.values)).collect(),
-            bound: fitted.bound().map(|bound| bound.most),
+            bound: fitted.bound().map(|bound| bound.max),
             incomplete: fitted.series.incomplete,
             fit: fitted.outcome.as_ref().ok().map(model),
-            verdict: fitted.note(),
+            verdict: fitted.verdict_text(),
         }
     }
 }
--- a/crates/scale/src/scenario.rs
+++ b/crates/scale/src/scenario.rs
@@ -1,5 +1,5 @@
-//! Scenarios of scale runs: which fleet is measured, in which state and for how long, as a TOML file that is checked with
-//! the place at fault before anything starts.
+//! Scenarios of scale runs: the fleet that is measured, its state, and the duration. They are read from TOML
+//! files and validated before anything is started; errors name the place in the file.
 
 use std::time::Duration;
 
@@ -8,31 +8,31 @@
 
 use crate::record::{FleetSize, FleetState, HostKind};
 
-/// The largest fleet that a scenario may ask for: half as many nodes again as the target size has.
-const MOST_NODES: f64 = 10_000.0;
-/// The most cache servers, likewise: addresses of simulated cache servers end there.
-const MOST_CACHE_SERVERS: f64 = 2_000.0;
-/// Zones are numbered with a byte in the nodes' settings.
-const MOST_ZONES: f64 = 250.0;
-/// Whole numbers beyond this one can't be told apart from their neighbours in a file's figures (2^53).
-const MOST_SEED: f64 = 9_007_199_254_740_992.0;
+/// Maximum number of nodes: 50% more than the target has.
+const MAX_NODES: f64 = 10_000.0;
+/// Maximum number of cache servers, limited by the addresses of simulated ones.
+const MAX_CACHE_SERVERS: f64 = 2_000.0;
+/// Maximum number of zones: the nodes' settings number them with one byte.
+const MAX_ZONES: f64 = 250.0;
+/// Maximum seed: larger integers cannot be represented exactly by the file's floating-point numbers (2^53).
+const MAX_SEED: f64 = 9_007_199_254_740_992.0;
 
-/// A scenario, checked.
+/// A validated scenario.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// Its name: letters, digits and dashes.
+    /// The name: letters, digits and dashes.
     pub name: String,
-    /// Where the nodes run.
+    /// The host on which the nodes run.
     pub host: HostKind,
-    /// The state that the fleet is in while it is measured.
+    /// The state in which the fleet is measured.
     pub state: FleetState,
-    /// The seed of the first repetition; each further one has the next.
+    /// The seed of the first repetition; each further repetition has the next seed.
     pub seed: u64,
-    /// How often each size is run.
+    /// Number of repetitions at each size.
     pub repetitions: u32,
-    /// How long is measured, on the nodes' clock.
+    /// Duration of the measurement on the nodes' clock.
     pub measured: Duration,
-    /// How long nodes run before, on the nodes' clock.
+    /// How long nodes run before the measurement, on the nodes' clock.
     pub warm_up: Duration,
     /// Whether nodes agree on which zones serve.
     pub agreement: bool,
@@ -40,45 +40,45 @@
     pub load: Load,
     /// The sizes, in the order of the file.
     pub sizes: Vec<FleetSize>,
-    /// What a run may take.
+    /// Limits of a run.
     pub bounds: Bounds,
 }
 
 /// The load of clients.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Load {
-    /// Requests a second over all nodes; 0 where all nodes are hollow.
+    /// Requests per second to all nodes together; 0 if all nodes are hollow.
     pub per_s: f64,
-    /// The part of the reads whose key no cache server holds.
+    /// Share of reads whose key no cache server has.
     pub misses: f64,
-    /// The part of the requests that write.
+    /// Share of requests that are writes.
     pub writes: f64,
 }
 
-/// What a run may take.
+/// Limits of a run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// The part of the machine's memory that a run may be expected to need, at most half.
+    /// Share of the machine's memory that a run may be expected to need, at most half.
     pub memory_part: f64,
-    /// The longest real time of one run.
+    /// Maximum duration of a run in real time.
     pub max_wall_time: Duration,
 }
 
-/// The file as it is written. Figures are read as floating point numbers, so that one which is out of its range is met by
-/// the check that names the range.
+/// The contents of a scenario file. All numbers are read as floating-point ones, so that those out of range
+/// are rejected by the check that names the range.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct File {
     name: String,
     host: HostKind,
-    #[serde(default = "calm")]
+    #[serde(default = "default_state")]
     state: FleetState,
-    #[serde(default = "one")]
+    #[serde(default = "default_seed")]
     seed: f64,
-    #[serde(default = "three")]
+    #[serde(default = "default_repetitions")]
     repetitions: f64,
     measured_s: f64,
-    #[serde(default = "warm_up")]
+    #[serde(default = "default_warm_up_s")]
     warm_up_s: f64,
     #[serde(default)]
     agreement: bool,
@@ -99,7 +99,7 @@
     writes: f64,
 }
 
-/// How sites, zones and regions grow with the nodes; the defaults are those of the target size.
+/// How sites, zones and regions grow with the nodes. The defaults are those of the target.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct Layout {
@@ -139,56 +139,56 @@
     }
 }
 
-fn calm() -> FleetState {
+fn default_state() -> FleetState {
     FleetState::Calm
 }
 
-fn one() -> f64 {
+fn default_seed() -> f64 {
     1.0
 }
 
-fn three() -> f64 {
+fn default_repetitions() -> f64 {
     3.0
 }
 
-fn warm_up() -> f64 {
+fn default_warm_up_s() -> f64 {
     5.0
 }
 
-/// A key, and what is wrong with its value.
-type Wrong = (String, String);
+/// A key, and why its value is invalid.
+type InvalidValue = (String, String);
 
-fn wrong<T>(key: &str, what: impl Into<String>) -> Result<T, Wrong> {
-    Err((key.to_owned(), what.into()))
+fn invalid<T>(key: &str, reason: impl Into<String>) -> Result<T, InvalidValue> {
+    Err((key.to_owned(), reason.into()))
 }
 
-/// A figure within its range.
-fn figure(key: &str, value: f64, least: f64, most: f64) -> Result<f64, Wrong> {
-    if value.is_finite() && (least..=most).contains(&value) {
+/// Checks that a number is within its range.
+fn in_range(key: &str, value: f64, min: f64, max: f64) -> Result<f64, InvalidValue> {
+    if value.is_finite() && (min..=max).contains(&value) {
         return Ok(value);
     }
-    wrong(key, format!("{value} is not within {least} to {most}"))
+    invalid(key, format!("{value} is not within {min} to {max}"))
 }
 
-/// A whole number within its range.
-fn whole(key: &str, value: f64, least: f64, most: f64) -> Result<f64, Wrong> {
+/// Checks that a number is an integer within its range.
+fn integer_in_range(key: &str, value: f64, min: f64, max: f64) -> Result<f64, InvalidValue> {
     if value.fract() != 0.0 {
-        return wrong(key, format!("{value} is no whole number within {least} to {most}"));
+        return invalid(key, format!("{value} is not an integer within {min} to {max}"));
     }
-    figure(key, value, least, most)
+    in_range(key, value, min, max)
 }
 
 impl Scenario {
-    /// Reads and checks a scenario.
+    /// Parses and validates a scenario.
     ///
     /// # Errors
-    /// The first thing that is wrong, with its line, its key and what is allowed.
+    /// The first invalid value, with its line, its key and the permitted range.
     pub fn parse(text: &str) -> Result<Scenario, ScenarioError> {
         let file: File = parse(text)?;
-        file.check().map_err(|(key, what)| ScenarioError {
+        file.check().map_err(|(key, reason)| ScenarioError {
             line: line_of_key(text, &key),
             key,
-            message: what,
+            message: reason,
         })
     }
 
@@ -199,31 +199,31 @@
 }
 
 impl File {
-    fn check(self) -> Result<Scenario, Wrong> {
+    fn check(self) -> Result<Scenario, InvalidValue> {
         if self.name.is_empty() || !self.name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-') {
-            return wrong("name", "letters, digits and dashes only, and at least one of them");
+            return invalid("name", "letters, digits and dashes only, and at least one of them");
         }
-        let seed = whole("seed", self.seed, 0.0, MOST_SEED)? as u64;
-        let repetitions = whole("repetitions", self.repetitions, 1.0, 20.0)? as u32;
-        let measured = figure("measured_s", self.measured_s, 0.5, 3600.0)?;
-        let warm_up = figure("warm_up_s", self.warm_up_s, 0.5, 3600.0)?;
+        let seed = integer_in_range("seed", self.seed, 0.0, MAX_SEED)? as u64;
+        let repetitions = integer_in_range("repetitions", self.repetitions, 1.0, 20.0)? as u32;
+        let measured = in_range("measured_s", self.measured_s, 0.5, 3600.0)?;
+        let warm_up = in_range("warm_up_s", self.warm_up_s, 0.5, 3600.0)?;
         let load = self.load.check()?;
         let bounds = self.bounds.check()?;
         self.layout.check()?;
         if self.size.is_empty() {
-            return wrong("size", "0 sizes are not within 1 to 20");
+            return invalid("size", "0 sizes are not within 1 to 20");
         }
-        figure("size", self.size.len() as f64, 1.0, 20.0)?;
-        let sizes = self.size.iter().enumerate().map(|(place, size)| size.check(place, &self.layout));
+        in_range("size", self.size.len() as f64, 1.0, 20.0)?;
+        let sizes = self.size.iter().enumerate().map(|(index, size)| size.check(index, &self.layout));
         let sizes = sizes.collect::<Result<Vec<_>, _>>()?;
         let regions_needed = if self.state == FleetState::RegionsApart { 2 } else { 1 };
-        for (place, size) in sizes.iter().enumerate() {
+        for (index, size) in sizes.iter().enumerate() {
             if size.regions < regions_needed {
-                let what = format!("{} regions: regions-apart needs 2 or more", size.regions);
-                return wrong(&format!("size.{place}.nodes"), what);
+                let reason = format!("{} regions: regions-apart needs 2 or more", size.regions);
+                return invalid(&format!("size.{index}.nodes"), reason);
             }
             if self.agreement && size.zones < 2 {
-                return wrong(&format!("size.{place}.nodes"), "1 zone: an agreement needs 2 or more");
+                return invalid(&format!("size.{index}.nodes"), "1 zone: an agreement needs 2 or more");
             }
         }
         Ok(Scenario {
@@ -243,46 +243,47 @@
 }
 
 impl FileLoad {
-    fn check(&self) -> Result<Load, Wrong> {
+    fn check(&self) -> Result<Load, InvalidValue> {
         Ok(Load {
-            per_s: figure("load.per_s", self.per_s, 0.0, 100_000.0)?,
-            misses: figure("load.misses", self.misses, 0.0, 1.0)?,
-            writes: figure("load.writes", self.writes, 0.0, 1.0)?,
+            per_s: in_range("load.per_s", self.per_s, 0.0, 100_000.0)?,
+            misses: in_range("load.misses", self.misses, 0.0, 1.0)?,
+            writes: in_range("load.writes", self.writes, 0.0, 1.0)?,
         })
     }
 }
 
 impl FileBounds {
-    fn check(&self) -> Result<Bounds, Wrong> {
+    fn check(&self) -> Result<Bounds, InvalidValue> {
         Ok(Bounds {
-            memory_part: figure("bounds.memory_part", self.memory_part, 0.01, 0.5)?,
-            max_wall_time: Duration::from_secs_f64(figure("bounds.wall_s", self.wall_s, 1.0, 3600.0)?),
+            memory_part: in_range("bounds.memory_part", self.memory_part, 0.01, 0.5)?,
+            max_wall_time: Duration::from_secs_f64(in_range("bounds.wall_s", self.wall_s, 1.0, 3600.0)?),
         })
     }
 }
 
 impl Layout {
-    fn check(&self) -> Result<(), Wrong> {
-        figure("layout.nodes_per_site", self.nodes_per_site, 1.0, MOST_NODES)?;
-        figure("layout.sites_per_zone", self.sites_per_zone, 1.0, MOST_NODES)?;
-        figure("layout.zones_per_region", self.zones_per_region, 1.0, MOST_ZONES)?;
+    fn check(&self) -> Result<(), InvalidValue> {
+        in_range("layout.nodes_per_site", self.nodes_per_site, 1.0, MAX_NODES)?;
+        in_range("layout.sites_per_zone", self.sites_per_zone, 1.0, MAX_NODES)?;
+        in_range("layout.zones_per_region", self.zones_per_region, 1.0, MAX_ZONES)?;
         Ok(())
     }
 }
 
 impl FileSize {
-    fn check(&self, place: usize, layout: &Layout) -> Result<FleetSize, Wrong> {
-        let at = |name: &str| format!("size.{place}.{name}");
-        let nodes = whole(&at("nodes"), self.nodes, 1.0, MOST_NODES)?;
-        let cache_servers = whole(&at("cache_servers"), self.cache_servers, 1.0, MOST_CACHE_SERVERS)?;
-        let changes_per_s = figure(&at("changes_per_s"), self.changes_per_s, 0.0, 100.0)?;
-        let part = |key: &str, named: Option<f64>, grown: f64, most: f64| match named {
-            Some(named) => whole(&at(key), named, 1.0, most),
-            None => Ok(grown.ceil().clamp(1.0, most)),
+    fn check(&self, index: usize, layout: &Layout) -> Result<FleetSize, InvalidValue> {
+        let at = |name: &str| format!("size.{index}.{name}");
+        let nodes = integer_in_range(&at("nodes"), self.nodes, 1.0, MAX_NODES)?;
+        let cache_servers =
+            integer_in_range(&at("cache_servers"), self.cache_servers, 1.0, MAX_CACHE_SERVERS)?;
+        let changes_per_s = in_range(&at("changes_per_s"), self.changes_per_s, 0.0, 100.0)?;
+        let count = |key: &str, configured: Option<f64>, derived: f64, max: f64| match configured {
+            Some(configured) => integer_in_range(&at(key), configured, 1.0, max),
+            None => Ok(derived.ceil().clamp(1.0, max)),
         };
-        let sites = part("sites", self.sites, nodes / layout.nodes_per_site, nodes)?;
-        let zones = part("zones", self.zones, sites / layout.sites_per_zone, sites.min(MOST_ZONES))?;
-        let regions = part("regions", self.regions, zones / layout.zones_per_region, zones)?;
+        let sites = count("sites", self.sites, nodes / layout.nodes_per_site, nodes)?;
+        let zones = count("zones", self.zones, sites / layout.sites_per_zone, sites.min(MAX_ZONES))?;
+        let regions = count("regions", self.regions, zones / layout.zones_per_region, zones)?;
         Ok(FleetSize {
             nodes: nodes as u32,
             sites: sites as u32,
