--- a/crates/scale/src/series.rs
+++ b/crates/scale/src/series.rs
@@ -1,20 +1,20 @@
-//! Series of values over a size, taken from runs.
+//! Series of values as a function of a size, extracted from runs.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 use crate::models::Point;
 use crate::record::{Change, FleetSize, Limit, Role, RoleCost, Run};
-use crate::records::word;
+use crate::records::serialized_name;
 
-/// What grows.
+/// The size that varies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Axis {
-    /// Nodes.
+    /// Number of nodes.
     Nodes,
-    /// Cache servers.
+    /// Number of cache servers.
     CacheServers,
-    /// Changes of discovery's list a second.
+    /// Changes of discovery's list per second.
     Changes,
 }
 
@@ -40,53 +40,53 @@
     }
 }
 
-/// Whose figure it is.
+/// What a series describes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Subject {
-    /// A role's, the mean of a member.
+    /// A role; values are means over its members.
     Role(Role),
-    /// A sum's over the fleet.
+    /// A sum over the fleet.
     Sum(Limit),
-    /// A change's.
-    Spread(Change),
+    /// The propagation of a change.
+    Propagation(Change),
 }
 
 impl fmt::Display for Subject {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Subject::Role(role) => f.write_str(&word(role)),
-            Subject::Sum(limit) => write!(f, "sum of {}", word(limit)),
-            Subject::Spread(change) => write!(f, "change of {}", word(change)),
+            Subject::Role(role) => f.write_str(&serialized_name(role)),
+            Subject::Sum(limit) => write!(f, "sum of {}", serialized_name(limit)),
+            Subject::Propagation(change) => write!(f, "change of {}", serialized_name(change)),
         }
     }
 }
 
-/// What is measured.
+/// A measured quantity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Quantity {
-    /// Messages a second, both ways together.
+    /// Messages per second in both directions.
     Messages,
-    /// Bytes a second, both ways together.
+    /// Bytes per second in both directions.
     Bytes,
-    /// Processor time, user and system together, seconds a second.
+    /// Processor time in user mode and in the system, in seconds per second.
     Cpu,
     /// Resident memory, in bytes.
     ResidentMemory,
-    /// Connections, the most at a time.
+    /// Maximum number of concurrent connections.
     Connections,
     /// What the nodes' own limits add up to.
     Allowed,
-    /// The most that was seen at once.
+    /// The highest value observed.
     Peak,
-    /// The time until the last that acted on a change, in seconds.
-    LastActs,
+    /// Time until the last node acted on a change, in seconds.
+    PropagationTime,
 }
 
 impl Quantity {
     const OF_ROLES: [Quantity; 5] =
         [Quantity::Messages, Quantity::Bytes, Quantity::Cpu, Quantity::ResidentMemory, Quantity::Connections];
 
-    /// The value of a role's cost, where it was measured.
+    /// The value of a role's cost, if it was measured.
     pub fn of(self, cost: &RoleCost) -> Option<f64> {
         match self {
             Quantity::Messages => Some(cost.messages_in_per_s + cost.messages_out_per_s),
@@ -94,7 +94,7 @@
             Quantity::Cpu => Some(cost.user_cpu? + cost.system_cpu?),
             Quantity::ResidentMemory => cost.resident_bytes,
             Quantity::Connections => Some(cost.connections),
-            Quantity::Allowed | Quantity::Peak | Quantity::LastActs => None,
+            Quantity::Allowed | Quantity::Peak | Quantity::PropagationTime => None,
         }
     }
 }
@@ -109,45 +109,46 @@
             Quantity::Connections => "connections",
             Quantity::Allowed => "allowed",
             Quantity::Peak => "peak",
-            Quantity::LastActs => "last acts, s",
+            Quantity::PropagationTime => "last acts, s",
         })
     }
 }
 
-/// What tells a series from others.
+/// Identifies a series.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Key {
-    /// Whose.
+    /// What the series describes.
     pub subject: Subject,
-    /// What.
+    /// The measured quantity.
     pub quantity: Quantity,
-    /// Over what.
+    /// The size that varies.
     pub axis: Axis,
-    /// The other two axes, in words: their values, or that they grow along.
+    /// The other two axes as text: their values, or that they grow with the axis.
     pub others: String,
 }
 
-/// Values of one quantity over one axis.
+/// Values of one quantity along one axis.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Series {
-    /// What they are.
+    /// Identifies the series.
     pub key: Key,
     /// The values, one for each run.
     pub points: Vec<Point>,
-    /// The design's limit at each size, where the runs tell one.
+    /// The design's limit at each size, if the runs contain one.
     pub bounds: Vec<Point>,
-    /// Runs in which not all that should have acted did: the time of the last is only that of those that did.
+    /// Number of runs in which not all expected nodes acted on a change. Their values cover only the nodes
+    /// that did.
     pub incomplete: usize,
 }
 
 impl Series {
-    /// The design's limit at the largest of the sizes up to this one, where the runs tell it.
+    /// The design's limit at the largest size up to this one, if the runs contain one.
     pub fn bound_at(&self, size: f64) -> Option<f64> {
         let up_to = self.bounds.iter().filter(|bound| bound.size <= size);
         up_to.max_by(|a, b| a.size.total_cmp(&b.size)).map(|bound| bound.value)
     }
 
-    /// Whether the design's limit is another one at another size, so that nothing is known of it at sizes that were not run.
+    /// Whether the design's limit depends on the size, so that it is unknown at sizes that were not run.
     pub fn bound_varies(&self) -> bool {
         self.bounds.windows(2).any(|pair| pair[0].value != pair[1].value)
     }
@@ -178,27 +179,28 @@
         }
     }
     let mut slowest: BTreeMap<Change, (f64, bool)> = BTreeMap::new();
-    for spread in &run.spreads {
-        let (last, complete) = slowest.entry(spread.change).or_insert((0.0, true));
-        *last = last.max(spread.last_s);
-        *complete &= spread.acted >= spread.expected;
+    for propagation in &run.spreads {
+        let (last, complete) = slowest.entry(propagation.change).or_insert((0.0, true));
+        *last = last.max(propagation.last_s);
+        *complete &= propagation.acted >= propagation.expected;
     }
     for (change, (value, complete)) in slowest {
-        let (subject, quantity) = (Subject::Spread(change), Quantity::LastActs);
+        let (subject, quantity) = (Subject::Propagation(change), Quantity::PropagationTime);
         values.push(Value { subject, quantity, value, bound: None, complete });
     }
     values
 }
 
-/// The sizes of the other axes of a run, in words.
+/// The sizes on the other axes of a run, as text.
 fn others(axis: Axis, size: &FleetSize) -> String {
     let other = |other: &Axis| format!("{} {other}", other.of(size));
     let others: Vec<String> = Axis::ALL.iter().filter(|a| **a != axis).map(other).collect();
     others.join(", ")
 }
 
-/// The zones of runs, in words, where they are not the same in all: what grows with them is not told apart from the axis.
-fn zones_along(runs: &[&Run]) -> String {
+/// The range of zones in these runs as text, if it is more than one value: the effect of zones cannot be
+/// separated from that of the axis then.
+fn zone_range(runs: &[&Run]) -> String {
     let zones = || runs.iter().map(|run| run.size.zones);
     match (zones().min(), zones().max()) {
         (Some(least), Some(most)) if least < most => format!("; {least} to {most} zones along"),
@@ -206,7 +208,8 @@
     }
 }
 
-/// Axes along which runs differ, each with the runs whose other axes stand still; where that is so of no two sizes, all runs over nodes.
+/// Groups runs that differ along one axis only. If there is no such group with two sizes, all runs form one
+/// group over the nodes.
 fn groups<'a>(runs: &[&'a Run]) -> Vec<(Axis, String, Vec<&'a Run>)> {
     let mut groups = Vec::new();
     for axis in Axis::ALL {
@@ -217,7 +220,7 @@
         for (others, members) in by_others {
             let first = axis.of(&members[0].size);
             if members.iter().any(|run| axis.of(&run.size) != first) {
-                let others = others + &zones_along(&members);
+                let others = others + &zone_range(&members);
                 groups.push((axis, others, members));
             }
         }
@@ -225,8 +228,8 @@
     if groups.is_empty() && !runs.is_empty() {
         let first = &runs[0].size;
         let several = runs.iter().any(|run| run.size.nodes != first.nodes);
-        let what = if several { "all else grows along".into() } else { others(Axis::Nodes, first) };
-        groups.push((Axis::Nodes, what, runs.to_vec()));
+        let group_name = if several { "all else grows along".into() } else { others(Axis::Nodes, first) };
+        groups.push((Axis::Nodes, group_name, runs.to_vec()));
     }
     groups
 }
--- a/crates/scale/src/target.rs
+++ b/crates/scale/src/target.rs
@@ -1,37 +1,37 @@
-//! The fleet that the project is to bear in about two years, and what its control may cost.
+//! The fleet that the project has to support in about two years, and what its control may cost.
 
 /// A fleet and its load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Target {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: f64,
-    /// Sites that they stand at.
+    /// Number of sites with nodes.
     pub sites: f64,
-    /// Cache servers behind them.
+    /// Number of cache servers.
     pub cache_servers: f64,
-    /// Regions.
+    /// Number of regions.
     pub regions: f64,
-    /// Zones of all regions together.
+    /// Number of zones in all regions together.
     pub zones: f64,
-    /// Requests a second at the peak.
+    /// Requests per second at the peak.
     pub requests_per_s: f64,
-    /// Bits a second at the peak.
+    /// Bits per second at the peak.
     pub bits_per_s: f64,
-    /// Objects.
+    /// Number of objects.
     pub objects: f64,
-    /// Purges a second.
+    /// Purges per second.
     pub purges_per_s: f64,
-    /// A purge is done everywhere within this time, in seconds.
+    /// Time within which a purge has to be complete everywhere, in seconds.
     pub purge_within_s: f64,
-    /// Changes of configuration a day.
+    /// Changes of configuration per day.
     pub settings_per_day: f64,
-    /// A change is in force everywhere within this time, in seconds.
+    /// Time within which a change has to be in effect everywhere, in seconds.
     pub settings_within_s: f64,
-    /// Machines that fail in a day.
+    /// Machines that fail per day.
     pub failures_per_day: f64,
-    /// Machines that are restarted or replaced in a day.
+    /// Machines that are restarted or replaced per day.
     pub restarts_per_day: f64,
-    /// Machines set aside for control.
+    /// Machines reserved for control.
     pub control_machines: f64,
     /// What control may cost each node.
     pub budget: Budget,
@@ -40,15 +40,15 @@
 /// What control may cost one node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
-    /// Of a core.
+    /// Share of a core.
     pub cores: f64,
     /// Memory, in bytes.
     pub memory_bytes: f64,
-    /// Bytes a second, both ways together.
+    /// Bytes per second in both directions.
     pub bytes_per_s: f64,
 }
 
-/// Seconds in a day.
+/// Seconds per day.
 pub const DAY_S: f64 = 86_400.0;
 
 /// The target.
@@ -71,5 +71,5 @@
     budget: Budget { cores: 0.017, memory_bytes: 64e6, bytes_per_s: 19e3 },
 };
 
-/// The nodes of the largest fleet that the standing test plays: where the search for what breaks first begins.
-pub const FLEET_TODAY: f64 = 300.0;
+/// Number of nodes of the largest fleet in the regular tests, used as the current size in the tables.
+pub const LARGEST_TESTED_NODES: f64 = 300.0;
--- a/crates/scale/src/text.rs
+++ b/crates/scale/src/text.rs
@@ -1,7 +1,7 @@
-//! Figures as text, the same on every machine.
+//! Formats numbers and tables in the same way on every machine.
 
-/// A figure with three significant digits, and commas between thousands.
-pub fn figure(value: f64) -> String {
+/// Formats a number with three significant digits and thousands separators.
+pub fn format_number(value: f64) -> String {
     if !value.is_finite() {
         return "-".into();
     }
@@ -34,13 +34,13 @@
     text
 }
 
-/// A part as percents.
-pub fn percent(part: f64) -> String {
-    if part.is_finite() { format!("{:.1}%", 100.0 * part) } else { "-".into() }
+/// Formats a share as percentage.
+pub fn format_percent(share: f64) -> String {
+    if share.is_finite() { format!("{:.1}%", 100.0 * share) } else { "-".into() }
 }
 
-/// A table in Markdown.
-pub fn table(heads: &[&str], rows: &[Vec<String>]) -> String {
+/// Formats a table in Markdown.
+pub fn markdown_table(heads: &[&str], rows: &[Vec<String>]) -> String {
     let line = |cells: &[String]| format!("| {} |\n", cells.join(" | "));
     let heads: Vec<String> = heads.iter().map(|head| (*head).into()).collect();
     let rule: Vec<String> = heads.iter().map(|_| "---".into()).collect();
--- a/crates/scale/src/virtual_clock.rs
+++ b/crates/scale/src/virtual_clock.rs
@@ -1,17 +1,18 @@
-//! The virtual clock host: all nodes of a fleet, with the daemon's own code, on a simulated network in one process.
+//! The virtual clock host: all nodes of a fleet run the daemon's own code on a simulated network in one
+//! process.
 //!
-//! A run begins with the fleet without nodes, whose processor time and memory are what the nodes' are told less of. Then
-//! nodes start, warm up, and are measured while the state of the scenario happens; at last a change is made, and it is
-//! seen how long all take to act on it. Counts of messages and bytes follow from the seed; time and memory of the process
-//! do not.
+//! A run first measures the fleet without nodes; its processor time and memory are subtracted from those with
+//! nodes. Then nodes start, warm up, and are measured while the scenario's fault occurs. At the end a change
+//! is made, and the time until all nodes act on it is measured. Message and byte counts are determined by the
+//! seed; processor time and memory are not.
 
 mod costs;
+mod faults;
 mod fleet;
 mod layout;
 mod origin_sums;
+mod propagation;
 mod settings;
-mod spread;
-mod states;
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -23,30 +24,33 @@
 use crate::record::{FleetSize, Run};
 use crate::scenario::Scenario;
 use crate::usage::{ProcessorTime, machine, resident_bytes};
-use costs::{Connections, Measured};
+use costs::{Connections, Measurement};
 use fleet::SimulatedFleet;
 use origin_sums::OriginCalls;
-use spread::AgreementLog;
+use propagation::AgreementLog;
 
-/// Memory that a run is expected to need, in bytes: of the process, of each node by itself, and of each line of the list
-/// at each node. Runs of 200 to 6,600 nodes with 98 and 980 cache servers took 0.10 MB and 0.51 kB; half as much again
-/// is reckoned with, since a disturbed fleet holds more on its way.
-const MEMORY: (f64, f64, f64) = (100e6, 150e3, 800.0);
-/// Between two looks at connections and at the nodes' limits.
-const LOOK: Duration = Duration::from_millis(200);
+/// Expected memory of a run: of the process, of each node, and of each list entry at each node. Runs of 200
+/// to 6,600 nodes with 98 and 980 cache servers took 0.10 MB per node and 0.51 kB per entry; 50% is added,
+/// since a fleet with a fault needs more.
+const PROCESS_MEMORY_BYTES: f64 = 100e6;
+const NODE_MEMORY_BYTES: f64 = 150e3;
+const LIST_ENTRY_MEMORY_BYTES: f64 = 800.0;
+/// Interval between samples of the connections and of the nodes' limits.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The memory that a run of a size is expected to need, in bytes.
+/// The memory that a run of this size is expected to need, in bytes.
 pub fn expected_memory(size: &FleetSize) -> f64 {
-    let (process, node, line) = MEMORY;
-    process + f64::from(size.nodes) * (node + line * f64::from(size.cache_servers))
+    PROCESS_MEMORY_BYTES
+        + f64::from(size.nodes)
+            * (NODE_MEMORY_BYTES + LIST_ENTRY_MEMORY_BYTES * f64::from(size.cache_servers))
 }
 
-/// Looks whether all sizes of a scenario can be run on a machine with so much memory.
+/// Checks whether all sizes of a scenario can be run on a machine with this much memory.
 ///
 /// # Errors
-/// The first that can't, with the expected figure and the bound.
+/// The first size that cannot, with the expected memory and the bound.
 pub fn check(scenario: &Scenario, memory_bytes: u64) -> Result<(), String> {
-    states::possible(scenario.state)?;
+    faults::check_supported(scenario.state)?;
     let bound = memory_bytes as f64 * scenario.bounds.memory_part;
     for size in &scenario.sizes {
         let expected = expected_memory(size);
@@ -65,22 +69,23 @@
     Ok(())
 }
 
-/// Runs one size once, on this thread. Memory is told best where the process has run nothing before.
+/// Runs one size once, on this thread. Memory is measured most accurately if the process has run nothing
+/// before.
 ///
 /// # Errors
-/// A size beyond the bound of memory, or a scenario that makes no fleet.
+/// The size exceeds the memory bound, or no fleet can be built from the scenario.
 pub fn run(scenario: &Scenario, size: FleetSize, repetition: u32) -> Result<Run, String> {
     check(&Scenario { sizes: vec![size], ..scenario.clone() }, machine().memory_bytes)?;
     let begin = std::time::Instant::now();
-    let run = chalksill_simnet::run(|| play(scenario.clone(), size, repetition))?;
+    let run = chalksill_simnet::run(|| simulate(scenario.clone(), size, repetition))?;
     Ok(Run { wall_s: begin.elapsed().as_secs_f64(), ..run })
 }
 
-async fn play(scenario: Scenario, size: FleetSize, repetition: u32) -> Result<Run, String> {
+async fn simulate(scenario: Scenario, size: FleetSize, repetition: u32) -> Result<Run, String> {
     let seed = scenario.seed_of(repetition);
     let fleet = SimulatedFleet::start(&scenario, size, seed).await?;
     let idle = processor_time_over(scenario.measured).await;
-    let resident_without = resident_bytes();
+    let resident_without_nodes = resident_bytes();
     let log = scenario.agreement.then(|| AgreementLog::watch(&fleet));
     fleet.start_nodes()?;
     sleep(scenario.warm_up).await;
@@ -90,77 +95,79 @@
         fleet.start_clients();
     }
     if size.changes_per_s > 0.0 {
-        spawn_local(keep_changing(fleet.clone(), scenario.measured));
+        spawn_local(keep_changing_list(fleet.clone(), scenario.measured));
     }
-    let state = spawn_local(states::happen(fleet.clone(), scenario.state));
+    let fault = spawn_local(faults::inject(fleet.clone(), scenario.state));
     fleet.net.count_traffic();
     let before = ProcessorTime::now();
-    let looked = look_over(&fleet, scenario.measured).await;
+    let samples = take_samples(&fleet, scenario.measured).await;
     let used = ProcessorTime::now().since(before);
-    let measured = Measured {
-        span: scenario.measured,
+    let measurement = Measurement {
+        duration: scenario.measured,
         hollow: scenario.load.per_s == 0.0,
         resident_bytes: resident_bytes()
-            .zip(resident_without)
+            .zip(resident_without_nodes)
             .map(|(with, without)| with.saturating_sub(without)),
         processor: used.since(idle),
-        connections: looked.connections,
+        connections: samples.connections,
         leader: log.as_ref().and_then(AgreementLog::leader),
     };
-    let roles = costs::of_roles(&fleet, &measured);
-    let sums = origin_calls.sums(&scenario, size.nodes, looked.allowed_out);
+    let roles = costs::role_costs(&fleet, &measurement);
+    let sums = origin_calls.sums(&scenario, size.nodes, samples.allowed_out);
 
     let mut spreads = Vec::new();
-    let spread_of_state = state.await.map_err(|e| format!("the state of the fleet: {e}"))??;
-    match spread_of_state {
-        Some(spread) => spreads.push(spread),
-        None => spreads.push(spread::of_list(&fleet).await),
+    let propagation_of_fault = fault.await.map_err(|e| format!("fault injection: {e}"))??;
+    match propagation_of_fault {
+        Some(propagation) => spreads.push(propagation),
+        None => spreads.push(propagation::of_list_change(&fleet).await),
     }
     if let Some(log) = &log {
-        spreads.push(spread::of_plan(&fleet, log).await);
+        spreads.push(propagation::of_plan_change(&fleet, log).await);
     }
     fleet.end();
     let measured_s = scenario.measured.as_secs_f64();
     Ok(Run { size, repetition, seed, measured_s, wall_s: 0.0, roles, sums, spreads })
 }
 
-/// Processor time that the fleet as it is takes over a span.
-async fn processor_time_over(span: Duration) -> ProcessorTime {
+/// Measures the processor time that the fleet in its present state uses in this time.
+async fn processor_time_over(duration: Duration) -> ProcessorTime {
     let before = ProcessorTime::now();
-    sleep(span).await;
+    sleep(duration).await;
     ProcessorTime::now().since(before)
 }
 
-struct Looked {
+struct Samples {
     connections: Connections,
-    /// The most that the nodes' own limits of calls out at the origin added up to.
+    /// The maximum over time of the sum of the nodes' own limits of outstanding origin calls.
     allowed_out: f64,
 }
 
-/// Looks at the fleet again and again until a span is over.
-async fn look_over(fleet: &SimulatedFleet, span: Duration) -> Looked {
-    let end = Instant::now() + span;
-    let mut looked = Looked { connections: Connections::default(), allowed_out: 0.0 };
+/// Samples the fleet until this time has passed.
+async fn take_samples(fleet: &SimulatedFleet, duration: Duration) -> Samples {
+    let end = Instant::now() + duration;
+    let mut samples = Samples { connections: Connections::default(), allowed_out: 0.0 };
     loop {
-        looked.connections.look(fleet);
+        samples.connections.sample(fleet);
         let allowed = Cell::new(0);
-        fleet.each_node(|_, node| allowed.set(allowed.get() + node.desk.metrics.origin_calls_limit()));
-        looked.allowed_out = looked.allowed_out.max(allowed.get() as f64);
+        fleet.for_each_node(|_, node| {
+            allowed.set(allowed.get() + node.ops_endpoint.metrics.origin_calls_limit())
+        });
+        samples.allowed_out = samples.allowed_out.max(allowed.get() as f64);
         let left = end.saturating_duration_since(Instant::now());
         if left.is_zero() {
-            return looked;
+            return samples;
         }
-        sleep(left.min(LOOK)).await;
+        sleep(left.min(SAMPLE_INTERVAL)).await;
     }
 }
 
-/// Lets listed cache servers begin to drain, and end doing so, in turn and at the rate of the scenario.
-async fn keep_changing(fleet: Rc<SimulatedFleet>, span: Duration) {
+/// Sets listed cache servers to draining and back to ready, one after another, at the scenario's rate.
+async fn keep_changing_list(fleet: Rc<SimulatedFleet>, duration: Duration) {
     let pause = Duration::from_secs_f64(1.0 / fleet.size.changes_per_s);
-    let changes = (span.as_secs_f64() * fleet.size.changes_per_s) as usize;
+    let changes = (duration.as_secs_f64() * fleet.size.changes_per_s) as usize;
     for change in 0..changes {
-        // Each drains at one change, and is ready again at the next.
-        fleet.toggle(change / 2 % fleet.origin());
+        // Each server drains with one change and is ready again with the next.
+        fleet.toggle_draining(change / 2 % fleet.origin_number());
         sleep(pause).await;
     }
 }
--- a/crates/scale/src/virtual_clock/costs.rs
+++ b/crates/scale/src/virtual_clock/costs.rs
@@ -1,5 +1,5 @@
-//! What each role cost over a measurement, from the traffic that the network counted and the time and memory that the
-//! process used.
+//! The cost of each role over a measurement, from the traffic counted by the network and the processor time
+//! and memory of the process.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -13,21 +13,21 @@
 use crate::record::{Role, RoleCost};
 use crate::usage::ProcessorTime;
 
-/// Connections of control by whom they lead to, the most at a time.
+/// Maximum numbers of concurrent control connections, by destination.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Connections {
-    /// To discovery.
+    /// Connections to discovery.
     pub discovery: usize,
-    /// To all cache servers together.
+    /// Connections to all cache servers together.
     pub cache_servers: usize,
 }
 
 impl Connections {
-    /// Looks at the network, and keeps the larger figures.
-    pub fn look(&mut self, fleet: &SimulatedFleet) {
+    /// Samples the network and updates the maximums.
+    pub fn sample(&mut self, fleet: &SimulatedFleet) {
         let all = fleet.net.connections();
         let discovery = all.get(&layout::DISCOVERY).copied().unwrap_or(0);
-        let servers = 0..fleet.origin();
+        let servers = 0..fleet.origin_number();
         let addresses = servers.map(|n| SocketAddr::new(layout::cache_ip(n), layout::DATA_PORT));
         let cache_servers = addresses.filter_map(|at| all.get(&at)).sum();
         self.discovery = self.discovery.max(discovery);
@@ -35,87 +35,90 @@
     }
 }
 
-/// What was measured beside the traffic.
+/// What was measured besides the traffic.
 #[derive(Clone, Copy, Debug)]
-pub struct Measured {
-    /// How long, on the nodes' clock.
-    pub span: Duration,
-    /// Whether no client sent anything.
+pub struct Measurement {
+    /// Duration of the measurement on the nodes' clock.
+    pub duration: Duration,
+    /// Whether no client sent requests.
     pub hollow: bool,
-    /// Resident memory that came with the nodes: that of the process less that of the same fleet without nodes.
+    /// Resident memory of the process minus that of the same fleet without nodes.
     pub resident_bytes: Option<u64>,
-    /// Processor time of the process over the measurement less that of the same fleet without nodes.
+    /// Processor time of the process over the measurement minus that of the same fleet without nodes.
     pub processor: ProcessorTime,
-    /// Connections.
+    /// Control connections.
     pub connections: Connections,
-    /// Who leads the agreement.
+    /// The node that leads the agreement.
     pub leader: Option<usize>,
 }
 
-/// The cost of each role that the fleet has. Processor time and memory are told of hollow nodes alone: they hold the
-/// simulation's own costs (carrying packets, timers, the stand-ins' side of each call), which can't be told apart from the
-/// nodes' and are therefore an upper bound. Where clients send requests their costs are in the process, too, and none is
-/// told. The roles of the agreement have its own traffic only, which is in that of the nodes as well.
-pub fn of_roles(fleet: &SimulatedFleet, measured: &Measured) -> BTreeMap<Role, RoleCost> {
+/// Computes the cost of each role of the fleet. Processor time and memory are reported for hollow nodes only.
+/// They include costs of the simulation itself (packet delivery, timers, the stubs' side of each call), which
+/// cannot be separated from those of the nodes, and are therefore an upper bound. They are not reported for
+/// runs with clients, whose costs arise in the same process. The roles of the agreement have only its own
+/// traffic, which is also part of the traffic of the nodes.
+pub fn role_costs(fleet: &SimulatedFleet, measurement: &Measurement) -> BTreeMap<Role, RoleCost> {
     let mut roles = BTreeMap::new();
-    roles.insert(Role::HollowNode, hollow_nodes(fleet, measured));
-    roles.insert(Role::Discovery, discovery(fleet, measured));
-    if measured.hollow {
-        roles.insert(Role::CacheServerControl, cache_servers(fleet, measured));
+    roles.insert(Role::HollowNode, hollow_nodes(fleet, measurement));
+    roles.insert(Role::Discovery, discovery(fleet, measurement));
+    if measurement.hollow {
+        roles.insert(Role::CacheServerControl, cache_servers(fleet, measurement));
     }
-    if measured.leader.is_some() {
-        agreement_roles(fleet, measured, &mut roles);
+    if measurement.leader.is_some() {
+        agreement_roles(fleet, measurement, &mut roles);
     }
     roles
 }
 
-fn hollow_nodes(fleet: &SimulatedFleet, measured: &Measured) -> RoleCost {
-    let mut ways = vec![
+fn hollow_nodes(fleet: &SimulatedFleet, measurement: &Measurement) -> RoleCost {
+    let mut kinds = vec![
         TrafficKind::Datagrams(layout::PEER_PORT),
         TrafficKind::Datagrams(agreement::PORT),
         TrafficKind::Opened(layout::DISCOVERY.port()),
     ];
-    if measured.hollow {
-        ways.push(TrafficKind::Opened(layout::DATA_PORT));
+    if measurement.hollow {
+        kinds.push(TrafficKind::Opened(layout::DATA_PORT));
     }
     let nodes = fleet.size.nodes as usize;
-    let mut cost = mean(fleet, (0..nodes).map(layout::node_ip).collect(), &ways, measured.span);
+    let mut cost =
+        mean_traffic(fleet, (0..nodes).map(layout::node_ip).collect(), &kinds, measurement.duration);
     let each = |total: f64| total / nodes as f64;
-    let span = measured.span.as_secs_f64();
-    if measured.hollow {
-        cost.resident_bytes = measured.resident_bytes.map(|bytes| each(bytes as f64));
-        cost.user_cpu = Some(each(measured.processor.user.as_secs_f64() / span));
-        cost.system_cpu = Some(each(measured.processor.system.as_secs_f64() / span));
+    let duration = measurement.duration.as_secs_f64();
+    if measurement.hollow {
+        cost.resident_bytes = measurement.resident_bytes.map(|bytes| each(bytes as f64));
+        cost.user_cpu = Some(each(measurement.processor.user.as_secs_f64() / duration));
+        cost.system_cpu = Some(each(measurement.processor.system.as_secs_f64() / duration));
     }
-    let to_servers = if measured.hollow { measured.connections.cache_servers } else { 0 };
-    cost.connections = each((measured.connections.discovery + to_servers) as f64);
+    let to_servers = if measurement.hollow { measurement.connections.cache_servers } else { 0 };
+    cost.connections = each((measurement.connections.discovery + to_servers) as f64);
     cost
 }
 
-fn discovery(fleet: &SimulatedFleet, measured: &Measured) -> RoleCost {
-    let ways = [TrafficKind::Accepted(layout::DISCOVERY.port())];
-    let cost = mean(fleet, vec![layout::DISCOVERY.ip()], &ways, measured.span);
-    RoleCost { connections: measured.connections.discovery as f64, ..cost }
+fn discovery(fleet: &SimulatedFleet, measurement: &Measurement) -> RoleCost {
+    let kinds = [TrafficKind::Accepted(layout::DISCOVERY.port())];
+    let cost = mean_traffic(fleet, vec![layout::DISCOVERY.ip()], &kinds, measurement.duration);
+    RoleCost { connections: measurement.connections.discovery as f64, ..cost }
 }
 
-fn cache_servers(fleet: &SimulatedFleet, measured: &Measured) -> RoleCost {
-    let servers = fleet.origin();
-    let ways = [TrafficKind::Accepted(layout::DATA_PORT)];
-    let cost = mean(fleet, (0..servers).map(layout::cache_ip).collect(), &ways, measured.span);
-    RoleCost { connections: measured.connections.cache_servers as f64 / servers as f64, ..cost }
+fn cache_servers(fleet: &SimulatedFleet, measurement: &Measurement) -> RoleCost {
+    let servers = fleet.origin_number();
+    let kinds = [TrafficKind::Accepted(layout::DATA_PORT)];
+    let cost =
+        mean_traffic(fleet, (0..servers).map(layout::cache_ip).collect(), &kinds, measurement.duration);
+    RoleCost { connections: measurement.connections.cache_servers as f64 / servers as f64, ..cost }
 }
 
-fn agreement_roles(fleet: &SimulatedFleet, measured: &Measured, roles: &mut BTreeMap<Role, RoleCost>) {
+fn agreement_roles(fleet: &SimulatedFleet, measurement: &Measurement, roles: &mut BTreeMap<Role, RoleCost>) {
     let voters = fleet.layout.voters();
-    let leads = |node: &usize| measured.leader == Some(*node);
+    let leads = |node: &usize| measurement.leader == Some(*node);
     let leader = (0..fleet.size.nodes as usize).filter(leads);
     let others = voters.iter().copied().filter(|node| !leads(node));
     let followers = (0..fleet.size.nodes as usize).filter(|node| !voters.contains(node));
-    let ways = [TrafficKind::Datagrams(agreement::PORT)];
+    let kinds = [TrafficKind::Datagrams(agreement::PORT)];
     let mut insert = |role, members: Vec<usize>| {
         if !members.is_empty() {
             let machines = members.into_iter().map(layout::node_ip).collect();
-            roles.insert(role, mean(fleet, machines, &ways, measured.span));
+            roles.insert(role, mean_traffic(fleet, machines, &kinds, measurement.duration));
         }
     };
     insert(Role::AgreementLeader, leader.collect());
@@ -123,14 +126,19 @@
     insert(Role::AgreementFollower, followers.collect());
 }
 
-/// The mean traffic of machines on some ways.
-fn mean(fleet: &SimulatedFleet, machines: Vec<IpAddr>, ways: &[TrafficKind], span: Duration) -> RoleCost {
+/// The mean traffic of these kinds at these machines.
+fn mean_traffic(
+    fleet: &SimulatedFleet,
+    machines: Vec<IpAddr>,
+    kinds: &[TrafficKind],
+    duration: Duration,
+) -> RoleCost {
     let of_machine = |ip: &IpAddr| {
-        let traffic = ways.iter().map(|way| fleet.net.traffic(*ip, *way));
+        let traffic = kinds.iter().map(|kind| fleet.net.traffic(*ip, *kind));
         traffic.fold(Traffic::default(), Traffic::plus)
     };
     let all = machines.iter().map(of_machine).fold(Traffic::default(), Traffic::plus);
-    let per_s = |count: u64| count as f64 / machines.len() as f64 / span.as_secs_f64();
+    let per_s = |count: u64| count as f64 / machines.len() as f64 / duration.as_secs_f64();
     RoleCost {
         members: machines.len() as u32,
         messages_in_per_s: per_s(all.messages_in),
--- a/crates/scale/src/virtual_clock/fleet.rs
+++ b/crates/scale/src/virtual_clock/fleet.rs
@@ -26,64 +26,72 @@
 use crate::record::FleetSize;
 use crate::scenario::Scenario;
 
-/// The time of day at which every simulated fleet begins.
+/// The time of day at which every simulated fleet starts.
 const EPOCH: Duration = Duration::from_secs(1_700_000_000);
-/// The part of the datagrams between nodes that is lost.
-const LOST: f64 = 0.02;
+/// The share of datagrams between nodes that are lost.
+const DATAGRAM_LOSS: f64 = 0.02;
 
-/// A node that runs.
+/// A running node.
 pub struct Node {
-    /// What staff read of it.
-    pub desk: Arc<OpsEndpoint>,
-    /// Orders to it.
+    /// The node's operations endpoint, with its metrics.
+    pub ops_endpoint: Arc<OpsEndpoint>,
+    /// Sends commands to the node.
     pub control: mpsc::Sender<Control>,
     host: SimHost,
     task: AbortHandle,
 }
 
-/// Discovery's process.
-struct Service {
+/// The process of discovery.
+struct DiscoveryProcess {
     host: SimHost,
     task: AbortHandle,
 }
 
-/// The fleet.
+/// A fleet on a simulated network.
 pub struct SimulatedFleet {
-    /// The network.
+    /// The simulated network.
     pub net: Net,
-    /// Where stand-ins report.
-    pub witness: Observer,
-    /// What discovery lists.
+    /// Receives the observations of the stubs.
+    pub observer: Observer,
+    /// The list that discovery publishes.
     pub discovery: Rc<Discovery>,
-    /// How large the fleet is.
+    /// The size of the fleet.
     pub size: FleetSize,
-    /// Where everything stands.
+    /// Addresses, zones and regions of the machines.
     pub layout: Layout,
     fleet: Rc<Fleet>,
     nodes: RefCell<BTreeMap<usize, Node>>,
-    service: RefCell<Option<Service>>,
+    discovery_process: RefCell<Option<DiscoveryProcess>>,
 }
 
 impl SimulatedFleet {
-    /// Everything but the nodes.
+    /// Starts everything but the nodes.
     ///
     /// # Errors
-    /// A scenario that makes no world.
+    /// No simulated environment can be built from the scenario.
     pub async fn start(scenario: &Scenario, size: FleetSize, seed: u64) -> Result<Rc<Self>, String> {
         let layout = Layout::new(size, scenario.agreement);
-        let world = settings::world(scenario, size, &layout)?;
-        let net = Net::new(seed, EPOCH, Links { datagram_loss: LOST, ..Links::default() });
+        let world = settings::world_scenario(scenario, size, &layout)?;
+        let net = Net::new(seed, EPOCH, Links { datagram_loss: DATAGRAM_LOSS, ..Links::default() });
         spawn_local(net.clone().deliver_packets());
-        let witness = Observer::starting_now();
-        let fleet = Fleet::new(world, seed, witness.clone());
+        let observer = Observer::starting_now();
+        let fleet = Fleet::new(world, seed, observer.clone());
         let origin = size.cache_servers as usize;
         let members =
             (0..=origin).map(|number| (number, member(number, number == origin, &layout))).collect();
         let discovery = Discovery::new(&fleet, members);
         let nodes = RefCell::default();
-        let service = RefCell::default();
-        let simulated =
-            Rc::new(SimulatedFleet { net, witness, discovery, size, layout, fleet, nodes, service });
+        let discovery_process = RefCell::default();
+        let simulated = Rc::new(SimulatedFleet {
+            net,
+            observer,
+            discovery,
+            size,
+            layout,
+            fleet,
+            nodes,
+            discovery_process,
+        });
         for number in 0..origin {
             simulated.start_cache(number).await;
         }
@@ -93,8 +101,8 @@
         Ok(simulated)
     }
 
-    /// The number that the origin has among the cache servers.
-    pub fn origin(&self) -> usize {
+    /// The number of the origin, which follows those of the cache servers.
+    pub fn origin_number(&self) -> usize {
         self.size.cache_servers as usize
     }
 
@@ -105,80 +113,81 @@
         let cache = CacheServer::new(&self.fleet, number, number as u64, false);
         self.fleet.add_cache_server(number, cache.clone());
         if let Ok(listener) = host.listen(SocketAddr::new(ip, layout::DATA_PORT)).await {
-            spawn_local(cache.serve::<SimHost>(listener, layout::node_of));
+            spawn_local(cache.serve::<SimHost>(listener, layout::node_number));
         }
     }
 
     async fn start_origin(&self) {
-        let ip = layout::cache_ip(self.origin());
+        let ip = layout::cache_ip(self.origin_number());
         let host = self.net.start_process(ip, 0, "origin");
-        let origin = Origin::new(&self.fleet, self.origin());
+        let origin = Origin::new(&self.fleet, self.origin_number());
         if let Ok(listener) = host.listen(SocketAddr::new(ip, layout::DATA_PORT)).await {
-            spawn_local(origin.serve::<SimHost>(listener, layout::node_of));
+            spawn_local(origin.serve::<SimHost>(listener, layout::node_number));
         }
     }
 
-    /// Discovery begins to answer.
+    /// Starts the process of discovery.
     pub async fn start_discovery(&self) {
         let host = self.net.start_process(layout::DISCOVERY.ip(), 0, "discovery");
         let Ok(listener) = host.listen(layout::DISCOVERY).await else { return };
-        let serving = self.discovery.clone().serve::<SimHost>(listener, layout::node_of);
+        let serving = self.discovery.clone().serve::<SimHost>(listener, layout::node_number);
         let local = LocalSet::new();
         local.spawn_local(serving);
         let task = spawn_local(local).abort_handle();
-        *self.service.borrow_mut() = Some(Service { host, task });
+        *self.discovery_process.borrow_mut() = Some(DiscoveryProcess { host, task });
     }
 
-    /// Discovery's process ends: all watches are reset, and new ones refused.
+    /// Ends the process of discovery: all watches are reset, and new ones are refused.
     pub fn stop_discovery(&self) {
-        if let Some(service) = self.service.borrow_mut().take() {
-            self.net.kill(service.host.process());
-            service.task.abort();
+        if let Some(discovery_process) = self.discovery_process.borrow_mut().take() {
+            self.net.kill(discovery_process.host.process());
+            discovery_process.task.abort();
         }
     }
 
     /// Starts all nodes.
     ///
     /// # Errors
-    /// A configuration that nodes can't read.
+    /// The nodes reject their configuration.
     pub fn start_nodes(&self) -> Result<(), String> {
         let configurations = self.configurations()?;
         (0..self.size.nodes as usize).for_each(|node| self.start_node(node, 0, &configurations));
         Ok(())
     }
 
-    /// What nodes are started by.
+    /// The configurations of the nodes.
     ///
     /// # Errors
-    /// A configuration that nodes can't read.
+    /// The nodes reject their configuration.
     pub fn configurations(&self) -> Result<Configurations, String> {
         Configurations::new(&self.fleet.scenario, self.layout, &self.discovery)
     }
 
-    /// Starts a node; a life later than its first draws other random numbers.
-    pub fn start_node(&self, node: usize, life: u64, configurations: &Configurations) {
+    /// Starts a node. Each incarnation of it has another seed.
+    pub fn start_node(&self, node: usize, incarnation: u64, configurations: &Configurations) {
         let zone = self.layout.node_zone(node) as u8;
         let host = self.net.start_process(layout::node_ip(node), zone, &format!("node {node}"));
-        let lives = u64::from(self.size.nodes) * life + node as u64;
-        let seed: u64 = self.fleet.rng("node", lives).random();
-        let config = configurations.of(node, seed);
-        let desk = OpsEndpoint::new(&config.site.class_names);
-        let (control, told) = mpsc::channel(4);
+        let incarnation_number = u64::from(self.size.nodes) * incarnation + node as u64;
+        let seed: u64 = self.fleet.rng("node", incarnation_number).random();
+        let config = configurations.for_node(node, seed);
+        let ops_endpoint = OpsEndpoint::new(&config.site.class_names);
+        let (control, commands) = mpsc::channel(4);
         let (log, local) = (host.clone(), LocalSet::new());
         let running = local.spawn_local(mothpier_node::run(
             host.clone(),
             config,
-            desk.clone(),
-            told,
+            ops_endpoint.clone(),
+            commands,
             StartOptions::default(),
         ));
-        // The set lives as long as the node does; dropping it with its task ends all of the node's tasks.
+        // The task set lives as long as the node; dropping it together with its task ends all tasks of the
+        // node.
         let task = spawn_local(async move {
             if let Ok(Err(e)) = local.run_until(running).await {
                 log.log(format_args!("ended: {e}"));
             }
         });
-        let node_runs = Node { desk, control, host, task: task.abort_handle() };
+        let node_runs = Node { ops_endpoint, control, host, task: task.abort_handle() };
         self.nodes.borrow_mut().insert(node, node_runs);
     }
 
@@ -190,7 +199,7 @@
         }
     }
 
-    /// Lets clients send requests until the span of the scenario's measurement is over.
+    /// Starts clients, which send requests until the measured time of the scenario has passed.
     pub fn start_clients(&self) {
         let host = self.net.start_process(layout::CLIENTS, 0, "clients");
         let addresses = (0..self.size.nodes as usize)
@@ -200,27 +209,28 @@
         spawn_local(clients.generate_load(self.fleet.scenario.load_duration()));
     }
 
-    /// Looks at each node that runs.
-    pub fn each_node(&self, mut look: impl FnMut(usize, &Node)) {
-        self.nodes.borrow().iter().for_each(|(number, node)| look(*number, node));
+    /// Calls a function with each running node.
+    pub fn for_each_node(&self, mut visit: impl FnMut(usize, &Node)) {
+        self.nodes.borrow().iter().for_each(|(number, node)| visit(*number, node));
     }
 
-    /// Lists one more cache server, and tells the revision of the list that has it.
-    pub fn list_one_more(&self) -> u64 {
+    /// Adds a cache server to the list, and returns the revision of the list that contains it.
+    pub fn add_listed_server(&self) -> u64 {
         let number = self.discovery.next_index();
         self.discovery.update_after(number, member(number, false, &self.layout), Duration::ZERO);
         self.discovery.revision()
     }
 
-    /// A listed cache server begins to drain, or ends doing so.
-    pub fn toggle(&self, number: usize) {
+    /// Sets a listed cache server from ready to draining or back.
+    pub fn toggle_draining(&self, number: usize) {
         if let Some(mut member) = self.discovery.member(number) {
             member.phase = if member.phase == Phase::Ready { Phase::Draining } else { Phase::Ready };
             self.discovery.update_after(number, member, Duration::ZERO);
         }
     }
 
-    /// The end of the fleet: cache servers and fleet know each other, and would keep each other for good.
+    /// Ends the fleet. Breaks the reference cycles between the cache servers and the fleet, which would leak
+    /// otherwise.
     pub fn end(&self) {
         self.fleet.clear();
     }
--- a/crates/scale/src/virtual_clock/origin_sums.rs
+++ b/crates/scale/src/virtual_clock/origin_sums.rs
@@ -1,5 +1,5 @@
-//! Sums over the fleet of calls at the origin: what the design lets all nodes together have, what their own limits add up
-//! to, and the most that came.
+//! Origin calls of the whole fleet: what the design permits for all nodes together, what the nodes' own
+//! limits add up to, and the highest number observed.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -13,92 +13,96 @@
 use crate::record::{FleetSum, Limit};
 use crate::scenario::Scenario;
 
-/// Calls that are out of all balancers together: at least so many, or what the quotas send in a tenth of a second, as the
-/// decision module has it (`GATE_OUT` in its policy).
-const ALL_OUT: (f64, f64) = (80.0, 0.1);
-/// Calls a second of a balancer, at least, and the window of the tally as a part of the longest aim (`GATE_RATE`).
-const RATE: (f64, f64) = (30.0, 0.25);
+/// Outstanding origin calls that the whole fleet may have even if the quotas result in fewer, as in the decision
+/// module.
+const MIN_CALLS_OF_FLEET: f64 = 80.0;
+/// Time in which the quotas send as many calls as may be outstanding, in seconds, as in the decision module.
+const ORIGIN_CALL_S: f64 = 0.1;
+/// Origin calls per second that each node may make even if its share of the quotas is smaller.
+const MIN_CALLS_PER_S_PER_NODE: f64 = 30.0;
+/// Window of the limit of calls per second, as a share of the longest target latency.
+const WINDOW_PER_TARGET_LATENCY: f64 = 0.25;
 
-/// Counts calls at the origin as they come and end.
+/// Counts origin calls as they arrive and end.
 #[derive(Clone)]
 pub struct OriginCalls(Rc<RefCell<Counts>>);
 
 struct Counts {
-    origin: usize,
+    origin_number: usize,
     window: Duration,
-    out: u64,
-    most_out: u64,
+    outstanding: u64,
+    max_outstanding: u64,
     /// Arrivals within the window that ends now.
     arrivals: VecDeque<Duration>,
-    most_arrivals: usize,
+    max_arrivals: usize,
 }
 
 impl OriginCalls {
-    /// Counts from now on, in this fleet.
+    /// Starts counting the origin calls of this fleet.
     pub fn watch(fleet: &SimulatedFleet) -> OriginCalls {
         let counts = Counts {
-            origin: fleet.origin(),
+            origin_number: fleet.origin_number(),
             window: Duration::from_secs_f64(window_s()),
-            out: 0,
-            most_out: 0,
+            outstanding: 0,
+            max_outstanding: 0,
             arrivals: VecDeque::new(),
-            most_arrivals: 0,
+            max_arrivals: 0,
         };
         let calls = OriginCalls(Rc::new(RefCell::new(counts)));
         let counts = calls.0.clone();
-        fleet.witness.subscribe(move |observation| counts.borrow_mut().saw(observation));
+        fleet.observer.subscribe(move |observation| counts.borrow_mut().observe(observation));
         calls
     }
 
-    /// Both sums; `allowed_out` is the most that the nodes' own limits of calls out added up to.
+    /// Both sums. `allowed_out` is the maximum of the sum of the nodes' own limits of outstanding calls.
     pub fn sums(&self, scenario: &Scenario, nodes: u32, allowed_out: f64) -> Vec<FleetSum> {
         let counts = self.0.borrow();
         let quota = settings::quota(scenario);
         let nodes = f64::from(nodes);
-        let outstanding = FleetSum {
+        let outstanding_sum = FleetSum {
             limit: Limit::OriginOutstanding,
-            bound: ALL_OUT.0.max(quota * ALL_OUT.1),
+            bound: MIN_CALLS_OF_FLEET.max(quota * ORIGIN_CALL_S),
             allowed: allowed_out,
-            peak: counts.most_out as f64,
+            peak: counts.max_outstanding as f64,
         };
         let window = FleetSum {
             limit: Limit::OriginWindow,
-            bound: quota.max(RATE.0) * window_s(),
-            allowed: nodes * (quota / nodes).max(RATE.0) * window_s(),
-            peak: counts.most_arrivals as f64,
+            bound: quota.max(MIN_CALLS_PER_S_PER_NODE) * window_s(),
+            allowed: nodes * (quota / nodes).max(MIN_CALLS_PER_S_PER_NODE) * window_s(),
+            peak: counts.max_arrivals as f64,
         };
-        vec![outstanding, window]
+        vec![outstanding_sum, window]
     }
 }
 
-/// The window of the tally in seconds.
+/// The window of the limit per window, in seconds.
 fn window_s() -> f64 {
-    settings::longest_aim_s() * RATE.1
+    settings::longest_target_latency_s() * WINDOW_PER_TARGET_LATENCY
 }
 
 impl Counts {
-    fn saw(&mut self, observation: &Observation) {
+    fn observe(&mut self, observation: &Observation) {
         match observation.event {
-            ObservedEvent::AttemptArrived { server: at, .. } if at == self.origin => {
+            ObservedEvent::AttemptArrived { server: at, .. } if at == self.origin_number => {
                 self.arrived(observation.at)
             }
             ObservedEvent::AttemptEnded { server: at, .. }
             | ObservedEvent::AttemptAbandoned { server: at, .. }
-                if at == self.origin =>
+                if at == self.origin_number =>
             {
-                self.out = self.out.saturating_sub(1);
+                self.outstanding = self.outstanding.saturating_sub(1);
             }
             _ => {}
         }
     }
 
     fn arrived(&mut self, at: Duration) {
-        self.out += 1;
-        self.most_out = self.most_out.max(self.out);
+        self.outstanding += 1;
+        self.max_outstanding = self.max_outstanding.max(self.outstanding);
         self.arrivals.push_back(at);
         while self.arrivals.front().is_some_and(|first| *first + self.window < at) {
             self.arrivals.pop_front();
         }
-        self.most_arrivals = self.most_arrivals.max(self.arrivals.len());
+        self.max_arrivals = self.max_arrivals.max(self.arrivals.len());
     }
 }
--- a/crates/scale/src/virtual_clock/spread.rs
+++ b/crates/scale/src/virtual_clock/propagation.rs
@@ -11,40 +11,40 @@
 use tokio::time::{Instant, sleep};
 
 use super::fleet::SimulatedFleet;
-use crate::record::{Change, ChangeSpread};
+use crate::record::{Change, ChangePropagation};
 
-/// Between two looks at what nodes act on: the grain of the simulated clock.
-const LOOK: Duration = Duration::from_millis(1);
-/// A change that some node does not act on within this time counts as not acted on there.
-const LONGEST: Duration = Duration::from_secs(15);
-/// For how long the order stands that makes the plan change.
-const ORDER: Duration = Duration::from_secs(60);
+/// Interval at which the nodes' state is polled: the resolution of the simulated clock.
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
+/// A node that has not acted on a change within this time counts as not having acted.
+const TIMEOUT: Duration = Duration::from_secs(15);
+/// Validity of the operator's order that changes the plan.
+const ORDER_VALIDITY: Duration = Duration::from_secs(60);
 
-/// What the nodes' logs tell of the agreement: who leads, and when each acted on the latest plan.
+/// What the nodes log about the agreement: which node leads, and when each first acted on the latest plan.
 #[derive(Clone, Default)]
-pub struct AgreementLog(Rc<RefCell<Agreed>>);
+pub struct AgreementLog(Rc<RefCell<AgreementState>>);
 
 #[derive(Default)]
-struct Agreed {
+struct AgreementState {
     leader: Option<usize>,
     acted: BTreeMap<usize, Instant>,
 }
 
 impl AgreementLog {
-    /// Reads the logs of all nodes of a fleet from now on.
+    /// Starts reading the logs of all nodes of a fleet.
     pub fn watch(fleet: &SimulatedFleet) -> AgreementLog {
         let log = AgreementLog::default();
-        let told = log.0.clone();
+        let state = log.0.clone();
         fleet.net.set_log_sink(move |at, name, line| {
             let Some(node) = name.strip_prefix("node ").and_then(|number| number.parse().ok()) else {
                 return;
             };
-            told.borrow_mut().read(at, node, &line.to_string());
+            state.borrow_mut().read(at, node, &line.to_string());
         });
         log
     }
 
-    /// The node that leads, as far as logs tell.
+    /// The leader according to the logs.
     pub fn leader(&self) -> Option<usize> {
         self.0.borrow().leader
     }
@@ -53,13 +53,13 @@
         self.0.borrow_mut().acted.clear();
     }
 
-    /// When each node that acted on a plan since then did so first.
+    /// When each node first acted on a plan since [`forget_plans`](Self::forget_plans).
     fn acted(&self) -> Vec<Instant> {
         self.0.borrow().acted.values().copied().collect()
     }
 }
 
-impl Agreed {
+impl AgreementState {
     fn read(&mut self, at: Instant, node: usize, line: &str) {
         if ReportedPlan::parse(line).is_some() {
             self.acted.entry(node).or_insert(at);
@@ -72,20 +72,20 @@
     }
 }
 
-/// One more server is listed now: how long until each node has taken in a list with it.
-pub async fn of_list(fleet: &SimulatedFleet) -> ChangeSpread {
-    let revision = fleet.list_one_more();
-    until_list(fleet, revision).await
+/// Adds a server to the list, and measures how long each node takes to apply a list with it.
+pub async fn of_list_change(fleet: &SimulatedFleet) -> ChangePropagation {
+    let revision = fleet.add_listed_server();
+    until_listed(fleet, revision).await
 }
 
-/// How long from now until each node has taken in a list of this revision or a later one.
-pub async fn until_list(fleet: &SimulatedFleet, revision: u64) -> ChangeSpread {
+/// Measures how long from now each node takes to apply a list with at least this revision.
+pub async fn until_listed(fleet: &SimulatedFleet, revision: u64) -> ChangePropagation {
     let begin = Instant::now();
     let mut acted: BTreeMap<usize, Duration> = BTreeMap::new();
-    while begin.elapsed() < LONGEST && acted.len() < fleet.size.nodes as usize {
-        sleep(LOOK).await;
-        fleet.each_node(|number, node| {
-            if node.desk.metrics.list_revision() >= revision {
+    while begin.elapsed() < TIMEOUT && acted.len() < fleet.size.nodes as usize {
+        sleep(POLL_INTERVAL).await;
+        fleet.for_each_node(|number, node| {
+            if node.ops_endpoint.metrics.list_revision() >= revision {
                 acted.entry(number).or_insert_with(|| begin.elapsed());
             }
         });
@@ -93,35 +93,36 @@
     summary(Change::List, fleet.size.nodes, acted.into_values().collect())
 }
 
-/// Staff order a zone out at one node: how long until each node acts on a plan that says so.
-pub async fn of_plan(fleet: &SimulatedFleet, log: &AgreementLog) -> ChangeSpread {
+/// Sends an operator's order to keep a zone out to one node, and measures how long each node takes to act on
+/// a plan with that order.
+pub async fn of_plan_change(fleet: &SimulatedFleet, log: &AgreementLog) -> ChangePropagation {
     let zone = fleet.layout.settings_zones().len() - 1;
     let begin = Instant::now();
     log.forget_plans();
     let order = Control::ZoneOrder(ZoneOrder {
         zone,
         kind: OrderKind::KeepOut,
-        duration_ms: ORDER.as_millis() as u64,
+        duration_ms: ORDER_VALIDITY.as_millis() as u64,
     });
-    fleet.each_node(|number, node| {
+    fleet.for_each_node(|number, node| {
         if number == 0 {
             let _ = node.control.try_send(order);
         }
     });
-    while begin.elapsed() < LONGEST && log.acted().len() < fleet.size.nodes as usize {
-        sleep(LOOK).await;
+    while begin.elapsed() < TIMEOUT && log.acted().len() < fleet.size.nodes as usize {
+        sleep(POLL_INTERVAL).await;
     }
     let acted = log.acted().into_iter().map(|at| at - begin).collect();
     summary(Change::Plan, fleet.size.nodes, acted)
 }
 
-fn summary(change: Change, expected: u32, mut acted: Vec<Duration>) -> ChangeSpread {
+fn summary(change: Change, expected: u32, mut acted: Vec<Duration>) -> ChangePropagation {
     acted.sort();
     let at = |part: f64| {
         let place = (part * acted.len() as f64).ceil() as usize;
         acted.get(place.saturating_sub(1)).map_or(0.0, Duration::as_secs_f64)
     };
-    ChangeSpread {
+    ChangePropagation {
         change,
         acted: acted.len() as u32,
         expected,
--- a/crates/scale/tests/arithmetic.rs
+++ b/crates/scale/tests/arithmetic.rs
@@ -1,19 +1,19 @@
-//! Each formula against a figure that was worked out by hand.
+//! Checks each formula against a value computed by hand.
 #![allow(missing_docs)]
 
-use chalksill_scale::arithmetic::{self, CONTROL, ORDER_BYTES, Passed, with_nodes};
+use chalksill_scale::arithmetic::{self, CONTROL_ROWS, Exceedance, ORDER_BYTES, with_nodes};
 use chalksill_scale::target::{TARGET, Target};
-use chalksill_scale::text::figure;
+use chalksill_scale::text::format_number;
 use mothpier_plan::{Evidence, OrderKind, ZoneOrder, ZoneOrders};
 
 #[test]
-fn figures_at_the_target() {
+fn values_at_the_target() {
     let close = |name: &str, of: fn(&Target) -> f64, expected: f64| {
         let found = of(&TARGET);
         assert!((found - expected).abs() <= 0.005 * expected, "{name}: {found} and not {expected}");
     };
     close("leader's messages", arithmetic::leader_messages, 26_396.0);
-    close("in a hurry", arithmetic::leader_messages_hurried, 79_188.0);
+    close("in a hurry", arithmetic::leader_messages_urgent, 79_188.0);
     close("discovery's calls", arithmetic::discovery_calls, 3_300.0);
     close("after its restart", arithmetic::discovery_restart_s, 6.6);
     close("bytes after its restart", arithmetic::discovery_restart_bytes, 970.2e6);
@@ -37,69 +37,72 @@
     close("bits of a server", arithmetic::bits_per_server, 16.33e9);
     close("bytes of an answer", arithmetic::answer_bytes, 454_545.0);
     close("objects of a server", arithmetic::objects_per_server, 25.51e6);
-    close("hit share", arithmetic::hit_share_for_origin, 0.955);
+    close("hit share", arithmetic::hit_share_within_origin_limits, 0.955);
     close("purges", arithmetic::purge_messages, 36_260.0);
-    close("purges under way", arithmetic::purges_under_way, 92.5);
-    close("settings", arithmetic::settings_messages, 2_291.7);
-    close("settings under way", arithmetic::settings_under_way, 5.903);
-    close("between changes of settings", arithmetic::settings_every_s, 2.88);
+    close("purges under way", arithmetic::purges_in_progress, 92.5);
+    close("settings", arithmetic::settings_change_messages, 2_291.7);
+    close("settings under way", arithmetic::settings_changes_in_progress, 5.903);
+    close("between changes of settings", arithmetic::settings_change_interval_s, 2.88);
     close("between peers", arithmetic::peer_bytes, 16_384.0);
-    close("peers heard", arithmetic::peers_heard, 32.0);
-    close("between restarts", arithmetic::restart_every_s, 94.95);
+    close("peers heard", arithmetic::remembered_peers, 32.0);
+    close("between restarts", arithmetic::restart_interval_s, 94.95);
     close("nodes of a zone", arithmetic::nodes_per_zone, 165.0);
     close("nodes of a site", arithmetic::nodes_per_site, 22.0);
     close("cache servers of a zone", arithmetic::servers_per_zone, 24.5);
-    close("apart", arithmetic::apart_messages, 7_920.0);
-    close("passed on", arithmetic::pass_messages, 15_840.0);
+    close("apart", arithmetic::partitioned_region_messages, 7_920.0);
+    close("passed on", arithmetic::relay_messages, 15_840.0);
     assert!((arithmetic::leader_change_s() - 4.3).abs() < 1e-9);
-    assert_eq!(arithmetic::plan_life_s(), 8.0);
+    assert_eq!(arithmetic::plan_validity_s(), 8.0);
 }
 
 #[test]
-fn bytes_of_the_agreement_are_those_of_its_messages() {
-    // A play of 300 members and 3 zones sent 557 to 626 messages and 14 to 16 kB a second from its leader.
+fn agreement_bytes_match_its_messages() {
+    // A simulation of 300 members and 3 zones sent 557 to 626 messages and 14 to 16 kB a second from its
+    // leader.
     let fleet = Target { zones: 3.0, ..with_nodes(&TARGET, 300.0) };
-    let sent = 598.0 * arithmetic::told_bytes(arithmetic::zones_bytes(3.0));
+    let sent = 598.0 * arithmetic::reply_bytes(arithmetic::zones_bytes(3.0));
     assert!((14e3..24e3).contains(&sent), "{sent}");
     assert!(arithmetic::leader_bytes(&fleet) > sent);
-    assert!((arithmetic::leader_bytes_hurried(&fleet) / arithmetic::leader_bytes(&fleet) - 3.0).abs() < 1e-9);
+    assert!((arithmetic::leader_bytes_urgent(&fleet) / arithmetic::leader_bytes(&fleet) - 3.0).abs() < 1e-9);
     let each = arithmetic::follower_bytes(&fleet);
     assert!((arithmetic::leader_bytes(&fleet) / 299.0 - each).abs() < 1e-6);
-    assert!((arithmetic::follower_bytes_hurried(&fleet) - 3.0 * each).abs() < 1e-6);
+    assert!((arithmetic::follower_bytes_urgent(&fleet) - 3.0 * each).abs() < 1e-6);
 }
 
 #[test]
-fn evidence_and_orders_have_the_bytes_that_the_formulas_say() {
+fn evidence_and_orders_have_the_computed_size() {
     let zones = vec![(1, 1); 16];
     let bare = Evidence { zones: zones.clone(), orders: Vec::new() }.encode().len();
     assert_eq!(bare as f64, arithmetic::zones_bytes(16.0));
     let mut orders = ZoneOrders::default();
     orders.issue(0, 1, ZoneOrder { zone: 2, kind: OrderKind::KeepOut, duration_ms: 600_000 }, 16).unwrap();
-    let told = Evidence { zones, orders: orders.messages(0) }.encode().len();
-    assert_eq!(told - bare, ORDER_BYTES as usize);
+    let with_order = Evidence { zones, orders: orders.messages(0) }.encode().len();
+    assert_eq!(with_order - bare, ORDER_BYTES as usize);
 }
 
 #[test]
-fn the_sizes_at_which_bounds_are_passed() {
-    let passed = |what: &str| CONTROL.iter().find(|row| row.what.starts_with(what)).unwrap().passed();
-    assert_eq!(passed("calls out that nodes' limits"), Passed::From(41.0));
-    assert_eq!(passed("connections, nodes of its region"), Passed::From(321.0));
-    assert_eq!(passed("calls at once while cold"), Passed::From(842.0));
-    assert_eq!(passed("calls/s, calm"), Passed::From(2_001.0));
-    assert_eq!(passed("zones to tell apart"), Passed::Always);
-    assert_eq!(passed("bytes/s of the agreement, calm"), Passed::Never);
+fn sizes_at_which_bounds_are_exceeded() {
+    let exceedance = |quantity: &str| {
+        CONTROL_ROWS.iter().find(|row| row.quantity.starts_with(quantity)).unwrap().exceedance()
+    };
+    assert_eq!(exceedance("calls out that nodes' limits"), Exceedance::From(41.0));
+    assert_eq!(exceedance("connections, nodes of its region"), Exceedance::From(321.0));
+    assert_eq!(exceedance("calls at once while cold"), Exceedance::From(842.0));
+    assert_eq!(exceedance("calls/s, calm"), Exceedance::From(2_001.0));
+    assert_eq!(exceedance("zones to tell apart"), Exceedance::Always);
+    assert_eq!(exceedance("bytes/s of the agreement, calm"), Exceedance::Never);
 }
 
 #[test]
-fn half_of_the_harmonic_series_is_asked_for_by_few_objects() {
-    // Of 1,000 objects the first 100 have 5.187 of 7.485.
+fn a_tenth_of_the_objects_gets_most_requests() {
+    // The harmonic sums of 100 and of 1,000 objects are 5.187 and 7.485.
     assert!((arithmetic::zipf_share(1_000.0, 0.1) - 0.693).abs() < 0.001);
-    assert!((arithmetic::hit_share_of_tenth(&TARGET) - 0.896).abs() < 0.001);
+    assert!((arithmetic::hit_share_of_top_tenth(&TARGET) - 0.896).abs() < 0.001);
 }
 
 #[test]
-fn figures_have_three_digits_and_commas() {
+fn numbers_have_three_digits_and_thousands_separators() {
     let written = [0.0, 1.0, 0.001_234, 12.345, 999.6, 1_234_567.0, -1_500.0, 0.000_001_23, f64::INFINITY];
     let expected = ["0", "1", "0.00123", "12.3", "1,000", "1,230,000", "-1,500", "1.23e-6", "-"];
-    assert_eq!(written.map(figure), expected);
+    assert_eq!(written.map(format_number), expected);
 }
--- a/crates/scale/tests/common/mod.rs
+++ b/crates/scale/tests/common/mod.rs
@@ -1,13 +1,14 @@
-//! Records that are made up, for tests of what is done with records.
+//! Generated records for tests.
 
 use std::collections::BTreeMap;
 
 use chalksill_scale::record::{
-    Change, ChangeSpread, FleetSize, FleetState, FleetSum, HostKind, Limit, Machine, Role, RoleCost, Run,
-    RunRecord, VERSION,
+    Change, ChangePropagation, FleetSize, FleetState, FleetSum, HostKind, Limit, Machine, Role, RoleCost,
+    Run, RunRecord, VERSION,
 };
 
-/// One run: a hollow node costs 100 bytes a second and 3 for each node, a leader two messages for each.
+/// One run: a hollow node costs 100 bytes per second plus 3 for each node, the leader two messages for each
+/// node.
 pub fn run(nodes: u32, repetition: u32) -> Run {
     let noise = 1.0 + 0.002 * (f64::from(repetition) - 1.0);
     let size = f64::from(nodes);
@@ -31,7 +32,7 @@
             allowed: (2.0 * size).max(80.0),
             peak: 30.0,
         }],
-        spreads: vec![ChangeSpread {
+        spreads: vec![ChangePropagation {
             change: Change::List,
             acted: nodes,
             expected: nodes,
--- a/crates/scale/tests/fit.rs
+++ b/crates/scale/tests/fit.rs
@@ -1,11 +1,11 @@
-//! Fits of points that were made from known models.
+//! Fits of points generated from known models.
 #![allow(missing_docs)]
 
-use chalksill_scale::fit::{Fit, NoFit, Verdict, by_size, fit};
+use chalksill_scale::fit::{Fit, FitError, Verdict, fit, group_by_size};
 use chalksill_scale::models::{Model, Point, least_squares};
 
 const SIZES: [f64; 5] = [25.0, 50.0, 100.0, 200.0, 400.0];
-/// Three repetitions differ by half a percent from the model.
+/// Factors by which three repetitions deviate from the model: by up to half a percent.
 const NOISE: [f64; 3] = [0.995, 1.002, 1.003];
 
 fn points(model: Model, intercept: f64, slope: f64) -> Vec<Point> {
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn each_model_is_found_again_with_its_slope() {
+fn each_model_and_its_slope_are_recovered() {
     for (model, intercept, slope) in [
         (Model::Constant, 40.0, 0.0),
         (Model::Linear, 10.0, 2.0),
@@ -42,15 +42,19 @@
         assert!((curve.slope - slope).abs() <= 0.02 * slope.max(1e-9), "{model}: {}", curve.slope);
         assert_eq!(found.verdict(), Verdict::Understood);
         let expected = intercept + slope * model.basis(6_600.0);
-        let told = found.extrapolate(6_600.0);
-        assert!((told.value - expected).abs() <= told.spread, "{model}: {told:?} and not {expected}");
+        let prediction = found.extrapolate(6_600.0);
+        assert!(
+            (prediction.value - expected).abs() <= prediction.spread,
+            "{model}: {prediction:?} and not {expected}"
+        );
         assert!((found.repetition_spread - 0.005).abs() < 1e-6, "{}", found.repetition_spread);
     }
 }
 
 #[test]
-fn least_squares_gives_what_a_textbook_gives() {
-    // Anscombe's first set: y = 3.00 + 0.500 x, the slope's standard error 0.118, residual deviation 1.237.
+fn least_squares_matches_a_textbook_example() {
+    // The first set of Anscombe's quartet: y = 3.00 + 0.500 x, standard error of the slope 0.118, residual
+    // deviation 1.237.
     let x = [10.0, 8.0, 13.0, 9.0, 11.0, 14.0, 6.0, 4.0, 12.0, 7.0, 5.0];
     let y = [8.04, 6.95, 7.58, 8.81, 8.33, 9.96, 7.24, 4.26, 10.84, 4.82, 5.68];
     let points: Vec<Point> = x.into_iter().zip(y).map(|(size, value)| Point { size, value }).collect();
@@ -62,7 +66,7 @@
 }
 
 #[test]
-fn the_largest_size_takes_no_part_in_the_coefficients() {
+fn the_held_out_size_does_not_affect_the_coefficients() {
     let measured = points(Model::Linear, 10.0, 2.0);
     let (before, after) = (fit(&measured).unwrap(), fit(&held_out_changed(&measured, 1.5)).unwrap());
     for model in Model::ALL {
@@ -76,20 +80,20 @@
     let jump = held_out_changed(&points(Model::Linear, 10.0, 2.0), 40.0);
     let found = fit(&jump).unwrap();
     assert_eq!(found.verdict(), Verdict::NotUnderstood);
-    let told = found.extrapolate(6_600.0);
-    assert!(told.spread >= 0.25 * told.value, "the spread tells of it: {told:?}");
+    let prediction = found.extrapolate(6_600.0);
+    assert!(prediction.spread >= 0.25 * prediction.value, "the spread tells of it: {prediction:?}");
 }
 
 #[test]
 fn too_few_sizes_or_repetitions_give_no_fit() {
     let all = points(Model::Linear, 10.0, 2.0);
     let three: Vec<Point> = all.iter().copied().filter(|p| p.size < 200.0).collect();
-    assert_eq!(fit(&three), Err(NoFit::TooFewSizes { sizes: 3 }));
-    assert_eq!(fit(&[]), Err(NoFit::TooFewSizes { sizes: 0 }));
+    assert_eq!(fit(&three), Err(FitError::TooFewSizes { sizes: 3 }));
+    assert_eq!(fit(&[]), Err(FitError::TooFewSizes { sizes: 0 }));
     let missing_one = &all[1..];
-    assert_eq!(fit(missing_one), Err(NoFit::TooFewRepetitions { size: 25.0, repetitions: 2 }));
+    assert_eq!(fit(missing_one), Err(FitError::TooFewRepetitions { size: 25.0, repetitions: 2 }));
     let odd = [all.clone(), vec![Point { size: 25.0, value: f64::NAN }]].concat();
-    assert_eq!(fit(&odd), Err(NoFit::NotFinite));
+    assert_eq!(fit(&odd), Err(FitError::NotFinite));
 }
 
 #[test]
@@ -100,21 +104,21 @@
 }
 
 #[test]
-fn a_slope_within_its_spread_is_not_told_from_none() {
-    // Repetitions differ by half of a value that grows little: the means are on a line all the same.
+fn a_slope_within_its_spread_is_not_significant() {
+    // Repetitions differ by half of a value that grows little; the means are nevertheless on a line.
     let uneven = |size: f64| [0.5, 1.0, 1.5].map(|part| Point { size, value: part * (100.0 + 0.1 * size) });
     let found = fit(&SIZES.map(uneven).concat()).unwrap();
     assert_eq!(found.chosen.curve.model, Model::Linear);
-    assert!(!found.slope_is_told(), "{found:?}");
-    assert!(fit(&points(Model::Linear, 10.0, 2.0)).unwrap().slope_is_told());
+    assert!(!found.slope_is_significant(), "{found:?}");
+    assert!(fit(&points(Model::Linear, 10.0, 2.0)).unwrap().slope_is_significant());
 }
 
 #[test]
-fn what_rounding_leaves_is_no_spread() {
+fn rounding_errors_do_not_count_as_spread() {
     let exact = SIZES.map(|size| [0.1 + 0.3 * size; 3].map(|value| Point { size, value })).concat();
     let found = fit(&exact).unwrap();
     assert_eq!((found.slope_spread(), found.chosen.curve.prediction_error(6_600.0)), (0.0, 0.0));
-    // Three times 0.011 have a mean that differs from it in the last bit.
-    let equal = by_size(&[Point { size: 1.0, value: 0.011 }; 3]);
+    // The mean of three times 0.011 differs from it in the last bit.
+    let equal = group_by_size(&[Point { size: 1.0, value: 0.011 }; 3]);
     assert!(equal[0].mean() != 0.011 && equal[0].spread() == 0.0, "{}", equal[0].spread());
 }
--- a/crates/scale/tests/page.rs
+++ b/crates/scale/tests/page.rs
@@ -1,4 +1,4 @@
-//! The capacity page: what stands between its markers, and what is told where it and the runs differ.
+//! The capacity page: tables between its markers, and reported differences between the page and the runs.
 #![allow(missing_docs)]
 
 mod common;
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_written_page_is_as_the_runs_say_and_keeps_what_stands_round_the_tables() {
+fn writing_tables_keeps_the_rest_of_the_page_and_is_idempotent() {
     let tables = tables(&records(&[50, 100, 200, 400]));
     let page = with_tables(&empty(), &tables).unwrap();
     assert!(page.starts_with("# Title\n\nBefore.\n") && page.ends_with("\n\nAfter.\n"), "{page}");
@@ -31,44 +31,44 @@
 }
 
 #[test]
-fn a_changed_figure_is_told_with_its_line() {
+fn a_changed_value_is_reported_with_its_line() {
     let before = with_tables(&empty(), &tables(&records(&[50, 100, 200, 400]))).unwrap();
     let mut changed = records(&[50, 100, 200, 400]);
     changed[0].1.runs[11].spreads[0].last_s = 9.0;
     let after = with_tables(&before, &tables(&changed)).unwrap();
-    let told = difference(&before, &after).expect("one figure of one run has changed");
-    let line = before.split('\n').nth(told.line - 1).unwrap();
-    assert_eq!(line, told.page);
-    assert!(line.contains("change of list") && told.runs.contains("| not known |"), "{told}");
+    let found = difference(&before, &after).expect("one figure of one run has changed");
+    let line = before.split('\n').nth(found.line - 1).unwrap();
+    assert_eq!(line, found.page);
+    assert!(line.contains("change of list") && found.runs.contains("| not known |"), "{found}");
     assert!(!before.contains("400: 4 (±") && after.contains("400: 4 (±"), "the mean of 1.5, 1.5 and 9");
     let again = with_tables(&before, &tables(&changed)).unwrap();
     assert_eq!(difference(&again, &after), None);
 }
 
 #[test]
-fn markers_that_are_missing_doubled_or_turned_round_are_told() {
-    let told = |page: &str| with_tables(page, "x").unwrap_err();
-    assert_eq!(told("no markers"), MarkerError::Missing(BEGIN));
-    assert_eq!(told(BEGIN), MarkerError::Missing(END));
-    assert_eq!(told(&format!("{BEGIN}\n{BEGIN}\n{END}")), MarkerError::Doubled(BEGIN));
-    assert_eq!(told(&format!("{BEGIN}\n{END}\n{END}")), MarkerError::Doubled(END));
-    assert_eq!(told(&format!("{END}\n{BEGIN}")), MarkerError::Order);
+fn missing_duplicate_or_swapped_markers_are_rejected() {
+    let found = |page: &str| with_tables(page, "x").unwrap_err();
+    assert_eq!(found("no markers"), MarkerError::Missing(BEGIN));
+    assert_eq!(found(BEGIN), MarkerError::Missing(END));
+    assert_eq!(found(&format!("{BEGIN}\n{BEGIN}\n{END}")), MarkerError::Duplicate(BEGIN));
+    assert_eq!(found(&format!("{BEGIN}\n{END}\n{END}")), MarkerError::Duplicate(END));
+    assert_eq!(found(&format!("{END}\n{BEGIN}")), MarkerError::Order);
 }
 
 #[test]
-fn a_page_that_is_cut_differs_in_its_last_line() {
-    let told = difference("one\ntwo", "one\ntwo\nthree").unwrap();
-    assert_eq!((told.line, told.page.as_str(), told.runs.as_str()), (3, "nothing", "three"));
+fn a_truncated_page_differs_in_its_last_line() {
+    let found = difference("one\ntwo", "one\ntwo\nthree").unwrap();
+    assert_eq!((found.line, found.page.as_str(), found.runs.as_str()), (3, "nothing", "three"));
 }
 
 #[test]
-fn a_bound_that_is_passed_is_named_with_the_size_and_where_it_comes_from() {
+fn an_exceeded_bound_is_listed_with_its_size_and_source() {
     let text = tables(&records(&[10, 20, 30, 40, 300]));
     let crossing = |whose: &str| {
         let passed = text.split("### Where bounds are passed").nth(1).unwrap();
         passed.lines().find(|line| line.contains(whose)).unwrap_or_default().to_owned()
     };
-    // 2 for each of 300 nodes are more than 80; 100 + 3 n bytes pass 19,000 at 6,300 nodes.
+    // 300 nodes with a minimum of 2 calls each exceed 80. 100 + 3 n bytes exceed 19,000 at 6,300 nodes.
     assert!(crossing("sum of origin-outstanding").contains("| 300 |"), "{}", crossing("sum of origin"));
     let budget = crossing("hollow-node");
     let nodes: f64 = budget.split(" | ").nth(1).unwrap().parse().unwrap();
@@ -81,7 +81,7 @@
     for run in &mut records[0].1.runs {
         let sum = &mut run.sums[0];
         let nodes = f64::from(run.size.nodes);
-        // More by what rounding leaves alone.
+        // Exceeds the bound only by a rounding error.
         (sum.bound, sum.allowed, sum.peak) = (nodes, nodes * (1.0 + f64::EPSILON), 1.0);
     }
     let passed = |records: &[(PathBuf, RunRecord)]| {
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn too_few_sizes_are_said_so_and_not_fitted() {
+fn too_few_sizes_are_reported_and_not_fitted() {
     let record = common::record(&[50, 100, 200]);
     let fits = fit_all(&record.runs.iter().collect::<Vec<_>>());
     assert!(!fits.is_empty() && fits.iter().all(|fitted| fitted.outcome.is_err()));
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_change_that_not_all_acted_on_is_marked() {
+fn a_change_on_which_not_all_nodes_acted_is_marked() {
     let mut record = common::record(&[50, 100, 200, 400]);
     record.runs[3].spreads[0].acted -= 1;
     let fits = fit_all(&record.runs.iter().collect::<Vec<_>>());
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn the_picture_names_each_series_and_the_fits_are_drawn() {
+fn the_chart_shows_series_names_and_fits() {
     let record = common::record(&[50, 100, 200, 400]);
     let fits = fit_all(&record.runs.iter().collect::<Vec<_>>());
     let picture = plot::svg(&fits).unwrap();
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn zones_that_grow_along_are_told_beside_the_axis() {
+fn zones_that_grow_with_the_axis_are_reported() {
     let mut record = common::record(&[50, 100, 200, 400]);
     let even = terminal_table(&fit_all(&record.runs.iter().collect::<Vec<_>>()));
     record.runs[0].size.zones = 2;
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_role_at_the_target_is_measured_where_it_can_be_and_else_from_a_slope() {
+fn a_role_at_the_target_is_measured_if_possible_and_extrapolated_otherwise() {
     let role = |sizes: &[u32], role: &str| {
         let text = tables(&records(sizes));
         let roles = text.split("### Roles in calm").nth(1).unwrap().split("###").next().unwrap().to_owned();
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn a_role_at_the_target_is_told_of_calm_runs_and_measured_before_fitted() {
+fn roles_at_the_target_use_only_calm_runs_and_prefer_measurements() {
     let mut all = records(&[6_600]);
     all[0].1.scenario = "at-target".into();
     all.extend(records(&[50, 100, 200, 400]));
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn one_run_is_said_to_be_one_and_has_no_spread() {
+fn a_single_run_is_marked_and_has_no_spread() {
     let mut one = records(&[6_600]);
     one[0].1.runs.truncate(1);
     let text = tables(&one);
--- a/crates/scale/tests/real_sockets.rs
+++ b/crates/scale/tests/real_sockets.rs
@@ -1,5 +1,5 @@
-//! Runs on real sockets: they end by themselves, count what there is to count, keep to their bounds, and leave no process behind
-//! whatever becomes of the command.
+//! Runs on real sockets: they complete, count the traffic, stay within their limits, and leave no processes
+//! behind however the command ends.
 #![allow(missing_docs)]
 
 use std::path::{Path, PathBuf};
@@ -7,18 +7,20 @@
 use std::time::{Duration, Instant};
 
 use chalksill_scale::real_sockets::{
-    Allowed, Bound, BoundExceeded, Programs, RealSocketsError, RealSocketsPlan, SizePlan, check, run,
+    MachineLimits, Programs, RealSocketsError, RealSocketsPlan, Resource, ResourceExceeded, SizePlan,
+    check_resources, run,
 };
 use chalksill_scale::record::{FleetState, Role, RoleCost, Run, RunRecord};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 
-/// Only what has hung waits for so long.
-const HUNG: Duration = Duration::from_secs(60);
-/// Between two looks for a fact.
-const LOOK: Duration = Duration::from_millis(50);
-/// Marks all processes of one command but the daemons, whose environment is their own.
-const MARK: &str = "SCALE_TEST_MARK";
+/// Time limit for what should take a few seconds.
+const HANG_TIMEOUT: Duration = Duration::from_secs(60);
+/// Interval at which a condition is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Environment variable that marks all processes of one command except the daemons, which have their own
+/// environment.
+const MARK_VARIABLE: &str = "SCALE_TEST_MARK";
 
 fn plan(name: &str, state: FleetState, measured_s: f64) -> RealSocketsPlan {
     RealSocketsPlan {
@@ -44,10 +46,10 @@
     }
 }
 
-/// A program of this workspace, beside the tests' own folder.
+/// A program of this workspace, in the parent of the tests' own folder.
 fn program(name: &str) -> PathBuf {
-    let here = std::env::current_exe().unwrap();
-    let program = here.parent().and_then(Path::parent).unwrap().join(name);
+    let detect = std::env::current_exe().unwrap();
+    let program = detect.parent().and_then(Path::parent).unwrap().join(name);
     assert!(program.is_file(), "{name} is not built: cargo build -p {name}");
     program
 }
@@ -57,7 +59,7 @@
     record: PathBuf,
 }
 
-/// Starts the command on a plan.
+/// Starts the command with a plan.
 fn start(plan: &RealSocketsPlan) -> Started {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
     let own = |ending| folder.join(format!("{}-{}.{ending}", plan.name, std::process::id()));
@@ -70,7 +72,7 @@
         .arg(file)
         .arg("--out")
         .arg(&record)
-        .env(MARK, &plan.name)
+        .env(MARK_VARIABLE, &plan.name)
         .stdout(Stdio::null())
         .stderr(Stdio::piped())
         .spawn()
@@ -78,7 +80,7 @@
     Started { child, record }
 }
 
-fn play(plan: &RealSocketsPlan) -> (Output, Option<RunRecord>, Vec<u32>) {
+fn run_command(plan: &RealSocketsPlan) -> (Output, Option<RunRecord>, Vec<u32>) {
     let Started { child, record } = start(plan);
     let command = child.id();
     let output = child.wait_with_output().unwrap();
@@ -86,69 +88,69 @@
     (output, record, processes(command, &plan.name))
 }
 
-fn played(plan: &RealSocketsPlan) -> Run {
+fn run_successfully(plan: &RealSocketsPlan) -> Run {
     let begin = Instant::now();
-    let (output, record, left) = play(plan);
+    let (output, record, left) = run_command(plan);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     assert!(left.is_empty(), "processes are left: {left:?}");
-    assert!(begin.elapsed() < HUNG, "it did not end by its own time");
+    assert!(begin.elapsed() < HANG_TIMEOUT, "it did not end by its own time");
     let mut record = record.expect("a record");
     assert_eq!(record.runs.len(), 1);
     record.runs.remove(0)
 }
 
-/// Processes that a command started and that still run, itself not counted.
+/// Running processes that a command has started, without the command itself.
 fn processes(command: u32, mark: &str) -> Vec<u32> {
-    let mark = format!("{MARK}={mark}");
+    let mark = format!("{MARK_VARIABLE}={mark}");
     let daemon = format!("/chalksill-scale-{command}-");
-    let of_ours = |process: &u32| {
+    let is_ours = |process: &u32| {
         let environment = std::fs::read(format!("/proc/{process}/environ")).unwrap_or_default();
         let mut variables = environment.split(|byte| *byte == 0).map(String::from_utf8_lossy);
         variables.any(|v| v == mark || (v.starts_with("ROUTER_CONFIG=") && v.contains(&daemon)))
     };
     let names =
         std::fs::read_dir("/proc").unwrap().filter_map(|entry| entry.ok()?.file_name().into_string().ok());
-    names.filter_map(|name| name.parse().ok()).filter(|p| *p != command).filter(of_ours).collect()
+    names.filter_map(|name| name.parse().ok()).filter(|p| *p != command).filter(is_ours).collect()
 }
 
-fn until(what: &str, fact: impl Fn() -> bool) {
-    let end = Instant::now() + HUNG;
-    while !fact() {
-        assert!(Instant::now() < end, "not within {HUNG:?}: {what}");
-        std::thread::sleep(LOOK);
+fn wait_until(what: &str, condition: impl Fn() -> bool) {
+    let end = Instant::now() + HANG_TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < end, "not within {HANG_TIMEOUT:?}: {what}");
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-fn within(figure: f64, least: f64, most: f64, what: &str) {
+fn assert_within(figure: f64, least: f64, most: f64, what: &str) {
     assert!((least..=most).contains(&figure), "{what}: {figure} is not within {least} to {most}");
 }
 
-fn both_ways(cost: &RoleCost, what: &str) {
-    within(cost.messages_in_per_s, 0.5, 200.0, what);
-    within(cost.messages_out_per_s, 0.5, 200.0, what);
-    within(cost.bytes_in_per_s, 10.0, 20_000.0, what);
-    within(cost.bytes_out_per_s, 10.0, 20_000.0, what);
+fn assert_traffic_both_ways(cost: &RoleCost, what: &str) {
+    assert_within(cost.messages_in_per_s, 0.5, 200.0, what);
+    assert_within(cost.messages_out_per_s, 0.5, 200.0, what);
+    assert_within(cost.bytes_in_per_s, 10.0, 20_000.0, what);
+    assert_within(cost.bytes_out_per_s, 10.0, 20_000.0, what);
 }
 
 #[test]
-fn a_tiny_run_ends_by_itself_leaves_no_process_and_counts_both_kinds_of_nodes() {
-    let run = played(&plan("tiny", FleetState::Calm, 2.0));
-    within(run.measured_s, 2.0, 4.0, "measured seconds");
+fn a_tiny_run_completes_without_leftover_processes_and_counts_both_kinds_of_nodes() {
+    let run = run_successfully(&plan("tiny", FleetState::Calm, 2.0));
+    assert_within(run.measured_s, 2.0, 4.0, "measured seconds");
     assert_eq!((run.size.nodes, run.size.cache_servers), (5, 3));
     let (hollow, real) = (&run.roles[&Role::HollowNode], &run.roles[&Role::RealNode]);
     assert_eq!((hollow.members, real.members), (4, 1));
-    both_ways(hollow, "hollow node");
-    both_ways(real, "real node");
-    within(hollow.connections, 1.0, 2.0, "connections of a hollow node");
-    within(hollow.resident_bytes.unwrap(), 1e5, 32e6, "memory of a hollow node");
-    within(real.resident_bytes.unwrap(), 1e6, 64e6, "memory of a real node");
+    assert_traffic_both_ways(hollow, "hollow node");
+    assert_traffic_both_ways(real, "real node");
+    assert_within(hollow.connections, 1.0, 2.0, "connections of a hollow node");
+    assert_within(hollow.resident_bytes.unwrap(), 1e5, 32e6, "memory of a hollow node");
+    assert_within(real.resident_bytes.unwrap(), 1e6, 64e6, "memory of a real node");
     let cpu = |cost: &RoleCost| cost.user_cpu.unwrap() + cost.system_cpu.unwrap();
-    within(cpu(hollow), 1e-5, 0.2, "processor time of a hollow node");
-    within(cpu(real), 1e-5, 0.5, "processor time of a real node");
+    assert_within(cpu(hollow), 1e-5, 0.2, "processor time of a hollow node");
+    assert_within(cpu(real), 1e-5, 0.5, "processor time of a real node");
     let discovery = &run.roles[&Role::Discovery];
-    within(discovery.connections, 5.0, 10.0, "connections of discovery");
-    // Both sides of the same connections: what nodes hear of discovery, it has said.
-    within(discovery.bytes_out_per_s, 100.0, 5.0 * hollow.bytes_in_per_s, "discovery's bytes");
+    assert_within(discovery.connections, 5.0, 10.0, "connections of discovery");
+    // Both ends of the same connections: discovery has sent what the nodes receive from it.
+    assert_within(discovery.bytes_out_per_s, 100.0, 5.0 * hollow.bytes_in_per_s, "discovery's bytes");
     let leaders = run.roles[&Role::AgreementLeader].members;
     assert_eq!((leaders, run.roles[&Role::AgreementVoter].members), (1, 2));
     let (leader, follower) = (&run.roles[&Role::AgreementLeader], &run.roles[&Role::AgreementFollower]);
@@ -156,44 +158,45 @@
 }
 
 #[test]
-fn after_a_restart_of_discovery_all_watches_are_open_again_and_the_time_is_told() {
-    let run = played(&plan("restart", FleetState::DiscoveryRestart, 2.0));
+fn all_watches_return_after_a_discovery_restart_and_the_time_is_recorded() {
+    let run = run_successfully(&plan("restart", FleetState::DiscoveryRestart, 2.0));
     let [spread] = run.spreads.as_slice() else { panic!("{:?}", run.spreads) };
     assert_eq!((spread.acted, spread.expected), (4, 4));
     assert!(spread.p50_s <= spread.p99_s && spread.p99_s <= spread.last_s, "{spread:?}");
-    within(spread.last_s, 0.0, 10.0, "seconds until all were back");
+    assert_within(spread.last_s, 0.0, 10.0, "seconds until all were back");
 }
 
 #[test]
-fn a_killed_command_leaves_no_process() {
+fn a_killed_command_leaves_no_processes() {
     let mut long = plan("killed", FleetState::Calm, 60.0);
     long.settle_s = 60.0;
     let mut started = start(&long);
     let command = started.child.id();
-    // Two of hollow nodes, one that idles, discovery, cache servers, the keeper of the real node, and that node.
-    until("all processes run", || processes(command, &long.name).len() == 7);
+    // Two workers of hollow nodes, the idle one, discovery, the cache servers, the supervisor of the real
+    // node, and that node.
+    wait_until("all processes run", || processes(command, &long.name).len() == 7);
     started.child.kill().unwrap();
     started.child.wait().unwrap();
-    until("all processes have ended", || processes(command, &long.name).is_empty());
+    wait_until("all processes have ended", || processes(command, &long.name).is_empty());
 }
 
 #[test]
-fn an_interrupted_command_has_ended_all_processes_when_it_ends() {
+fn an_interrupted_command_ends_all_processes_before_it_exits() {
     let mut long = plan("interrupted", FleetState::Calm, 60.0);
     long.settle_s = 60.0;
     let started = start(&long);
     let command = started.child.id();
-    until("all processes run", || processes(command, &long.name).len() == 7);
+    wait_until("all processes run", || processes(command, &long.name).len() == 7);
     kill(Pid::from_raw(command as i32), Signal::SIGINT).unwrap();
     let output = started.child.wait_with_output().unwrap();
     let left = processes(command, &long.name);
     assert!(left.is_empty(), "processes are left: {left:?}");
     assert_eq!(output.status.code(), Some(2));
-    let said = String::from_utf8_lossy(&output.stderr);
-    assert!(said.contains("interrupted; all that was started has ended"), "{said}");
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    assert!(stderr.contains("interrupted; all started processes have ended"), "{stderr}");
 }
 
-const PLENTY: Allowed = Allowed { memory: u64::MAX, descriptors: u64::MAX, ports: u64::MAX };
+const UNLIMITED: MachineLimits = MachineLimits { memory: u64::MAX, descriptors: u64::MAX, ports: u64::MAX };
 
 fn sized(hollow_nodes: u32, real_nodes: u32) -> RealSocketsPlan {
     let mut plan = plan("bounds", FleetState::Calm, 1.0);
@@ -202,53 +205,56 @@
     plan
 }
 
-fn refused(plan: &RealSocketsPlan, allowed: &Allowed) -> BoundExceeded {
-    match check(plan, allowed) {
-        Err(RealSocketsError::Bound(exceeded)) => exceeded,
+fn refused(plan: &RealSocketsPlan, allowed: &MachineLimits) -> ResourceExceeded {
+    match check_resources(plan, allowed) {
+        Err(RealSocketsError::Resource(exceeded)) => exceeded,
         other => panic!("{other:?}"),
     }
 }
 
 #[test]
-fn each_bound_is_refused_with_what_is_needed_and_what_is_allowed() {
-    assert_eq!(check(&sized(4, 1), &PLENTY), Ok(()));
-    // One more than 200: 195 real ones, a process of hollow ones, and five beside.
-    assert_eq!(check(&sized(2, 194), &PLENTY), Ok(()));
-    let processes = refused(&sized(2, 195), &PLENTY);
-    assert_eq!(processes, BoundExceeded { bound: Bound::Processes, wanted: 201, allowed: 200 });
-    let told = "the run needs 201 processes, and 200 are allowed";
-    assert_eq!(RealSocketsError::Bound(processes).to_string(), told);
-
-    let little = refused(&sized(100, 2), &Allowed { memory: 500 << 20, ..PLENTY });
-    assert_eq!((little.bound, little.allowed), (Bound::Memory, 500 << 20));
-    assert!(little.wanted > 100 << 20, "{little:?}");
+fn exceeded_limits_are_reported_with_needed_and_allowed_values() {
+    assert_eq!(check_resources(&sized(4, 1), &UNLIMITED), Ok(()));
+    // The limit is 200: 194 real nodes, one worker of hollow nodes, and five other processes.
+    assert_eq!(check_resources(&sized(2, 194), &UNLIMITED), Ok(()));
+    let processes = refused(&sized(2, 195), &UNLIMITED);
+    assert_eq!(processes, ResourceExceeded { resource: Resource::Processes, needed: 201, allowed: 200 });
+    let message = "the run needs 201 processes, and 200 are allowed";
+    assert_eq!(RealSocketsError::Resource(processes).to_string(), message);
+
+    let little = refused(&sized(100, 2), &MachineLimits { memory: 500 << 20, ..UNLIMITED });
+    assert_eq!((little.resource, little.allowed), (Resource::Memory, 500 << 20));
+    assert!(little.needed > 100 << 20, "{little:?}");
 
     let mut crowded = sized(200, 0);
     crowded.nodes_per_process = 200;
-    let few = refused(&crowded, &Allowed { descriptors: 1024, ..PLENTY });
-    assert_eq!(few, BoundExceeded { bound: Bound::Descriptors, wanted: 200 * 6 + 32, allowed: 1024 });
+    let few = refused(&crowded, &MachineLimits { descriptors: 1024, ..UNLIMITED });
+    assert_eq!(
+        few,
+        ResourceExceeded { resource: Resource::Descriptors, needed: 200 * 6 + 32, allowed: 1024 }
+    );
 
-    let ports = refused(&sized(200, 0), &Allowed { ports: 300, ..PLENTY });
-    assert_eq!((ports.bound, ports.allowed), (Bound::Ports, 300));
-    assert!(ports.wanted >= 400, "{ports:?}");
+    let ports = refused(&sized(200, 0), &MachineLimits { ports: 300, ..UNLIMITED });
+    assert_eq!((ports.resource, ports.allowed), (Resource::Ports, 300));
+    assert!(ports.needed >= 400, "{ports:?}");
 }
 
 #[test]
-fn bounds_are_checked_before_anything_is_started() {
-    // Programs that can't be started: to come to them would be another error.
+fn limits_are_checked_before_anything_is_started() {
+    // These programs cannot be started; trying to start them would be another error.
     let programs = Programs { chalksill: "/none/chalksill".into(), mothpier: "/none/mothpier".into() };
     let refused = run(&sized(2, 195), &programs, "none", |_| {});
-    let exceeded = BoundExceeded { bound: Bound::Processes, wanted: 201, allowed: 200 };
-    assert_eq!(refused, Err(RealSocketsError::Bound(exceeded)));
-    let within = run(&sized(2, 1), &programs, "none", |_| {});
-    assert!(matches!(within, Err(RealSocketsError::Worker(_))), "{within:?}");
+    let exceeded = ResourceExceeded { resource: Resource::Processes, needed: 201, allowed: 200 };
+    assert_eq!(refused, Err(RealSocketsError::Resource(exceeded)));
+    let assert_within = run(&sized(2, 1), &programs, "none", |_| {});
+    assert!(matches!(assert_within, Err(RealSocketsError::Worker(_))), "{assert_within:?}");
 }
 
 #[test]
-fn a_plan_that_makes_no_sense_is_refused_with_its_reason() {
+fn an_invalid_plan_is_rejected_with_its_reason() {
     let (output, record, left) =
-        play(&RealSocketsPlan { name: "senseless".into(), ..plan("", FleetState::ZoneLost, 1.0) });
+        run_command(&RealSocketsPlan { name: "senseless".into(), ..plan("", FleetState::ZoneLost, 1.0) });
     assert_eq!((output.status.code(), record, left), (Some(2), None, Vec::new()));
-    let said = String::from_utf8_lossy(&output.stderr);
-    assert!(said.contains("only calm and discovery-restart"), "{said}");
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    assert!(stderr.contains("only calm and discovery-restart"), "{stderr}");
 }
--- a/crates/scale/tests/records.rs
+++ b/crates/scale/tests/records.rs
@@ -1,4 +1,4 @@
-//! Bad records are told with the file and the place.
+//! Invalid records are reported with the file and the place in it.
 #![allow(missing_docs)]
 
 mod common;
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn each_fault_of_a_record_is_named() {
+fn each_error_in_a_record_is_reported() {
     let file = folder("bad-records").join("bad.json");
     let text = serde_json::to_string_pretty(&common::record(&[50])).unwrap();
     let edited = |from: &str, to: &str| {
@@ -28,7 +28,7 @@
     for (bad, expected) in [
         (text[..text.len() / 2].to_owned(), "EOF while parsing"),
         (edited("\"version\": 1", "\"version\": 7"), "version 7, and this program reads version 1"),
-        (edited("\"version\": 1,", ""), "names no version"),
+        (edited("\"version\": 1,", ""), "it has no version"),
         (edited("\"scenario\"", "\"extra\": 1, \"scenario\""), "line 3, column 9: unknown field `extra`"),
         (edited("\"nodes\": 50", "\"nodes\": -50"), "line 16, column 20: invalid value: integer `-50`"),
         (edited("\"calm\"", "\"stormy\""), "unknown variant `stormy`"),
@@ -40,15 +40,15 @@
         (edited("\"last_s\": 1", "\"last_s\": -1"), "run 0, a spread is below 0"),
     ] {
         std::fs::write(&file, bad).unwrap();
-        let told = read(&file).unwrap_err().to_string();
-        assert!(told.contains(expected) && told.contains("bad.json"), "{expected}: {told}");
+        let message = read(&file).unwrap_err().to_string();
+        assert!(message.contains(expected) && message.contains("bad.json"), "{expected}: {message}");
     }
     let gone = read(Path::new("none.json")).unwrap_err().to_string();
     assert!(gone.starts_with("cannot read none.json"), "{gone}");
 }
 
 #[test]
-fn a_folder_is_read_in_the_order_of_names_and_one_that_is_not_there_is_empty() {
+fn a_folder_is_read_in_order_of_names_and_a_missing_one_is_empty() {
     let folder = folder("folder");
     let text = serde_json::to_string(&common::record(&[50])).unwrap();
     for name in ["b.json", "a.json", "notes.txt"] {
@@ -61,17 +61,17 @@
 }
 
 #[test]
-fn records_of_two_kinds_are_not_fitted_together() {
+fn records_of_different_kinds_are_not_fitted_together() {
     let (one, mut other) = (common::record(&[50]), common::record(&[100]));
     let named = |record: &chalksill_scale::record::RunRecord| {
         vec![("one.json".into(), one.clone()), ("other.json".into(), record.clone())]
     };
     assert!(check_one_kind(&named(&other)).is_ok());
     other.state = FleetState::ZoneLost;
-    let told = check_one_kind(&named(&other)).unwrap_err().to_string();
+    let message = check_one_kind(&named(&other)).unwrap_err().to_string();
     assert!(
-        told.contains("other.json holds scenario made-up, host virtual-clock, state zone-lost"),
-        "{told}"
+        message.contains("other.json holds scenario made-up, host virtual-clock, state zone-lost"),
+        "{message}"
     );
     other = common::record(&[100]);
     other.scenario = "another".into();
--- a/crates/scale/tests/scenarios.rs
+++ b/crates/scale/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Scenario files: what is left out, how a fleet grows, and what is refused with its place.
+//! Scenario files: defaults, the derived layout of the fleet, and errors with their place.
 
 use chalksill_scale::record::{FleetState, HostKind};
 use chalksill_scale::scenario::Scenario;
@@ -14,7 +14,7 @@
 "#;
 
 #[test]
-fn the_target_size_grows_from_its_nodes_alone() {
+fn the_target_layout_is_derived_from_its_nodes() {
     let scenario = Scenario::parse(GOOD).unwrap();
     assert_eq!((scenario.host, scenario.state), (HostKind::VirtualClock, FleetState::Calm));
     assert_eq!(scenario.repetitions, 3);
@@ -23,18 +23,18 @@
 }
 
 #[test]
-fn each_repetition_has_a_seed_of_its_own() {
+fn each_repetition_has_its_own_seed() {
     let scenario = Scenario::parse(&format!("seed = 7\n{GOOD}")).unwrap();
     assert_eq!([scenario.seed_of(0), scenario.seed_of(2)], [7, 9]);
 }
 
-/// What is replaced in the good file, by what, and what the message must say.
+/// What is replaced in the valid file, the replacement, and the beginning of the message.
 const BAD: [(&str, &str, &str); 18] = [
     ("nodes = 6600", "nodes = 0", "line 6: size.0.nodes: 0 is not within 1 to 10000"),
     ("nodes = 6600", "nodes = -3", "line 6: size.0.nodes: -3 is not within 1 to 10000"),
-    ("nodes = 6600", "nodes = 2.5", "line 6: size.0.nodes: 2.5 is no whole number within 1 to 10000"),
+    ("nodes = 6600", "nodes = 2.5", "line 6: size.0.nodes: 2.5 is not an integer within 1 to 10000"),
     ("nodes = 6600", "nodes = 70000", "line 6: size.0.nodes: 70000 is not within 1 to 10000"),
-    ("nodes = 6600", "nodes = nan", "line 6: size.0.nodes: NaN is no whole number within 1 to 10000"),
+    ("nodes = 6600", "nodes = nan", "line 6: size.0.nodes: NaN is not an integer within 1 to 10000"),
     ("nodes = 6600", "nodes = 5\nsites = 6", "line 7: size.0.sites: 6 is not within 1 to 5"),
     ("nodes = 6600", "nodes = 5\nzones = 9", "line 7: size.0.zones: 9 is not within 1 to 1"),
     ("nodes = 6600", "nodes = 5\nregions = 2", "line 7: size.0.regions: 2 is not within 1 to 1"),
@@ -63,17 +63,17 @@
 ];
 
 #[test]
-fn bad_files_are_refused_with_line_key_and_range() {
+fn invalid_files_are_rejected_with_line_key_and_range() {
     for (from, to, says) in BAD {
         let text = GOOD.replacen(from, to, 1);
         assert_ne!(text, GOOD, "{from} is not in the good file");
-        let told = Scenario::parse(&text).unwrap_err().to_string();
-        assert!(told.starts_with(says), "{to:?}: {told:?} does not begin with {says:?}");
+        let message = Scenario::parse(&text).unwrap_err().to_string();
+        assert!(message.starts_with(says), "{to:?}: {message:?} does not begin with {says:?}");
     }
 }
 
 #[test]
-fn states_and_agreements_need_places_to_part() {
+fn partitions_and_agreements_need_enough_regions_and_zones() {
     let small = GOOD.replace("nodes = 6600", "nodes = 20");
     let apart = format!("state = \"regions-apart\"\n{small}");
     assert!(Scenario::parse(&apart).unwrap_err().to_string().contains("regions-apart needs 2 or more"));
--- a/crates/scale/tests/virtual_clock.rs
+++ b/crates/scale/tests/virtual_clock.rs
@@ -1,4 +1,4 @@
-//! Runs of small fleets under the virtual clock: the same counters from the same seed, figures that can be, and bounds.
+//! Runs of small fleets with the virtual clock: reproducible counts, plausible values, and the memory bound.
 
 use chalksill_scale::record::{Change, FleetSum, Limit, Role, RoleCost, Run};
 use chalksill_scale::scenario::Scenario;
@@ -26,7 +26,7 @@
     virtual_clock::run(scenario, scenario.sizes[0], repetition).unwrap()
 }
 
-/// A run without what the machine decides: time and memory.
+/// A run without the values that depend on the machine: time and memory.
 fn counters(run: Run) -> Run {
     let counted =
         |cost: RoleCost| RoleCost { resident_bytes: None, user_cpu: None, system_cpu: None, ..cost };
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_tiny_fleet_is_counted_and_the_same_seed_counts_the_same() {
+fn a_tiny_fleet_is_counted_and_the_same_seed_gives_the_same_counts() {
     let scenario = scenario("agreement = true", "");
     let first = run(&scenario, 0);
     let node = &first.roles[&Role::HollowNode];
@@ -60,13 +60,13 @@
 }
 
 #[test]
-fn another_seed_counts_otherwise() {
+fn another_seed_gives_other_counts() {
     let scenario = scenario("agreement = true", "");
     assert_ne!(counters(run(&scenario, 0)).roles, counters(run(&scenario, 1)).roles);
 }
 
 #[test]
-fn few_nodes_keep_the_limits_of_calls_at_the_origin_under_a_load_of_misses() {
+fn few_nodes_respect_the_limits_of_origin_calls_under_a_load_of_misses() {
     let run = run(&scenario("", "[load]\nper_s = 400\nmisses = 1.0\n"), 0);
     let out = sum(&run, Limit::OriginOutstanding);
     assert!(out.peak > 0.0 && out.peak <= out.bound, "{out:?}");
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn all_watches_come_back_after_a_restart_of_discovery() {
+fn all_watches_return_after_a_discovery_restart() {
     let run = run(&scenario("state = \"discovery-restart\"", ""), 0);
     let spread = &run.spreads[0];
     assert_eq!((spread.change, spread.acted), (Change::List, 3));
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn regions_that_are_apart_hear_less_of_each_other() {
+fn partitioned_regions_receive_fewer_messages() {
     let calm = run(&scenario("agreement = true", ""), 0);
     let apart = run(&scenario("agreement = true\nstate = \"regions-apart\"", ""), 0);
     let heard = |run: &Run| run.roles[&Role::HollowNode].messages_in_per_s;
@@ -93,10 +93,10 @@
 }
 
 #[test]
-fn what_needs_more_memory_than_the_bound_is_refused_with_the_expected_figure() {
+fn a_scenario_beyond_the_memory_bound_is_rejected_with_the_expected_memory() {
     let scenario = scenario("", "[bounds]\nmemory_part = 0.01\n");
-    let told = virtual_clock::check(&scenario, 1_000_000_000).unwrap_err();
-    assert!(told.contains("3 nodes with 4 cache servers are expected to need 0.1 GB"), "{told}");
+    let message = virtual_clock::check(&scenario, 1_000_000_000).unwrap_err();
+    assert!(message.contains("3 nodes with 4 cache servers are expected to need 0.1 GB"), "{message}");
     virtual_clock::check(&scenario, 24_000_000_000).unwrap();
 }
 
@@ -107,6 +107,6 @@
         Scenario::parse(&format!("name = \"target\"\nhost = \"virtual-clock\"\nmeasured_s = 5\n{size}"));
     let scenario = scenario.unwrap();
     virtual_clock::check(&scenario, 16_000_000_000).unwrap();
-    let told = virtual_clock::check(&scenario, 8_000_000_000).unwrap_err();
-    assert!(told.contains("6600 nodes with 980 cache servers are expected to need 6.3 GB"), "{told}");
+    let message = virtual_clock::check(&scenario, 8_000_000_000).unwrap_err();
+    assert!(message.contains("6600 nodes with 980 cache servers are expected to need 6.3 GB"), "{message}");
 }
