--- a/crates/scale/src/arithmetic/formulas.rs
+++ b/crates/scale/src/arithmetic/formulas.rs
@@ -272,7 +272,7 @@
     fleet.objects * fleet.regions / fleet.cache_servers
 }
 
-/// Share of requests for the most popular `part` of a region's objects if popularity follows Zipf's law with
+/// Share of requests for the most popular `share` of a region's objects if popularity follows Zipf's law with
 /// exponent 1. The harmonic sums are approximated by `ln n` plus the Euler-Mascheroni constant.
 pub fn zipf_share(objects: f64, share: f64) -> f64 {
     ((share * objects).ln() + EULER_GAMMA) / (objects.ln() + EULER_GAMMA)
--- a/crates/scale/src/page.rs
+++ b/crates/scale/src/page.rs
@@ -80,11 +80,11 @@
 
 /// Finds the first line in which a page differs from the expected one.
 pub fn difference(page: &str, expected: &str) -> Option<Difference> {
-    let (mut have, mut want) = (page.split('\n'), expected.split('\n'));
+    let (mut page_lines, mut run_lines) = (page.split('\n'), expected.split('\n'));
     let mut line = 0;
     loop {
         line += 1;
-        let (page, runs) = (have.next(), want.next());
+        let (page, runs) = (page_lines.next(), run_lines.next());
         if page.is_none() && runs.is_none() {
             return None;
         }
@@ -121,8 +121,8 @@
     format!("### {head}\n\n{text}\n")
 }
 
-fn or_no_runs(some: bool, text: impl FnOnce() -> String) -> String {
-    if some { text() } else { "No run is kept.\n".into() }
+fn or_no_runs(any: bool, text: impl FnOnce() -> String) -> String {
+    if any { text() } else { "No run is kept.\n".into() }
 }
 
 fn formula_table(rows: &[Row]) -> String {
@@ -137,7 +137,7 @@
         "from",
     ];
     let cells = |row: &Row| {
-        let (today, target) = (with_nodes(&TARGET, LARGEST_TESTED_NODES), TARGET);
+        let (tested, target) = (with_nodes(&TARGET, LARGEST_TESTED_NODES), TARGET);
         let bound = row.bound.map(|bound| ((bound.max)(&target), bound.kind));
         let value = (row.value)(&target);
         let left = |(max, _): (f64, BoundKind)| {
@@ -150,7 +150,7 @@
         vec![
             row.role.into(),
             row.quantity.into(),
-            format_number((row.value)(&today)),
+            format_number((row.value)(&tested)),
             format_number(value),
             bound.map_or("-".into(), |(max, kind)| format!("{} ({})", format_number(max), kind.label())),
             bound.map_or("-".into(), left),
@@ -235,18 +235,18 @@
 fn fit_table(groups: &[RunGroup<'_>]) -> String {
     let heads = [&["runs"][..], &HEADS[..]].concat();
     let mut rows = Vec::new();
-    let mut without: BTreeMap<(&str, String), usize> = BTreeMap::new();
+    let mut errors_by_group: BTreeMap<(&str, String), usize> = BTreeMap::new();
     for group in groups {
         for fitted in &group.fits {
             match &fitted.outcome {
                 Ok(_) => rows.push([vec![group.name.clone()], fitted.cells()].concat()),
-                Err(error) => *without.entry((&group.name, error.to_string())).or_default() += 1,
+                Err(error) => *errors_by_group.entry((&group.name, error.to_string())).or_default() += 1,
             }
         }
     }
     let mut text =
         if rows.is_empty() { "No series has a fit.\n".into() } else { markdown_table(&heads, &rows) };
-    for (index, ((kind, error), series)) in without.into_iter().enumerate() {
+    for (index, ((kind, error), series)) in errors_by_group.into_iter().enumerate() {
         let gap = if index == 0 { "\n" } else { "" };
         text.push_str(&format!("{gap}- {kind}: {series} series have {error}.\n"));
     }
--- a/crates/scale/src/real_sockets/costs.rs
+++ b/crates/scale/src/real_sockets/costs.rs
@@ -170,9 +170,9 @@
 /// How long the nodes took to be answered by discovery again.
 pub(super) fn propagation(mut returned: ReturnTimes, expected: u32) -> ChangePropagation {
     returned.sort_by(f64::total_cmp);
-    let at = |part: f64| {
-        let place = (part * returned.len() as f64).ceil() as usize;
-        returned.get(place.saturating_sub(1)).copied().unwrap_or(0.0)
+    let at = |share: f64| {
+        let index = (share * returned.len() as f64).ceil() as usize;
+        returned.get(index.saturating_sub(1)).copied().unwrap_or(0.0)
     };
     ChangePropagation {
         change: Change::List,
--- a/crates/scale/src/real_sockets/hollow.rs
+++ b/crates/scale/src/real_sockets/hollow.rs
@@ -92,8 +92,9 @@
         operations: None,
     };
     let seed = plan.fleet.seed.wrapping_add(u64::from(node));
-    let world = plan.fleet.world_scenario()?;
-    let file = process::node_configuration(&world, node as usize, &addresses, seed, plan.known.clone());
+    let world_scenario = plan.fleet.world_scenario()?;
+    let file =
+        process::node_configuration(&world_scenario, node as usize, &addresses, seed, plan.known.clone());
     let text = serde_json::to_vec(&file).map_err(|e| invalid(e.to_string()))?;
     let mut config = config::read(&text, Environment::default(), Precedence::File).map_err(invalid)?;
     let text = plan.fleet.operator(node)?;
--- a/crates/scale/src/real_sockets/real_nodes.rs
+++ b/crates/scale/src/real_sockets/real_nodes.rs
@@ -72,7 +72,7 @@
 }
 
 async fn start_all(plan: &RealNodesPlan, nodes: &NodeProcesses) -> Result<(), RealSocketsError> {
-    let world = plan.fleet.world_scenario()?;
+    let world_scenario = plan.fleet.world_scenario()?;
     let peers = plan.fleet.peers();
     let worker = RealSocketsError::Worker;
     std::fs::create_dir_all(&plan.folder).map_err(|e| worker(e.to_string()))?;
@@ -81,7 +81,8 @@
         let addresses =
             process::NodeAddresses { listen, discovery: plan.discovery, peers: &peers, operations: None };
         let seed = plan.fleet.seed.wrapping_add(u64::from(node));
-        let config = process::node_configuration(&world, node as usize, &addresses, seed, plan.known.clone());
+        let config =
+            process::node_configuration(&world_scenario, node as usize, &addresses, seed, plan.known.clone());
         let files = plan.folder.join(format!("n{node}"));
         process::write_files(&files, &config, &plan.fleet.operator(node)?).map_err(worker)?;
         let mut started = nodes.lock();
--- a/crates/scale/src/real_sockets/resources.rs
+++ b/crates/scale/src/real_sockets/resources.rs
@@ -54,7 +54,7 @@
         let memory = Meminfo::current().map_err(usage)?.mem_total / 2;
         let limits = procfs::process::Process::myself().and_then(|p| p.limits()).map_err(usage)?;
         let descriptors = match limits.max_open_files.soft_limit {
-            procfs::process::LimitValue::Value(most) => most,
+            procfs::process::LimitValue::Value(limit) => limit,
             procfs::process::LimitValue::Unlimited => u64::MAX,
         };
         let range = std::fs::read_to_string("/proc/sys/net/ipv4/ip_local_port_range");
--- a/crates/scale/src/real_sockets/running_fleet.rs
+++ b/crates/scale/src/real_sockets/running_fleet.rs
@@ -105,23 +105,23 @@
         };
         let mut discovery =
             start(WorkerPlan::Discovery(DiscoveryPlan { fleet: plan.clone(), servers })).await?;
-        let lists = match discovery.ready().await? {
-            Reply::DiscoveryReady(lists) => lists,
+        let discovery_lists = match discovery.ready().await? {
+            Reply::DiscoveryReady(discovery_lists) => discovery_lists,
             other => return Err(unexpected_reply(&other)),
         };
         let mut hollow = Vec::new();
         for group in process_groups(plan.size.hollow_nodes, run.nodes_per_process) {
-            hollow.push(start(hollow_plan(&plan, group, &lists)).await?);
+            hollow.push(start(hollow_plan(&plan, group, &discovery_lists)).await?);
         }
-        let mut idle = start(hollow_plan(&plan, (0, 0), &lists)).await?;
+        let mut idle = start(hollow_plan(&plan, (0, 0), &discovery_lists)).await?;
         let mut real = None;
         if plan.size.real_nodes > 0 {
             let real_plan = RealNodesPlan {
                 fleet: plan.clone(),
                 program: programs.mothpier.clone(),
                 folder: folder.into(),
-                discovery: lists.real,
-                known: lists.known_real.clone(),
+                discovery: discovery_lists.real,
+                known: discovery_lists.known_real.clone(),
             };
             real = Some(start(WorkerPlan::RealNodes(real_plan)).await?);
         }
@@ -155,8 +155,8 @@
     /// # Errors
     /// No simulated environment can be built from the plan.
     pub fn start_clients(&mut self, duration: Duration) -> Result<(), RealSocketsError> {
-        let world = self.plan.world_scenario()?;
-        let fleet = Fleet::new(world, self.plan.seed, Observer::starting_now());
+        let world_scenario = self.plan.world_scenario()?;
+        let fleet = Fleet::new(world_scenario, self.plan.seed, Observer::starting_now());
         let nodes = self.plan.real_nodes().map(|node| self.plan.network.client(node)).collect();
         let clients = Clients::new(SYSTEM_HOST, &fleet, nodes, |_| {});
         self.load = Some(spawn_local(clients.generate_load(duration)).abort_handle());
@@ -263,13 +263,13 @@
     (0..nodes).step_by(per_process as usize).map(move |first| (first, per_process.min(nodes - first)))
 }
 
-fn hollow_plan(plan: &FleetPlan, (first, count): (u32, u32), lists: &DiscoveryReady) -> WorkerPlan {
+fn hollow_plan(plan: &FleetPlan, (first, count): (u32, u32), discovery_lists: &DiscoveryReady) -> WorkerPlan {
     WorkerPlan::Hollow(HollowPlan {
         fleet: plan.clone(),
         first,
         count,
-        discovery: lists.hollow,
-        known: lists.known_hollow.clone(),
+        discovery: discovery_lists.hollow,
+        known: discovery_lists.known_hollow.clone(),
     })
 }
 
--- a/crates/scale/src/real_sockets/stubs.rs
+++ b/crates/scale/src/real_sockets/stubs.rs
@@ -182,11 +182,11 @@
     if changes_per_s <= 0.0 || servers.is_empty() {
         return pending().await;
     }
-    let pause = Duration::from_secs_f64(1.0 / changes_per_s);
-    let mut due = Instant::now();
+    let interval = Duration::from_secs_f64(1.0 / changes_per_s);
+    let mut next_change = Instant::now();
     for change in 0.. {
-        due += pause;
-        sleep_until(due).await;
+        next_change += interval;
+        sleep_until(next_change).await;
         let number = servers[change / 2 % servers.len()];
         if let Some(mut member) = discovery.member(number) {
             member.phase = if change % 2 == 0 { Phase::Draining } else { Phase::Ready };
--- a/crates/scale/src/real_sockets/usage.rs
+++ b/crates/scale/src/real_sockets/usage.rs
@@ -12,7 +12,7 @@
     /// Processor time of the main thread since its start, in seconds.
     pub cpu_s: f64,
     /// Share of that time in user mode, according to the coarser clocks of the process.
-    pub user_part: f64,
+    pub user_share: f64,
 }
 
 impl Usage {
@@ -37,7 +37,7 @@
         Ok(Usage {
             resident_bytes: resident as f64,
             cpu_s: nanoseconds as f64 / 1e9,
-            user_part: user as f64 / (user + system).max(1) as f64,
+            user_share: user as f64 / (user + system).max(1) as f64,
         })
     }
 
@@ -46,6 +46,6 @@
     /// of the process.
     pub fn cpu_since(&self, earlier: &Usage) -> (f64, f64) {
         let spent = (self.cpu_s - earlier.cpu_s).max(0.0);
-        (spent * self.user_part, spent * (1.0 - self.user_part))
+        (spent * self.user_share, spent * (1.0 - self.user_share))
     }
 }
--- a/crates/scale/src/records.rs
+++ b/crates/scale/src/records.rs
@@ -87,8 +87,8 @@
     let unreadable = |error| RecordError::Unreadable { path: path.into(), error };
     let malformed = |error| RecordError::Malformed { path: path.into(), error };
     let text = std::fs::read_to_string(path).map_err(unreadable)?;
-    let any: serde_json::Value = serde_json::from_str(&text).map_err(malformed)?;
-    let found = any.get("version").and_then(serde_json::Value::as_u64);
+    let json: serde_json::Value = serde_json::from_str(&text).map_err(malformed)?;
+    let found = json.get("version").and_then(serde_json::Value::as_u64);
     if found != Some(u64::from(VERSION)) {
         return Err(RecordError::Version { path: path.into(), found });
     }
@@ -104,14 +104,14 @@
 fn first_negative(record: &RunRecord) -> Option<String> {
     for (index, run) in record.runs.iter().enumerate() {
         for (role, cost) in &run.roles {
-            let figures = [
+            let values = [
                 ("messages_in_per_s", cost.messages_in_per_s),
                 ("messages_out_per_s", cost.messages_out_per_s),
                 ("bytes_in_per_s", cost.bytes_in_per_s),
                 ("bytes_out_per_s", cost.bytes_out_per_s),
                 ("connections", cost.connections),
             ];
-            if let Some((name, _)) = figures.iter().find(|(_, figure)| *figure < 0.0) {
+            if let Some((name, _)) = values.iter().find(|(_, value)| *value < 0.0) {
                 return Some(format!("run {index}, {role:?}, {name}"));
             }
         }
--- a/crates/scale/src/report.rs
+++ b/crates/scale/src/report.rs
@@ -123,7 +123,7 @@
     /// The verdict, and what else limits the reliability of the values.
     fn verdict_text(&self) -> String {
         let verdict = match &self.outcome {
-            Err(none) => none.to_string(),
+            Err(error) => error.to_string(),
             Ok(fit) if fit.verdict() == Verdict::NotUnderstood => "not understood".into(),
             Ok(fit) if fit.chosen.curve.model != Model::Constant && !fit.slope_is_significant() => {
                 "understood, but a slope within its spread".into()
@@ -132,18 +132,18 @@
         };
         match self.series.incomplete {
             0 => verdict,
-            some => format!("{verdict}; in {some} of {} runs not all acted", self.series.points.len()),
+            count => format!("{verdict}; in {count} of {} runs not all acted", self.series.points.len()),
         }
     }
 
     /// The cells below [`HEADS`].
     pub fn cells(&self) -> Vec<String> {
         let key = &self.series.key;
-        let what =
+        let series_cells =
             vec![key.subject.to_string(), key.quantity.to_string(), format!("{} ({})", key.axis, key.others)];
         let dash = || "-".to_string();
         let bound = self.bound().map_or_else(dash, |bound| format_number(bound.max));
-        let figures = match &self.outcome {
+        let fit_cells = match &self.outcome {
             Err(_) => vec![dash(), dash(), dash(), dash(), dash()],
             Ok(fit) => {
                 let target = fit.extrapolate(target_size(key.axis));
@@ -160,7 +160,7 @@
                 ]
             }
         };
-        [what, figures, vec![bound, self.verdict_text()]].concat()
+        [series_cells, fit_cells, vec![bound, self.verdict_text()]].concat()
     }
 }
 
--- a/crates/scale/src/series.rs
+++ b/crates/scale/src/series.rs
@@ -203,7 +203,7 @@
 fn zone_range(runs: &[&Run]) -> String {
     let zones = || runs.iter().map(|run| run.size.zones);
     match (zones().min(), zones().max()) {
-        (Some(least), Some(most)) if least < most => format!("; {least} to {most} zones along"),
+        (Some(min), Some(max)) if min < max => format!("; {min} to {max} zones along"),
         _ => String::new(),
     }
 }
--- a/crates/scale/src/summary.rs
+++ b/crates/scale/src/summary.rs
@@ -102,9 +102,9 @@
 }
 
 fn cells(subject: Subject, quantity: Quantity, known_value: Option<&KnownValue>) -> Vec<String> {
-    let what = [subject.to_string(), quantity.to_string()];
+    let series_cells = [subject.to_string(), quantity.to_string()];
     let dash = || "-".to_string();
-    let figures = match known_value {
+    let value_cells = match known_value {
         None => [dash(), dash(), dash(), "not known".into()],
         Some(known_value) => {
             let left = |bound: SeriesBound| match bound.max - known_value.value {
@@ -117,5 +117,5 @@
             [known_value.value(), bound, known_value.bound.map_or_else(dash, left), known_value.from()]
         }
     };
-    what.into_iter().chain(figures).collect()
+    series_cells.into_iter().chain(value_cells).collect()
 }
--- a/crates/scale/src/text.rs
+++ b/crates/scale/src/text.rs
@@ -25,8 +25,8 @@
 
 fn thousands(digits: &str) -> String {
     let mut text = String::new();
-    for (place, digit) in digits.chars().enumerate() {
-        if place > 0 && (digits.len() - place).is_multiple_of(3) {
+    for (index, digit) in digits.chars().enumerate() {
+        if index > 0 && (digits.len() - index).is_multiple_of(3) {
             text.push(',');
         }
         text.push(digit);
--- a/crates/scale/src/virtual_clock.rs
+++ b/crates/scale/src/virtual_clock.rs
@@ -113,7 +113,7 @@
         leader: log.as_ref().and_then(AgreementLog::leader),
     };
     let roles = costs::role_costs(&fleet, &measurement);
-    let sums = origin_calls.sums(&scenario, size.nodes, samples.allowed_out);
+    let sums = origin_calls.sums(&scenario, size.nodes, samples.allowed_outstanding);
 
     let mut spreads = Vec::new();
     let propagation_of_fault = fault.await.map_err(|e| format!("fault injection: {e}"))??;
@@ -139,20 +139,20 @@
 struct Samples {
     connections: Connections,
     /// The maximum over time of the sum of the nodes' own limits of outstanding origin calls.
-    allowed_out: f64,
+    allowed_outstanding: f64,
 }
 
 /// Samples the fleet until this time has passed.
 async fn take_samples(fleet: &SimulatedFleet, duration: Duration) -> Samples {
     let end = Instant::now() + duration;
-    let mut samples = Samples { connections: Connections::default(), allowed_out: 0.0 };
+    let mut samples = Samples { connections: Connections::default(), allowed_outstanding: 0.0 };
     loop {
         samples.connections.sample(fleet);
         let allowed = Cell::new(0);
         fleet.for_each_node(|_, node| {
             allowed.set(allowed.get() + node.ops_endpoint.metrics.origin_calls_limit())
         });
-        samples.allowed_out = samples.allowed_out.max(allowed.get() as f64);
+        samples.allowed_outstanding = samples.allowed_outstanding.max(allowed.get() as f64);
         let left = end.saturating_duration_since(Instant::now());
         if left.is_zero() {
             return samples;
@@ -163,11 +163,11 @@
 
 /// Sets listed cache servers to draining and back to ready, one after another, at the scenario's rate.
 async fn keep_changing_list(fleet: Rc<SimulatedFleet>, duration: Duration) {
-    let pause = Duration::from_secs_f64(1.0 / fleet.size.changes_per_s);
+    let interval = Duration::from_secs_f64(1.0 / fleet.size.changes_per_s);
     let changes = (duration.as_secs_f64() * fleet.size.changes_per_s) as usize;
     for change in 0..changes {
         // Each server drains with one change and is ready again with the next.
         fleet.toggle_draining(change / 2 % fleet.origin_number());
-        sleep(pause).await;
+        sleep(interval).await;
     }
 }
--- a/crates/scale/src/virtual_clock/fleet.rs
+++ b/crates/scale/src/virtual_clock/fleet.rs
@@ -71,11 +71,11 @@
     /// No simulated environment can be built from the scenario.
     pub async fn start(scenario: &Scenario, size: FleetSize, seed: u64) -> Result<Rc<Self>, String> {
         let layout = Layout::new(size, scenario.agreement);
-        let world = settings::world_scenario(scenario, size, &layout)?;
+        let world_scenario = settings::world_scenario(scenario, size, &layout)?;
         let net = Net::new(seed, EPOCH, Links { datagram_loss: DATAGRAM_LOSS, ..Links::default() });
         spawn_local(net.clone().deliver_packets());
         let observer = Observer::starting_now();
-        let fleet = Fleet::new(world, seed, observer.clone());
+        let fleet = Fleet::new(world_scenario, seed, observer.clone());
         let origin = size.cache_servers as usize;
         let members =
             (0..=origin).map(|number| (number, member(number, number == origin, &layout))).collect();
--- a/crates/scale/src/virtual_clock/origin_sums.rs
+++ b/crates/scale/src/virtual_clock/origin_sums.rs
@@ -55,14 +55,14 @@
     }
 
     /// Both sums. `allowed_out` is the maximum of the sum of the nodes' own limits of outstanding calls.
-    pub fn sums(&self, scenario: &Scenario, nodes: u32, allowed_out: f64) -> Vec<FleetSum> {
+    pub fn sums(&self, scenario: &Scenario, nodes: u32, allowed_outstanding: f64) -> Vec<FleetSum> {
         let counts = self.0.borrow();
         let quota = settings::quota(scenario);
         let nodes = f64::from(nodes);
         let outstanding_sum = FleetSum {
             limit: Limit::OriginOutstanding,
             bound: MIN_CALLS_OF_FLEET.max(quota * ORIGIN_CALL_S),
-            allowed: allowed_out,
+            allowed: allowed_outstanding,
             peak: counts.max_outstanding as f64,
         };
         let window = FleetSum {
--- a/crates/scale/src/virtual_clock/propagation.rs
+++ b/crates/scale/src/virtual_clock/propagation.rs
@@ -118,9 +118,9 @@
 
 fn summary(change: Change, expected: u32, mut acted: Vec<Duration>) -> ChangePropagation {
     acted.sort();
-    let at = |part: f64| {
-        let place = (part * acted.len() as f64).ceil() as usize;
-        acted.get(place.saturating_sub(1)).map_or(0.0, Duration::as_secs_f64)
+    let at = |share: f64| {
+        let index = (share * acted.len() as f64).ceil() as usize;
+        acted.get(index.saturating_sub(1)).map_or(0.0, Duration::as_secs_f64)
     };
     ChangePropagation {
         change,
--- a/crates/scale/src/virtual_clock/settings.rs
+++ b/crates/scale/src/virtual_clock/settings.rs
@@ -137,21 +137,22 @@
     /// # Errors
     /// The node rejects the configuration.
     pub fn new(
-        world: &WorldScenario,
+        world_scenario: &WorldScenario,
         layout: Layout,
         discovery: &Discovery,
     ) -> Result<Configurations, String> {
-        let nodes = world.nodes.count;
+        let nodes = world_scenario.nodes.count;
         let peers: Vec<_> = (0..nodes).map(layout::peer_address).collect();
         let listen = SocketAddr::new(layout::node_ip(0), layout::DATA_PORT);
         let operations = Some(layout::ops_address(0));
         let addresses =
             NodeAddresses { listen, discovery: layout::DISCOVERY, peers: &peers, operations: operations };
-        let text = node_configuration(world, 0, &addresses, 0, discovery.known_list(0));
+        let text = node_configuration(world_scenario, 0, &addresses, 0, discovery.known_list(0));
         let environment = config::Environment::default();
         let config = config::read(text.to_string().as_bytes(), environment, config::Precedence::Environment)?;
         let members: Vec<_> = (0..nodes).map(agreement_address).collect();
-        let operator = agreement::operator_config(&world.nodes.operator, agreement_address(0), &members)?;
+        let operator =
+            agreement::operator_config(&world_scenario.nodes.operator, agreement_address(0), &members)?;
         Ok(Configurations { first: Config { operator: operator::read(&operator)?, ..config }, layout })
     }
 
--- a/crates/scale/tests/fit.rs
+++ b/crates/scale/tests/fit.rs
@@ -81,7 +81,7 @@
     let found = fit(&jump).unwrap();
     assert_eq!(found.verdict(), Verdict::NotUnderstood);
     let prediction = found.extrapolate(6_600.0);
-    assert!(prediction.spread >= 0.25 * prediction.value, "the spread tells of it: {prediction:?}");
+    assert!(prediction.spread >= 0.25 * prediction.value, "the spread reflects the error: {prediction:?}");
 }
 
 #[test]
--- a/crates/scale/tests/page.rs
+++ b/crates/scale/tests/page.rs
@@ -36,7 +36,7 @@
     let mut changed = records(&[50, 100, 200, 400]);
     changed[0].1.runs[11].spreads[0].last_s = 9.0;
     let after = with_tables(&before, &tables(&changed)).unwrap();
-    let found = difference(&before, &after).expect("one figure of one run has changed");
+    let found = difference(&before, &after).expect("one value of one run has changed");
     let line = before.split('\n').nth(found.line - 1).unwrap();
     assert_eq!(line, found.page);
     assert!(line.contains("change of list") && found.runs.contains("| not known |"), "{found}");
@@ -64,13 +64,13 @@
 #[test]
 fn an_exceeded_bound_is_listed_with_its_size_and_source() {
     let text = tables(&records(&[10, 20, 30, 40, 300]));
-    let crossing = |whose: &str| {
-        let passed = text.split("### Where bounds are passed").nth(1).unwrap();
-        passed.lines().find(|line| line.contains(whose)).unwrap_or_default().to_owned()
+    let exceeded = |subject: &str| {
+        let table = text.split("### Where bounds are passed").nth(1).unwrap();
+        table.lines().find(|line| line.contains(subject)).unwrap_or_default().to_owned()
     };
     // 300 nodes with a minimum of 2 calls each exceed 80. 100 + 3 n bytes exceed 19,000 at 6,300 nodes.
-    assert!(crossing("sum of origin-outstanding").contains("| 300 |"), "{}", crossing("sum of origin"));
-    let budget = crossing("hollow-node");
+    assert!(exceeded("sum of origin-outstanding").contains("| 300 |"), "{}", exceeded("sum of origin"));
+    let budget = exceeded("hollow-node");
     let nodes: f64 = budget.split(" | ").nth(1).unwrap().parse().unwrap();
     assert!((nodes - 6_300.0).abs() < 100.0 && budget.contains("the slope"), "{budget}");
 }
@@ -84,16 +84,16 @@
         // Exceeds the bound only by a rounding error.
         (sum.bound, sum.allowed, sum.peak) = (nodes, nodes * (1.0 + f64::EPSILON), 1.0);
     }
-    let passed = |records: &[(PathBuf, RunRecord)]| {
+    let exceeded = |records: &[(PathBuf, RunRecord)]| {
         let text = tables(records);
-        let passed = text.split("### Where bounds are passed").nth(1).unwrap().to_owned();
-        passed.lines().find(|line| line.contains("sum of origin-outstanding")).map(str::to_owned)
+        let table = text.split("### Where bounds are passed").nth(1).unwrap().to_owned();
+        table.lines().find(|line| line.contains("sum of origin-outstanding")).map(str::to_owned)
     };
-    assert_eq!(passed(&records), None, "80 at 80 are no reason to tell of 40 at 40");
+    assert_eq!(exceeded(&records), None, "values equal to the bound at their own size do not exceed it");
     records[0].1.runs[3].sums[0].allowed = 90.0;
     assert!(
-        passed(&records).unwrap().contains("allowed over 20 |"),
-        "three runs of 20 with 90, 20 and 20 are 43.3 in the mean"
+        exceeded(&records).unwrap().contains("allowed over 20 |"),
+        "the mean of 90, 20 and 20 at 20 nodes is 43.3"
     );
 }
 
@@ -123,12 +123,12 @@
 fn the_chart_shows_series_names_and_fits() {
     let record = common::record(&[50, 100, 200, 400]);
     let fits = fit_all(&record.runs.iter().collect::<Vec<_>>());
-    let picture = plot::svg(&fits).unwrap();
-    assert!(picture.starts_with("<svg") && picture.contains("<circle") && picture.contains("<polygon"));
-    assert!(picture.contains("agreement-leader: messages/s over nodes, linear"));
+    let chart = plot::svg(&fits).unwrap();
+    assert!(chart.starts_with("<svg") && chart.contains("<circle") && chart.contains("<polygon"));
+    assert!(chart.contains("agreement-leader: messages/s over nodes, linear"));
     let bound = "stroke=\"#C85046\"";
     assert_eq!(
-        picture.matches(bound).count(),
+        chart.matches(bound).count(),
         5,
         "a node's bytes and memory, the leader's bytes, and both sums"
     );
@@ -137,11 +137,11 @@
 #[test]
 fn zones_that_grow_with_the_axis_are_reported() {
     let mut record = common::record(&[50, 100, 200, 400]);
-    let even = terminal_table(&fit_all(&record.runs.iter().collect::<Vec<_>>()));
+    let constant_zones = terminal_table(&fit_all(&record.runs.iter().collect::<Vec<_>>()));
     record.runs[0].size.zones = 2;
-    let along = terminal_table(&fit_all(&record.runs.iter().collect::<Vec<_>>()));
-    assert!(along.contains("0.5 changes a second; 2 to 4 zones along)"), "{along}");
-    assert!(!even.contains("zones along"), "{even}");
+    let growing_zones = terminal_table(&fit_all(&record.runs.iter().collect::<Vec<_>>()));
+    assert!(growing_zones.contains("0.5 changes a second; 2 to 4 zones along)"), "{growing_zones}");
+    assert!(!constant_zones.contains("zones along"), "{constant_zones}");
 }
 
 #[test]
@@ -167,9 +167,9 @@
     all[0].1.scenario = "at-target".into();
     all.extend(records(&[50, 100, 200, 400]));
     all.extend(records(&[6_600]));
-    let troubled = &mut all[2].1;
-    (troubled.scenario, troubled.state) = ("a-troubled-one".into(), FleetState::ZoneLost);
-    for run in &mut troubled.runs {
+    let with_fault = &mut all[2].1;
+    (with_fault.scenario, with_fault.state) = ("a-troubled-one".into(), FleetState::ZoneLost);
+    for run in &mut with_fault.runs {
         run.spreads[0].last_s = 99.0;
     }
     for order in [[0, 1, 2], [2, 1, 0]] {
--- a/crates/scale/tests/real_sockets.rs
+++ b/crates/scale/tests/real_sockets.rs
@@ -14,7 +14,7 @@
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 
-/// Time limit for what should take a few seconds.
+/// Time after which something that should take a few seconds is considered hung.
 const HANG_TIMEOUT: Duration = Duration::from_secs(60);
 /// Interval at which a condition is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
@@ -48,19 +48,19 @@
 
 /// A program of this workspace, in the parent of the tests' own folder.
 fn program(name: &str) -> PathBuf {
-    let detect = std::env::current_exe().unwrap();
-    let program = detect.parent().and_then(Path::parent).unwrap().join(name);
+    let current = std::env::current_exe().unwrap();
+    let program = current.parent().and_then(Path::parent).unwrap().join(name);
     assert!(program.is_file(), "{name} is not built: cargo build -p {name}");
     program
 }
 
-struct Started {
+struct StartedCommand {
     child: Child,
     record: PathBuf,
 }
 
 /// Starts the command with a plan.
-fn start(plan: &RealSocketsPlan) -> Started {
+fn start(plan: &RealSocketsPlan) -> StartedCommand {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
     let own = |ending| folder.join(format!("{}-{}.{ending}", plan.name, std::process::id()));
     let (file, record) = (own("toml"), own("json"));
@@ -77,11 +77,11 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    Started { child, record }
+    StartedCommand { child, record }
 }
 
 fn run_command(plan: &RealSocketsPlan) -> (Output, Option<RunRecord>, Vec<u32>) {
-    let Started { child, record } = start(plan);
+    let StartedCommand { child, record } = start(plan);
     let command = child.id();
     let output = child.wait_with_output().unwrap();
     let record = std::fs::read(record).ok().map(|text| serde_json::from_slice(&text).unwrap());
@@ -93,7 +93,7 @@
     let (output, record, left) = run_command(plan);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     assert!(left.is_empty(), "processes are left: {left:?}");
-    assert!(begin.elapsed() < HANG_TIMEOUT, "it did not end by its own time");
+    assert!(begin.elapsed() < HANG_TIMEOUT, "the run did not complete in time");
     let mut record = record.expect("a record");
     assert_eq!(record.runs.len(), 1);
     record.runs.remove(0)
@@ -121,8 +121,8 @@
     }
 }
 
-fn assert_within(figure: f64, least: f64, most: f64, what: &str) {
-    assert!((least..=most).contains(&figure), "{what}: {figure} is not within {least} to {most}");
+fn assert_within(value: f64, min: f64, max: f64, what: &str) {
+    assert!((min..=max).contains(&value), "{what}: {value} is not within {min} to {max}");
 }
 
 fn assert_traffic_both_ways(cost: &RoleCost, what: &str) {
@@ -198,14 +198,14 @@
 
 const UNLIMITED: MachineLimits = MachineLimits { memory: u64::MAX, descriptors: u64::MAX, ports: u64::MAX };
 
-fn sized(hollow_nodes: u32, real_nodes: u32) -> RealSocketsPlan {
+fn plan_with_nodes(hollow_nodes: u32, real_nodes: u32) -> RealSocketsPlan {
     let mut plan = plan("bounds", FleetState::Calm, 1.0);
     plan.sizes[0].hollow_nodes = hollow_nodes;
     plan.sizes[0].real_nodes = real_nodes;
     plan
 }
 
-fn refused(plan: &RealSocketsPlan, allowed: &MachineLimits) -> ResourceExceeded {
+fn exceeded_resource(plan: &RealSocketsPlan, allowed: &MachineLimits) -> ResourceExceeded {
     match check_resources(plan, allowed) {
         Err(RealSocketsError::Resource(exceeded)) => exceeded,
         other => panic!("{other:?}"),
@@ -214,27 +214,28 @@
 
 #[test]
 fn exceeded_limits_are_reported_with_needed_and_allowed_values() {
-    assert_eq!(check_resources(&sized(4, 1), &UNLIMITED), Ok(()));
+    assert_eq!(check_resources(&plan_with_nodes(4, 1), &UNLIMITED), Ok(()));
     // The limit is 200: 194 real nodes, one worker of hollow nodes, and five other processes.
-    assert_eq!(check_resources(&sized(2, 194), &UNLIMITED), Ok(()));
-    let processes = refused(&sized(2, 195), &UNLIMITED);
+    assert_eq!(check_resources(&plan_with_nodes(2, 194), &UNLIMITED), Ok(()));
+    let processes = exceeded_resource(&plan_with_nodes(2, 195), &UNLIMITED);
     assert_eq!(processes, ResourceExceeded { resource: Resource::Processes, needed: 201, allowed: 200 });
     let message = "the run needs 201 processes, and 200 are allowed";
     assert_eq!(RealSocketsError::Resource(processes).to_string(), message);
 
-    let little = refused(&sized(100, 2), &MachineLimits { memory: 500 << 20, ..UNLIMITED });
-    assert_eq!((little.resource, little.allowed), (Resource::Memory, 500 << 20));
-    assert!(little.needed > 100 << 20, "{little:?}");
+    let memory =
+        exceeded_resource(&plan_with_nodes(100, 2), &MachineLimits { memory: 500 << 20, ..UNLIMITED });
+    assert_eq!((memory.resource, memory.allowed), (Resource::Memory, 500 << 20));
+    assert!(memory.needed > 100 << 20, "{memory:?}");
 
-    let mut crowded = sized(200, 0);
-    crowded.nodes_per_process = 200;
-    let few = refused(&crowded, &MachineLimits { descriptors: 1024, ..UNLIMITED });
+    let mut one_process = plan_with_nodes(200, 0);
+    one_process.nodes_per_process = 200;
+    let descriptors = exceeded_resource(&one_process, &MachineLimits { descriptors: 1024, ..UNLIMITED });
     assert_eq!(
-        few,
+        descriptors,
         ResourceExceeded { resource: Resource::Descriptors, needed: 200 * 6 + 32, allowed: 1024 }
     );
 
-    let ports = refused(&sized(200, 0), &MachineLimits { ports: 300, ..UNLIMITED });
+    let ports = exceeded_resource(&plan_with_nodes(200, 0), &MachineLimits { ports: 300, ..UNLIMITED });
     assert_eq!((ports.resource, ports.allowed), (Resource::Ports, 300));
     assert!(ports.needed >= 400, "{ports:?}");
 }
@@ -243,11 +244,11 @@
 fn limits_are_checked_before_anything_is_started() {
     // These programs cannot be started; trying to start them would be another error.
     let programs = Programs { chalksill: "/none/chalksill".into(), mothpier: "/none/mothpier".into() };
-    let refused = run(&sized(2, 195), &programs, "none", |_| {});
+    let result = run(&plan_with_nodes(2, 195), &programs, "none", |_| {});
     let exceeded = ResourceExceeded { resource: Resource::Processes, needed: 201, allowed: 200 };
-    assert_eq!(refused, Err(RealSocketsError::Resource(exceeded)));
-    let assert_within = run(&sized(2, 1), &programs, "none", |_| {});
-    assert!(matches!(assert_within, Err(RealSocketsError::Worker(_))), "{assert_within:?}");
+    assert_eq!(result, Err(RealSocketsError::Resource(exceeded)));
+    let result = run(&plan_with_nodes(2, 1), &programs, "none", |_| {});
+    assert!(matches!(result, Err(RealSocketsError::Worker(_))), "{result:?}");
 }
 
 #[test]
--- a/crates/scale/tests/scenarios.rs
+++ b/crates/scale/tests/scenarios.rs
@@ -3,7 +3,7 @@
 use chalksill_scale::record::{FleetState, HostKind};
 use chalksill_scale::scenario::Scenario;
 
-const GOOD: &str = r#"name = "good"
+const VALID: &str = r#"name = "good"
 host = "virtual-clock"
 measured_s = 10
 
@@ -15,7 +15,7 @@
 
 #[test]
 fn the_target_layout_is_derived_from_its_nodes() {
-    let scenario = Scenario::parse(GOOD).unwrap();
+    let scenario = Scenario::parse(VALID).unwrap();
     assert_eq!((scenario.host, scenario.state), (HostKind::VirtualClock, FleetState::Calm));
     assert_eq!(scenario.repetitions, 3);
     let size = scenario.sizes[0];
@@ -24,12 +24,12 @@
 
 #[test]
 fn each_repetition_has_its_own_seed() {
-    let scenario = Scenario::parse(&format!("seed = 7\n{GOOD}")).unwrap();
+    let scenario = Scenario::parse(&format!("seed = 7\n{VALID}")).unwrap();
     assert_eq!([scenario.seed_of(0), scenario.seed_of(2)], [7, 9]);
 }
 
 /// What is replaced in the valid file, the replacement, and the beginning of the message.
-const BAD: [(&str, &str, &str); 18] = [
+const INVALID: [(&str, &str, &str); 18] = [
     ("nodes = 6600", "nodes = 0", "line 6: size.0.nodes: 0 is not within 1 to 10000"),
     ("nodes = 6600", "nodes = -3", "line 6: size.0.nodes: -3 is not within 1 to 10000"),
     ("nodes = 6600", "nodes = 2.5", "line 6: size.0.nodes: 2.5 is not an integer within 1 to 10000"),
@@ -64,19 +64,19 @@
 
 #[test]
 fn invalid_files_are_rejected_with_line_key_and_range() {
-    for (from, to, says) in BAD {
-        let text = GOOD.replacen(from, to, 1);
-        assert_ne!(text, GOOD, "{from} is not in the good file");
+    for (from, to, expected) in INVALID {
+        let text = VALID.replacen(from, to, 1);
+        assert_ne!(text, VALID, "{from} is not in the valid file");
         let message = Scenario::parse(&text).unwrap_err().to_string();
-        assert!(message.starts_with(says), "{to:?}: {message:?} does not begin with {says:?}");
+        assert!(message.starts_with(expected), "{to:?}: {message:?} does not begin with {expected:?}");
     }
 }
 
 #[test]
 fn partitions_and_agreements_need_enough_regions_and_zones() {
-    let small = GOOD.replace("nodes = 6600", "nodes = 20");
-    let apart = format!("state = \"regions-apart\"\n{small}");
-    assert!(Scenario::parse(&apart).unwrap_err().to_string().contains("regions-apart needs 2 or more"));
+    let small = VALID.replace("nodes = 6600", "nodes = 20");
+    let partitioned = format!("state = \"regions-apart\"\n{small}");
+    assert!(Scenario::parse(&partitioned).unwrap_err().to_string().contains("regions-apart needs 2 or more"));
     let agreement = format!("agreement = true\n{small}");
     assert!(Scenario::parse(&agreement).unwrap_err().to_string().contains("an agreement needs 2 or more"));
 }
--- a/crates/scale/tests/virtual_clock.rs
+++ b/crates/scale/tests/virtual_clock.rs
@@ -68,9 +68,9 @@
 #[test]
 fn few_nodes_respect_the_limits_of_origin_calls_under_a_load_of_misses() {
     let run = run(&scenario("", "[load]\nper_s = 400\nmisses = 1.0\n"), 0);
-    let out = sum(&run, Limit::OriginOutstanding);
-    assert!(out.peak > 0.0 && out.peak <= out.bound, "{out:?}");
-    assert!(out.allowed > 0.0 && out.allowed <= out.bound, "{out:?}");
+    let outstanding = sum(&run, Limit::OriginOutstanding);
+    assert!(outstanding.peak > 0.0 && outstanding.peak <= outstanding.bound, "{outstanding:?}");
+    assert!(outstanding.allowed > 0.0 && outstanding.allowed <= outstanding.bound, "{outstanding:?}");
     let window = sum(&run, Limit::OriginWindow);
     assert!(window.peak > 0.0 && window.peak <= window.bound, "{window:?}");
     assert_eq!(run.roles[&Role::HollowNode].user_cpu, None);
@@ -87,9 +87,9 @@
 #[test]
 fn partitioned_regions_receive_fewer_messages() {
     let calm = run(&scenario("agreement = true", ""), 0);
-    let apart = run(&scenario("agreement = true\nstate = \"regions-apart\"", ""), 0);
-    let heard = |run: &Run| run.roles[&Role::HollowNode].messages_in_per_s;
-    assert!(heard(&apart) < heard(&calm), "{} and {}", heard(&apart), heard(&calm));
+    let partitioned = run(&scenario("agreement = true\nstate = \"regions-apart\"", ""), 0);
+    let received = |run: &Run| run.roles[&Role::HollowNode].messages_in_per_s;
+    assert!(received(&partitioned) < received(&calm), "{} and {}", received(&partitioned), received(&calm));
 }
 
 #[test]
