--- a/crates/scale/src/real_sockets/processes.rs
+++ b/crates/scale/src/real_sockets/processes.rs
@@ -15,7 +15,7 @@
 
 /// Time within which a worker must have started.
 const START_TIMEOUT: Duration = Duration::from_secs(90);
-/// Time within which a worker must have replied, in addition to that for which it is to be down.
+/// Time within which a worker must have replied, in addition to the time for which it is to be down.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(20);
 /// Time after which a worker is killed if it has not ended although its standard input was closed.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(5);
@@ -60,7 +60,7 @@
         let pipes = (child.stdin.take(), child.stdout.take(), child.id());
         self.0.borrow_mut().push(child);
         let (Some(input), Some(output), Some(process)) = pipes else {
-            return Err(RealSocketsError::Worker("worker started without pipes".into()));
+            return Err(RealSocketsError::Worker("started without pipes".into()));
         };
         let mut worker = Worker { process, input, output: BufReader::new(output).lines() };
         worker.write(plan).await?;
--- a/crates/scale/src/report.rs
+++ b/crates/scale/src/report.rs
@@ -101,8 +101,8 @@
         let (bound, fit) = (self.bound()?, self.outcome.as_ref().ok()?);
         let (mut within, mut beyond) = (fit.held_out_size, target_size(self.series.key.axis));
         let exceeds = |size: f64| fit.chosen.curve.predict(size) > bound.max;
-        let relied_upon = fit.verdict() == Verdict::Understood && fit.slope_is_significant();
-        if !relied_upon || beyond <= within || !exceeds(beyond) {
+        let reliable = fit.verdict() == Verdict::Understood && fit.slope_is_significant();
+        if !reliable || beyond <= within || !exceeds(beyond) {
             return None;
         }
         if exceeds(within) {
--- a/crates/scale/src/series.rs
+++ b/crates/scale/src/series.rs
@@ -193,8 +193,8 @@
 
 /// The sizes on the other axes of a run, as text.
 fn others(axis: Axis, size: &FleetSize) -> String {
-    let other = |other: &Axis| format!("{} {other}", other.of(size));
-    let others: Vec<String> = Axis::ALL.iter().filter(|a| **a != axis).map(other).collect();
+    let axis_text = |other: &Axis| format!("{} {other}", other.of(size));
+    let others: Vec<String> = Axis::ALL.iter().filter(|a| **a != axis).map(axis_text).collect();
     others.join(", ")
 }
 
@@ -227,8 +227,8 @@
     }
     if groups.is_empty() && !runs.is_empty() {
         let first = &runs[0].size;
-        let several = runs.iter().any(|run| run.size.nodes != first.nodes);
-        let group_name = if several { "all else grows along".into() } else { others(Axis::Nodes, first) };
+        let nodes_vary = runs.iter().any(|run| run.size.nodes != first.nodes);
+        let group_name = if nodes_vary { "all else grows along".into() } else { others(Axis::Nodes, first) };
         groups.push((Axis::Nodes, group_name, runs.to_vec()));
     }
     groups
--- a/crates/scale/src/virtual_clock/settings.rs
+++ b/crates/scale/src/virtual_clock/settings.rs
@@ -145,8 +145,7 @@
         let peers: Vec<_> = (0..nodes).map(layout::peer_address).collect();
         let listen = SocketAddr::new(layout::node_ip(0), layout::DATA_PORT);
         let operations = Some(layout::ops_address(0));
-        let addresses =
-            NodeAddresses { listen, discovery: layout::DISCOVERY, peers: &peers, operations: operations };
+        let addresses = NodeAddresses { listen, discovery: layout::DISCOVERY, peers: &peers, operations };
         let text = node_configuration(world_scenario, 0, &addresses, 0, discovery.known_list(0));
         let environment = config::Environment::default();
         let config = config::read(text.to_string().as_bytes(), environment, config::Precedence::Environment)?;
