--- a/crates/chalksill/src/trial.rs
+++ b/crates/chalksill/src/trial.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use chalksill_trial::plan::Trial as Plan;
-use chalksill_trial::play::{Ended, play};
+use chalksill_trial::runner::{TrialEnd, run_trial};
 use clap::{Args, Subcommand};
 use tokio::task::LocalSet;
 
@@ -57,7 +57,7 @@
     match trial {
         Trial::Check { trial } => {
             let plan = Plan::read(&trial)?;
-            let (nodes, boxes) = (plan.world.nodes.count, plan.world.boxes.count);
+            let (nodes, boxes) = (plan.scenario.nodes.count, plan.scenario.boxes.count);
             println!("{}: {nodes} nodes, {boxes} boxes, {} steps", plan.name, plan.steps.len());
             Ok(Verdict::Good)
         }
@@ -69,21 +69,21 @@
 fn execute_run(args: &Run) -> Result<Verdict, String> {
     let mut plan = Plan::read(&args.trial)?;
     if let Some(path) = &args.operator {
-        plan.world.nodes.operator = files::text(path)?;
-        plan.world.validate().map_err(|e| format!("{}: {e}", path.display()))?;
+        plan.scenario.nodes.operator = files::text(path)?;
+        plan.scenario.validate().map_err(|e| format!("{}: {e}", path.display()))?;
     }
     let program = world::program(args.mothpier.as_ref())?;
     let folder = world::folder(args.keep.as_ref());
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("no runtime: {e}"))?;
-    let ended = LocalSet::new().block_on(&runtime, play(plan, args.seed, &program, &folder));
+    let ended = LocalSet::new().block_on(&runtime, run_trial(plan, args.seed, &program, &folder));
     if args.keep.is_none() {
         // What is not asked for is not left behind; nothing is lost where that fails.
         let _ = std::fs::remove_dir_all(&folder);
     }
     let report = match ended? {
-        Ended::Played(report) => report,
-        Ended::Interrupted => return Err("interrupted; all that was started has ended".into()),
+        TrialEnd::Completed(report) => report,
+        TrialEnd::Interrupted => return Err("interrupted; all that was started has ended".into()),
     };
     let json = files::json(&report)?;
     if let Some(folder) = &args.keep {
@@ -103,5 +103,5 @@
     } else {
         println!("{report}");
     }
-    Ok(if report.good() { Verdict::Good } else { Verdict::Broken })
+    Ok(if report.passed() { Verdict::Good } else { Verdict::Broken })
 }
--- a/crates/chalksill/src/trial/soak.rs
+++ b/crates/chalksill/src/trial/soak.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::thread;
 
-use chalksill_trial::soak::{Outcome, play};
+use chalksill_trial::soak::{Outcome, run_seed};
 use clap::Args;
 use tokio::task::LocalSet;
 
@@ -44,7 +44,7 @@
             match play_one(seed, &program, &folder) {
                 Ok(outcome) => {
                     println!("{outcome}");
-                    if outcome.good() {
+                    if outcome.passed() {
                         let _ = std::fs::remove_dir_all(&folder);
                     } else if let Ok(mut failed) = failed.lock() {
                         failed.push(seed);
@@ -80,5 +80,5 @@
 fn play_one(seed: u64, program: &Path, folder: &Path) -> Result<Outcome, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("no runtime: {e}"))?;
-    LocalSet::new().block_on(&runtime, play(seed, program, folder))
+    LocalSet::new().block_on(&runtime, run_seed(seed, program, folder))
 }
--- a/crates/trial/src/account.rs
+++ b/crates/trial/src/account.rs
@@ -94,7 +94,7 @@
 impl Account {
     /// An empty account.
     pub fn new(trial: &Trial) -> Account {
-        let world = &trial.world;
+        let world = &trial.scenario;
         let ms = Duration::from_millis;
         let shortest = world.class.iter().map(|c| c.aim_ms).min().unwrap_or(1000);
         Account {
@@ -409,7 +409,7 @@
         let trial = Trial {
             name: "t".into(),
             about: String::new(),
-            world,
+            scenario: world,
             map,
             ways: Default::default(),
             discovery: Default::default(),
--- a/crates/trial/src/plan.rs
+++ b/crates/trial/src/plan.rs
@@ -22,7 +22,7 @@
     /// What it is to show.
     pub about: String,
     /// The world in it.
-    pub world: Scenario,
+    pub scenario: Scenario,
     /// Where everything lies.
     pub map: Map,
     /// Distances.
@@ -396,7 +396,7 @@
             before,
             name: file.name,
             about: file.about,
-            world,
+            scenario: world,
             map,
             ways: file.ways,
             discovery: file.discovery,
@@ -412,7 +412,7 @@
         if self.name.is_empty() || !self.name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-') {
             return bad("name".into(), "letters, digits and dashes only");
         }
-        if self.world.load.rate * self.world.seconds > MOST_REQUESTS {
+        if self.scenario.load.rate * self.scenario.seconds > MOST_REQUESTS {
             return bad("world".into(), &format!("more than {MOST_REQUESTS} first tries"));
         }
         let ways = &self.ways;
@@ -507,7 +507,7 @@
                 if parties.len() != 1 || parties[0].kind != Kind::Node {
                     return Err((key("who"), "one node takes an order".into()));
                 }
-                let named = step.zone.as_ref().filter(|z| self.world.zones.contains(z));
+                let named = step.zone.as_ref().filter(|z| self.scenario.zones.contains(z));
                 named.ok_or((key("zone"), "a zone of the world is needed".to_owned()))?;
                 if step.act == Act::Hold {
                     let how = step.how.as_deref().filter(|how| ["in", "out", "drain"].contains(how));
@@ -549,14 +549,14 @@
         }
         let of_requests = [Figure::InTime, Figure::Refused, Figure::Failed, Figure::P50Ms, Figure::P99Ms];
         if let Some(class) = &must.class {
-            if !self.world.class.iter().any(|c| c.name == *class) {
+            if !self.scenario.class.iter().any(|c| c.name == *class) {
                 return Err((format!("{at}.class"), format!("there is no class {class:?}")));
             }
             if !of_requests.contains(&must.figure) {
                 return Err((format!("{at}.class"), "this figure is not of requests by class".into()));
             }
         }
-        let zone = |named: &String| self.world.zones.contains(named);
+        let zone = |named: &String| self.scenario.zones.contains(named);
         let of_a_zone = [Figure::Split, Figure::ReturnedS, Figure::ZoneShare, Figure::ZoneAsked];
         match (&must.zone, of_a_zone.contains(&must.figure)) {
             (None, true) => Err((format!("{at}.zone"), "this figure is of a zone".into())),
--- a/crates/trial/src/report.rs
+++ b/crates/trial/src/report.rs
@@ -111,7 +111,7 @@
 
 impl Report {
     /// Whether everything held: rules, account and what the trial asks for.
-    pub fn good(&self) -> bool {
+    pub fn passed(&self) -> bool {
         self.kept() && self.musts.iter().all(|m| m.holds)
     }
 
@@ -160,6 +160,6 @@
         for broken in &self.broken {
             writeln!(f, "BROKEN {broken}")?;
         }
-        write!(f, "{}", if self.good() { "all held" } else { "not all held" })
+        write!(f, "{}", if self.passed() { "all held" } else { "not all held" })
     }
 }
--- a/crates/trial/src/play.rs
+++ b/crates/trial/src/runner.rs
@@ -26,9 +26,9 @@
 const LAST: Duration = Duration::from_secs(2);
 
 /// How a trial ended that could be played.
-pub enum Ended {
+pub enum TrialEnd {
     /// To its end.
-    Played(Box<Report>),
+    Completed(Box<Report>),
     /// By a signal; all that it had started has ended.
     Interrupted,
 }
@@ -45,10 +45,10 @@
 impl Watch {
     pub(crate) fn begin(trial: &Trial, seed: u64, late_ways: Duration) -> Watch {
         let witness = Observer::starting_now();
-        let origin = trial.world.boxes.count;
+        let origin = trial.scenario.boxes.count;
         let account = Rc::new(RefCell::new(Account::new(trial)));
-        let collector = Rc::new(RefCell::new(Collector::new(&trial.world, seed, origin)));
-        let checker = Checker::new(&trial.world, origin);
+        let collector = Rc::new(RefCell::new(Collector::new(&trial.scenario, seed, origin)));
+        let checker = Checker::new(&trial.scenario, origin);
         let checker =
             Rc::new(RefCell::new(checker.with_unbounded_delay().with_extra_server_delay(late_ways)));
         let line = Rc::new(RefCell::new(Vec::new()));
@@ -72,7 +72,7 @@
 ///
 /// # Errors
 /// What hinders its start; whatever was started by then has ended.
-pub async fn play(trial: Trial, seed: u64, program: &Path, folder: &Path) -> Result<Ended, String> {
+pub async fn run_trial(trial: Trial, seed: u64, program: &Path, folder: &Path) -> Result<TrialEnd, String> {
     let watch = Watch::begin(&trial, seed, Duration::ZERO);
     let mut terminate = signal(SignalKind::terminate()).map_err(|e| format!("no signals: {e}"))?;
     let mut interrupt = signal(SignalKind::interrupt()).map_err(|e| format!("no signals: {e}"))?;
@@ -91,7 +91,7 @@
     // Dropped halfway, a stage ends the processes that it has started.
     let stage = tokio::select! {
         stage = set => stage?,
-        () = &mut told => return Ok(Ended::Interrupted),
+        () = &mut told => return Ok(TrialEnd::Interrupted),
     };
     let outcome = tokio::select! {
         outcome = run(&stage, &watch) => Some(outcome),
@@ -100,8 +100,8 @@
     let cost = stage.cost();
     stage.strike().await;
     stage.look_at_nodes();
-    let Some(run) = outcome else { return Ok(Ended::Interrupted) };
-    Ok(Ended::Played(Box::new(judge(&stage, &watch, seed, run, cost))))
+    let Some(run) = outcome else { return Ok(TrialEnd::Interrupted) };
+    Ok(TrialEnd::Completed(Box::new(judge(&stage, &watch, seed, run, cost))))
 }
 
 /// What a run leaves to be judged.
@@ -129,7 +129,7 @@
         .abort_handle()
     };
     let begin = watch.witness.elapsed();
-    let span = stage.trial.world.load_duration();
+    let span = stage.trial.scenario.load_duration();
     let load = spawn_local(stage.clients.clone().generate_load(span));
     let mut steps = vec![None; stage.trial.steps.len()];
     let mut before = begin;
@@ -151,7 +151,7 @@
     }
     let _ = load.await;
     let end = begin + span;
-    let until = Instant::now() + stage.trial.world.longest_deadline() + LAST;
+    let until = Instant::now() + stage.trial.scenario.longest_deadline() + LAST;
     while stage.clients.in_flight() > 0 && Instant::now() < until {
         sleep(LOOK).await;
     }
@@ -204,7 +204,7 @@
     }
     let Some((key, named)) = fact.names().next() else { return true };
     let parties = parties(stage, named);
-    let boxes = stage.trial.world.boxes.count;
+    let boxes = stage.trial.scenario.boxes.count;
     for party in parties {
         let so = match key {
             "ready" => stage.doing(party.number) == Doing::Runs && stage.ready(party.number).await,
@@ -360,10 +360,10 @@
     let held = |must: &Must| {
         let zone = must.zone.as_ref().and_then(|z| trial.map.zones.iter().position(|name| name == z));
         let class = must.class.as_ref();
-        let class = class.and_then(|c| trial.world.class.iter().position(|known| known.name == *c));
+        let class = class.and_then(|c| trial.scenario.class.iter().position(|known| known.name == *c));
         let value = span(must).and_then(|(from, until)| match must.figure {
             Figure::Moves => Some(moves(&stage.log.borrow(), from, until) as f64),
-            Figure::Agree => Some(agree(&stage.log.borrow(), stage.trial.world.nodes.count, until)),
+            Figure::Agree => Some(agree(&stage.log.borrow(), stage.trial.scenario.nodes.count, until)),
             figure => account.figure(figure, Of { zone, class }, from, until),
         });
         let holds = value.is_some_and(|v| {
--- a/crates/trial/src/soak.rs
+++ b/crates/trial/src/soak.rs
@@ -15,7 +15,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use crate::play::Watch;
+use crate::runner::Watch;
 use crate::stage::{Doing, Stage};
 
 pub mod plan;
@@ -56,7 +56,7 @@
 
 impl Outcome {
     /// Whether all held.
-    pub fn good(&self) -> bool {
+    pub fn passed(&self) -> bool {
         self.violations.is_empty() && self.broken.is_empty()
     }
 }
@@ -64,7 +64,7 @@
 impl fmt::Display for Outcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Outcome { seed, events, tries, in_time, held_up, violations, broken } = self;
-        let verdict = if self.good() { "held" } else { "BROKEN" };
+        let verdict = if self.passed() { "held" } else { "BROKEN" };
         write!(
             f,
             "seed {seed}: {verdict}; {} events, {tries} tries, {:.1}% in time",
@@ -81,7 +81,7 @@
 ///
 /// # Errors
 /// What hinders its start.
-pub async fn play(seed: u64, program: &Path, folder: &Path) -> Result<Outcome, String> {
+pub async fn run_seed(seed: u64, program: &Path, folder: &Path) -> Result<Outcome, String> {
     let plan = Plan::draw(seed);
     let trial = plan.trial()?;
     let watch = Watch::begin(&trial, seed, plan.latest_words());
@@ -173,7 +173,7 @@
             let _ = story.await;
         }
         let _ = load.await;
-        let last = Instant::now() + self.stage.trial.world.longest_deadline() + LAST;
+        let last = Instant::now() + self.stage.trial.scenario.longest_deadline() + LAST;
         while self.stage.clients.in_flight() + self.users.open_connections() > 0 && Instant::now() < last {
             sleep(TICK).await;
         }
--- a/crates/trial/src/soak/plan.rs
+++ b/crates/trial/src/soak/plan.rs
@@ -139,7 +139,7 @@
         Ok(Trial {
             name: "soak".into(),
             about: "Drains, ends and new versions under clients that go on using their connections.".into(),
-            world,
+            scenario: world,
             map,
             ways: Ways::default(),
             discovery: PerRegion::One,
--- a/crates/trial/src/stage.rs
+++ b/crates/trial/src/stage.rs
@@ -170,9 +170,9 @@
         played: impl Fn(CompletedRequest) + 'static,
     ) -> Result<Rc<Stage>, String> {
         let (net, at) = take_net()?;
-        let fleet = Fleet::new(trial.world.clone(), seed, witness.clone());
+        let fleet = Fleet::new(trial.scenario.clone(), seed, witness.clone());
         let map = trial.map.clone();
-        let (nodes, boxes) = (trial.world.nodes.count, trial.world.boxes.count);
+        let (nodes, boxes) = (trial.scenario.nodes.count, trial.scenario.boxes.count);
         let any = |host| SocketAddr::from((at(host), 0));
         std::fs::create_dir_all(folder).map_err(|e| format!("cannot make {}: {e}", folder.display()))?;
         let _ = std::fs::remove_file(folder.join(PROCESSES));
@@ -199,7 +199,7 @@
         let (mut members, mut runs) = (BTreeMap::new(), BTreeMap::new());
         for number in 0..=boxes {
             let party = map.server(number);
-            let cold = trial.world.boxes.start_cold && party.kind == Kind::Box;
+            let cold = trial.scenario.boxes.start_cold && party.kind == Kind::Box;
             let started = if cold { HOST.unix_time().as_millis() as u64 } else { 0 };
             let (mut listeners, mut listens, mut addresses) = (Vec::new(), Vec::new(), Vec::new());
             for node in 0..nodes {
@@ -247,7 +247,7 @@
             fronts.push(relay(clients, party, (at(NODES + node as u8), CLIENTS).into())?);
         }
         let peers = datagrams(&trial, &fleet, &mut ways, &at, &fair, PEERS).await?;
-        let accord = match trial.world.agreement_enabled() {
+        let accord = match trial.scenario.agreement_enabled() {
             true => datagrams(&trial, &fleet, &mut ways, &at, &fair, agreement::PORT).await?,
             false => Vec::new(),
         };
@@ -301,7 +301,7 @@
 
     /// Writes what a life of a node is started by: a seed of its own, and the list that it last had.
     fn write_files(&self, node: NodeIndex, life: u64, address: SocketAddr) -> Result<(), String> {
-        let world = &self.trial.world;
+        let world = &self.trial.scenario;
         let seed: u64 = self.fleet.rng("node", node as u64 * 1000 + life).random();
         let map = &self.trial.map;
         let place = if self.discoveries.len() == 1 { 0 } else { map.region_of[map.zone_of(node)] };
@@ -346,7 +346,7 @@
     /// The front asks a node again and again, and believes what it hears; what it does not hear for a while as well.
     async fn front(self: Rc<Self>, node: NodeIndex) {
         let mut rng = self.fleet.rng("front", node as u64);
-        let [least, most] = self.trial.world.nodes.front_notices_ms;
+        let [least, most] = self.trial.scenario.nodes.front_notices_ms;
         let (mut heard, mut believes) = (Instant::now(), true);
         let mut notices = Duration::from_millis(rng.random_range(least..=most));
         loop {
@@ -560,7 +560,7 @@
         run.process.borrow().signal(Signal::SIGTERM);
         let stage = self.clone();
         spawn_local(async move {
-            let until = Instant::now() + stage.trial.world.longest_deadline() + STOP;
+            let until = Instant::now() + stage.trial.scenario.longest_deadline() + STOP;
             let turns_away = Instant::now() + TURNS_AWAY;
             let run = &stage.nodes[node];
             loop {
@@ -653,7 +653,7 @@
 
     /// Tells those who judge what is cut off now: what goes there is seen by nobody.
     fn look(&self) {
-        let boxes = self.trial.world.boxes.count;
+        let boxes = self.trial.scenario.boxes.count;
         let shut = |w: &Weather| w.held_out || w.held_back || w.refused;
         let (mut away, mut nodes) = (BTreeSet::new(), BTreeSet::new());
         for way in self.ways.iter().filter(|w| !w.datagrams && shut(&w.relay.weather()) && self.alive(w.to)) {
@@ -731,7 +731,7 @@
                 process.signal(Signal::SIGTERM);
             }
         }
-        let until = Instant::now() + self.trial.world.longest_deadline() + STOP;
+        let until = Instant::now() + self.trial.scenario.longest_deadline() + STOP;
         for run in &self.nodes {
             while run.process.borrow_mut().exit_status().is_none() {
                 if Instant::now() >= until {
@@ -755,7 +755,7 @@
     fair: &impl Fn(Party, Party) -> Weather,
     port: u16,
 ) -> Result<Vec<Vec<SocketAddr>>, String> {
-    let nodes = trial.world.nodes.count;
+    let nodes = trial.scenario.nodes.count;
     let own = |node: usize| SocketAddr::from((at(NODES + node as u8), port));
     let mut views: Vec<Vec<Rc<UdpSocket>>> = Vec::new();
     for _ in 0..nodes {
@@ -778,7 +778,7 @@
             let (from, to) = (trial.map.node(i), trial.map.node(j));
             let outlet = views[j][i].clone();
             let mut weather = fair(from, to);
-            weather.lost = trial.world.network.datagrams_lost;
+            weather.lost = trial.scenario.network.datagrams_lost;
             let relay = Relay::datagrams(inlet.clone(), outlet, own(i), own(j), weather, seeds.random());
             let relay = relay.map_err(|e| format!("cannot open a way for datagrams: {e}"))?;
             seen.push(relay.address);
--- a/crates/trial/src/stage/lifecycle.rs
+++ b/crates/trial/src/stage/lifecycle.rs
@@ -64,7 +64,7 @@
 
     /// The span from SIGTERM to the earliest SIGKILL.
     pub fn earliest_kill(&self) -> Duration {
-        self.trial.world.longest_deadline().min(LONGEST_COUNTED) + KILL_AFTER
+        self.trial.scenario.longest_deadline().min(LONGEST_COUNTED) + KILL_AFTER
     }
 
     /// Tells a node to end and kills it at the earliest time; whether it had ended by itself by then.
