--- a/crates/trial/src/plan.rs
+++ b/crates/trial/src/plan.rs
@@ -1,4 +1,4 @@
-//! Trials as TOML files: where everything lies, what is done when, and what must hold. Checked with the place at fault.
+//! Trial files (TOML): the topology, the steps with their times, and the expectations. Errors name the line and the key.
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -7,226 +7,226 @@
 use chalksill_world::scenario::{Scenario, ScenarioError, check_range, line_of_key, parse};
 use serde::{Deserialize, Serialize};
 
-use crate::party::{Kind, Map, Parties};
+use crate::topology::{EndpointKind, Endpoints, Topology};
 
-/// First tries of one trial: all of them are kept in memory until its end.
-const MOST_REQUESTS: f64 = 1e6;
-/// A fact that has not come within this time never will, unless a step says otherwise.
-const FACT: f64 = 15.0;
+/// Limit of the first tries of one trial, for all of them are kept in memory until its end.
+const MAX_FIRST_TRIES: f64 = 1e6;
+/// A step whose condition has not come true after this time fails the trial, unless the step sets a time of its own.
+const DEFAULT_CONDITION_TIMEOUT_S: f64 = 15.0;
 
-/// A trial.
+/// A trial, read and checked.
 #[derive(Clone, Debug)]
 pub struct Trial {
-    /// What it is called.
+    /// Its name.
     pub name: String,
-    /// What it is to show.
+    /// What it is meant to show.
     pub about: String,
-    /// The world in it.
+    /// The scenario of the simulated environment: load, fleet sizes, network.
     pub scenario: Scenario,
-    /// Where everything lies.
-    pub map: Map,
-    /// Distances.
-    pub ways: Ways,
-    /// Whether each region has a discovery of its own.
-    pub discovery: PerRegion,
-    /// What is done, in order.
+    /// Zones, regions and endpoints.
+    pub topology: Topology,
+    /// Delays between endpoints.
+    pub link_delays: LinkDelays,
+    /// Where discovery runs.
+    pub discovery: DiscoveryPlacement,
+    /// Steps, in order.
     pub steps: Vec<Step>,
     /// What must hold at its end.
-    pub musts: Vec<Must>,
-    /// Nodes that know nothing of places and of the accord, as a version from before them.
-    pub before: Parties,
-    /// Whether staff order something in it.
-    pub staffed: bool,
-    /// Whether the platform holds the sockets of nodes, which each of their processes inherits.
-    pub held_sockets: bool,
+    pub expectations: Vec<Expectation>,
+    /// Nodes that don't have the `[places]` and `[accord]` settings, as nodes of an older version.
+    pub older_nodes: Endpoints,
+    /// Whether nodes get operations endpoints.
+    pub operations_enabled: bool,
+    /// Whether the platform holds the nodes' client sockets, which each of their processes inherits.
+    pub inherited_sockets: bool,
 }
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct File {
+struct TrialFile {
     name: String,
     #[serde(default)]
     about: String,
-    /// The world's file, from where this one is.
+    /// Path of the scenario file, relative to the trial file.
     world: String,
-    /// Laid over the world's file.
+    /// Settings that override those of the scenario file.
     #[serde(default)]
     with: toml::Table,
     #[serde(default, rename = "region")]
     regions: Vec<Region>,
     #[serde(default)]
-    ways: Ways,
-    /// The zone of the origin, the first one by default.
+    ways: LinkDelays,
+    /// The zone of the origin; the first zone if absent.
     origin: Option<String>,
-    /// Nodes that know nothing of places and of the accord.
+    /// Selector of the nodes that don't have the `[places]` and `[accord]` settings.
     before: Option<String>,
     #[serde(default)]
-    discovery: PerRegion,
+    discovery: DiscoveryPlacement,
     #[serde(default, rename = "step")]
     steps: Vec<Step>,
     #[serde(default, rename = "must")]
-    musts: Vec<Must>,
+    expectations: Vec<Expectation>,
 }
 
-/// A region, and the zones in it.
+/// A region and its zones.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Region {
-    /// What it is called.
+    /// Its name.
     pub name: String,
-    /// Its zones, as the world names them.
+    /// Its zones, by the names in the scenario.
     pub zones: Vec<String>,
 }
 
-/// Distances, one way.
+/// One-way delays between endpoints.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Ways {
+pub struct LinkDelays {
     /// Within a zone, milliseconds.
     pub zone_ms: f64,
     /// Between zones of a region, milliseconds.
     pub region_ms: f64,
     /// Between regions, milliseconds.
     pub across_ms: f64,
-    /// Up to this part is added.
+    /// Share of the delay by which it grows at most, at random.
     pub jitter: f64,
 }
 
-impl Default for Ways {
+impl Default for LinkDelays {
     fn default() -> Self {
-        Ways { zone_ms: 0.0, region_ms: 1.0, across_ms: 20.0, jitter: 0.1 }
+        LinkDelays { zone_ms: 0.0, region_ms: 1.0, across_ms: 20.0, jitter: 0.1 }
     }
 }
 
-/// Whether there is one of something for all, or one in each region.
+/// Where discovery runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum PerRegion {
-    /// One for all, in the zone of the origin.
+pub enum DiscoveryPlacement {
+    /// One service for all nodes, in the zone of the origin.
     #[default]
     One,
-    /// One in the first zone of each region.
+    /// A service in the first zone of each region.
     EachRegion,
 }
 
-/// What a step does.
+/// The action of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Act {
-    /// Nothing: a name for a time, or a wait for a fact.
+pub enum Action {
+    /// No action: gives a time a name, or waits for a condition.
     Mark,
-    /// Ways carry nothing and say nothing.
+    /// Blocks links silently.
     Cut,
-    /// Ways carry again what they held, or reset it.
+    /// Unblocks links, and releases or resets what they held.
     Heal,
-    /// Ways refuse new connections and reset those that are open.
+    /// Makes links refuse new connections and resets open ones.
     Refuse,
-    /// Ways reset what is open.
+    /// Resets open connections of links.
     Reset,
-    /// Ways get other delays, rates, losses.
+    /// Changes the delay, rate and loss of links.
     Weather,
-    /// Processes of nodes, or boxes, die.
+    /// Kills nodes or cache servers.
     Kill,
-    /// What has died begins again from nothing.
+    /// Starts killed nodes or cache servers, without any of their former state.
     Start,
-    /// Processes are stopped in their midst.
+    /// Stops the processes of nodes by SIGSTOP.
     Stop,
-    /// Stopped processes go on, believing what they believed.
+    /// Lets stopped processes continue with the state that they had.
     Continue,
-    /// Nodes are told to end as at a planned restart.
+    /// Terminates nodes as at a planned restart.
     Term,
-    /// The load becomes another multiple of the usual.
+    /// Sets the load to a multiple of its usual rate.
     Load,
-    /// Discovery answers late, or not at all, or with an old or an empty list.
+    /// Makes discovery answer late, not at all, or with an old or an empty list.
     Discovery,
-    /// Ways are cut and mended again and again.
+    /// Blocks and unblocks links repeatedly.
     Flap,
-    /// Discovery says of boxes that they are gone, or ready, whatever they are.
+    /// Makes discovery list cache servers as gone or ready, whatever their state.
     List,
-    /// Staff order at a node that a zone is kept in or out for a time.
+    /// Sends an operator's order to a node: to keep a zone in or out for some time.
     Hold,
-    /// Staff take that back at a node.
+    /// Sends an operator's order to a node: to release a zone that is held.
     Release,
 }
 
 /// How discovery answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Answers {
-    /// As it should.
+pub enum DiscoveryBehavior {
+    /// Normally.
     Well,
-    /// Late, by the step's `delay_ms`.
+    /// After the step's `delay_ms`.
     Late,
     /// With 503.
     Down,
-    /// With the list as it was at this step.
+    /// With the list as it is at the time of the step.
     Old,
     /// With an empty list.
     Empty,
 }
 
-/// What discovery says of a box.
+/// The phase that discovery lists a cache server with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Says {
-    /// It serves.
+pub enum ListedPhase {
+    /// Serving.
     Ready,
-    /// It is no longer there.
+    /// No longer there.
     Gone,
 }
 
-/// One step.
+/// A step of a trial.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Step {
-    /// What it is called: what must hold may name it.
+    /// Its name, to which expectations may refer.
     #[serde(default)]
     pub name: String,
-    /// Not before this time since the load began, in seconds; at once after the step before it without one.
+    /// Earliest time in seconds since the load began; without one, right after the step before.
     #[serde(default)]
     pub at_s: f64,
-    /// Not before this fact.
-    pub after: Option<Fact>,
-    /// How long the fact may take, in seconds.
+    /// The step waits for this condition.
+    pub after: Option<Condition>,
+    /// Time limit for the condition, in seconds.
     pub within_s: Option<f64>,
-    /// What it does.
+    /// The action.
     #[serde(rename = "do")]
-    pub act: Act,
-    /// One end of the ways.
+    pub action: Action,
+    /// Selector of one end of the links.
     pub from: Option<String>,
-    /// The other end.
+    /// Selector of the other end.
     pub to: Option<String>,
-    /// Only what goes from `from` to `to` is cut, and nothing of what goes back.
+    /// Blocks only the traffic from `from` to `to`.
     #[serde(default)]
     pub one_way: bool,
-    /// What is killed, started, stopped, continued, told to end.
+    /// Selector of what is killed, started, stopped, continued, terminated, listed or sent an order.
     pub who: Option<String>,
-    /// Heal: what was held is reset, instead of released.
+    /// Heal: resets the held connections instead of releasing their traffic.
     #[serde(default)]
     pub reset: bool,
-    /// Weather: one way, added to the distance. Discovery: how late it answers.
+    /// Weather: one-way delay. Discovery: how late it answers.
     pub delay_ms: Option<f64>,
-    /// Weather: up to this part of the delay is added.
+    /// Weather: share of the delay by which it grows at most, at random.
     pub jitter: Option<f64>,
-    /// Weather: bytes a second of each direction of a connection.
+    /// Weather: bytes per second of each direction of a connection.
     pub rate: Option<f64>,
-    /// Weather: part of the datagrams lost.
+    /// Weather: share of the datagrams that is lost.
     pub lost: Option<f64>,
-    /// Weather: part of the datagrams that comes twice.
+    /// Weather: share of the datagrams that is duplicated.
     pub twice: Option<f64>,
-    /// Weather: part of the datagrams that comes late, and out of order.
+    /// Weather: share of the datagrams that is delayed by `late_ms`, and so reordered.
     pub late: Option<f64>,
-    /// Weather: by how much, milliseconds.
+    /// Weather: additional delay of late datagrams, in milliseconds.
     pub late_ms: Option<f64>,
-    /// Load: the multiple. Flap: how often.
+    /// Load: the multiple. Flap: the number of repetitions.
     pub times: Option<f64>,
     /// Discovery: how it answers.
-    pub answers: Option<Answers>,
-    /// Flap: seconds between a cut and its end, and until the next.
+    pub answers: Option<DiscoveryBehavior>,
+    /// Flap: seconds from a cut to its end, and from there to the next cut.
     pub every_s: Option<f64>,
-    /// List: what discovery says.
-    pub says: Option<Says>,
-    /// Hold, release: of which zone.
+    /// List: the phase that discovery lists the cache servers with.
+    pub says: Option<ListedPhase>,
+    /// Hold, release: the zone.
     pub zone: Option<String>,
     /// Hold: `in`, `out` or `drain`.
     pub how: Option<String>,
@@ -235,31 +235,31 @@
 }
 
 impl Step {
-    /// How long its fact may take.
-    pub fn patience(&self) -> Duration {
-        Duration::from_secs_f64(self.within_s.unwrap_or(FACT))
+    /// Time limit for the step's condition.
+    pub fn condition_timeout(&self) -> Duration {
+        Duration::from_secs_f64(self.within_s.unwrap_or(DEFAULT_CONDITION_TIMEOUT_S))
     }
 }
 
-/// Something that comes true in a trial, told by what can be seen from outside.
+/// A condition on a trial's state, of what can be observed from outside the nodes. Exactly one field is set.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Fact {
-    /// All of these nodes answer `PING` with yes.
+pub struct Condition {
+    /// All of these nodes answer `PING` with `PONG`.
     pub ready: Option<String>,
-    /// The processes of all of these nodes have ended.
+    /// The processes of all of these nodes have exited.
     pub ended: Option<String>,
-    /// Each of these nodes has served a request since the step before.
+    /// Each of these nodes has served a request since the previous step.
     pub served: Option<String>,
-    /// Each of these boxes or the origin has got an attempt since the step before.
+    /// Each of these cache servers, or the origin, has received an attempt since the previous step.
     pub reached: Option<String>,
-    /// This part of the nodes no longer lets requests wait for what was hit by the step before.
+    /// This share of the nodes no longer lets requests wait for what the previous step made unreachable.
     pub acts: Option<f64>,
 }
 
-impl Fact {
-    /// The parties that it names.
-    pub fn names(&self) -> impl Iterator<Item = (&'static str, &String)> {
+impl Condition {
+    /// The selectors that are set, with their keys.
+    pub fn named_endpoints(&self) -> impl Iterator<Item = (&'static str, &String)> {
         let all = [
             ("ready", &self.ready),
             ("ended", &self.ended),
@@ -270,254 +270,262 @@
     }
 }
 
-/// A figure of a trial.
+/// A metric of a trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Figure {
-    /// Part of the first tries that is served within its aim.
+pub enum Metric {
+    /// Share of the first tries that are served within their latency target.
     InTime,
-    /// Part that is refused at last.
+    /// Share of the first tries that are finally refused.
     Refused,
-    /// Part that fails at last or gets no answer.
+    /// Share of the first tries that finally fail or get no reply.
     Failed,
-    /// Half of those served take less, milliseconds.
+    /// Median latency of served requests, in milliseconds.
     P50Ms,
-    /// 99 of 100 take less, milliseconds.
+    /// 99th percentile of the latency of served requests, in milliseconds.
     P99Ms,
-    /// Part of the attempts at boxes that leave the zone of their node.
+    /// Share of the attempts at cache servers that leave the zone of their node.
     LeavesZone,
-    /// Part of the attempts at boxes that leave the region of their node.
+    /// Share of the attempts at cache servers that leave the region of their node.
     LeavesRegion,
-    /// Part of the reads at boxes that are hits.
+    /// Share of the reads at cache servers that are hits.
     HitShare,
-    /// Calls at the origin for each first try.
+    /// Calls to the origin per first try.
     OriginCalls,
-    /// Part of the tries that wait for what can't answer: nobody gets them for a fifth of the shortest aim.
+    /// Share of the requests that wait for an unresponsive server: no server receives them within a fifth of the shortest
+    /// latency target.
     Waits,
-    /// Seconds until half of the nodes act on what the step `from` did.
+    /// Seconds until half of the nodes have reacted to the step `from`.
     ActsHalfS,
-    /// Seconds until nine tenths of the nodes act on it.
+    /// Seconds until nine tenths of the nodes have reacted to it.
     ActsMostS,
-    /// How far the nodes are from agreeing on giving up `zone`: the part that has, or that has not, if that is less.
+    /// Disagreement on giving up `zone`: the share of nodes that have, or of those that have not, whichever is less.
     Split,
-    /// Seconds after `from` until a second in which 95% of what is usual is served in time.
+    /// Seconds after `from` until 95% of the usual share of first tries is served in time, for two seconds in a row.
     BackS,
-    /// Part of the attempts at boxes that goes to `zone`.
+    /// Share of the attempts at cache servers that go to `zone`.
     ZoneShare,
-    /// Part of the tries that clients ask at nodes of `zone`.
+    /// Share of the requests that clients send to nodes of `zone`.
     ZoneAsked,
-    /// Seconds after `from` until `zone` gets most of what it got in the first seconds of the load.
+    /// Seconds after `from` until `zone` gets most of the share that it got in the first seconds of the load.
     ReturnedS,
-    /// Boxes that were pushed over.
+    /// Number of cache servers that collapsed under load.
     Fallen,
-    /// Plans by which nodes began to give a zone up.
+    /// Number of plans by which nodes began to give a zone up.
     Moves,
-    /// Part of the nodes that act on the commonest plan at the end of the time, by what their logs say of it.
+    /// Share of the nodes that act on the most common plan at the end of the interval, according to their logs.
     Agree,
 }
 
-/// Something that must hold.
+/// An expectation: bounds of a metric over an interval.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Must {
-    /// The figure.
-    pub figure: Figure,
-    /// From the step of this name on; from the beginning without one.
+pub struct Expectation {
+    /// The metric.
+    #[serde(rename = "figure")]
+    pub metric: Metric,
+    /// Start of the interval: the step of this name; the start of the load if absent.
     pub from: Option<String>,
-    /// So many seconds later.
+    /// Seconds added to the start.
     #[serde(default)]
     pub from_s: f64,
-    /// Until the step of this name; until the end of the load without one.
+    /// End of the interval: the step of this name; the end of the load if absent.
     pub until: Option<String>,
-    /// So many seconds later.
+    /// Seconds added to the end.
     #[serde(default)]
     pub until_s: f64,
-    /// Of which zone.
+    /// The zone that the metric is of.
     pub zone: Option<String>,
-    /// Of which class of requests, where the figure is of requests; of all without one.
+    /// The request class that the metric is of; all classes if absent.
     pub class: Option<String>,
-    /// It is no more than this.
+    /// Upper bound.
     pub at_most: Option<f64>,
-    /// It is no less than this.
+    /// Lower bound.
     pub at_least: Option<f64>,
 }
 
-/// Lays one table over another: tables key by key, everything else whole.
-fn lay(over: &toml::Table, under: &mut toml::Table) {
+/// Merges one table into another: nested tables key by key, all other values replaced.
+fn merge_tables(over: &toml::Table, under: &mut toml::Table) {
     for (key, value) in over {
         match (value, under.get_mut(key)) {
-            (toml::Value::Table(over), Some(toml::Value::Table(under))) => lay(over, under),
+            (toml::Value::Table(over), Some(toml::Value::Table(under))) => merge_tables(over, under),
             _ => drop(under.insert(key.clone(), value.clone())),
         }
     }
 }
 
 impl Trial {
-    /// Reads and checks a trial and the world that it names.
+    /// Reads and validates a trial file and the scenario file that it names.
     ///
     /// # Errors
-    /// One line with file, line, key and what is wrong.
+    /// One line with the file, line, key, and what is wrong.
     pub fn read(path: &Path) -> Result<Trial, String> {
         let text =
             std::fs::read_to_string(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
         let fault = |f: ScenarioError| format!("{}: {f}", path.display());
-        let file: File = parse(&text).map_err(fault)?;
-        let under = path.parent().unwrap_or(Path::new(".")).join(&file.world);
-        let below = std::fs::read_to_string(&under)
-            .map_err(|e| format!("{}: world: cannot read {}: {e}", path.display(), under.display()))?;
-        // Its own faults are told with its own lines, before anything is laid over it.
-        Scenario::read(&below).map_err(|e| format!("{}: {e}", under.display()))?;
-        Trial::of(&text, file, &below).map_err(fault)
+        let file: TrialFile = parse(&text).map_err(fault)?;
+        let scenario_path = path.parent().unwrap_or(Path::new(".")).join(&file.world);
+        let scenario_text = std::fs::read_to_string(&scenario_path).map_err(|e| {
+            format!("{}: world: cannot read {}: {e}", path.display(), scenario_path.display())
+        })?;
+        // Checked before it is merged, so that errors of the scenario file name its own lines.
+        Scenario::read(&scenario_text).map_err(|e| format!("{}: {e}", scenario_path.display()))?;
+        Trial::from_parts(&text, file, &scenario_text).map_err(fault)
     }
 
-    fn of(text: &str, file: File, world: &str) -> Result<Trial, ScenarioError> {
-        let located = |(key, what): (String, String)| ScenarioError {
-            line: line_of_key(text, &key),
-            key,
-            message: what,
-        };
+    fn from_parts(text: &str, file: TrialFile, scenario_text: &str) -> Result<Trial, ScenarioError> {
+        let located =
+            |(key, message): (String, String)| ScenarioError { line: line_of_key(text, &key), key, message };
         let mut table: toml::Table =
-            toml::from_str(world).map_err(|e| located(("world".into(), e.to_string())))?;
-        lay(&file.with, &mut table);
-        let world: Scenario = table
+            toml::from_str(scenario_text).map_err(|e| located(("world".into(), e.to_string())))?;
+        merge_tables(&file.with, &mut table);
+        let scenario: Scenario = table
             .try_into()
             .map_err(|e: toml::de::Error| located(("with".into(), e.message().trim().replace('\n', " "))))?;
-        world.validate().map_err(|f| located((format!("with.{}", f.key), f.message)))?;
-        let map = Map::new(&world, &file.regions, file.origin.as_deref()).map_err(located)?;
-        let before = file.before.as_ref().map_or(Ok(Vec::new()), |word| {
-            let parties = map.parties(word).map_err(|what| located(("before".into(), what)))?;
-            let others = || located(("before".into(), format!("{word:?} names other parties than nodes")));
-            if parties.iter().all(|p| p.kind == Kind::Node) { Ok(parties) } else { Err(others()) }
+        scenario.validate().map_err(|f| located((format!("with.{}", f.key), f.message)))?;
+        let topology = Topology::new(&scenario, &file.regions, file.origin.as_deref()).map_err(located)?;
+        let older_nodes = file.before.as_ref().map_or(Ok(Vec::new()), |selector| {
+            let endpoints =
+                topology.endpoints(selector).map_err(|message| located(("before".into(), message)))?;
+            let wrong_kind =
+                || located(("before".into(), format!("{selector:?} names other endpoints than nodes")));
+            if endpoints.iter().all(|endpoint| endpoint.kind == EndpointKind::Node) {
+                Ok(endpoints)
+            } else {
+                Err(wrong_kind())
+            }
         })?;
-        let orders = |step: &Step| matches!(step.act, Act::Hold | Act::Release);
+        let is_order = |step: &Step| matches!(step.action, Action::Hold | Action::Release);
         let trial = Trial {
-            staffed: file.steps.iter().any(orders),
-            held_sockets: false,
-            before,
+            operations_enabled: file.steps.iter().any(is_order),
+            inherited_sockets: false,
+            older_nodes,
             name: file.name,
             about: file.about,
-            scenario: world,
-            map,
-            ways: file.ways,
+            scenario,
+            topology,
+            link_delays: file.ways,
             discovery: file.discovery,
             steps: file.steps,
-            musts: file.musts,
+            expectations: file.expectations,
         };
-        trial.check().map_err(located)?;
+        trial.validate().map_err(located)?;
         Ok(trial)
     }
 
-    fn check(&self) -> Result<(), (String, String)> {
-        let bad = |key: String, what: &str| Err((key, what.to_owned()));
+    fn validate(&self) -> Result<(), (String, String)> {
+        let invalid = |key: String, message: &str| Err((key, message.to_owned()));
         if self.name.is_empty() || !self.name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-') {
-            return bad("name".into(), "letters, digits and dashes only");
+            return invalid("name".into(), "letters, digits and dashes only");
         }
-        if self.scenario.load.rate * self.scenario.seconds > MOST_REQUESTS {
-            return bad("world".into(), &format!("more than {MOST_REQUESTS} first tries"));
+        if self.scenario.load.rate * self.scenario.seconds > MAX_FIRST_TRIES {
+            return invalid("world".into(), &format!("more than {MAX_FIRST_TRIES} first tries"));
         }
-        let ways = &self.ways;
+        let delays = &self.link_delays;
         for (key, value) in
-            [("zone_ms", ways.zone_ms), ("region_ms", ways.region_ms), ("across_ms", ways.across_ms)]
+            [("zone_ms", delays.zone_ms), ("region_ms", delays.region_ms), ("across_ms", delays.across_ms)]
         {
             check_range(&format!("ways.{key}"), value, 0.0, 1000.0)?;
         }
-        check_range("ways.jitter", ways.jitter, 0.0, 10.0)?;
+        check_range("ways.jitter", delays.jitter, 0.0, 10.0)?;
         let mut names = BTreeSet::new();
         for (i, step) in self.steps.iter().enumerate() {
-            self.check_step(&format!("step.{i}"), step)?;
+            self.validate_step(&format!("step.{i}"), step)?;
             if !step.name.is_empty() && !names.insert(step.name.as_str()) {
-                return bad(format!("step.{i}.name"), "two steps of this name");
+                return invalid(format!("step.{i}.name"), "two steps of this name");
             }
         }
-        for (i, must) in self.musts.iter().enumerate() {
-            self.check_must(&format!("must.{i}"), must, &names)?;
+        for (i, expectation) in self.expectations.iter().enumerate() {
+            self.validate_expectation(&format!("must.{i}"), expectation, &names)?;
         }
         Ok(())
     }
 
-    fn parties(&self, key: &str, named: Option<&String>) -> Result<Parties, (String, String)> {
+    fn endpoints(&self, key: &str, named: Option<&String>) -> Result<Endpoints, (String, String)> {
         let Some(named) = named else { return Err((key.to_owned(), "is missing".into())) };
-        self.map.parties(named).map_err(|what| (key.to_owned(), what))
+        self.topology.endpoints(named).map_err(|what| (key.to_owned(), what))
     }
 
-    fn check_step(&self, at: &str, step: &Step) -> Result<(), (String, String)> {
+    fn validate_step(&self, at: &str, step: &Step) -> Result<(), (String, String)> {
         let key = |name: &str| format!("{at}.{name}");
         check_range(&key("at_s"), step.at_s, 0.0, 3600.0)?;
         if let Some(within) = step.within_s {
             check_range(&key("within_s"), within, 0.1, 3600.0)?;
         }
-        if let Some(fact) = &step.after {
-            let told = fact.names().count() + usize::from(fact.acts.is_some());
-            if told != 1 {
-                return Err((key("after"), "one fact is needed".into()));
+        if let Some(condition) = &step.after {
+            let set_fields = condition.named_endpoints().count() + usize::from(condition.acts.is_some());
+            if set_fields != 1 {
+                return Err((key("after"), "exactly one condition is needed".into()));
             }
-            for (name, named) in fact.names() {
-                let parties = self.parties(&key(&format!("after.{name}")), Some(named))?;
-                let fits = |kind| match name {
-                    "reached" => matches!(kind, Kind::Box | Kind::Origin),
-                    _ => kind == Kind::Node,
+            for (name, named) in condition.named_endpoints() {
+                let endpoints = self.endpoints(&key(&format!("after.{name}")), Some(named))?;
+                let is_allowed = |kind| match name {
+                    "reached" => matches!(kind, EndpointKind::CacheServer | EndpointKind::Origin),
+                    _ => kind == EndpointKind::Node,
                 };
-                if !parties.iter().all(|p| fits(p.kind)) {
+                if !endpoints.iter().all(|p| is_allowed(p.kind)) {
                     return Err((
                         key(&format!("after.{name}")),
-                        format!("{named:?} names other parties too"),
+                        format!("{named:?} names endpoints of other kinds too"),
                     ));
                 }
             }
-            if let Some(part) = fact.acts {
+            if let Some(part) = condition.acts {
                 check_range(&key("after.acts"), part, 0.01, 1.0)?;
             }
         }
-        match step.act {
-            Act::Mark => {}
-            Act::Cut | Act::Heal | Act::Refuse | Act::Reset | Act::Weather => {
-                self.parties(&key("from"), step.from.as_ref())?;
-                self.parties(&key("to"), step.to.as_ref())?;
+        match step.action {
+            Action::Mark => {}
+            Action::Cut | Action::Heal | Action::Refuse | Action::Reset | Action::Weather => {
+                self.endpoints(&key("from"), step.from.as_ref())?;
+                self.endpoints(&key("to"), step.to.as_ref())?;
             }
-            Act::Kill | Act::Start | Act::Stop | Act::Continue | Act::Term => {
-                let parties = self.parties(&key("who"), step.who.as_ref())?;
-                let boxes = matches!(step.act, Act::Kill | Act::Start);
-                let fits = |kind| kind == Kind::Node || boxes && kind == Kind::Box;
-                if !parties.iter().all(|p| fits(p.kind)) {
-                    let which = if boxes { "nodes and boxes only" } else { "nodes only" };
+            Action::Kill | Action::Start | Action::Stop | Action::Continue | Action::Term => {
+                let endpoints = self.endpoints(&key("who"), step.who.as_ref())?;
+                let with_cache_servers = matches!(step.action, Action::Kill | Action::Start);
+                let is_allowed = |kind| {
+                    kind == EndpointKind::Node || with_cache_servers && kind == EndpointKind::CacheServer
+                };
+                if !endpoints.iter().all(|p| is_allowed(p.kind)) {
+                    let which = if with_cache_servers { "nodes and boxes only" } else { "nodes only" };
                     return Err((key("who"), which.into()));
                 }
             }
-            Act::Flap => {
-                self.parties(&key("from"), step.from.as_ref())?;
-                self.parties(&key("to"), step.to.as_ref())?;
+            Action::Flap => {
+                self.endpoints(&key("from"), step.from.as_ref())?;
+                self.endpoints(&key("to"), step.to.as_ref())?;
                 check_range(&key("every_s"), step.every_s.unwrap_or(f64::NAN), 0.05, 600.0)?;
                 check_range(&key("times"), step.times.unwrap_or(f64::NAN), 1.0, 10_000.0)?;
             }
-            Act::List => {
-                let parties = self.parties(&key("who"), step.who.as_ref())?;
-                if parties.iter().any(|p| p.kind != Kind::Box) {
+            Action::List => {
+                let endpoints = self.endpoints(&key("who"), step.who.as_ref())?;
+                if endpoints.iter().any(|p| p.kind != EndpointKind::CacheServer) {
                     return Err((key("who"), "boxes only".into()));
                 }
                 step.says.ok_or((key("says"), "is missing".to_owned()))?;
             }
-            Act::Load => check_range(&key("times"), step.times.unwrap_or(f64::NAN), 0.0, 100.0)?,
-            Act::Discovery => {
+            Action::Load => check_range(&key("times"), step.times.unwrap_or(f64::NAN), 0.0, 100.0)?,
+            Action::Discovery => {
                 if step.answers.is_none() {
                     return Err((key("answers"), "is missing".into()));
                 }
             }
-            Act::Hold | Act::Release => {
-                let parties = self.parties(&key("who"), step.who.as_ref())?;
-                if parties.len() != 1 || parties[0].kind != Kind::Node {
-                    return Err((key("who"), "one node takes an order".into()));
+            Action::Hold | Action::Release => {
+                let endpoints = self.endpoints(&key("who"), step.who.as_ref())?;
+                if endpoints.len() != 1 || endpoints[0].kind != EndpointKind::Node {
+                    return Err((key("who"), "exactly one node is needed".into()));
                 }
                 let named = step.zone.as_ref().filter(|z| self.scenario.zones.contains(z));
-                named.ok_or((key("zone"), "a zone of the world is needed".to_owned()))?;
-                if step.act == Act::Hold {
+                named.ok_or((key("zone"), "a zone of the scenario is needed".to_owned()))?;
+                if step.action == Action::Hold {
                     let how = step.how.as_deref().filter(|how| ["in", "out", "drain"].contains(how));
                     how.ok_or((key("how"), "in, out or drain is needed".to_owned()))?;
                     check_range(&key("for_s"), step.for_s.map_or(f64::NAN, f64::from), 1.0, 64_800.0)?;
                 }
             }
         }
-        let shares = [("lost", step.lost), ("twice", step.twice), ("late", step.late)];
-        for (name, value) in shares {
+        let share_fields = [("lost", step.lost), ("twice", step.twice), ("late", step.late)];
+        for (name, value) in share_fields {
             check_range(&key(name), value.unwrap_or(0.0), 0.0, 1.0)?;
         }
         check_range(&key("jitter"), step.jitter.unwrap_or(0.0), 0.0, 10.0)?;
@@ -527,39 +535,44 @@
         check_range(&key("rate"), step.rate.unwrap_or(0.0), 0.0, 1e9)
     }
 
-    fn check_must(&self, at: &str, must: &Must, names: &BTreeSet<&str>) -> Result<(), (String, String)> {
-        for (key, named) in [("from", &must.from), ("until", &must.until)] {
+    fn validate_expectation(
+        &self,
+        at: &str,
+        expectation: &Expectation,
+        names: &BTreeSet<&str>,
+    ) -> Result<(), (String, String)> {
+        for (key, named) in [("from", &expectation.from), ("until", &expectation.until)] {
             if let Some(named) = named.as_ref().filter(|n| !names.contains(n.as_str())) {
                 return Err((format!("{at}.{key}"), format!("no step is called {named:?}")));
             }
         }
-        for (key, value) in [("from_s", must.from_s), ("until_s", must.until_s)] {
+        for (key, value) in [("from_s", expectation.from_s), ("until_s", expectation.until_s)] {
             check_range(&format!("{at}.{key}"), value, 0.0, 3600.0)?;
         }
-        if must.at_most.is_none() && must.at_least.is_none() {
+        if expectation.at_most.is_none() && expectation.at_least.is_none() {
             return Err((at.to_owned(), "neither at_most nor at_least".into()));
         }
-        for (key, value) in [("at_most", must.at_most), ("at_least", must.at_least)] {
+        for (key, value) in [("at_most", expectation.at_most), ("at_least", expectation.at_least)] {
             check_range(&format!("{at}.{key}"), value.unwrap_or(0.0), 0.0, 1e9)?;
         }
-        let from_a_step =
-            [Figure::ActsHalfS, Figure::ActsMostS, Figure::BackS, Figure::ReturnedS].contains(&must.figure);
-        if from_a_step && must.from.is_none() {
-            return Err((format!("{at}.from"), "this figure counts from a step".into()));
+        let needs_start = [Metric::ActsHalfS, Metric::ActsMostS, Metric::BackS, Metric::ReturnedS]
+            .contains(&expectation.metric);
+        if needs_start && expectation.from.is_none() {
+            return Err((format!("{at}.from"), "this figure needs a step to start from".into()));
         }
-        let of_requests = [Figure::InTime, Figure::Refused, Figure::Failed, Figure::P50Ms, Figure::P99Ms];
-        if let Some(class) = &must.class {
+        let by_class = [Metric::InTime, Metric::Refused, Metric::Failed, Metric::P50Ms, Metric::P99Ms];
+        if let Some(class) = &expectation.class {
             if !self.scenario.class.iter().any(|c| c.name == *class) {
                 return Err((format!("{at}.class"), format!("there is no class {class:?}")));
             }
-            if !of_requests.contains(&must.figure) {
-                return Err((format!("{at}.class"), "this figure is not of requests by class".into()));
+            if !by_class.contains(&expectation.metric) {
+                return Err((format!("{at}.class"), "this figure cannot be restricted to a class".into()));
             }
         }
         let zone = |named: &String| self.scenario.zones.contains(named);
-        let of_a_zone = [Figure::Split, Figure::ReturnedS, Figure::ZoneShare, Figure::ZoneAsked];
-        match (&must.zone, of_a_zone.contains(&must.figure)) {
-            (None, true) => Err((format!("{at}.zone"), "this figure is of a zone".into())),
+        let by_zone = [Metric::Split, Metric::ReturnedS, Metric::ZoneShare, Metric::ZoneAsked];
+        match (&expectation.zone, by_zone.contains(&expectation.metric)) {
+            (None, true) => Err((format!("{at}.zone"), "this figure needs a zone".into())),
             (Some(named), _) if !zone(named) => {
                 Err((format!("{at}.zone"), format!("there is no zone {named:?}")))
             }
@@ -574,48 +587,54 @@
 
     const WORLD: &str = include_str!("../../../scenarios/site.toml");
 
-    fn bad(text: &str) -> String {
+    fn error_of(text: &str) -> String {
         let all = format!("name = \"t\"\nworld = \"w\"\n{text}");
-        match parse::<File>(&all).and_then(|file| Trial::of(&all, file, WORLD)) {
-            Ok(_) => panic!("taken: {text}"),
+        match parse::<TrialFile>(&all).and_then(|file| Trial::from_parts(&all, file, WORLD)) {
+            Ok(_) => panic!("accepted: {text}"),
             Err(e) => e.to_string(),
         }
     }
 
     #[test]
-    fn nonsense_is_refused_with_line_key_and_range() {
-        let near = |text: &str, told: &str| assert_eq!(bad(text), told);
-        near("[[region]]\nname = \"r\"\nzones = [\"x\"]", "line 5: region.0.zones: there is no zone \"x\"");
-        near(
+    fn invalid_trials_are_refused_with_line_key_and_range() {
+        let refused = |text: &str, message: &str| assert_eq!(error_of(text), message);
+        refused(
+            "[[region]]\nname = \"r\"\nzones = [\"x\"]",
+            "line 5: region.0.zones: there is no zone \"x\"",
+        );
+        refused(
             "[[region]]\nname = \"r\"\nzones = [\"recife\"]\n[[region]]\nname = \"s\"\nzones = [\"recife\"]",
             "line 8: region.1.zones: \"recife\" is in two regions",
         );
-        near(
+        refused(
             "[[region]]\nname = \"r\"\nzones = [\"recife\"]",
             "line 3: region: no region has the zone \"fortaleza\"",
         );
-        near("origin = \"x\"", "line 3: origin: there is no zone \"x\"");
-        near("[ways]\nzone_ms = -1", "line 4: ways.zone_ms: -1 is not within 0 to 1000");
-        near("[[step]]\ndo = \"kill\"\nwho = \"origin\"", "line 5: step.0.who: nodes and boxes only");
-        near("[[step]]\ndo = \"kill\"\nwho = \"node:7\"", "line 5: step.0.who: there is no node:7");
-        near("[[step]]\ndo = \"cut\"\nto = \"*\"", "line 3: step.0.from: is missing");
-        near("[[step]]\ndo = \"hold\"\nwho = \"nodes\"", "line 5: step.0.who: one node takes an order");
-        near(
+        refused("origin = \"x\"", "line 3: origin: there is no zone \"x\"");
+        refused("[ways]\nzone_ms = -1", "line 4: ways.zone_ms: -1 is not within 0 to 1000");
+        refused("[[step]]\ndo = \"kill\"\nwho = \"origin\"", "line 5: step.0.who: nodes and boxes only");
+        refused("[[step]]\ndo = \"kill\"\nwho = \"node:7\"", "line 5: step.0.who: there is no node:7");
+        refused("[[step]]\ndo = \"cut\"\nto = \"*\"", "line 3: step.0.from: is missing");
+        refused("[[step]]\ndo = \"hold\"\nwho = \"nodes\"", "line 5: step.0.who: exactly one node is needed");
+        refused(
             "[[step]]\ndo = \"hold\"\nwho = \"node:1\"\nzone = \"recife\"\nhow = \"off\"",
             "line 7: step.0.how: in, out or drain is needed",
         );
-        near(
+        refused(
             "[[must]]\nfigure = \"in_time\"\nat_least = 1\nclass = \"x\"",
             "line 6: must.0.class: there is no class \"x\"",
         );
-        near("[[step]]\ndo = \"mark\"\nafter = {}", "line 5: step.0.after: one fact is needed");
-        near("[[must]]\nfigure = \"in_time\"", "line 3: must.0: neither at_most nor at_least");
-        near(
+        refused(
+            "[[step]]\ndo = \"mark\"\nafter = {}",
+            "line 5: step.0.after: exactly one condition is needed",
+        );
+        refused("[[must]]\nfigure = \"in_time\"", "line 3: must.0: neither at_most nor at_least");
+        refused(
             "[[must]]\nfigure = \"in_time\"\nat_least = 1\nfrom = \"x\"",
             "line 6: must.0.from: no step is called \"x\"",
         );
-        near("[with]\nseconds = -2", "line 4: with.seconds: -2 is not within 0.1 to 3600");
-        assert!(bad("[[step]]\ndo = \"fly\"").starts_with("line 4: unknown variant `fly`"));
-        assert!(bad("[with.load]\nratte = 3").contains("ratte"));
+        refused("[with]\nseconds = -2", "line 4: with.seconds: -2 is not within 0.1 to 3600");
+        assert!(error_of("[[step]]\ndo = \"fly\"").starts_with("line 4: unknown variant `fly`"));
+        assert!(error_of("[with.load]\nratte = 3").contains("ratte"));
     }
 }
--- a/crates/trial/src/relay.rs
+++ b/crates/trial/src/relay.rs
@@ -1,8 +1,8 @@
-//! Relays: one stands on every way between two parties, and does to the way what a network would.
+//! Relays: one on every link between two endpoints, which injects the faults of a network.
 //!
-//! A way is one party's view of the address of another: bytes of TCP connections, or datagrams, go through a socket of
-//! the rig's own, and [`Weather`] says what becomes of them. As on a real network, a way that is cut says nothing:
-//! connections that are open stay so and carry nothing, new ones never come up.
+//! A link is one endpoint's view of the address of another. Bytes of TCP connections, or datagrams, pass through a socket
+//! of this process, and [`LinkConditions`] says what happens to them. As on a real network, a blocked link gives no sign
+//! of it: open connections stay open and carry nothing, new ones are never established.
 
 use std::cell::{Cell, RefCell};
 use std::io::{self, ErrorKind};
@@ -20,124 +20,124 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Connections that may wait to be accepted while the way is open.
+/// Connections that may wait to be accepted while the link is open.
 const BACKLOG: i32 = 1024;
-/// A piece of a connection's bytes that is carried as one.
-const PIECE: usize = 16 * 1024;
-/// Pieces of one direction under way; what a sender has beyond them stays in its own machine's buffers.
-const UNDER_WAY: usize = 32;
-/// Datagrams of one way that are under way; more are lost, as in a full queue of a router.
-const DATAGRAMS: usize = 512;
-/// The longest datagram that is carried whole; nodes may send 256 bytes, and a longer one must arrive as what it is.
-const DATAGRAM: usize = 2048;
-/// A listener that could not be opened again is tried again after this time.
-const AGAIN: Duration = Duration::from_millis(10);
-/// Connections that fill the queue of a listener that accepts none: the queue holds one, the second shows that it is
-/// full.
-const FILLERS: usize = 2;
+/// Bytes of a connection that are read and delayed as one chunk.
+const CHUNK_BYTES: usize = 16 * 1024;
+/// Chunks of one direction in transit; what a sender has beyond them stays in the buffers of its own host.
+const MAX_CHUNKS_IN_TRANSIT: usize = 32;
+/// Datagrams of one link in transit; more are dropped, as by a full router queue.
+const MAX_DATAGRAMS_IN_TRANSIT: usize = 512;
+/// The longest datagram that is carried whole. Nodes may send 256 bytes; a longer datagram has to arrive at its real
+/// length, so that the receiver can refuse it.
+const MAX_DATAGRAM_BYTES: usize = 2048;
+/// Delay between two attempts to open a listener again.
+const LISTEN_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// Connections that fill the queue of a listener that accepts none: the queue holds one, the second one finds it full.
+const BACKLOG_FILLERS: usize = 2;
 
-/// What a way does to what it carries.
+/// What a link does to its traffic.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Weather {
-    /// One way, at the least.
+pub struct LinkConditions {
+    /// Minimum delay, one way.
     pub delay: Duration,
-    /// Up to this part of the delay is added, drawn anew for each piece; pieces of a connection keep their order.
+    /// Share of the delay by which it grows at most, at random for each chunk; chunks of a connection keep their order.
     pub jitter: f64,
-    /// Bytes a second of each direction of a connection; 0 for no limit.
-    pub rate: f64,
-    /// Nothing comes through from the side that calls to the side that is called.
-    pub held_out: bool,
-    /// Nothing comes through the other way.
-    pub held_back: bool,
-    /// New connections are refused.
-    pub refused: bool,
-    /// Part of the datagrams that is lost.
-    pub lost: f64,
-    /// Part of the datagrams that comes twice.
-    pub twice: f64,
-    /// Part of the datagrams that comes `late_by` later than the others, and so out of order.
-    pub late: f64,
-    /// See `late`.
+    /// Bytes per second of each direction of a connection; 0 for no limit.
+    pub bytes_per_s: f64,
+    /// Blocks traffic from the connecting side.
+    pub blocked_forward: bool,
+    /// Blocks traffic to the connecting side.
+    pub blocked_backward: bool,
+    /// Refuses new connections.
+    pub refusing: bool,
+    /// Share of the datagrams that is lost.
+    pub lost_share: f64,
+    /// Share of the datagrams that is duplicated.
+    pub duplicated_share: f64,
+    /// Share of the datagrams that is delayed by a further `late_by`, and so reordered.
+    pub late_share: f64,
+    /// Additional delay of late datagrams.
     pub late_by: Duration,
 }
 
-impl Weather {
-    /// A way of so much delay, and of a jitter, with nothing wrong.
-    pub fn fair(delay: Duration, jitter: f64) -> Weather {
-        Weather {
+impl LinkConditions {
+    /// Conditions without faults, of this delay and jitter.
+    pub fn healthy(delay: Duration, jitter: f64) -> LinkConditions {
+        LinkConditions {
             delay,
             jitter,
-            rate: 0.0,
-            held_out: false,
-            held_back: false,
-            refused: false,
-            lost: 0.0,
-            twice: 0.0,
-            late: 0.0,
+            bytes_per_s: 0.0,
+            blocked_forward: false,
+            blocked_backward: false,
+            refusing: false,
+            lost_share: 0.0,
+            duplicated_share: 0.0,
+            late_share: 0.0,
             late_by: Duration::ZERO,
         }
     }
 }
 
-/// What a relay has carried.
+/// Traffic of one relay.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Carried {
-    /// Connections that it took.
+pub struct RelayTotals {
+    /// Accepted connections.
     pub connections: u64,
-    /// Bytes from the side that calls.
-    pub bytes_out: u64,
-    /// Bytes from the side that is called.
-    pub bytes_back: u64,
-    /// Datagrams that it got.
+    /// Bytes from the connecting side.
+    pub bytes_forward: u64,
+    /// Bytes to the connecting side.
+    pub bytes_backward: u64,
+    /// Received datagrams.
     pub datagrams: u64,
 }
 
-/// What a relay and those who steer it share.
-struct Shared {
-    weather: RefCell<Weather>,
-    /// Wakes everything that waits for the way to change.
+/// State that a relay's tasks share with its handle.
+struct RelayState {
+    conditions: RefCell<LinkConditions>,
+    /// Notifies tasks that wait for other conditions or a reset.
     changed: Notify,
-    /// Counts resets: a connection ends when it is no longer what it was at its start.
+    /// Number of resets so far. A connection ends when it differs from the number at its start.
     resets: Cell<u64>,
-    carried: Cell<Carried>,
+    totals: Cell<RelayTotals>,
     rng: RefCell<Pcg64Mcg>,
 }
 
-impl Shared {
-    fn new(weather: Weather, seed: u64) -> Rc<Shared> {
-        Rc::new(Shared {
-            weather: RefCell::new(weather),
+impl RelayState {
+    fn new(conditions: LinkConditions, seed: u64) -> Rc<RelayState> {
+        Rc::new(RelayState {
+            conditions: RefCell::new(conditions),
             changed: Notify::new(),
             resets: Cell::new(0),
-            carried: Cell::default(),
+            totals: Cell::default(),
             rng: RefCell::new(Pcg64Mcg::seed_from_u64(seed)),
         })
     }
 
-    fn count(&self, with: impl FnOnce(&mut Carried)) {
-        let mut carried = self.carried.get();
-        with(&mut carried);
-        self.carried.set(carried);
+    fn count(&self, with: impl FnOnce(&mut RelayTotals)) {
+        let mut totals = self.totals.get();
+        with(&mut totals);
+        self.totals.set(totals);
     }
 
-    /// How long one piece is under way now.
-    fn way(&self) -> Duration {
-        let weather = self.weather.borrow();
-        weather.delay.mul_f64(1.0 + weather.jitter * self.rng.borrow_mut().random::<f64>())
+    /// The time that one chunk takes, drawn at random.
+    fn transit_time(&self) -> Duration {
+        let conditions = self.conditions.borrow();
+        conditions.delay.mul_f64(1.0 + conditions.jitter * self.rng.borrow_mut().random::<f64>())
     }
 
-    /// Waits until something holds of the weather.
-    async fn until(&self, holds: impl Fn(&Weather) -> bool) {
+    /// Waits until the conditions satisfy a predicate.
+    async fn wait_until(&self, predicate: impl Fn(&LinkConditions) -> bool) {
         loop {
             let changed = self.changed.notified();
-            if holds(&self.weather.borrow()) {
+            if predicate(&self.conditions.borrow()) {
                 return;
             }
             changed.await;
         }
     }
 
-    /// Waits for a reset after the so manyth.
+    /// Waits for a reset after the first `seen` ones.
     async fn reset_after(&self, seen: u64) {
         loop {
             let changed = self.changed.notified();
@@ -149,11 +149,11 @@
     }
 }
 
-/// The relay of one way. Dropping it ends the way with all that it carries.
+/// The relay of one link. Dropping it closes the link with all its connections.
 pub struct Relay {
-    /// Where the side that calls finds it.
+    /// Address for the connecting or sending side.
     pub address: SocketAddr,
-    shared: Rc<Shared>,
+    state: Rc<RelayState>,
     task: AbortHandle,
 }
 
@@ -165,54 +165,62 @@
 }
 
 impl Relay {
-    /// Opens a relay for connections at an address, to another one. Must run inside a `LocalSet`.
+    /// Opens a relay that accepts connections at one address and connects them to another. Must run inside a `LocalSet`.
     ///
     /// # Errors
-    /// What hinders its listener.
-    pub fn connections(at: SocketAddr, to: SocketAddr, weather: Weather, seed: u64) -> io::Result<Relay> {
+    /// A listener that cannot be opened.
+    pub fn connections(
+        at: SocketAddr,
+        to: SocketAddr,
+        conditions: LinkConditions,
+        seed: u64,
+    ) -> io::Result<Relay> {
         let listener = listen(at)?;
         let address = listener.local_addr()?;
-        let shared = Shared::new(weather, seed);
-        let task = spawn_local(accept(shared.clone(), listener, address, to)).abort_handle();
-        Ok(Relay { address, shared, task })
+        let state = RelayState::new(conditions, seed);
+        let task = spawn_local(accept_connections(state.clone(), listener, address, to)).abort_handle();
+        Ok(Relay { address, state, task })
     }
 
-    /// Opens a relay for datagrams: what comes to `inlet` from `from` leaves `outlet` to `to`. Datagrams of strangers
-    /// are dropped. The sockets are shared with the ways beside this one: each is one party as another one sees it.
+    /// Opens a relay for datagrams: what `inlet` receives from `from` is sent to `to` by `outlet`; datagrams of other
+    /// senders are dropped. Several links share a socket, which stands for one endpoint as another one sees it.
+    ///
+    /// # Errors
+    /// An inlet without a local address.
     pub fn datagrams(
         inlet: Rc<UdpSocket>,
         outlet: Rc<UdpSocket>,
         from: SocketAddr,
         to: SocketAddr,
-        weather: Weather,
+        conditions: LinkConditions,
         seed: u64,
     ) -> io::Result<Relay> {
         let address = inlet.local_addr()?;
-        let shared = Shared::new(weather, seed);
-        let task = spawn_local(carry_datagrams(shared.clone(), inlet, outlet, from, to)).abort_handle();
-        Ok(Relay { address, shared, task })
+        let state = RelayState::new(conditions, seed);
+        let task = spawn_local(relay_datagrams(state.clone(), inlet, outlet, from, to)).abort_handle();
+        Ok(Relay { address, state, task })
     }
 
-    /// The weather now.
-    pub fn weather(&self) -> Weather {
-        self.shared.weather.borrow().clone()
+    /// The present conditions.
+    pub fn conditions(&self) -> LinkConditions {
+        self.state.conditions.borrow().clone()
     }
 
-    /// Changes the weather; what was held is released when it no longer is.
-    pub fn change(&self, with: impl FnOnce(&mut Weather)) {
-        with(&mut self.shared.weather.borrow_mut());
-        self.shared.changed.notify_waiters();
+    /// Changes the conditions; traffic that is no longer blocked is released.
+    pub fn update(&self, with: impl FnOnce(&mut LinkConditions)) {
+        with(&mut self.state.conditions.borrow_mut());
+        self.state.changed.notify_waiters();
     }
 
-    /// Resets every connection that is open.
+    /// Resets every open connection.
     pub fn reset(&self) {
-        self.shared.resets.set(self.shared.resets.get() + 1);
-        self.shared.changed.notify_waiters();
+        self.state.resets.set(self.state.resets.get() + 1);
+        self.state.changed.notify_waiters();
     }
 
-    /// What it has carried.
-    pub fn carried(&self) -> Carried {
-        self.shared.carried.get()
+    /// Traffic so far.
+    pub fn totals(&self) -> RelayTotals {
+        self.state.totals.get()
     }
 }
 
@@ -223,68 +231,69 @@
     socket.listen(BACKLOG as u32)
 }
 
-/// Connections that nobody accepts: they fill the listener's queue, so that the machine drops what else would connect.
-async fn fill(at: SocketAddr) -> Vec<StdStream> {
+/// Opens connections that are never accepted. They fill the listener's queue, so that the kernel drops further SYNs.
+async fn fill_backlog(at: SocketAddr) -> Vec<StdStream> {
     let mut fillers = Vec::new();
-    for _ in 0..FILLERS {
+    for _ in 0..BACKLOG_FILLERS {
         let Ok(socket) = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None) else {
             break;
         };
         if socket.set_nonblocking(true).is_err() {
             break;
         }
-        // Not waited for: the one that finds the queue full never comes up.
+        // Not awaited: the connection that finds the queue full is never established.
         let _ = socket.connect(&at.into());
         fillers.push(StdStream::from(socket));
     }
     fillers
 }
 
-async fn accept(shared: Rc<Shared>, listener: TcpListener, at: SocketAddr, to: SocketAddr) {
+async fn accept_connections(state: Rc<RelayState>, listener: TcpListener, at: SocketAddr, to: SocketAddr) {
     let mut listener = Some(listener);
     loop {
-        let weather = shared.weather.borrow().clone();
-        if weather.refused {
-            // Without a listener the machine itself refuses.
+        let conditions = state.conditions.borrow().clone();
+        if conditions.refusing {
+            // Without a listener the kernel refuses connections.
             listener = None;
-            shared.until(|w| !w.refused).await;
+            state.wait_until(|w| !w.refusing).await;
             continue;
         }
         let Some(open) = listener.as_ref() else {
             match listen(at) {
                 Ok(open) => listener = Some(open),
-                Err(_) => sleep(AGAIN).await,
+                Err(_) => sleep(LISTEN_RETRY_DELAY).await,
             }
             continue;
         };
-        if weather.held_out || weather.held_back {
+        if conditions.blocked_forward || conditions.blocked_backward {
             let _ = SockRef::from(open).listen(0);
-            let fillers = fill(at).await;
-            let own: Vec<SocketAddr> = fillers.iter().filter_map(|f| f.local_addr().ok()).collect();
-            shared.until(|w| w.refused || !(w.held_out || w.held_back)).await;
+            let fillers = fill_backlog(at).await;
+            let filler_addresses: Vec<SocketAddr> =
+                fillers.iter().filter_map(|f| f.local_addr().ok()).collect();
+            state.wait_until(|w| w.refusing || !(w.blocked_forward || w.blocked_backward)).await;
             drop(fillers);
-            // What waits in the queue came before the cut, but for the fillers.
+            // Connections in the queue were established before the cut, except for the fillers.
             let _ = SockRef::from(open).listen(BACKLOG);
-            while let Some(Ok((stream, from))) = ready(open).await {
-                if !own.contains(&from) {
-                    spawn_local(connection(shared.clone(), stream, to));
+            while let Some(Ok((stream, from))) = accept_if_waiting(open).await {
+                if !filler_addresses.contains(&from) {
+                    spawn_local(relay_connection(state.clone(), stream, to));
                 }
             }
             continue;
         }
-        let changed = shared.until(|w| w.refused || w.held_out || w.held_back);
+        let changed = state.wait_until(|w| w.refusing || w.blocked_forward || w.blocked_backward);
         tokio::select! {
             biased;
             () = changed => {}
             taken = open.accept() => if let Ok((stream, _)) = taken {
-                spawn_local(connection(shared.clone(), stream, to));
+                spawn_local(relay_connection(state.clone(), stream, to));
             },
         }
     }
 }
 
-/// A connection that is there already, if any.
-async fn ready(listener: &TcpListener) -> Option<io::Result<(TcpStream, SocketAddr)>> {
+/// A connection that waits to be accepted, if any.
+async fn accept_if_waiting(listener: &TcpListener) -> Option<io::Result<(TcpStream, SocketAddr)>> {
     tokio::select! {
         biased;
         taken = listener.accept() => Some(taken),
@@ -292,142 +301,143 @@
     }
 }
 
-/// Closes so that the other side is told of a reset.
-fn slam(stream: &TcpStream) {
+/// Makes the close of a connection send a reset.
+fn close_with_reset(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-async fn connection(shared: Rc<Shared>, caller: TcpStream, to: SocketAddr) {
-    let resets = shared.resets.get();
-    shared.count(|c| c.connections += 1);
+async fn relay_connection(state: Rc<RelayState>, caller: TcpStream, to: SocketAddr) {
+    let resets = state.resets.get();
+    state.count(|c| c.connections += 1);
     let _ = caller.set_nodelay(true);
-    let called = tokio::select! {
-        called = TcpStream::connect(to) => called,
-        () = shared.reset_after(resets) => Err(ErrorKind::ConnectionReset.into()),
+    let target = tokio::select! {
+        target = TcpStream::connect(to) => target,
+        () = state.reset_after(resets) => Err(ErrorKind::ConnectionReset.into()),
     };
-    let Ok(called) = called else { return slam(&caller) };
-    let _ = called.set_nodelay(true);
-    // The way there and back that the handshake would have taken, before the first byte of the side that calls.
-    let handshake = Instant::now() + shared.way() + shared.way();
-    let (mut caller, mut called) = (caller, called);
-    let whole = {
-        let ((from_caller, to_caller), (from_called, to_called)) = (caller.split(), called.split());
-        let out = direction(&shared, from_caller, to_called, true, handshake);
-        let back = direction(&shared, from_called, to_caller, false, Instant::now());
+    let Ok(target) = target else { return close_with_reset(&caller) };
+    let _ = target.set_nodelay(true);
+    // The round trip that a handshake over this link takes, before the first bytes of the connecting side.
+    let handshake = Instant::now() + state.transit_time() + state.transit_time();
+    let (mut caller, mut target) = (caller, target);
+    let ended_cleanly = {
+        let ((from_caller, to_caller), (from_target, to_target)) = (caller.split(), target.split());
+        let forward = relay_direction(&state, from_caller, to_target, true, handshake);
+        let backward = relay_direction(&state, from_target, to_caller, false, Instant::now());
         tokio::select! {
             biased;
-            () = shared.reset_after(resets) => false,
-            ended = async { tokio::try_join!(out, back) } => ended.is_ok(),
+            () = state.reset_after(resets) => false,
+            end = async { tokio::try_join!(forward, backward) } => end.is_ok(),
         }
     };
-    if !whole {
-        slam(&caller);
-        slam(&called);
+    if !ended_cleanly {
+        close_with_reset(&caller);
+        close_with_reset(&target);
     }
 }
 
-/// What one direction of a connection carries.
-enum Piece {
+/// What a direction of a connection carries.
+enum Chunk {
     Bytes(Vec<u8>),
-    /// The sender has ended its sending.
+    /// The sender has shut down its sending side.
     End,
-    /// The sender's side was reset.
+    /// The sender's connection was reset.
     Reset,
 }
 
-/// A direction that ended otherwise than by an end of sending: the whole connection is reset.
-struct Broken;
+/// A direction ended otherwise than by a shutdown: the whole connection is reset.
+struct ConnectionBroken;
 
-/// Carries one direction to its end.
-async fn direction(
-    shared: &Shared,
+/// Relays one direction of a connection to its end.
+async fn relay_direction(
+    state: &RelayState,
     mut from: ReadHalf<'_>,
     mut to: WriteHalf<'_>,
-    out: bool,
+    forward: bool,
     not_before: Instant,
-) -> Result<(), Broken> {
-    let (sender, mut pieces) = mpsc::channel::<(Instant, Piece)>(UNDER_WAY);
+) -> Result<(), ConnectionBroken> {
+    let (sender, mut chunks) = mpsc::channel::<(Instant, Chunk)>(MAX_CHUNKS_IN_TRANSIT);
     let reading = async {
         let mut due = Instant::now();
         loop {
-            let mut bytes = vec![0; PIECE];
-            let piece = match from.read(&mut bytes).await {
-                Ok(0) => Piece::End,
+            let mut bytes = vec![0; CHUNK_BYTES];
+            let chunk = match from.read(&mut bytes).await {
+                Ok(0) => Chunk::End,
                 Ok(read) => {
                     bytes.truncate(read);
-                    shared
-                        .count(|c| *(if out { &mut c.bytes_out } else { &mut c.bytes_back }) += read as u64);
-                    Piece::Bytes(bytes)
+                    state.count(|c| {
+                        *(if forward { &mut c.bytes_forward } else { &mut c.bytes_backward }) += read as u64
+                    });
+                    Chunk::Bytes(bytes)
                 }
-                Err(_) => Piece::Reset,
+                Err(_) => Chunk::Reset,
             };
-            let last = !matches!(piece, Piece::Bytes(_));
-            // In order: none is due before the one ahead of it, and the rate adds the time that its bytes take.
-            due = due.max(Instant::now().max(not_before) + shared.way());
-            let rate = shared.weather.borrow().rate;
-            if let (Piece::Bytes(bytes), true) = (&piece, rate > 0.0) {
+            let last = !matches!(chunk, Chunk::Bytes(_));
+            // In order: no chunk is due before the one ahead of it, and a rate limit adds the transmission time of its bytes.
+            due = due.max(Instant::now().max(not_before) + state.transit_time());
+            let rate = state.conditions.borrow().bytes_per_s;
+            if let (Chunk::Bytes(bytes), true) = (&chunk, rate > 0.0) {
                 due += Duration::from_secs_f64(bytes.len() as f64 / rate);
             }
-            if sender.send((due, piece)).await.is_err() || last {
+            if sender.send((due, chunk)).await.is_err() || last {
                 return std::future::pending().await;
             }
         }
     };
     let writing = async {
-        while let Some((due, piece)) = pieces.recv().await {
+        while let Some((due, chunk)) = chunks.recv().await {
             if due > Instant::now() {
                 sleep_until(due).await;
             }
-            shared.until(|w| if out { !w.held_out } else { !w.held_back }).await;
-            match piece {
-                Piece::Bytes(bytes) => to.write_all(&bytes).await.map_err(|_| Broken)?,
-                Piece::Reset => return Err(Broken),
-                Piece::End => return to.shutdown().await.map_err(|_| Broken),
+            state.wait_until(|w| if forward { !w.blocked_forward } else { !w.blocked_backward }).await;
+            match chunk {
+                Chunk::Bytes(bytes) => to.write_all(&bytes).await.map_err(|_| ConnectionBroken)?,
+                Chunk::Reset => return Err(ConnectionBroken),
+                Chunk::End => return to.shutdown().await.map_err(|_| ConnectionBroken),
             }
         }
-        Err(Broken)
+        Err(ConnectionBroken)
     };
     tokio::select! {
-        ended = writing => ended,
-        ended = reading => ended,
+        end = writing => end,
+        end = reading => end,
     }
 }
 
-async fn carry_datagrams(
-    shared: Rc<Shared>,
+async fn relay_datagrams(
+    state: Rc<RelayState>,
     inlet: Rc<UdpSocket>,
     outlet: Rc<UdpSocket>,
     from: SocketAddr,
     to: SocketAddr,
 ) {
-    let under_way = Rc::new(Cell::new(0));
-    let mut buffer = vec![0; DATAGRAM];
+    let in_transit = Rc::new(Cell::new(0));
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
-        // An error is that of an earlier datagram which found no receiver.
+        // The error is that of an earlier datagram, which found no receiver.
         let Ok((length, sender)) = inlet.recv_from(&mut buffer).await else { continue };
         if sender != from {
             continue;
         }
-        shared.count(|c| c.datagrams += 1);
-        let weather = shared.weather.borrow().clone();
-        let draw = || shared.rng.borrow_mut().random::<f64>();
-        let copies = if weather.held_out || draw() < weather.lost {
+        state.count(|c| c.datagrams += 1);
+        let conditions = state.conditions.borrow().clone();
+        let draw = || state.rng.borrow_mut().random::<f64>();
+        let copies = if conditions.blocked_forward || draw() < conditions.lost_share {
             0
         } else {
-            1 + usize::from(draw() < weather.twice)
+            1 + usize::from(draw() < conditions.duplicated_share)
         };
         for _ in 0..copies {
-            if under_way.get() >= DATAGRAMS {
+            if in_transit.get() >= MAX_DATAGRAMS_IN_TRANSIT {
                 break;
             }
-            under_way.set(under_way.get() + 1);
-            let late = if draw() < weather.late { weather.late_by } else { Duration::ZERO };
-            let (way, bytes) = (shared.way() + late, buffer[..length].to_vec());
-            let (outlet, under_way) = (outlet.clone(), under_way.clone());
+            in_transit.set(in_transit.get() + 1);
+            let late = if draw() < conditions.late_share { conditions.late_by } else { Duration::ZERO };
+            let (transit_time, bytes) = (state.transit_time() + late, buffer[..length].to_vec());
+            let (outlet, in_transit) = (outlet.clone(), in_transit.clone());
             spawn_local(async move {
-                sleep(way).await;
+                sleep(transit_time).await;
                 let _ = outlet.try_send_to(&bytes, to);
-                under_way.set(under_way.get() - 1);
+                in_transit.set(in_transit.get() - 1);
             });
         }
     }
--- a/crates/trial/src/report.rs
+++ b/crates/trial/src/report.rs
@@ -1,4 +1,4 @@
-//! What came of a trial: its account, its figures, what had to hold, and a line of time.
+//! The results of a trial: counts of requests, metrics, expectations, and a timeline.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -6,44 +6,45 @@
 use chalksill_world::rules::Violation;
 use serde::Serialize;
 
-use crate::account::Sums;
-use crate::plan::{Figure, Must};
-use crate::relay::Carried;
-use crate::stage::Line;
+use crate::environment::LogLine;
+use crate::plan::{Expectation, Metric};
+use crate::relay::RelayTotals;
+use crate::request_tracker::RequestTotals;
 
-/// Something that had to hold, and whether it did.
+/// An expectation, and whether it was met.
 #[derive(Clone, Debug, Serialize)]
-pub struct Held {
-    /// What had to hold.
-    pub must: Must,
-    /// What it was; nothing where it could not be told, or where what it waits for has not come.
+pub struct ExpectationResult {
+    /// The expectation.
+    #[serde(rename = "must")]
+    pub expectation: Expectation,
+    /// The value of the metric; `None` if there was nothing to measure, or what it measures the time to has not come.
     pub value: Option<f64>,
-    /// Whether it held.
+    /// Whether the expectation was met.
     pub holds: bool,
 }
 
-impl fmt::Display for Held {
+impl fmt::Display for ExpectationResult {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let must = &self.must;
-        write!(f, "{} {:?}", if self.holds { "holds " } else { "BROKEN" }, must.figure)?;
-        if let Some(zone) = &must.zone {
+        let expectation = &self.expectation;
+        write!(f, "{} {:?}", if self.holds { "holds " } else { "BROKEN" }, expectation.metric)?;
+        if let Some(zone) = &expectation.zone {
             write!(f, " of {zone}")?;
         }
-        if let Some(class) = &must.class {
+        if let Some(class) = &expectation.class {
             write!(f, " of {class}")?;
         }
-        if let Some(from) = &must.from {
+        if let Some(from) = &expectation.from {
             write!(f, " from {from}")?;
         }
         match self.value {
             Some(value) => write!(f, " = {value:.3}")?,
-            None => write!(f, " has not come")?,
+            None => write!(f, " has no value")?,
         }
-        if let Some(most) = must.at_most {
-            write!(f, ", at most {most}")?;
+        if let Some(upper) = expectation.at_most {
+            write!(f, ", at most {upper}")?;
         }
-        if let Some(least) = must.at_least {
-            write!(f, ", at least {least}")?;
+        if let Some(lower) = expectation.at_least {
+            write!(f, ", at least {lower}")?;
         }
         Ok(())
     }
@@ -54,7 +55,7 @@
 pub struct Traffic {
     /// Connections.
     pub connections: u64,
-    /// Their bytes, both ways.
+    /// Their bytes, in both directions.
     pub bytes: u64,
     /// Datagrams between nodes.
     pub datagrams: u64,
@@ -62,103 +63,110 @@
 
 impl Traffic {
     /// Adds what one relay has carried.
-    pub fn add(&mut self, datagrams: bool, carried: Carried) {
+    pub fn add(&mut self, datagrams: bool, carried: RelayTotals) {
         if datagrams {
             self.datagrams += carried.datagrams;
         } else {
             self.connections += carried.connections;
-            self.bytes += carried.bytes_out + carried.bytes_back;
+            self.bytes += carried.bytes_forward + carried.bytes_backward;
         }
     }
 }
 
-/// What came of a trial.
+/// The results of a trial.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// Its name.
+    /// Name of the trial.
     pub trial: String,
     /// Its seed.
     pub seed: u64,
-    /// What became of every request.
-    pub sums: Sums,
-    /// Figures over the whole load.
-    pub figures: BTreeMap<Figure, f64>,
-    /// What had to hold.
-    pub musts: Vec<Held>,
-    /// Rules broken.
+    /// Counts of all requests by their end.
+    #[serde(rename = "sums")]
+    pub totals: RequestTotals,
+    /// Metrics over the whole load.
+    #[serde(rename = "figures")]
+    pub metrics: BTreeMap<Metric, f64>,
+    /// Results of the expectations.
+    #[serde(rename = "musts")]
+    pub expectations: Vec<ExpectationResult>,
+    /// Violated rules.
     pub violations: Vec<Violation>,
-    /// What went wrong beside: facts that did not come, processes that ended by themselves, requests without an end.
-    pub broken: Vec<String>,
-    /// When the load began, in seconds.
+    /// Other failures: conditions that did not come true, unexpected exits, requests without an end.
+    #[serde(rename = "broken")]
+    pub failures: Vec<String>,
+    /// When the load began, in seconds since the start of the trial.
     pub begin_s: f64,
-    /// The steps, and when they were done.
+    /// The steps, and when they were carried out, in seconds.
     pub steps: Vec<(String, Option<f64>)>,
-    /// The line of time: seconds, and what.
-    pub line: Vec<(f64, String)>,
-    /// Second by second: first tries, and the part of them served in time.
-    pub seconds: Vec<(u64, f64)>,
-    /// The logs of all nodes by time.
-    pub log: Vec<Line>,
+    /// The timeline: events with their time in seconds.
+    #[serde(rename = "line")]
+    pub timeline: Vec<(f64, String)>,
+    /// Per second: the number of first tries, and the share of them that was served in time.
+    #[serde(rename = "seconds")]
+    pub per_second: Vec<(u64, f64)>,
+    /// Log lines of all nodes in the order in which they were read.
+    pub log: Vec<LogLine>,
     /// What the relays have carried.
-    pub carried: Traffic,
-    /// CPU time of the nodes' processes that ran at the end.
+    #[serde(rename = "carried")]
+    pub traffic: Traffic,
+    /// CPU time of the nodes' processes that ran at the end, in seconds.
     pub cpu_s: f64,
-    /// Most memory of one of them.
+    /// Largest memory use of one of them, in KiB.
     pub memory_kib: u64,
-    /// The figures that worlds have as well.
+    /// The report of the simulated environment.
     pub world: chalksill_world::report::Report,
 }
 
 impl Report {
-    /// Whether everything held: rules, account and what the trial asks for.
+    /// Whether all rules and expectations were met, and every request had exactly one end.
     pub fn passed(&self) -> bool {
-        self.kept() && self.musts.iter().all(|m| m.holds)
+        self.rules_kept() && self.expectations.iter().all(|m| m.holds)
     }
 
-    /// Whether the rules were kept and every request is accounted for, whatever the trial asks for.
-    pub fn kept(&self) -> bool {
-        self.violations.is_empty() && self.broken.is_empty()
+    /// Whether all rules were met and every request had exactly one end, whatever the expectations say.
+    pub fn rules_kept(&self) -> bool {
+        self.violations.is_empty() && self.failures.is_empty()
     }
 }
 
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "trial {}, seed {}", self.trial, self.seed)?;
-        let s = &self.sums;
+        let s = &self.totals;
         writeln!(
             f,
-            "account: {} tries asked, {} answered, {} left, {} lost, {} crossed, {} open, {} twice",
-            s.asked, s.answered, s.left, s.lost, s.crossed, s.open, s.twice
+            "requests: {} sent, {} answered, {} abandoned, {} lost, {} raced with close, {} unfinished, {} ended twice",
+            s.sent, s.answered, s.abandoned, s.lost, s.raced_with_close, s.unfinished, s.ended_twice
         )?;
-        for (figure, value) in &self.figures {
-            writeln!(f, "  {:<14} {value:.3}", format!("{figure:?}"))?;
+        for (metric, value) in &self.metrics {
+            writeln!(f, "  {:<14} {value:.3}", format!("{metric:?}"))?;
         }
         writeln!(
             f,
-            "ways: {} connections, {:.1} MB, {} datagrams; nodes: {:.2} s of CPU, {} KiB at most",
-            self.carried.connections,
-            self.carried.bytes as f64 / 1e6,
-            self.carried.datagrams,
+            "links: {} connections, {:.1} MB, {} datagrams; nodes: {:.2} s of CPU, at most {} KiB of memory",
+            self.traffic.connections,
+            self.traffic.bytes as f64 / 1e6,
+            self.traffic.datagrams,
             self.cpu_s,
             self.memory_kib
         )?;
-        writeln!(f, "line of time, seconds since the load began:")?;
-        for (at, what) in &self.line {
+        writeln!(f, "timeline, seconds since the load began:")?;
+        for (at, what) in &self.timeline {
             writeln!(f, "  {:8.3} {what}", at - self.begin_s)?;
         }
-        write!(f, "in time, second by second:")?;
-        for (_, part) in &self.seconds {
+        write!(f, "served in time, per second:")?;
+        for (_, part) in &self.per_second {
             write!(f, " {part:.2}")?;
         }
         writeln!(f)?;
-        for held in &self.musts {
-            writeln!(f, "{held}")?;
+        for result in &self.expectations {
+            writeln!(f, "{result}")?;
         }
         for violation in &self.violations {
             writeln!(f, "BROKEN {violation}")?;
         }
-        for broken in &self.broken {
-            writeln!(f, "BROKEN {broken}")?;
+        for failure in &self.failures {
+            writeln!(f, "BROKEN {failure}")?;
         }
         write!(f, "{}", if self.passed() { "all held" } else { "not all held" })
     }
--- a/crates/trial/src/runner.rs
+++ b/crates/trial/src/runner.rs
@@ -1,4 +1,4 @@
-//! Plays a trial: carries its steps out, waits for facts, and judges what came of it.
+//! Runs a trial: carries out its steps, waits for their conditions, and evaluates the results.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,158 +14,167 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use crate::account::{Account, Of};
-use crate::party::{Kind, Parties};
-use crate::plan::{Act, Answers, Fact, Figure, Must, Says, Step, Trial};
-use crate::report::{Held, Report};
-use crate::stage::{Doing, Line, Stage};
+use crate::environment::{Environment, LogLine, ProcessState};
+use crate::plan::{Action, Condition, DiscoveryBehavior, Expectation, ListedPhase, Metric, Step, Trial};
+use crate::report::{ExpectationResult, Report};
+use crate::request_tracker::{MetricScope, RequestTracker};
+use crate::topology::{EndpointKind, Endpoints};
 
-/// How often a fact is looked for, and nodes and their logs are looked at.
-const LOOK: Duration = Duration::from_millis(50);
-/// After the load, this much more than the longest deadline for the last answers.
-const LAST: Duration = Duration::from_secs(2);
+/// Interval of checks of a condition, and of reads of the nodes' state and logs.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// After the load, the wait for the last replies is the longest deadline and this time.
+const FINAL_REPLIES_GRACE: Duration = Duration::from_secs(2);
 
-/// How a trial ended that could be played.
+/// How a trial that could be started has ended.
 pub enum TrialEnd {
-    /// To its end.
+    /// It ran to its end.
     Completed(Box<Report>),
-    /// By a signal; all that it had started has ended.
+    /// It was interrupted by a signal; everything that it had started has ended.
     Interrupted,
 }
 
-/// What judges and counts while a trial runs.
-pub(crate) struct Watch {
-    pub(crate) witness: Observer,
-    account: Rc<RefCell<Account>>,
+/// What observes a running trial and collects the results.
+pub(crate) struct Observers {
+    pub(crate) observer: Observer,
+    tracker: Rc<RefCell<RequestTracker>>,
     pub(crate) collector: Rc<RefCell<Collector>>,
     pub(crate) checker: Rc<RefCell<Checker>>,
-    line: Rc<RefCell<Vec<(f64, String)>>>,
+    timeline: Rc<RefCell<Vec<(f64, String)>>>,
 }
 
-impl Watch {
-    pub(crate) fn begin(trial: &Trial, seed: u64, late_ways: Duration) -> Watch {
-        let witness = Observer::starting_now();
+impl Observers {
+    pub(crate) fn start(trial: &Trial, seed: u64, extra_server_delay: Duration) -> Observers {
+        let observer = Observer::starting_now();
         let origin = trial.scenario.boxes.count;
-        let account = Rc::new(RefCell::new(Account::new(trial)));
+        let tracker = Rc::new(RefCell::new(RequestTracker::new(trial)));
         let collector = Rc::new(RefCell::new(Collector::new(&trial.scenario, seed, origin)));
         let checker = Checker::new(&trial.scenario, origin);
         let checker =
-            Rc::new(RefCell::new(checker.with_unbounded_delay().with_extra_server_delay(late_ways)));
-        let line = Rc::new(RefCell::new(Vec::new()));
-        let (a, c, j, l) = (account.clone(), collector.clone(), checker.clone(), line.clone());
-        witness.subscribe(move |o| {
-            a.borrow_mut().saw(o);
+            Rc::new(RefCell::new(checker.with_unbounded_delay().with_extra_server_delay(extra_server_delay)));
+        let timeline = Rc::new(RefCell::new(Vec::new()));
+        let (t, c, k, l) = (tracker.clone(), collector.clone(), checker.clone(), timeline.clone());
+        observer.subscribe(move |o| {
+            t.borrow_mut().observe(o);
             c.borrow_mut().observe(o);
-            j.borrow_mut().observe(o);
-            let told = match &o.event {
-                ObservedEvent::Fault(what) => Some(what.clone()),
-                ObservedEvent::CacheServerCollapsed { server: at } => Some(format!("box {at} fell over")),
+            k.borrow_mut().observe(o);
+            let entry = match &o.event {
+                ObservedEvent::Fault(description) => Some(description.clone()),
+                ObservedEvent::CacheServerCollapsed { server } => {
+                    Some(format!("cache server {server} collapsed under load"))
+                }
                 _ => None,
             };
-            l.borrow_mut().extend(told.map(|what| (o.at.as_secs_f64(), what)));
+            l.borrow_mut().extend(entry.map(|text| (o.at.as_secs_f64(), text)));
         });
-        Watch { witness, account, collector, checker, line }
+        Observers { observer, tracker, collector, checker, timeline }
     }
 }
 
-/// Plays a trial with a daemon; files and logs go to a folder. Must run inside a `LocalSet`.
+/// Runs a trial with a daemon's executable; files and logs go to a folder. Must run inside a `LocalSet`.
 ///
 /// # Errors
-/// What hinders its start; whatever was started by then has ended.
+/// What keeps it from starting; all that was started by then has ended.
 pub async fn run_trial(trial: Trial, seed: u64, program: &Path, folder: &Path) -> Result<TrialEnd, String> {
-    let watch = Watch::begin(&trial, seed, Duration::ZERO);
+    let observers = Observers::start(&trial, seed, Duration::ZERO);
     let mut terminate = signal(SignalKind::terminate()).map_err(|e| format!("no signals: {e}"))?;
     let mut interrupt = signal(SignalKind::interrupt()).map_err(|e| format!("no signals: {e}"))?;
-    let mut told = Box::pin(async move {
+    let mut interrupted = Box::pin(async move {
         tokio::select! {
             _ = terminate.recv() => {}
             _ = interrupt.recv() => {}
         }
     });
-    let (account, collector) = (watch.account.clone(), watch.collector.clone());
-    let played = move |played| {
-        account.borrow_mut().played(played);
-        collector.borrow_mut().record_result(&played);
+    let (tracker, collector) = (observers.tracker.clone(), observers.collector.clone());
+    let on_completed = move |completed| {
+        tracker.borrow_mut().record_completed(completed);
+        collector.borrow_mut().record_result(&completed);
     };
-    let set = Stage::set(trial, seed, program, folder, &watch.witness, played);
-    // Dropped halfway, a stage ends the processes that it has started.
-    let stage = tokio::select! {
-        stage = set => stage?,
-        () = &mut told => return Ok(TrialEnd::Interrupted),
+    let launch = Environment::launch(trial, seed, program, folder, &observers.observer, on_completed);
+    // An environment that is dropped before it has started ends the processes that it has created.
+    let environment = tokio::select! {
+        environment = launch => environment?,
+        () = &mut interrupted => return Ok(TrialEnd::Interrupted),
     };
     let outcome = tokio::select! {
-        outcome = run(&stage, &watch) => Some(outcome),
-        () = &mut told => None,
+        outcome = run_steps(&environment, &observers) => Some(outcome),
+        () = &mut interrupted => None,
     };
-    let cost = stage.cost();
-    stage.strike().await;
-    stage.look_at_nodes();
+    let resource_usage = environment.resource_usage();
+    environment.shut_down().await;
+    environment.poll_nodes();
     let Some(run) = outcome else { return Ok(TrialEnd::Interrupted) };
-    Ok(TrialEnd::Completed(Box::new(judge(&stage, &watch, seed, run, cost))))
+    Ok(TrialEnd::Completed(Box::new(build_report(&environment, &observers, seed, run, resource_usage))))
 }
 
-/// What a run leaves to be judged.
-struct Run {
-    /// When the load began.
-    begin: Duration,
-    /// When it ended.
-    end: Duration,
-    /// When each step was done.
-    steps: Vec<Option<Duration>>,
-    /// What went wrong with the trial itself: facts that did not come, processes that ended.
-    broken: Vec<String>,
+/// What a run leaves for evaluation.
+struct CompletedRun {
+    /// When the load began, since the start of the trial.
+    load_began: Duration,
+    /// When the load ended.
+    load_ended: Duration,
+    /// When each step was carried out.
+    step_times: Vec<Option<Duration>>,
+    /// Failures of the trial itself: conditions that did not come true, unexpected exits.
+    failures: Vec<String>,
 }
 
-async fn run(stage: &Rc<Stage>, watch: &Watch) -> Run {
-    let broken = Rc::new(RefCell::new(Vec::new()));
-    let looks = {
-        let (stage, broken) = (stage.clone(), broken.clone());
+async fn run_steps(environment: &Rc<Environment>, observers: &Observers) -> CompletedRun {
+    let failures = Rc::new(RefCell::new(Vec::new()));
+    let poller = {
+        let (environment, failures) = (environment.clone(), failures.clone());
         spawn_local(async move {
             loop {
-                broken.borrow_mut().extend(stage.look_at_nodes());
-                sleep(LOOK).await;
+                failures.borrow_mut().extend(environment.poll_nodes());
+                sleep(POLL_INTERVAL).await;
             }
         })
         .abort_handle()
     };
-    let begin = watch.witness.elapsed();
-    let span = stage.trial.scenario.load_duration();
-    let load = spawn_local(stage.clients.clone().generate_load(span));
-    let mut steps = vec![None; stage.trial.steps.len()];
-    let mut before = begin;
-    for (i, step) in stage.trial.steps.iter().enumerate() {
-        sleep_until(watch.witness.started_at() + begin + Duration::from_secs_f64(step.at_s)).await;
-        if let Some(fact) = &step.after
-            && let Err(what) = wait_for(stage, watch, fact, before, step.patience()).await
+    let load_began = observers.observer.elapsed();
+    let load_duration = environment.trial.scenario.load_duration();
+    let load = spawn_local(environment.clients.clone().generate_load(load_duration));
+    let mut step_times = vec![None; environment.trial.steps.len()];
+    let mut previous_step_at = load_began;
+    for (i, step) in environment.trial.steps.iter().enumerate() {
+        sleep_until(observers.observer.started_at() + load_began + Duration::from_secs_f64(step.at_s)).await;
+        if let Some(condition) = &step.after
+            && let Err(message) = wait_for_condition(
+                environment,
+                observers,
+                condition,
+                previous_step_at,
+                step.condition_timeout(),
+            )
+            .await
         {
-            broken.borrow_mut().push(format!("step {}: {what}", name(i, step)));
+            failures.borrow_mut().push(format!("step {}: {message}", step_name(i, step)));
             break;
         }
-        before = watch.witness.elapsed();
-        steps[i] = Some(before);
-        stage.tell(describe(i, step));
-        if let Err(what) = carry_out(stage, step).await {
-            broken.borrow_mut().push(format!("step {}: {what}", name(i, step)));
+        previous_step_at = observers.observer.elapsed();
+        step_times[i] = Some(previous_step_at);
+        environment.record_event(describe_step(i, step));
+        if let Err(message) = perform_step(environment, step).await {
+            failures.borrow_mut().push(format!("step {}: {message}", step_name(i, step)));
             break;
         }
     }
     let _ = load.await;
-    let end = begin + span;
-    let until = Instant::now() + stage.trial.scenario.longest_deadline() + LAST;
-    while stage.clients.in_flight() > 0 && Instant::now() < until {
-        sleep(LOOK).await;
+    let load_ended = load_began + load_duration;
+    let until = Instant::now() + environment.trial.scenario.longest_deadline() + FINAL_REPLIES_GRACE;
+    while environment.clients.in_flight() > 0 && Instant::now() < until {
+        sleep(POLL_INTERVAL).await;
     }
-    looks.abort();
-    let broken = broken.take();
-    Run { begin, end, steps, broken }
+    poller.abort();
+    let failures = failures.take();
+    CompletedRun { load_began, load_ended, step_times, failures }
 }
 
-fn name(place: usize, step: &Step) -> String {
-    if step.name.is_empty() { place.to_string() } else { format!("{place} ({})", step.name) }
+fn step_name(index: usize, step: &Step) -> String {
+    if step.name.is_empty() { index.to_string() } else { format!("{index} ({})", step.name) }
 }
 
-fn describe(place: usize, step: &Step) -> String {
-    let mut text = format!("step {}: {:?}", name(place, step), step.act).to_lowercase();
+fn describe_step(index: usize, step: &Step) -> String {
+    let mut text = format!("step {}: {:?}", step_name(index, step), step.action).to_lowercase();
     if let (Some(from), Some(to)) = (&step.from, &step.to) {
         text += &format!(" {from} {} {to}", if step.one_way { "->" } else { "<->" });
     }
@@ -175,145 +184,161 @@
     text
 }
 
-async fn wait_for(
-    stage: &Rc<Stage>,
-    watch: &Watch,
-    fact: &Fact,
+async fn wait_for_condition(
+    environment: &Rc<Environment>,
+    observers: &Observers,
+    condition: &Condition,
     since: Duration,
-    patience: Duration,
+    timeout: Duration,
 ) -> Result<(), String> {
-    let until = Instant::now() + patience;
-    while !holds(stage, watch, fact, since).await {
+    let until = Instant::now() + timeout;
+    while !condition_holds(environment, observers, condition, since).await {
         if Instant::now() >= until {
-            let wanted = match fact.acts {
-                Some(part) => format!("{part} of the nodes act"),
-                None => fact.names().map(|(key, named)| format!("{key} {named}")).collect(),
+            let expected = match condition.acts {
+                Some(share) => format!("a share of {share} of the nodes has reacted"),
+                None => {
+                    condition.named_endpoints().map(|(key, selector)| format!("{key} {selector}")).collect()
+                }
             };
-            return Err(format!("after {patience:?} it is still not so that: {wanted}"));
+            return Err(format!("condition did not come true within {timeout:?}: {expected}"));
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
     Ok(())
 }
 
-async fn holds(stage: &Rc<Stage>, watch: &Watch, fact: &Fact, since: Duration) -> bool {
-    if let Some(part) = fact.acts {
-        let account = watch.account.borrow();
-        let acting = account.acting(since, watch.witness.elapsed()).len();
-        return acting as f64 >= part * account.nodes() as f64;
+async fn condition_holds(
+    environment: &Rc<Environment>,
+    observers: &Observers,
+    condition: &Condition,
+    since: Duration,
+) -> bool {
+    if let Some(share) = condition.acts {
+        let tracker = observers.tracker.borrow();
+        let reacted = tracker.reaction_times(since, observers.observer.elapsed()).len();
+        return reacted as f64 >= share * tracker.node_count() as f64;
     }
-    let Some((key, named)) = fact.names().next() else { return true };
-    let parties = parties(stage, named);
-    let boxes = stage.trial.scenario.boxes.count;
-    for party in parties {
-        let so = match key {
-            "ready" => stage.doing(party.number) == Doing::Runs && stage.ready(party.number).await,
-            "ended" => stage.doing(party.number) == Doing::Ended,
-            "served" => watch.account.borrow().served(party.number, since),
+    let Some((key, selector)) = condition.named_endpoints().next() else { return true };
+    let endpoints = endpoints(environment, selector);
+    let cache_servers = environment.trial.scenario.boxes.count;
+    for endpoint in endpoints {
+        let holds = match key {
+            "ready" => {
+                environment.process_state(endpoint.number) == ProcessState::Running
+                    && environment.is_ready(endpoint.number).await
+            }
+            "ended" => environment.process_state(endpoint.number) == ProcessState::Exited,
+            "served" => observers.tracker.borrow().has_served(endpoint.number, since),
             _ => {
-                let server = if party.kind == Kind::Origin { boxes } else { party.number };
-                watch.account.borrow().reached(server, since)
+                let server =
+                    if endpoint.kind == EndpointKind::Origin { cache_servers } else { endpoint.number };
+                observers.tracker.borrow().has_received_attempt(server, since)
             }
         };
-        if !so {
+        if !holds {
             return false;
         }
     }
     true
 }
 
-/// The parties of a word that the trial's check has taken.
-fn parties(stage: &Stage, word: &str) -> Parties {
-    stage.trial.map.parties(word).unwrap_or_default()
+/// The endpoints of a selector that the trial's validation has accepted.
+fn endpoints(environment: &Environment, selector: &str) -> Endpoints {
+    environment.trial.topology.endpoints(selector).unwrap_or_default()
 }
 
-async fn carry_out(stage: &Rc<Stage>, step: &Step) -> Result<(), String> {
-    let named = |word: &Option<String>| parties(stage, word.as_deref().unwrap_or_default());
-    let (from, to, who) = (named(&step.from), named(&step.to), named(&step.who));
-    match step.act {
-        Act::Mark => {}
-        Act::Cut => stage.cut(&from, &to, step.one_way),
-        Act::Heal => stage.heal(&from, &to, step.reset),
-        Act::Refuse => stage.reset(&from, &to, true),
-        Act::Reset => stage.reset(&from, &to, false),
-        Act::Weather => stage.weather(&from, &to, |w| {
+async fn perform_step(environment: &Rc<Environment>, step: &Step) -> Result<(), String> {
+    let select = |selector: &Option<String>| endpoints(environment, selector.as_deref().unwrap_or_default());
+    let (from, to, targets) = (select(&step.from), select(&step.to), select(&step.who));
+    match step.action {
+        Action::Mark => {}
+        Action::Cut => environment.cut(&from, &to, step.one_way),
+        Action::Heal => environment.heal(&from, &to, step.reset),
+        Action::Refuse => environment.reset_links(&from, &to, true),
+        Action::Reset => environment.reset_links(&from, &to, false),
+        Action::Weather => environment.change_links(&from, &to, |w| {
             let ms = |ms: f64| Duration::from_secs_f64(ms / 1e3);
             w.delay = step.delay_ms.map_or(w.delay, ms);
             w.jitter = step.jitter.unwrap_or(w.jitter);
-            w.rate = step.rate.unwrap_or(w.rate);
-            w.lost = step.lost.unwrap_or(w.lost);
-            w.twice = step.twice.unwrap_or(w.twice);
-            w.late = step.late.unwrap_or(w.late);
+            w.bytes_per_s = step.rate.unwrap_or(w.bytes_per_s);
+            w.lost_share = step.lost.unwrap_or(w.lost_share);
+            w.duplicated_share = step.twice.unwrap_or(w.duplicated_share);
+            w.late_share = step.late.unwrap_or(w.late_share);
             w.late_by = step.late_ms.map_or(w.late_by, ms);
         }),
-        Act::Kill => {
-            for party in who {
-                stage.kill(party).await?;
+        Action::Kill => {
+            for endpoint in targets {
+                environment.kill(endpoint).await?;
             }
         }
-        Act::Start => {
-            for party in who {
-                stage.start(party).await?;
+        Action::Start => {
+            for endpoint in targets {
+                environment.start_endpoint(endpoint).await?;
             }
         }
-        Act::Stop => who.iter().for_each(|p| stage.stop(p.number)),
-        Act::Continue => who.iter().for_each(|p| stage.go_on(p.number)),
-        Act::Flap => {
+        Action::Stop => targets.iter().for_each(|p| environment.pause(p.number)),
+        Action::Continue => targets.iter().for_each(|p| environment.resume(p.number)),
+        Action::Flap => {
             let every = Duration::from_secs_f64(step.every_s.unwrap_or(1.0));
             for _ in 0..step.times.unwrap_or(1.0) as usize {
-                stage.cut(&from, &to, step.one_way);
+                environment.cut(&from, &to, step.one_way);
                 sleep(every).await;
-                stage.heal(&from, &to, step.reset);
+                environment.heal(&from, &to, step.reset);
                 sleep(every).await;
             }
         }
-        Act::List => {
-            let gone = step.says == Some(Says::Gone);
-            who.iter().for_each(|p| stage.list(p.number, if gone { Phase::Gone } else { Phase::Ready }));
+        Action::List => {
+            let gone = step.says == Some(ListedPhase::Gone);
+            targets.iter().for_each(|p| {
+                environment.set_listed_phase(p.number, if gone { Phase::Gone } else { Phase::Ready })
+            });
         }
-        Act::Hold | Act::Release => {
+        Action::Hold | Action::Release => {
             let zone = step.zone.as_deref().unwrap_or_default();
-            let target = match (step.act, &step.how, step.for_s) {
-                (Act::Hold, Some(how), Some(span)) => {
-                    format!("/places/hold?zone={zone}&how={how}&for_s={span}")
+            let path = match (step.action, &step.how, step.for_s) {
+                (Action::Hold, Some(how), Some(seconds)) => {
+                    format!("/places/hold?zone={zone}&how={how}&for_s={seconds}")
                 }
                 _ => format!("/places/release?zone={zone}"),
             };
-            for party in who {
-                stage.order(party.number, &target).await?;
+            for endpoint in targets {
+                environment.send_zone_order(endpoint.number, &path).await?;
             }
         }
-        Act::Term => who.iter().for_each(|p| stage.end(p.number)),
-        Act::Load => stage.fleet.fault_settings.load_factor.set(step.times.unwrap_or(1.0).max(1e-3)),
-        Act::Discovery => {
-            let knobs = &stage.fleet.fault_settings;
-            let answers = step.answers.unwrap_or(Answers::Well);
-            knobs.discovery_down.set(answers == Answers::Down);
-            knobs.empty_list.set(answers == Answers::Empty);
+        Action::Term => targets.iter().for_each(|p| environment.terminate(p.number)),
+        Action::Load => environment.fleet.fault_settings.load_factor.set(step.times.unwrap_or(1.0).max(1e-3)),
+        Action::Discovery => {
+            let settings = &environment.fleet.fault_settings;
+            let answers = step.answers.unwrap_or(DiscoveryBehavior::Well);
+            settings.discovery_down.set(answers == DiscoveryBehavior::Down);
+            settings.empty_list.set(answers == DiscoveryBehavior::Empty);
             let late = step.delay_ms.unwrap_or(1000.0) as u64;
-            knobs.list_delay_ms.set(if answers == Answers::Late { late } else { 0 });
-            knobs.pinned_revision.set((answers == Answers::Old).then(|| stage.revision()));
+            settings.list_delay_ms.set(if answers == DiscoveryBehavior::Late { late } else { 0 });
+            settings
+                .pinned_revision
+                .set((answers == DiscoveryBehavior::Old).then(|| environment.oldest_list_revision()));
         }
     }
     Ok(())
 }
 
-/// How often nodes began to give a zone up, by their logs: each plan is told by many and counts once, as does a zone that stays away.
-fn moves(log: &[Line], from: Duration, until: Duration) -> usize {
+/// Number of times that nodes began to give a zone up, according to their logs. A plan is logged by many nodes and counts
+/// once; so does a zone that stays given up over several plans.
+fn count_zone_moves(log: &[LogLine], from: Duration, until: Duration) -> usize {
     let within = |at: f64| at >= from.as_secs_f64() && at < until.as_secs_f64();
-    let told = log.iter().filter(|l| within(l.at_s)).filter_map(|l| ReportedPlan::parse(&l.text));
-    let plans: BTreeMap<_, _> = told.map(|plan| (plan.number, plan)).collect();
-    let (mut away, mut count) = (BTreeSet::new(), 0);
+    let reported = log.iter().filter(|l| within(l.at_s)).filter_map(|l| ReportedPlan::parse(&l.text));
+    let plans: BTreeMap<_, _> = reported.map(|plan| (plan.number, plan)).collect();
+    let (mut given_up, mut count) = (BTreeSet::new(), 0);
     for plan in plans.values() {
-        count += plan.given_up_zones().difference(&away).count();
-        away = plan.given_up_zones();
+        count += plan.given_up_zones().difference(&given_up).count();
+        given_up = plan.given_up_zones();
     }
     count
 }
 
-/// The part of the nodes that act on the commonest plan at a time: what each last told of one, and nothing where it told that it has
-/// heard nothing for too long.
-fn agree(log: &[Line], nodes: usize, at: Duration) -> f64 {
+/// Share of the nodes that act on the most common plan at a time, by the plan that each logged last. A node that has
+/// since logged that it no longer hears of plans acts on none.
+fn agreement_share(log: &[LogLine], nodes: usize, at: Duration) -> f64 {
     let mut acts_on = vec![None; nodes];
     for line in log.iter().filter(|l| l.at_s < at.as_secs_f64()) {
         if let Some(plan) = ReportedPlan::parse(&line.text) {
@@ -327,89 +352,104 @@
     common.into_values().max().unwrap_or(0) as f64 / nodes.max(1) as f64
 }
 
-fn judge(stage: &Stage, watch: &Watch, seed: u64, run: Run, (cpu, memory_kib): (Duration, u64)) -> Report {
-    let trial = &stage.trial;
-    watch.checker.borrow_mut().finish(watch.witness.elapsed());
-    let account = watch.account.borrow();
-    let sums = account.sums();
-    let mut broken = run.broken;
-    // One whose connection was lost with its process has ended with it; the rules judge which may.
-    if sums.open > 0 {
-        broken.push(format!("{} requests have no end", sums.open));
+fn build_report(
+    environment: &Environment,
+    observers: &Observers,
+    seed: u64,
+    run: CompletedRun,
+    (cpu, memory_kib): (Duration, u64),
+) -> Report {
+    let trial = &environment.trial;
+    observers.checker.borrow_mut().finish(observers.observer.elapsed());
+    let tracker = observers.tracker.borrow();
+    let totals = tracker.totals();
+    let mut failures = run.failures;
+    // A request whose connection was lost has ended with it; the rules judge whether it may be lost.
+    if totals.unfinished > 0 {
+        failures.push(format!("{} requests never ended", totals.unfinished));
     }
-    if sums.twice > 0 {
-        broken.push(format!("{} requests have ended twice", sums.twice));
+    if totals.ended_twice > 0 {
+        failures.push(format!("{} requests ended more than once", totals.ended_twice));
     }
-    let violations = watch.checker.borrow().violations().to_vec();
+    let violations = observers.checker.borrow().violations().to_vec();
     let step_at = |name: &Option<String>| {
-        let place = trial.steps.iter().position(|s| Some(&s.name) == name.as_ref())?;
-        run.steps[place]
+        let index = trial.steps.iter().position(|s| Some(&s.name) == name.as_ref())?;
+        run.step_times[index]
     };
-    let span = |must: &Must| {
-        let from = match &must.from {
-            Some(_) => step_at(&must.from)?,
-            None => run.begin,
+    let interval = |expectation: &Expectation| {
+        let from = match &expectation.from {
+            Some(_) => step_at(&expectation.from)?,
+            None => run.load_began,
         };
-        let until = match &must.until {
-            Some(_) => step_at(&must.until)? + Duration::from_secs_f64(must.until_s),
-            None if must.until_s > 0.0 => from + Duration::from_secs_f64(must.until_s),
-            None => run.end,
+        let until = match &expectation.until {
+            Some(_) => step_at(&expectation.until)? + Duration::from_secs_f64(expectation.until_s),
+            None if expectation.until_s > 0.0 => from + Duration::from_secs_f64(expectation.until_s),
+            None => run.load_ended,
         };
-        Some((from + Duration::from_secs_f64(must.from_s), until))
+        Some((from + Duration::from_secs_f64(expectation.from_s), until))
     };
-    let held = |must: &Must| {
-        let zone = must.zone.as_ref().and_then(|z| trial.map.zones.iter().position(|name| name == z));
-        let class = must.class.as_ref();
+    let evaluate = |expectation: &Expectation| {
+        let zone =
+            expectation.zone.as_ref().and_then(|z| trial.topology.zones.iter().position(|name| name == z));
+        let class = expectation.class.as_ref();
         let class = class.and_then(|c| trial.scenario.class.iter().position(|known| known.name == *c));
-        let value = span(must).and_then(|(from, until)| match must.figure {
-            Figure::Moves => Some(moves(&stage.log.borrow(), from, until) as f64),
-            Figure::Agree => Some(agree(&stage.log.borrow(), stage.trial.scenario.nodes.count, until)),
-            figure => account.figure(figure, Of { zone, class }, from, until),
+        let value = interval(expectation).and_then(|(from, until)| match expectation.metric {
+            Metric::Moves => Some(count_zone_moves(&environment.log.borrow(), from, until) as f64),
+            Metric::Agree => Some(agreement_share(
+                &environment.log.borrow(),
+                environment.trial.scenario.nodes.count,
+                until,
+            )),
+            metric => tracker.metric(metric, MetricScope { zone, class }, from, until),
         });
         let holds = value.is_some_and(|v| {
-            must.at_most.is_none_or(|most| v <= most) && must.at_least.is_none_or(|least| v >= least)
+            expectation.at_most.is_none_or(|most| v <= most)
+                && expectation.at_least.is_none_or(|least| v >= least)
         });
-        Held { must: must.clone(), value, holds }
+        ExpectationResult { expectation: expectation.clone(), value, holds }
     };
-    let musts: Vec<Held> = trial.musts.iter().map(held).collect();
-    let whole = [
-        Figure::InTime,
-        Figure::Refused,
-        Figure::Failed,
-        Figure::P50Ms,
-        Figure::P99Ms,
-        Figure::LeavesZone,
-        Figure::LeavesRegion,
-        Figure::HitShare,
-        Figure::OriginCalls,
-        Figure::Fallen,
+    let expectations: Vec<ExpectationResult> = trial.expectations.iter().map(evaluate).collect();
+    let overall_metrics = [
+        Metric::InTime,
+        Metric::Refused,
+        Metric::Failed,
+        Metric::P50Ms,
+        Metric::P99Ms,
+        Metric::LeavesZone,
+        Metric::LeavesRegion,
+        Metric::HitShare,
+        Metric::OriginCalls,
+        Metric::Fallen,
     ];
-    let figures = whole
+    let metrics = overall_metrics
         .into_iter()
-        .filter_map(|f| Some((f, account.figure(f, Of::default(), run.begin, run.end)?)))
+        .filter_map(|f| Some((f, tracker.metric(f, MetricScope::default(), run.load_began, run.load_ended)?)))
         .collect();
-    let steps = trial.steps.iter().zip(&run.steps).enumerate();
-    let seconds = account.seconds().into_iter().skip(run.begin.as_secs() as usize).collect();
+    let steps = trial.steps.iter().zip(&run.step_times).enumerate();
+    let per_second = tracker.per_second().into_iter().skip(run.load_began.as_secs() as usize).collect();
     Report {
         trial: trial.name.clone(),
         seed,
-        sums,
-        figures,
-        musts,
+        totals,
+        metrics,
+        expectations,
         violations,
-        broken,
-        begin_s: run.begin.as_secs_f64(),
-        steps: steps.map(|(i, (s, at))| (describe(i, s), at.map(|at| at.as_secs_f64()))).collect(),
-        line: watch.line.borrow().clone(),
-        seconds,
-        log: stage.log.borrow().clone(),
-        carried: stage.ways.iter().fold(Default::default(), |mut all: crate::report::Traffic, way| {
-            all.add(way.datagrams, way.relay.carried());
-            all
-        }),
+        failures,
+        begin_s: run.load_began.as_secs_f64(),
+        steps: steps.map(|(i, (s, at))| (describe_step(i, s), at.map(|at| at.as_secs_f64()))).collect(),
+        timeline: observers.timeline.borrow().clone(),
+        per_second,
+        log: environment.log.borrow().clone(),
+        traffic: environment.links.iter().fold(
+            Default::default(),
+            |mut all: crate::report::Traffic, link| {
+                all.add(link.carries_datagrams, link.relay.totals());
+                all
+            },
+        ),
         cpu_s: cpu.as_secs_f64(),
         memory_kib,
-        world: watch.collector.borrow().report(),
+        world: observers.collector.borrow().report(),
     }
 }
 
@@ -418,8 +458,8 @@
     use super::*;
 
     #[test]
-    fn a_zone_that_is_given_up_counts_once_however_many_nodes_and_plans_tell_of_it() {
-        let plan = |at_s: f64, number: &str, what: &str| Line {
+    fn a_given_up_zone_counts_once_however_many_nodes_and_plans_report_it() {
+        let plan = |at_s: f64, number: &str, what: &str| LogLine {
             at_s,
             node: 0,
             text: format!("mothpier: accord: plan {number} of node 1: {what}"),
@@ -442,12 +482,12 @@
             plan(6.0, "2.2", "south is given up, 40% of its keys go there"),
         ];
         let s = Duration::from_secs;
-        assert_eq!(moves(&log, s(0), s(10)), 3);
-        assert_eq!(moves(&log, s(0), s(4)), 2);
-        assert_eq!(moves(&log, s(0), s(2)), 0);
-        let of = |line: &Line, node| Line { node, ..line.clone() };
+        assert_eq!(count_zone_moves(&log, s(0), s(10)), 3);
+        assert_eq!(count_zone_moves(&log, s(0), s(4)), 2);
+        assert_eq!(count_zone_moves(&log, s(0), s(2)), 0);
+        let of = |line: &LogLine, node| LogLine { node, ..line.clone() };
         let log = [of(&log[0], 0), of(&log[0], 1), of(&log[3], 1), of(&log[3], 0), of(&log[5], 2)];
-        assert!((agree(&log, 3, s(10)) - 2.0 / 3.0).abs() < 1e-9);
-        assert!((agree(&log, 4, s(2)) - 0.5).abs() < 1e-9, "two know of no plan");
+        assert!((agreement_share(&log, 3, s(10)) - 2.0 / 3.0).abs() < 1e-9);
+        assert!((agreement_share(&log, 4, s(2)) - 0.5).abs() < 1e-9, "two nodes act on no plan");
     }
 }
--- a/crates/trial/src/soak.rs
+++ b/crates/trial/src/soak.rs
@@ -1,5 +1,5 @@
-//! Soak of real nodes: for each seed some nodes as processes, clients that go on using their connections until the node ends
-//! them, and what operators, the platform and bad luck do to both, drawn from the seed.
+//! Soak test of real nodes. Each seed starts some nodes as processes and clients that use their connections until the node
+//! closes them, and draws what operators, the platform and faults do to both.
 
 use std::cell::{Cell, RefCell};
 use std::fmt;
@@ -15,279 +15,302 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use crate::runner::Watch;
-use crate::stage::{Doing, Stage};
+use crate::environment::{Environment, ProcessState};
+use crate::runner::Observers;
 
 pub mod plan;
 
 use plan::{Event, Fault, Plan};
 
-/// At so long after a drain its node's connections are judged.
-const HELD_AT_MOST: Duration = Duration::from_secs(4);
-/// What came in so long a time before that is recent.
-const RECENT: Duration = Duration::from_secs(2);
-/// New connections come for so long after a drain.
-const NEW_CONNECTIONS: Duration = Duration::from_millis(200);
-/// What a client sent may be under way to a node that does not read at once for so long, where nothing holds this machine up.
-const CROSSING: Duration = Duration::from_millis(150);
-/// Between two looks whether this process is held up.
-const TICK: Duration = Duration::from_millis(5);
-/// After the load, this much more than the longest deadline for the last answers.
-const LAST: Duration = Duration::from_secs(2);
+/// A drained node has closed its idle connections and reports that it is not ready after this time.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(4);
+/// A connection is recently used if a command arrived on it within this time before the check.
+const RECENT_ACTIVITY: Duration = Duration::from_secs(2);
+/// Clients may open new connections for this long after a drain.
+const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(200);
+/// Time that a command may be in transit to a node that closes the connection, as long as this process is not stalled.
+const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(150);
+/// Interval of checks, and of the measurement of stalls.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// After the load, the wait for the last replies is the longest deadline and this time.
+const FINAL_REPLIES_GRACE: Duration = Duration::from_secs(2);
 
-/// What came of one seed.
+/// The results of one seed.
 #[derive(Debug)]
 pub struct Outcome {
     /// The seed.
     pub seed: u64,
-    /// What happened, in order.
+    /// Events, in order.
     pub events: Vec<String>,
-    /// First tries of the open loop, and the part of them that was served in time.
-    pub tries: u64,
-    /// See `tries`.
+    /// Number of first tries of the open loop.
+    pub first_tries: u64,
+    /// Share of them that was served in time.
     pub in_time: f64,
-    /// For how long this process was held up at most: judgements allow for it.
-    pub held_up: Duration,
-    /// Rules that were broken.
+    /// Longest stall of this process; the rules allow for it.
+    pub longest_stall: Duration,
+    /// Violated rules.
     pub violations: Vec<Violation>,
-    /// What went wrong with the play itself, processes that ended by themselves included.
-    pub broken: Vec<String>,
+    /// Other failures, unexpected exits included.
+    pub failures: Vec<String>,
 }
 
 impl Outcome {
-    /// Whether all held.
+    /// Whether all rules were met.
     pub fn passed(&self) -> bool {
-        self.violations.is_empty() && self.broken.is_empty()
+        self.violations.is_empty() && self.failures.is_empty()
     }
 }
 
 impl fmt::Display for Outcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Outcome { seed, events, tries, in_time, held_up, violations, broken } = self;
+        let Outcome { seed, events, first_tries, in_time, longest_stall, violations, failures } = self;
         let verdict = if self.passed() { "held" } else { "BROKEN" };
         write!(
             f,
-            "seed {seed}: {verdict}; {} events, {tries} tries, {:.1}% in time",
+            "seed {seed}: {verdict}; {} events, {first_tries} tries, {:.1}% in time",
             events.len(),
             in_time * 1e2
         )?;
-        write!(f, ", held up {} ms", held_up.as_millis())?;
+        write!(f, ", held up {} ms", longest_stall.as_millis())?;
         violations.iter().try_for_each(|violation| write!(f, "; {violation}"))?;
-        broken.iter().try_for_each(|what| write!(f, "; {what}"))
+        failures.iter().try_for_each(|failure| write!(f, "; {failure}"))
     }
 }
 
-/// Plays one seed with a daemon; files and logs go to a folder. Must run inside a `LocalSet`.
+/// Runs one seed with a daemon's executable; files and logs go to a folder. Must run inside a `LocalSet`.
 ///
 /// # Errors
-/// What hinders its start.
+/// What keeps it from starting.
 pub async fn run_seed(seed: u64, program: &Path, folder: &Path) -> Result<Outcome, String> {
     let plan = Plan::draw(seed);
     let trial = plan.trial()?;
-    let watch = Watch::begin(&trial, seed, plan.latest_words());
-    let collector = watch.collector.clone();
-    let played = move |played| collector.borrow_mut().record_result(&played);
-    let stage = Stage::set(trial, seed, program, folder, &watch.witness, played).await?;
-    let delays = Delays::watch();
-    let crossing = delays.clone();
-    let users = PersistentClients::with_close_race_window(stage.clients.clone(), move || {
-        CROSSING + 2 * crossing.lately()
+    let observers = Observers::start(&trial, seed, plan.max_extra_server_delay());
+    let collector = observers.collector.clone();
+    let on_completed = move |completed| collector.borrow_mut().record_result(&completed);
+    let environment =
+        Environment::launch(trial, seed, program, folder, &observers.observer, on_completed).await?;
+    let stalls = StallMonitor::start();
+    let stalls_of_clients = stalls.clone();
+    let persistent_clients =
+        PersistentClients::with_close_race_window(environment.clients.clone(), move || {
+            CLOSE_RACE_WINDOW + 2 * stalls_of_clients.recent()
+        });
+    let soak = Rc::new(SoakRun {
+        environment: environment.clone(),
+        persistent_clients,
+        events: RefCell::default(),
+        failures: RefCell::default(),
     });
-    let soak =
-        Rc::new(Soak { stage: stage.clone(), users, events: RefCell::default(), broken: RefCell::default() });
     soak.clone().run(&plan).await;
-    stage.strike().await;
-    soak.broken.borrow_mut().extend(stage.look_at_nodes());
-    watch.checker.borrow_mut().finish(watch.witness.elapsed());
-    let report = watch.collector.borrow().report();
-    let violations = watch.checker.borrow().violations().to_vec();
+    environment.shut_down().await;
+    soak.failures.borrow_mut().extend(environment.poll_nodes());
+    observers.checker.borrow_mut().finish(observers.observer.elapsed());
+    let report = observers.collector.borrow().report();
+    let violations = observers.checker.borrow().violations().to_vec();
     Ok(Outcome {
         seed,
         events: soak.events.take(),
-        tries: report.all.offered,
+        first_tries: report.all.offered,
         in_time: report.all.in_time_share(),
-        held_up: delays.most.get(),
+        longest_stall: stalls.longest.get(),
         violations,
-        broken: soak.broken.take(),
+        failures: soak.failures.take(),
     })
 }
 
-/// How long this process is held up.
-struct Delays {
-    most: Cell<Duration>,
-    lately: Cell<Duration>,
+/// Measures stalls of this process: how late its timers fire.
+struct StallMonitor {
+    longest: Cell<Duration>,
+    recent: Cell<Duration>,
 }
 
-impl Delays {
-    fn watch() -> Rc<Delays> {
-        let delays = Rc::new(Delays { most: Cell::default(), lately: Cell::default() });
-        let told = delays.clone();
+impl StallMonitor {
+    fn start() -> Rc<StallMonitor> {
+        let monitor = Rc::new(StallMonitor { longest: Cell::default(), recent: Cell::default() });
+        let task_monitor = monitor.clone();
         spawn_local(async move {
             loop {
-                let begun = Instant::now();
-                sleep(TICK).await;
-                let late = begun.elapsed().saturating_sub(TICK);
-                told.most.set(told.most.get().max(late));
-                // What was long ago counts less and less.
-                told.lately.set(late.max(told.lately.get().mul_f64(0.99)));
+                let slept_since = Instant::now();
+                sleep(POLL_INTERVAL).await;
+                let late = slept_since.elapsed().saturating_sub(POLL_INTERVAL);
+                task_monitor.longest.set(task_monitor.longest.get().max(late));
+                // Earlier stalls count less and less.
+                task_monitor.recent.set(late.max(task_monitor.recent.get().mul_f64(0.99)));
             }
         });
-        delays
+        monitor
     }
 
-    fn lately(&self) -> Duration {
-        self.lately.get()
+    fn recent(&self) -> Duration {
+        self.recent.get()
     }
 }
 
-/// One seed that is being played.
-struct Soak {
-    stage: Rc<Stage>,
-    users: Rc<PersistentClients<SystemHost>>,
+/// One running seed.
+struct SoakRun {
+    environment: Rc<Environment>,
+    persistent_clients: Rc<PersistentClients<SystemHost>>,
     events: RefCell<Vec<String>>,
-    broken: RefCell<Vec<String>>,
+    failures: RefCell<Vec<String>>,
 }
 
-impl Soak {
+impl SoakRun {
     async fn run(self: Rc<Self>, plan: &Plan) {
         let begin = Instant::now();
-        let until = begin + plan.span;
-        self.users.start(until);
-        let load = spawn_local(self.stage.clients.clone().generate_load(plan.span));
-        if let Some(per_s) = plan.crowd {
-            spawn_local(self.stage.clients.clone().open_stalled_connections(per_s, plan.span));
+        let until = begin + plan.load_duration;
+        self.persistent_clients.start(until);
+        let load = spawn_local(self.environment.clients.clone().generate_load(plan.load_duration));
+        if let Some(per_s) = plan.stalled_connections_per_s {
+            spawn_local(self.environment.clients.clone().open_stalled_connections(per_s, plan.load_duration));
         }
-        let mut stories = Vec::new();
+        let mut tasks = Vec::new();
         for (node, events) in plan.nodes.iter().enumerate() {
             let (soak, events) = (self.clone(), events.clone());
-            stories.push(spawn_local(async move { soak.story(node, begin, events).await }));
+            tasks.push(spawn_local(async move { soak.run_node_events(node, begin, events).await }));
         }
         for (at, fault) in plan.faults.clone() {
             let soak = self.clone();
-            stories.push(spawn_local(async move {
+            tasks.push(spawn_local(async move {
                 sleep_until(begin + at).await;
-                soak.strike(fault).await;
+                soak.inject_fault(fault).await;
             }));
         }
-        for story in stories {
+        for story in tasks {
             let _ = story.await;
         }
         let _ = load.await;
-        let last = Instant::now() + self.stage.trial.scenario.longest_deadline() + LAST;
-        while self.stage.clients.in_flight() + self.users.open_connections() > 0 && Instant::now() < last {
-            sleep(TICK).await;
+        let last = Instant::now() + self.environment.trial.scenario.longest_deadline() + FINAL_REPLIES_GRACE;
+        while self.environment.clients.in_flight() + self.persistent_clients.open_connections() > 0
+            && Instant::now() < last
+        {
+            sleep(POLL_INTERVAL).await;
         }
-        self.broken.borrow_mut().extend(self.stage.look_at_nodes());
+        self.failures.borrow_mut().extend(self.environment.poll_nodes());
     }
 
-    fn tell(&self, what: String) {
-        self.stage.tell(what.clone());
+    fn record_event(&self, what: String) {
+        self.environment.record_event(what.clone());
         self.events.borrow_mut().push(what);
     }
 
-    /// What happens to one node.
-    async fn story(self: Rc<Self>, node: NodeIndex, begin: Instant, events: Vec<(Duration, Event)>) {
+    /// Applies the events of one node at their times.
+    async fn run_node_events(
+        self: Rc<Self>,
+        node: NodeIndex,
+        begin: Instant,
+        events: Vec<(Duration, Event)>,
+    ) {
         let mut drained: Option<Instant> = None;
         for (at, event) in events {
             sleep_until(begin + at).await;
-            self.tell(format!("{:.2} s node {node}: {event:?}", at.as_secs_f64()));
+            self.record_event(format!("{:.2} s node {node}: {event:?}", at.as_secs_f64()));
             match event {
                 Event::Drain => {
-                    let told = Instant::now();
-                    if self.call(node, "PUT /drain").await && drained.is_none() {
-                        drained = Some(told);
+                    let called_at = Instant::now();
+                    if self.call_operations(node, "PUT /drain").await && drained.is_none() {
+                        drained = Some(called_at);
                     }
                 }
                 Event::Undrain => {
                     drained = None;
-                    self.call(node, "PUT /undrain").await;
+                    self.call_operations(node, "PUT /undrain").await;
                 }
-                Event::Judge => self.judge(node, drained).await,
-                Event::Reload => self.stage.signal(node, Signal::SIGHUP),
-                Event::End => {
-                    // Others go on meanwhile: staff call a node that ends, too.
-                    let stage = self.stage.clone();
-                    spawn_local(async move { stage.end_early(node).await });
+                Event::CheckDrained => self.check_drained(node, drained).await,
+                Event::Reload => self.environment.signal(node, Signal::SIGHUP),
+                Event::Terminate => {
+                    // Not awaited: the following events happen while the node terminates.
+                    let environment = self.environment.clone();
+                    spawn_local(async move { environment.terminate_with_earliest_kill(node).await });
                 }
                 Event::Kill => {
-                    let killed = self.stage.kill(self.stage.trial.map.node(node)).await;
-                    self.note(killed);
+                    let killed = self.environment.kill(self.environment.trial.topology.node(node)).await;
+                    self.record_failure(killed);
                 }
                 Event::Start => {
                     drained = None;
-                    while self.stage.doing(node) != Doing::Ended {
-                        sleep(TICK).await;
+                    while self.environment.process_state(node) != ProcessState::Exited {
+                        sleep(POLL_INTERVAL).await;
                     }
-                    let started = self.stage.start(self.stage.trial.map.node(node)).await;
-                    self.note(started);
+                    let started =
+                        self.environment.start_endpoint(self.environment.trial.topology.node(node)).await;
+                    self.record_failure(started);
                 }
                 Event::Upgrade => {
                     drained = None;
-                    let upgraded = self.stage.upgrade(node).await;
-                    self.note(upgraded);
+                    let upgraded = self.environment.upgrade(node).await;
+                    self.record_failure(upgraded);
                 }
             }
         }
     }
 
-    fn note(&self, done: Result<(), String>) {
-        self.broken.borrow_mut().extend(done.err());
+    fn record_failure(&self, done: Result<(), String>) {
+        self.failures.borrow_mut().extend(done.err());
     }
 
-    /// Calls a node as staff; whether it did what it was told. One that has ended says nothing.
-    async fn call(&self, node: NodeIndex, call: &str) -> bool {
-        let running = self.stage.life(node).is_some();
-        match self.stage.staff(node, call).await {
+    /// Calls a node's operations endpoint; whether the node carried the call out. A node that is not running may not answer.
+    async fn call_operations(&self, node: NodeIndex, call: &str) -> bool {
+        let running = self.environment.incarnation(node).is_some();
+        match self.environment.call_operations(node, call).await {
             Ok(status) => status == 200,
             Err(what) => {
-                if running && self.stage.life(node).is_some() {
-                    self.broken.borrow_mut().push(what);
+                if running && self.environment.incarnation(node).is_some() {
+                    self.failures.borrow_mut().push(what);
                 }
                 false
             }
         }
     }
 
-    /// Judges what a drained node holds four seconds after it was told.
-    async fn judge(&self, node: NodeIndex, drained: Option<Instant>) {
-        let Some(told) = drained else { return };
-        let life = self.stage.life(node);
-        sleep_until(told + HELD_AT_MOST).await;
-        if life.is_none() || self.stage.life(node) != life {
+    /// Checks which connections a drained node still holds [`DRAIN_TIMEOUT`] after the call, and that it is not ready.
+    async fn check_drained(&self, node: NodeIndex, drained: Option<Instant>) {
+        let Some(called_at) = drained else { return };
+        let incarnation = self.environment.incarnation(node);
+        sleep_until(called_at + DRAIN_TIMEOUT).await;
+        if incarnation.is_none() || self.environment.incarnation(node) != incarnation {
             return;
         }
-        let RetainedConnections { idle, recent } =
-            self.users.retained_connections(node, told + NEW_CONNECTIONS, told + HELD_AT_MOST - RECENT);
+        let RetainedConnections { idle, recent } = self.persistent_clients.retained_connections(
+            node,
+            called_at + NEW_CONNECTION_GRACE,
+            called_at + DRAIN_TIMEOUT - RECENT_ACTIVITY,
+        );
         if idle + recent > 0 {
-            self.stage.fleet.observer.record(ObservedEvent::ConnectionsAfterDrain { node, idle, recent });
+            self.environment.fleet.observer.record(ObservedEvent::ConnectionsAfterDrain {
+                node,
+                idle,
+                recent,
+            });
         }
-        if self.stage.ready(node).await {
-            self.broken.borrow_mut().push(format!("node {node} says yes 4 s after its drain"));
+        if self.environment.is_ready(node).await {
+            self.failures.borrow_mut().push(format!("node {node} is ready 4 s after its drain"));
         }
     }
 
-    async fn strike(&self, fault: Fault) {
-        self.tell(format!("{fault:?}"));
-        let stage = &self.stage;
-        let everybody = |word: &str| stage.trial.map.parties(word).unwrap_or_default();
-        let (nodes, boxes) = (everybody("nodes"), everybody("boxes"));
+    async fn inject_fault(&self, fault: Fault) {
+        self.record_event(format!("{fault:?}"));
+        let environment = &self.environment;
+        let select = |selector: &str| environment.trial.topology.endpoints(selector).unwrap_or_default();
+        let (nodes, cache_servers) = (select("nodes"), select("boxes"));
         match fault {
-            Fault::ServersReset => stage.reset(&nodes, &boxes, false),
-            Fault::ServerHangs { server, span } => {
-                let server = vec![stage.trial.map.server(server)];
-                stage.cut(&nodes, &server, false);
-                sleep(span).await;
-                stage.heal(&nodes, &server, true);
+            Fault::ServersReset => environment.reset_links(&nodes, &cache_servers, false),
+            Fault::ServerHangs { server, duration } => {
+                let server = vec![environment.trial.topology.server(server)];
+                environment.cut(&nodes, &server, false);
+                sleep(duration).await;
+                environment.heal(&nodes, &server, true);
             }
-            Fault::ServersLate { by, span } => {
-                stage.weather(&nodes, &boxes, |weather| weather.delay += by);
-                sleep(span).await;
-                stage.weather(&nodes, &boxes, |weather| weather.delay = weather.delay.saturating_sub(by));
+            Fault::ServersLate { by, duration } => {
+                environment.change_links(&nodes, &cache_servers, |conditions| conditions.delay += by);
+                sleep(duration).await;
+                environment.change_links(&nodes, &cache_servers, |conditions| {
+                    conditions.delay = conditions.delay.saturating_sub(by)
+                });
             }
-            Fault::DiscoveryDown { span } => {
-                stage.fleet.fault_settings.discovery_down.set(true);
-                sleep(span).await;
-                stage.fleet.fault_settings.discovery_down.set(false);
+            Fault::DiscoveryDown { duration } => {
+                environment.fleet.fault_settings.discovery_down.set(true);
+                sleep(duration).await;
+                environment.fleet.fault_settings.discovery_down.set(false);
             }
         }
     }
--- a/crates/trial/src/soak/plan.rs
+++ b/crates/trial/src/soak/plan.rs
@@ -1,4 +1,4 @@
-//! What happens in one seed of a soak, drawn from that seed alone.
+//! The events of one seed of a soak test, drawn from that seed alone.
 
 use std::time::Duration;
 
@@ -7,200 +7,209 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::party::Map;
-use crate::plan::{PerRegion, Trial, Ways};
+use crate::plan::{DiscoveryPlacement, LinkDelays, Trial};
+use crate::topology::Topology;
 
-/// The world of a soak, but for what is drawn.
-const WORLD: &str = include_str!("world.toml");
-/// Nodes of a soak.
+/// The scenario of a soak test, except for the settings that are drawn.
+const SCENARIO: &str = include_str!("world.toml");
+/// Number of nodes.
 const NODES: usize = 3;
-/// Cache servers of a soak.
+/// Number of cache servers.
 const SERVERS: usize = 4;
-/// How long the load lasts.
-const SPAN: Duration = Duration::from_millis(10_500);
-/// No story begins before.
-const FIRST: Duration = Duration::from_millis(800);
-/// Between a signal or call and the one that crosses it.
-const CROSSINGS_MS: [u64; 6] = [0, 30, 300, 1200, 2500, 3900];
-/// A drain is judged four seconds after it was told; what follows comes later.
-const JUDGED: Duration = Duration::from_millis(4300);
-/// The handshake goes there and back, and the first words go there.
-const WAYS_OF_FIRST_WORDS: u32 = 3;
-/// After the earliest kill, and what is left of the old process, a node starts again.
-const RESTART: Duration = Duration::from_millis(4000);
+/// Duration of the load.
+const LOAD_DURATION: Duration = Duration::from_millis(10_500);
+/// Earliest time of a node's first event.
+const EARLIEST_EVENT: Duration = Duration::from_millis(800);
+/// Delays in milliseconds between a signal or call and another one while the first takes effect.
+const OVERLAP_DELAYS_MS: [u64; 6] = [0, 30, 300, 1200, 2500, 3900];
+/// Drained nodes are checked 4 s after the call; events that follow the check come after this time.
+const AFTER_DRAIN_CHECK: Duration = Duration::from_millis(4300);
+/// One-way trips before the first command of a connection arrives: the handshake's round trip, and the command's own.
+const TRIPS_BEFORE_FIRST_COMMAND: u32 = 3;
+/// Time from a termination to the node's restart: longer than the earliest kill and the exit of the old process take.
+const RESTART_DELAY: Duration = Duration::from_millis(4000);
 
-/// What happens to a node.
+/// An event of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// Staff tell it to drain.
+    /// An operator drains it.
     Drain,
-    /// Staff bring it back.
+    /// An operator ends the drain.
     Undrain,
-    /// What it holds is judged, four seconds after its drain.
-    Judge,
-    /// It reads its configuration again (SIGHUP).
+    /// Its connections are checked 4 s after its drain.
+    CheckDrained,
+    /// It reloads its configuration (SIGHUP).
     Reload,
-    /// It is told to end (SIGTERM) and killed at the earliest time.
-    End,
+    /// It is terminated (SIGTERM), and killed at the earliest time.
+    Terminate,
     /// It is killed.
     Kill,
-    /// It starts again, once it has ended.
+    /// It starts again, after it has exited.
     Start,
     /// A new version takes over.
     Upgrade,
 }
 
-/// What goes wrong round the nodes.
+/// A fault of other services.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// Connections to cache servers are reset.
     ServersReset,
-    /// A cache server hangs.
+    /// A cache server stops responding.
     ServerHangs {
-        /// Which.
+        /// The server, by index.
         server: usize,
-        /// For how long.
-        span: Duration,
+        /// Duration of the fault.
+        duration: Duration,
     },
-    /// Cache servers are late.
+    /// Cache servers respond late.
     ServersLate {
-        /// By so much, each way.
+        /// Additional delay, each way.
         by: Duration,
-        /// For how long.
-        span: Duration,
+        /// Duration of the fault.
+        duration: Duration,
     },
-    /// Discovery answers nothing.
+    /// Discovery responds with an error.
     DiscoveryDown {
-        /// For how long.
-        span: Duration,
+        /// Duration of the fault.
+        duration: Duration,
     },
 }
 
-/// All that happens in one seed.
+/// All events of one seed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
     /// The seed.
     pub seed: u64,
-    /// How long the load lasts.
-    pub span: Duration,
+    /// Duration of the load.
+    pub load_duration: Duration,
     /// The deadlines of reads and of writes, milliseconds.
     pub deadlines_ms: [u64; 2],
-    /// Whether the platform holds the nodes' sockets, and new versions come.
+    /// Whether the platform holds the nodes' client sockets, and new versions take over.
     pub upgrades: bool,
-    /// Connections a second that finish no command, where there is a crowd.
-    pub crowd: Option<f64>,
-    /// What happens to each node.
+    /// Rate of connections that never complete a command, if the seed has any.
+    pub stalled_connections_per_s: Option<f64>,
+    /// Events of each node, with their times.
     pub nodes: Vec<Vec<(Duration, Event)>>,
-    /// What goes wrong round them.
+    /// Faults, with their times.
     pub faults: Vec<(Duration, Fault)>,
 }
 
 impl Plan {
-    /// The plan of a seed.
+    /// Draws the plan of a seed.
     pub fn draw(seed: u64) -> Plan {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let upgrades = rng.random_bool(0.4);
         let deadlines_ms =
             *[[300, 400], [1500, 4000], [2500, 6000]].choose(&mut rng).expect("there are some");
-        let crowd = (seed % 4 == 3).then(|| rng.random_range(30.0..120.0));
-        let nodes = (0..NODES).map(|_| story(upgrades, &mut rng)).collect();
+        let stalled_connections_per_s = (seed % 4 == 3).then(|| rng.random_range(30.0..120.0));
+        let nodes = (0..NODES).map(|_| draw_node_events(upgrades, &mut rng)).collect();
         let count = rng.random_range(1..=4);
-        let mut faults: Vec<_> = (0..count).map(|_| fault(&mut rng)).collect();
+        let mut faults: Vec<_> = (0..count).map(|_| draw_fault(&mut rng)).collect();
         faults.sort_by_key(|(at, _)| *at);
-        Plan { seed, span: SPAN, deadlines_ms, upgrades, crowd, nodes, faults }
+        Plan {
+            seed,
+            load_duration: LOAD_DURATION,
+            deadlines_ms,
+            upgrades,
+            stalled_connections_per_s,
+            nodes,
+            faults,
+        }
     }
 
-    /// The longest that words to a cache server are held back on their way: a relay holds those on a new connection back for as
-    /// long as the handshake would have taken, too.
-    pub fn latest_words(&self) -> Duration {
+    /// The longest time by which links delay a command to a cache server: on a new connection, a relay also delays the first
+    /// bytes for as long as the handshake takes.
+    pub fn max_extra_server_delay(&self) -> Duration {
         let by = |(_, fault): &(Duration, Fault)| match fault {
             Fault::ServersLate { by, .. } => *by,
             _ => Duration::ZERO,
         };
-        // Some may overlap.
+        // Several may overlap.
         let delay: Duration = self.faults.iter().map(by).sum();
-        (WAYS_OF_FIRST_WORDS * delay).mul_f64(1.0 + Ways::default().jitter)
+        (TRIPS_BEFORE_FIRST_COMMAND * delay).mul_f64(1.0 + LinkDelays::default().jitter)
     }
 
-    /// The world in which it is played.
+    /// The trial to run it as.
     ///
     /// # Errors
-    /// A world that can't be.
+    /// An invalid scenario.
     pub fn trial(&self) -> Result<Trial, String> {
-        let mut world = Scenario::read(WORLD).map_err(|e| e.to_string())?;
-        world.nodes.count = NODES;
-        world.boxes.count = SERVERS;
-        world.seconds = self.span.as_secs_f64();
-        for (class, deadline_ms) in world.class.iter_mut().zip(self.deadlines_ms) {
+        let mut scenario = Scenario::read(SCENARIO).map_err(|e| e.to_string())?;
+        scenario.nodes.count = NODES;
+        scenario.boxes.count = SERVERS;
+        scenario.seconds = self.load_duration.as_secs_f64();
+        for (class, deadline_ms) in scenario.class.iter_mut().zip(self.deadlines_ms) {
             class.deadline_ms = deadline_ms;
             class.aim_ms = class.aim_ms.min(deadline_ms);
         }
-        let map = Map::new(&world, &[], None).map_err(|(key, what)| format!("{key}: {what}"))?;
+        let topology = Topology::new(&scenario, &[], None).map_err(|(key, what)| format!("{key}: {what}"))?;
         Ok(Trial {
             name: "soak".into(),
-            about: "Drains, ends and new versions under clients that go on using their connections.".into(),
-            scenario: world,
-            map,
-            ways: Ways::default(),
-            discovery: PerRegion::One,
+            about: "Drains, terminations and new versions under clients that go on using their connections."
+                .into(),
+            scenario,
+            topology,
+            link_delays: LinkDelays::default(),
+            discovery: DiscoveryPlacement::One,
             steps: Vec::new(),
-            musts: Vec::new(),
-            before: Vec::new(),
-            staffed: true,
-            held_sockets: self.upgrades,
+            expectations: Vec::new(),
+            older_nodes: Vec::new(),
+            operations_enabled: true,
+            inherited_sockets: self.upgrades,
         })
     }
 }
 
-/// What happens to one node: one story, at a time of its own.
-fn story(upgrades: bool, rng: &mut Pcg64Mcg) -> Vec<(Duration, Event)> {
+/// Draws the events of one node: one of several sequences, at a random time.
+fn draw_node_events(upgrades: bool, rng: &mut Pcg64Mcg) -> Vec<(Duration, Event)> {
     use Event::*;
     let ms = Duration::from_millis;
-    let begin = FIRST + ms(rng.random_range(0..1500));
-    let crossing = ms(*CROSSINGS_MS.choose(rng).expect("there are some"));
-    let again = ms(rng.random_range(0..1500));
-    let after_judged = begin + JUDGED;
+    let begin = EARLIEST_EVENT + ms(rng.random_range(0..1500));
+    let overlap = ms(*OVERLAP_DELAYS_MS.choose(rng).expect("there are some"));
+    let second_delay = ms(rng.random_range(0..1500));
+    let after_check = begin + AFTER_DRAIN_CHECK;
     let kinds = if upgrades { 9 } else { 7 };
     match rng.random_range(0..kinds) {
-        0 => vec![(begin, Drain), (begin, Judge), (after_judged, Undrain)],
+        0 => vec![(begin, Drain), (begin, CheckDrained), (after_check, Undrain)],
         1 => vec![
             (begin, Drain),
-            (begin + again, Undrain),
-            (begin + again + again / 2, Drain),
-            (begin + again + again / 2, Judge),
-            (after_judged + again + again / 2, Undrain),
+            (begin + second_delay, Undrain),
+            (begin + second_delay + second_delay / 2, Drain),
+            (begin + second_delay + second_delay / 2, CheckDrained),
+            (after_check + second_delay + second_delay / 2, Undrain),
         ],
-        2 => vec![(begin, Drain), (begin + crossing, End), (begin + crossing + RESTART, Start)],
+        2 => vec![(begin, Drain), (begin + overlap, Terminate), (begin + overlap + RESTART_DELAY, Start)],
         3 => vec![
-            (begin, End),
-            (begin + crossing, Drain),
-            (begin + crossing + again, Undrain),
-            (begin + crossing + RESTART, Start),
+            (begin, Terminate),
+            (begin + overlap, Drain),
+            (begin + overlap + second_delay, Undrain),
+            (begin + overlap + RESTART_DELAY, Start),
         ],
-        4 => vec![(begin, End), (begin + RESTART, Start)],
+        4 => vec![(begin, Terminate), (begin + RESTART_DELAY, Start)],
         5 => vec![
             (begin, Reload),
-            (begin + again / 3, Drain),
-            (begin + again / 2, Reload),
-            (begin + again, Drain),
-            (begin + again, Judge),
-            (after_judged + again, Undrain),
+            (begin + second_delay / 3, Drain),
+            (begin + second_delay / 2, Reload),
+            (begin + second_delay, Drain),
+            (begin + second_delay, CheckDrained),
+            (after_check + second_delay, Undrain),
         ],
-        6 => vec![(begin, Kill), (begin + again, Start), (begin + again + ms(1500), End)],
-        7 => vec![(begin, Upgrade), (begin + ms(4500), Drain), (begin + ms(4500), Judge)],
-        _ => vec![(begin, Drain), (begin + crossing, Upgrade)],
+        6 => vec![(begin, Kill), (begin + second_delay, Start), (begin + second_delay + ms(1500), Terminate)],
+        7 => vec![(begin, Upgrade), (begin + ms(4500), Drain), (begin + ms(4500), CheckDrained)],
+        _ => vec![(begin, Drain), (begin + overlap, Upgrade)],
     }
 }
 
-fn fault(rng: &mut Pcg64Mcg) -> (Duration, Fault) {
+fn draw_fault(rng: &mut Pcg64Mcg) -> (Duration, Fault) {
     let ms = Duration::from_millis;
     let at = ms(rng.random_range(500..8000));
-    let span = ms(rng.random_range(300..2500));
+    let duration = ms(rng.random_range(300..2500));
     let fault = match rng.random_range(0..4) {
         0 => Fault::ServersReset,
-        1 => Fault::ServerHangs { server: rng.random_range(0..SERVERS), span },
-        2 => Fault::ServersLate { by: ms(rng.random_range(20..250)), span },
-        _ => Fault::DiscoveryDown { span },
+        1 => Fault::ServerHangs { server: rng.random_range(0..SERVERS), duration },
+        2 => Fault::ServersLate { by: ms(rng.random_range(20..250)), duration },
+        _ => Fault::DiscoveryDown { duration },
     };
     (at, fault)
 }
@@ -210,13 +219,13 @@
     use super::*;
 
     #[test]
-    fn a_seed_draws_the_same_plan_again_and_its_world_can_be() {
+    fn a_seed_draws_the_same_plan_again_with_a_valid_scenario() {
         for seed in 0..200 {
             let plan = Plan::draw(seed);
             assert_eq!(plan, Plan::draw(seed));
-            plan.trial().expect("its world can be");
+            plan.trial().expect("the scenario is valid");
             assert!(plan.upgrades || plan.nodes.iter().flatten().all(|(_, event)| *event != Event::Upgrade));
-            assert_eq!(plan.crowd.is_some(), seed % 4 == 3);
+            assert_eq!(plan.stalled_connections_per_s.is_some(), seed % 4 == 3);
             for events in &plan.nodes {
                 assert!(events.is_sorted_by_key(|(at, _)| *at), "seed {seed}: {events:?}");
             }
@@ -229,7 +238,7 @@
         let happens =
             |wanted: Event| plans.iter().flat_map(|p| p.nodes.iter().flatten()).any(|(_, e)| *e == wanted);
         use Event::*;
-        for event in [Drain, Undrain, Judge, Reload, End, Kill, Start, Upgrade] {
+        for event in [Drain, Undrain, CheckDrained, Reload, Terminate, Kill, Start, Upgrade] {
             assert!(happens(event), "{event:?}");
         }
         let faults: Vec<Fault> =
