--- a/crates/trial/src/environment.rs
+++ b/crates/trial/src/environment.rs
@@ -54,7 +54,7 @@
 const OPERATIONS_TIMEOUT: Duration = Duration::from_secs(2);
 /// A node that was told to stop is killed after the longest deadline and this time.
 const STOP_GRACE: Duration = Duration::from_secs(2);
-/// Log lines that are kept, of all nodes together.
+/// Limit of the log lines that are kept, of all nodes together; no trial should write more.
 const MAX_LOG_LINES: usize = 20_000;
 
 /// A one-way network path between two endpoints, and its relay.
@@ -148,9 +148,9 @@
     for i in 0..all {
         let net = (begin + i) % all;
         let (b, c) = (FIRST_NET_SECOND_BYTE + (net / 256) as u8, (net % 256) as u8);
-        let at = move |host: u8| Ipv4Addr::new(127, b, c, host);
-        if let Ok(lock) = StdListener::bind((at(1), LOCK_PORT)) {
-            return Ok((lock, at));
+        let host_address = move |host: u8| Ipv4Addr::new(127, b, c, host);
+        if let Ok(lock) = StdListener::bind((host_address(1), LOCK_PORT)) {
+            return Ok((lock, host_address));
         }
     }
     Err("all loopback networks for trials are in use".into())
@@ -169,11 +169,11 @@
         observer: &Observer,
         on_completed: impl Fn(CompletedRequest) + 'static,
     ) -> Result<Rc<Environment>, String> {
-        let (net_lock, at) = reserve_net()?;
+        let (net_lock, host_address) = reserve_net()?;
         let fleet = Fleet::new(trial.scenario.clone(), seed, observer.clone());
         let topology = trial.topology.clone();
         let (nodes, cache_servers) = (trial.scenario.nodes.count, trial.scenario.boxes.count);
-        let any = |host| SocketAddr::from((at(host), 0));
+        let any = |host| SocketAddr::from((host_address(host), 0));
         std::fs::create_dir_all(folder).map_err(|e| format!("cannot make {}: {e}", folder.display()))?;
         let _ = std::fs::remove_file(folder.join(PROCESS_IDS_FILE));
         let mut links: Vec<Link> = Vec::new();
@@ -260,14 +260,15 @@
             front_end_addresses.push(relay(
                 clients,
                 endpoint,
-                (at(FIRST_NODE_HOST + node as u8), CLIENT_PORT).into(),
+                (host_address(FIRST_NODE_HOST + node as u8), CLIENT_PORT).into(),
             )?);
         }
         let peer_addresses =
-            open_datagram_links(&trial, &fleet, &mut links, &at, &healthy_link, PEER_PORT).await?;
+            open_datagram_links(&trial, &fleet, &mut links, &host_address, &healthy_link, PEER_PORT).await?;
         let agreement_addresses = match trial.scenario.agreement_enabled() {
             true => {
-                open_datagram_links(&trial, &fleet, &mut links, &at, &healthy_link, agreement::PORT).await?
+                open_datagram_links(&trial, &fleet, &mut links, &host_address, &healthy_link, agreement::PORT)
+                    .await?
             }
             false => Vec::new(),
         };
@@ -292,7 +293,7 @@
             _net_lock: net_lock,
         };
         for (node, front_end_address) in front_end_addresses.into_iter().enumerate() {
-            let address = SocketAddr::from((at(FIRST_NODE_HOST + node as u8), CLIENT_PORT));
+            let address = SocketAddr::from((host_address(FIRST_NODE_HOST + node as u8), CLIENT_PORT));
             let files = environment.folder.join(format!("n{node}"));
             let _ = std::fs::remove_file(files.with_extension("log"));
             environment.write_node_files(node, 0, address)?;
@@ -322,8 +323,8 @@
                 platform,
             });
         }
-        for (node, run) in environment.nodes.iter().enumerate() {
-            let address = run.process.borrow().address;
+        for (node, node_process) in environment.nodes.iter().enumerate() {
+            let address = node_process.process.borrow().address;
             process::wait_until_ready(address).await?;
             observer.record(ObservedEvent::NodeStarted { node });
         }
@@ -339,15 +340,21 @@
         let scenario = &self.trial.scenario;
         let seed: u64 = self.fleet.rng("node", node as u64 * 1000 + incarnation).random();
         let topology = &self.trial.topology;
-        let place = if self.discoveries.len() == 1 { 0 } else { topology.region_of[topology.zone_of(node)] };
-        let at = process::NodeAddresses {
+        let discovery =
+            if self.discoveries.len() == 1 { 0 } else { topology.region_of[topology.zone_of(node)] };
+        let addresses = process::NodeAddresses {
             listen: address,
             discovery: self.discovery_addresses[node],
             peers: &self.peer_addresses[node],
             operations: self.trial.operations_enabled.then(|| SocketAddr::new(address.ip(), OPERATIONS_PORT)),
         };
-        let config =
-            process::node_configuration(scenario, node, &at, seed, self.discoveries[place].known_list(node));
+        let config = process::node_configuration(
+            scenario,
+            node,
+            &addresses,
+            seed,
+            self.discoveries[discovery].known_list(node),
+        );
         let mut operator = scenario.nodes.operator.clone();
         if self.trial.older_nodes.iter().any(|p| p.number == node) {
             let mut table: toml::Table = toml::from_str(&operator).map_err(|e| e.to_string())?;
@@ -407,8 +414,8 @@
     }
 
     /// Adds an event to the timeline.
-    pub fn record_event(&self, what: String) {
-        self.fleet.observer.record(ObservedEvent::Fault(what));
+    pub fn record_event(&self, description: String) {
+        self.fleet.observer.record(ObservedEvent::Fault(description));
     }
 
     /// The state of a node's process.
@@ -429,8 +436,8 @@
     pub async fn kill(&self, endpoint: Endpoint) -> Result<(), String> {
         if endpoint.kind == EndpointKind::CacheServer {
             let mut cache_servers = self.cache_servers.borrow_mut();
-            let Some(run) = cache_servers.get_mut(&endpoint.number) else { return Ok(()) };
-            if let Some(task) = run.task.take() {
+            let Some(server) = cache_servers.get_mut(&endpoint.number) else { return Ok(()) };
+            if let Some(task) = server.task.take() {
                 self.fleet.observer.record(ObservedEvent::CacheServerEnded { server: endpoint.number });
                 task.abort();
                 self.fleet.remove_cache_server(endpoint.number);
@@ -438,17 +445,17 @@
             }
             return Ok(());
         }
-        let (node, run) = (endpoint.number, &self.nodes[endpoint.number]);
-        if run.state.get() == ProcessState::Exited {
+        let (node, node_process) = (endpoint.number, &self.nodes[endpoint.number]);
+        if node_process.state.get() == ProcessState::Exited {
             return Ok(());
         }
         // Recorded first, for clients may see their connections end before the process has exited.
         self.fleet.observer.record(ObservedEvent::NodeEnded { node, planned: false });
-        run.state.set(ProcessState::Exited);
-        run.process.borrow().signal(Signal::SIGKILL);
+        node_process.state.set(ProcessState::Exited);
+        node_process.process.borrow().signal(Signal::SIGKILL);
         self.set_refusing(endpoint, true);
         // Always ends: SIGKILL cannot be caught or ignored.
-        while run.process.borrow_mut().exit_status().is_none() {
+        while node_process.process.borrow_mut().exit_status().is_none() {
             sleep(Duration::from_millis(1)).await;
         }
         Ok(())
@@ -456,10 +463,10 @@
 
     /// Sets whether the links to an endpoint refuse connections, as the host of an exited process does. Refusing also
     /// resets open connections.
-    fn set_refusing(&self, endpoint: Endpoint, refused: bool) {
-        for link in self.links.iter().filter(|w| w.to == endpoint && !w.carries_datagrams) {
-            link.relay.update(|w| w.refusing = refused);
-            if refused {
+    fn set_refusing(&self, endpoint: Endpoint, refusing: bool) {
+        for link in self.links.iter().filter(|link| link.to == endpoint && !link.carries_datagrams) {
+            link.relay.update(|conditions| conditions.refusing = refusing);
+            if refusing {
                 link.relay.reset();
             }
         }
@@ -473,35 +480,38 @@
         if endpoint.kind == EndpointKind::CacheServer {
             return self.start_cache_server(endpoint).await;
         }
-        let (node, run) = (endpoint.number, &self.nodes[endpoint.number]);
-        if run.state.get() != ProcessState::Exited {
+        let (node, node_process) = (endpoint.number, &self.nodes[endpoint.number]);
+        if node_process.state.get() != ProcessState::Exited {
             return Err(format!("node {node} is already running"));
         }
-        run.incarnation.set(run.incarnation.get() + 1);
-        let address = run.process.borrow().address;
-        self.write_node_files(node, run.incarnation.get(), address)?;
-        let started = match &run.platform {
-            None => run.process.borrow_mut().restart(),
+        node_process.incarnation.set(node_process.incarnation.get() + 1);
+        let address = node_process.process.borrow().address;
+        self.write_node_files(node, node_process.incarnation.get(), address)?;
+        let started = match &node_process.platform {
+            None => node_process.process.borrow_mut().restart(),
             Some(platform) => {
-                let files = run.process.borrow().files().to_path_buf();
+                let files = node_process.process.borrow().files().to_path_buf();
                 let process = Process::start_with_socket(
                     platform,
-                    run.operations_address.get(),
+                    node_process.operations_address.get(),
                     &self.program,
                     files,
                     address,
                 );
-                process.map(|process| drop(run.process.replace(process)))
+                process.map(|process| drop(node_process.process.replace(process)))
             }
         };
         started?;
-        self.record_process_id(&run.process.borrow())?;
-        run.state.set(ProcessState::Running);
-        let (environment, incarnation) = (self.clone(), run.incarnation.get());
+        self.record_process_id(&node_process.process.borrow())?;
+        node_process.state.set(ProcessState::Running);
+        let (environment, incarnation) = (self.clone(), node_process.incarnation.get());
         spawn_local(async move {
-            let up = process::wait_until_ready(address).await.is_ok();
-            let run = &environment.nodes[node];
-            if up && run.incarnation.get() == incarnation && run.state.get() == ProcessState::Running {
+            let is_ready = process::wait_until_ready(address).await.is_ok();
+            let node_process = &environment.nodes[node];
+            if is_ready
+                && node_process.incarnation.get() == incarnation
+                && node_process.state.get() == ProcessState::Running
+            {
                 environment.fleet.observer.record(ObservedEvent::NodeStarted { node });
                 environment.set_refusing(endpoint, false);
             }
@@ -513,11 +523,11 @@
         let number = endpoint.number;
         let (listen_addresses, incarnation) = {
             let cache_servers = self.cache_servers.borrow();
-            let Some(run) = cache_servers.get(&number) else { return Ok(()) };
-            if run.task.is_some() {
+            let Some(server) = cache_servers.get(&number) else { return Ok(()) };
+            if server.task.is_some() {
                 return Err(format!("cache server {number} is already running"));
             }
-            (run.listen_addresses.clone(), run.incarnation + 1)
+            (server.listen_addresses.clone(), server.incarnation + 1)
         };
         let mut listeners = Vec::new();
         for at in &listen_addresses {
@@ -553,63 +563,62 @@
     ///
     /// # Errors
     /// The node's refusal, or a failed or unanswered call.
-    pub async fn send_zone_order(&self, node: NodeIndex, target: &str) -> Result<(), String> {
+    pub async fn send_zone_order(&self, node: NodeIndex, path: &str) -> Result<(), String> {
         let address = self.nodes[node].process.borrow().address;
-        let call = timeout(OPERATIONS_TIMEOUT, async {
+        let call_result = timeout(OPERATIONS_TIMEOUT, async {
             let mut stream = TcpStream::connect(SocketAddr::new(address.ip(), OPERATIONS_PORT)).await?;
-            stream.write_all(format!("PUT {target} HTTP/1.1\r\nHost: staff\r\n\r\n").as_bytes()).await?;
+            stream.write_all(format!("PUT {path} HTTP/1.1\r\nHost: staff\r\n\r\n").as_bytes()).await?;
             let mut answer = String::new();
             stream.read_to_string(&mut answer).await?;
             std::io::Result::Ok(answer)
         });
-        match call.await {
+        match call_result.await {
             Ok(Ok(answer)) if answer.starts_with("HTTP/1.1 202 ") => Ok(()),
-            Ok(Ok(answer)) => Err(format!(
-                "node {node} answers {target} with {}",
-                answer.lines().last().unwrap_or_default()
-            )),
-            Ok(Err(e)) => Err(format!("node {node} does not answer {target}: {e}")),
-            Err(_) => Err(format!("node {node} does not answer {target}")),
+            Ok(Ok(answer)) => {
+                Err(format!("node {node} answers {path} with {}", answer.lines().last().unwrap_or_default()))
+            }
+            Ok(Err(e)) => Err(format!("node {node} does not answer {path}: {e}")),
+            Err(_) => Err(format!("node {node} does not answer {path}")),
         }
     }
 
     /// Stops a node's process by SIGSTOP: it keeps its sockets open and sends nothing.
     pub fn pause(&self, node: NodeIndex) {
-        let run = &self.nodes[node];
-        if run.state.get() == ProcessState::Running {
+        let node_process = &self.nodes[node];
+        if node_process.state.get() == ProcessState::Running {
             self.fleet.observer.record(ObservedEvent::NodeEnded { node, planned: false });
-            run.state.set(ProcessState::Paused);
-            run.process.borrow().signal(Signal::SIGSTOP);
+            node_process.state.set(ProcessState::Paused);
+            node_process.process.borrow().signal(Signal::SIGSTOP);
         }
     }
 
     /// Lets a process that was stopped by SIGSTOP continue.
     pub fn resume(&self, node: NodeIndex) {
-        let run = &self.nodes[node];
-        if run.state.get() == ProcessState::Paused {
+        let node_process = &self.nodes[node];
+        if node_process.state.get() == ProcessState::Paused {
             self.fleet.observer.record(ObservedEvent::NodeStarted { node });
-            run.state.set(ProcessState::Running);
-            run.process.borrow().signal(Signal::SIGCONT);
+            node_process.state.set(ProcessState::Running);
+            node_process.process.borrow().signal(Signal::SIGCONT);
         }
     }
 
     /// Tells a node to terminate as at a planned restart, and kills it after the longest deadline and [`STOP_GRACE`].
     pub fn terminate(self: &Rc<Self>, node: NodeIndex) {
-        let run = &self.nodes[node];
-        if run.state.get() != ProcessState::Running {
+        let node_process = &self.nodes[node];
+        if node_process.state.get() != ProcessState::Running {
             return;
         }
         self.fleet.observer.record(ObservedEvent::NodeStopping { node });
-        run.state.set(ProcessState::Stopping);
-        run.process.borrow().signal(Signal::SIGTERM);
+        node_process.state.set(ProcessState::Stopping);
+        node_process.process.borrow().signal(Signal::SIGTERM);
         let environment = self.clone();
         spawn_local(async move {
             let until = Instant::now() + environment.trial.scenario.longest_deadline() + STOP_GRACE;
             let notice_at = Instant::now() + STOP_NOTICE_DELAY;
-            let run = &environment.nodes[node];
+            let node_process = &environment.nodes[node];
             loop {
-                let over = run.process.borrow_mut().exit_status().is_some();
-                if over || Instant::now() >= until {
+                let has_exited = node_process.process.borrow_mut().exit_status().is_some();
+                if has_exited || Instant::now() >= until {
                     break;
                 }
                 if Instant::now() >= notice_at {
@@ -618,8 +627,8 @@
                 sleep(Duration::from_millis(20)).await;
             }
             environment.fleet.observer.record(ObservedEvent::NodeEnded { node, planned: true });
-            run.process.borrow().signal(Signal::SIGKILL);
-            run.state.set(ProcessState::Exited);
+            node_process.process.borrow().signal(Signal::SIGKILL);
+            node_process.state.set(ProcessState::Exited);
             environment.set_refusing(environment.trial.topology.node(node), true);
         });
     }
@@ -628,25 +637,29 @@
     /// are left out, unless the groups are equal: a zone that is cut off from everything keeps its inner links.
     fn links_between(&self, a: &Endpoints, b: &Endpoints) -> Vec<(&Link, bool)> {
         let inner = if a.len() <= b.len() { a } else { b };
-        let within = |w: &Link| inner.contains(&w.from) && inner.contains(&w.to);
-        let meant = |w: &&Link| a == b || !within(w);
-        let turn = |w: &'_ Link| {
-            if a.contains(&w.from) && b.contains(&w.to) {
+        let within = |link: &Link| inner.contains(&link.from) && inner.contains(&link.to);
+        let is_included = |link: &&Link| a == b || !within(link);
+        let is_forward = |link: &'_ Link| {
+            if a.contains(&link.from) && b.contains(&link.to) {
                 Some(true)
             } else {
-                (b.contains(&w.from) && a.contains(&w.to)).then_some(false)
+                (b.contains(&link.from) && a.contains(&link.to)).then_some(false)
             }
         };
-        self.links.iter().filter(meant).filter_map(|w| turn(w).map(|there| (w, there))).collect()
+        self.links
+            .iter()
+            .filter(is_included)
+            .filter_map(|link| is_forward(link).map(|forward| (link, forward)))
+            .collect()
     }
 
     /// Blocks links silently; with `one_way` only traffic from the first group to the second.
     pub fn cut(&self, a: &Endpoints, b: &Endpoints, one_way: bool) {
-        for (link, there) in self.links_between(a, b) {
-            let (out, back) = (!one_way || there, !one_way || !there);
-            link.relay.update(|w| {
-                w.blocked_forward |= out;
-                w.blocked_backward |= back;
+        for (link, is_forward) in self.links_between(a, b) {
+            let (forward, backward) = (!one_way || is_forward, !one_way || !is_forward);
+            link.relay.update(|conditions| {
+                conditions.blocked_forward |= forward;
+                conditions.blocked_backward |= backward;
             });
         }
         self.update_reachability();
@@ -659,8 +672,9 @@
                 link.relay.reset();
             }
             // An endpoint that has exited goes on refusing.
-            let dead = !self.is_alive(link.to);
-            link.relay.update(|w| (w.blocked_forward, w.blocked_backward, w.refusing) = (false, false, dead));
+            let has_exited = !self.is_alive(link.to);
+            link.relay
+                .update(|c| (c.blocked_forward, c.blocked_backward, c.refusing) = (false, false, has_exited));
         }
         self.update_reachability();
     }
@@ -669,7 +683,7 @@
         match endpoint.kind {
             EndpointKind::Node => self.nodes[endpoint.number].state.get() != ProcessState::Exited,
             EndpointKind::CacheServer => {
-                self.cache_servers.borrow().get(&endpoint.number).is_some_and(|run| run.task.is_some())
+                self.cache_servers.borrow().get(&endpoint.number).is_some_and(|server| server.task.is_some())
             }
             _ => true,
         }
@@ -684,7 +698,7 @@
                 self.fleet.observer.record(ObservedEvent::NodeEnded { node, planned: false });
                 self.fleet.observer.record(ObservedEvent::NodeStarted { node });
             }
-            link.relay.update(|w| w.refusing |= refuse);
+            link.relay.update(|conditions| conditions.refusing |= refuse);
             link.relay.reset();
         }
         self.update_reachability();
@@ -701,13 +715,11 @@
     /// responsible for traffic that a cut keeps from it.
     fn update_reachability(&self) {
         let cache_servers = self.trial.scenario.boxes.count;
-        let is_blocked = |w: &LinkConditions| w.blocked_forward || w.blocked_backward || w.refusing;
+        let is_blocked = |c: &LinkConditions| c.blocked_forward || c.blocked_backward || c.refusing;
         let (mut unreachable_servers, mut nodes) = (BTreeSet::new(), BTreeSet::new());
-        for link in self
-            .links
-            .iter()
-            .filter(|w| !w.carries_datagrams && is_blocked(&w.relay.conditions()) && self.is_alive(w.to))
-        {
+        for link in self.links.iter().filter(|link| {
+            !link.carries_datagrams && is_blocked(&link.relay.conditions()) && self.is_alive(link.to)
+        }) {
             match link.to.kind {
                 EndpointKind::CacheServer => drop(unreachable_servers.insert(link.to.number)),
                 EndpointKind::Origin => drop(unreachable_servers.insert(cache_servers)),
@@ -741,31 +753,31 @@
     /// Reads new log lines of all nodes, and returns a message for each process that has exited unexpectedly.
     pub fn poll_nodes(&self) -> Vec<String> {
         let at_s = self.fleet.observer.elapsed().as_secs_f64();
-        let mut ended = Vec::new();
-        for (node, run) in self.nodes.iter().enumerate() {
-            let path = run.process.borrow().files().with_extension("log");
+        let mut unexpected_exits = Vec::new();
+        for (node, node_process) in self.nodes.iter().enumerate() {
+            let path = node_process.process.borrow().files().with_extension("log");
             let mut text = String::new();
             if let Ok(mut file) = std::fs::File::open(path)
-                && file.seek(SeekFrom::Start(run.log_offset.get())).is_ok()
+                && file.seek(SeekFrom::Start(node_process.log_offset.get())).is_ok()
                 && file.read_to_string(&mut text).is_ok()
             {
                 // An incomplete last line is left for the next call.
-                let whole = text.rfind('\n').map_or(0, |end| end + 1);
-                run.log_offset.set(run.log_offset.get() + whole as u64);
+                let complete = text.rfind('\n').map_or(0, |end| end + 1);
+                node_process.log_offset.set(node_process.log_offset.get() + complete as u64);
                 let mut log = self.log.borrow_mut();
-                let room = MAX_LOG_LINES.saturating_sub(log.len());
-                let lines = text[..whole].lines().take(room);
+                let remaining = MAX_LOG_LINES.saturating_sub(log.len());
+                let lines = text[..complete].lines().take(remaining);
                 log.extend(lines.map(|line| LogLine { at_s, node, text: line.to_owned() }));
             }
-            if matches!(run.state.get(), ProcessState::Running | ProcessState::Paused)
-                && let Some(status) = run.process.borrow_mut().exit_status()
+            if matches!(node_process.state.get(), ProcessState::Running | ProcessState::Paused)
+                && let Some(status) = node_process.process.borrow_mut().exit_status()
             {
-                run.state.set(ProcessState::Exited);
+                node_process.state.set(ProcessState::Exited);
                 self.fleet.observer.record(ObservedEvent::NodeEnded { node, planned: false });
-                ended.push(format!("node {node} exited unexpectedly: {status}"));
+                unexpected_exits.push(format!("node {node} exited unexpectedly: {status}"));
             }
         }
-        ended
+        unexpected_exits
     }
 
     /// Total CPU time, and the largest memory use in KiB, of the running nodes, as far as the kernel reports them.
@@ -777,22 +789,22 @@
 
     /// Terminates all processes as the platform does, and kills those that have not exited in time.
     pub async fn shut_down(&self) {
-        for run in &self.nodes {
-            if run.state.get() != ProcessState::Exited {
-                let process = run.process.borrow();
+        for node_process in &self.nodes {
+            if node_process.state.get() != ProcessState::Exited {
+                let process = node_process.process.borrow();
                 process.signal(Signal::SIGCONT);
                 process.signal(Signal::SIGTERM);
             }
         }
         let until = Instant::now() + self.trial.scenario.longest_deadline() + STOP_GRACE;
-        for run in &self.nodes {
-            while run.process.borrow_mut().exit_status().is_none() {
+        for node_process in &self.nodes {
+            while node_process.process.borrow_mut().exit_status().is_none() {
                 if Instant::now() >= until {
-                    run.process.borrow().signal(Signal::SIGKILL);
+                    node_process.process.borrow().signal(Signal::SIGKILL);
                 }
                 sleep(Duration::from_millis(5)).await;
             }
-            run.state.set(ProcessState::Exited);
+            node_process.state.set(ProcessState::Exited);
         }
         self.fleet.clear();
     }
@@ -804,17 +816,17 @@
     trial: &Trial,
     fleet: &Rc<Fleet>,
     links: &mut Vec<Link>,
-    at: &impl Fn(u8) -> Ipv4Addr,
+    host_address: &impl Fn(u8) -> Ipv4Addr,
     healthy_link: &impl Fn(Endpoint, Endpoint) -> LinkConditions,
     port: u16,
 ) -> Result<Vec<Vec<SocketAddr>>, String> {
     let nodes = trial.scenario.nodes.count;
-    let own = |node: usize| SocketAddr::from((at(FIRST_NODE_HOST + node as u8), port));
+    let node_address = |node: usize| SocketAddr::from((host_address(FIRST_NODE_HOST + node as u8), port));
     let mut views: Vec<Vec<Rc<UdpSocket>>> = Vec::new();
     for _ in 0..nodes {
         let mut seen = Vec::new();
         for _ in 0..nodes {
-            let socket = UdpSocket::bind((at(RELAY_HOST), 0)).await;
+            let socket = UdpSocket::bind((host_address(RELAY_HOST), 0)).await;
             seen.push(Rc::new(socket.map_err(|e| format!("cannot open a datagram link: {e}"))?));
         }
         views.push(seen);
@@ -825,14 +837,21 @@
         let mut seen = Vec::new();
         for (j, inlet) in seen_by_i.iter().enumerate() {
             if i == j {
-                seen.push(own(i));
+                seen.push(node_address(i));
                 continue;
             }
             let (from, to) = (trial.topology.node(i), trial.topology.node(j));
             let outlet = views[j][i].clone();
-            let mut weather = healthy_link(from, to);
-            weather.lost_share = trial.scenario.network.datagrams_lost;
-            let relay = Relay::datagrams(inlet.clone(), outlet, own(i), own(j), weather, seeds.random());
+            let mut conditions = healthy_link(from, to);
+            conditions.lost_share = trial.scenario.network.datagrams_lost;
+            let relay = Relay::datagrams(
+                inlet.clone(),
+                outlet,
+                node_address(i),
+                node_address(j),
+                conditions,
+                seeds.random(),
+            );
             let relay = relay.map_err(|e| format!("cannot open a datagram link: {e}"))?;
             seen.push(relay.address);
             links.push(Link { from, to, carries_datagrams: true, relay });
--- a/crates/trial/src/environment/lifecycle.rs
+++ b/crates/trial/src/environment/lifecycle.rs
@@ -13,7 +13,7 @@
 
 use super::{Environment, OPERATIONS_PORT, OPERATIONS_TIMEOUT, ProcessState, STOP_NOTICE_DELAY};
 
-/// SIGKILL follows SIGTERM no sooner than the longest deadline, of which this much counts at most, and [`KILL_DELAY`].
+/// The earliest SIGKILL follows SIGTERM after the longest deadline and [`KILL_DELAY`]; a longer deadline counts as this.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
 /// See [`MAX_COUNTED_DEADLINE`].
 const KILL_DELAY: Duration = Duration::from_millis(700);
@@ -50,16 +50,16 @@
 
     /// Sends a signal to a node's process, if that is running.
     pub fn signal(&self, node: NodeIndex, signal: Signal) {
-        let run = &self.nodes[node];
-        if run.state.get() == ProcessState::Running {
-            run.process.borrow().signal(signal);
+        let node_process = &self.nodes[node];
+        if node_process.state.get() == ProcessState::Running {
+            node_process.process.borrow().signal(signal);
         }
     }
 
     /// The incarnation of a node's process; `None` where it has exited or is terminating.
     pub fn incarnation(&self, node: NodeIndex) -> Option<u64> {
-        let run = &self.nodes[node];
-        (run.state.get() == ProcessState::Running).then(|| run.incarnation.get())
+        let node_process = &self.nodes[node];
+        (node_process.state.get() == ProcessState::Running).then(|| node_process.incarnation.get())
     }
 
     /// The time from SIGTERM to the earliest SIGKILL.
@@ -69,17 +69,17 @@
 
     /// Terminates a node and kills it at the earliest time. Returns whether it exited successfully before that.
     pub async fn terminate_with_earliest_kill(self: &Rc<Self>, node: NodeIndex) -> bool {
-        let run = &self.nodes[node];
-        if run.state.get() != ProcessState::Running {
+        let node_process = &self.nodes[node];
+        if node_process.state.get() != ProcessState::Running {
             return true;
         }
         self.fleet.observer.record(ObservedEvent::NodeStopping { node });
-        run.state.set(ProcessState::Stopping);
-        run.process.borrow().signal(Signal::SIGTERM);
+        node_process.state.set(ProcessState::Stopping);
+        node_process.process.borrow().signal(Signal::SIGTERM);
         let signalled_at = Instant::now();
         let mut exited_in_time = false;
         while signalled_at.elapsed() < self.earliest_kill_delay() {
-            if let Some(status) = run.process.borrow_mut().exit_status() {
+            if let Some(status) = node_process.process.borrow_mut().exit_status() {
                 exited_in_time = status.success();
                 break;
             }
@@ -88,14 +88,14 @@
             }
             sleep(EXIT_POLL_INTERVAL).await;
         }
-        run.process.borrow().signal(Signal::SIGKILL);
+        node_process.process.borrow().signal(Signal::SIGKILL);
         // A process that exited by itself is judged by its clients' observations, so its last replies have to arrive first.
         sleep(if exited_in_time { LAST_REPLIES_DELAY } else { Duration::ZERO }).await;
         if !exited_in_time {
             self.fleet.observer.record(ObservedEvent::StopOverdue { node });
         }
         self.fleet.observer.record(ObservedEvent::NodeEnded { node, planned: true });
-        run.state.set(ProcessState::Exited);
+        node_process.state.set(ProcessState::Exited);
         self.set_refusing(self.trial.topology.node(node), true);
         exited_in_time
     }
@@ -105,19 +105,21 @@
     /// # Errors
     /// A new version that cannot be started or does not become ready, or an old one that cannot be killed.
     pub async fn upgrade(self: &Rc<Self>, node: NodeIndex) -> Result<(), String> {
-        let run = &self.nodes[node];
-        let Some(platform) = run.platform.as_ref().filter(|_| run.state.get() == ProcessState::Running)
+        let node_process = &self.nodes[node];
+        let Some(platform) =
+            node_process.platform.as_ref().filter(|_| node_process.state.get() == ProcessState::Running)
         else {
             return Ok(());
         };
-        let (old_operations_address, address) = (run.operations_address.get(), run.process.borrow().address);
+        let (old_operations_address, address) =
+            (node_process.operations_address.get(), node_process.process.borrow().address);
         let mut operations_address = old_operations_address;
         operations_address.set_port(if old_operations_address.port() == OPERATIONS_PORT {
             OPERATIONS_PORT + 1
         } else {
             OPERATIONS_PORT
         });
-        let files = run.process.borrow().files().to_path_buf();
+        let files = node_process.process.borrow().files().to_path_buf();
         let new = Process::start_with_socket(platform, operations_address, &self.program, files, address)?;
         self.record_process_id(&new)?;
         let started_at = Instant::now();
@@ -127,13 +129,13 @@
             }
             sleep(EXIT_POLL_INTERVAL).await;
         }
-        if run.state.get() != ProcessState::Running {
+        if node_process.state.get() != ProcessState::Running {
             // The old process was told to terminate meanwhile; the new one is dropped with it.
             return Ok(());
         }
-        let mut old = run.process.replace(new);
-        run.operations_address.set(operations_address);
-        run.incarnation.set(run.incarnation.get() + 1);
+        let mut old = node_process.process.replace(new);
+        node_process.operations_address.set(operations_address);
+        node_process.incarnation.set(node_process.incarnation.get() + 1);
         old.signal(Signal::SIGTERM);
         let signalled_at = Instant::now();
         while signalled_at.elapsed() < self.earliest_kill_delay() {
--- a/crates/trial/src/plan.rs
+++ b/crates/trial/src/plan.rs
@@ -260,13 +260,13 @@
 impl Condition {
     /// The selectors that are set, with their keys.
     pub fn named_endpoints(&self) -> impl Iterator<Item = (&'static str, &String)> {
-        let all = [
+        let selectors = [
             ("ready", &self.ready),
             ("ended", &self.ended),
             ("served", &self.served),
             ("reached", &self.reached),
         ];
-        all.into_iter().filter_map(|(key, named)| named.as_ref().map(|named| (key, named)))
+        selectors.into_iter().filter_map(|(key, selector)| selector.as_ref().map(|selector| (key, selector)))
     }
 }
 
@@ -345,11 +345,11 @@
 }
 
 /// Merges one table into another: nested tables key by key, all other values replaced.
-fn merge_tables(over: &toml::Table, under: &mut toml::Table) {
-    for (key, value) in over {
-        match (value, under.get_mut(key)) {
-            (toml::Value::Table(over), Some(toml::Value::Table(under))) => merge_tables(over, under),
-            _ => drop(under.insert(key.clone(), value.clone())),
+fn merge_tables(overrides: &toml::Table, base: &mut toml::Table) {
+    for (key, value) in overrides {
+        match (value, base.get_mut(key)) {
+            (toml::Value::Table(overrides), Some(toml::Value::Table(base))) => merge_tables(overrides, base),
+            _ => drop(base.insert(key.clone(), value.clone())),
         }
     }
 }
@@ -362,15 +362,15 @@
     pub fn read(path: &Path) -> Result<Trial, String> {
         let text =
             std::fs::read_to_string(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
-        let fault = |f: ScenarioError| format!("{}: {f}", path.display());
-        let file: TrialFile = parse(&text).map_err(fault)?;
+        let with_path = |e: ScenarioError| format!("{}: {e}", path.display());
+        let file: TrialFile = parse(&text).map_err(with_path)?;
         let scenario_path = path.parent().unwrap_or(Path::new(".")).join(&file.world);
         let scenario_text = std::fs::read_to_string(&scenario_path).map_err(|e| {
             format!("{}: world: cannot read {}: {e}", path.display(), scenario_path.display())
         })?;
         // Checked before it is merged, so that errors of the scenario file name its own lines.
         Scenario::read(&scenario_text).map_err(|e| format!("{}: {e}", scenario_path.display()))?;
-        Trial::from_parts(&text, file, &scenario_text).map_err(fault)
+        Trial::from_parts(&text, file, &scenario_text).map_err(with_path)
     }
 
     fn from_parts(text: &str, file: TrialFile, scenario_text: &str) -> Result<Trial, ScenarioError> {
@@ -441,9 +441,9 @@
         Ok(())
     }
 
-    fn endpoints(&self, key: &str, named: Option<&String>) -> Result<Endpoints, (String, String)> {
-        let Some(named) = named else { return Err((key.to_owned(), "is missing".into())) };
-        self.topology.endpoints(named).map_err(|what| (key.to_owned(), what))
+    fn endpoints(&self, key: &str, selector: Option<&String>) -> Result<Endpoints, (String, String)> {
+        let Some(selector) = selector else { return Err((key.to_owned(), "is missing".into())) };
+        self.topology.endpoints(selector).map_err(|message| (key.to_owned(), message))
     }
 
     fn validate_step(&self, at: &str, step: &Step) -> Result<(), (String, String)> {
@@ -457,8 +457,8 @@
             if set_fields != 1 {
                 return Err((key("after"), "exactly one condition is needed".into()));
             }
-            for (name, named) in condition.named_endpoints() {
-                let endpoints = self.endpoints(&key(&format!("after.{name}")), Some(named))?;
+            for (name, selector) in condition.named_endpoints() {
+                let endpoints = self.endpoints(&key(&format!("after.{name}")), Some(selector))?;
                 let is_allowed = |kind| match name {
                     "reached" => matches!(kind, EndpointKind::CacheServer | EndpointKind::Origin),
                     _ => kind == EndpointKind::Node,
@@ -466,12 +466,12 @@
                 if !endpoints.iter().all(|p| is_allowed(p.kind)) {
                     return Err((
                         key(&format!("after.{name}")),
-                        format!("{named:?} names endpoints of other kinds too"),
+                        format!("{selector:?} names endpoints of other kinds too"),
                     ));
                 }
             }
-            if let Some(part) = condition.acts {
-                check_range(&key("after.acts"), part, 0.01, 1.0)?;
+            if let Some(share) = condition.acts {
+                check_range(&key("after.acts"), share, 0.01, 1.0)?;
             }
         }
         match step.action {
@@ -487,8 +487,8 @@
                     kind == EndpointKind::Node || with_cache_servers && kind == EndpointKind::CacheServer
                 };
                 if !endpoints.iter().all(|p| is_allowed(p.kind)) {
-                    let which = if with_cache_servers { "nodes and boxes only" } else { "nodes only" };
-                    return Err((key("who"), which.into()));
+                    let message = if with_cache_servers { "nodes and boxes only" } else { "nodes only" };
+                    return Err((key("who"), message.into()));
                 }
             }
             Action::Flap => {
@@ -515,8 +515,8 @@
                 if endpoints.len() != 1 || endpoints[0].kind != EndpointKind::Node {
                     return Err((key("who"), "exactly one node is needed".into()));
                 }
-                let named = step.zone.as_ref().filter(|z| self.scenario.zones.contains(z));
-                named.ok_or((key("zone"), "a zone of the scenario is needed".to_owned()))?;
+                let zone = step.zone.as_ref().filter(|z| self.scenario.zones.contains(z));
+                zone.ok_or((key("zone"), "a zone of the scenario is needed".to_owned()))?;
                 if step.action == Action::Hold {
                     let how = step.how.as_deref().filter(|how| ["in", "out", "drain"].contains(how));
                     how.ok_or((key("how"), "in, out or drain is needed".to_owned()))?;
@@ -541,9 +541,9 @@
         expectation: &Expectation,
         names: &BTreeSet<&str>,
     ) -> Result<(), (String, String)> {
-        for (key, named) in [("from", &expectation.from), ("until", &expectation.until)] {
-            if let Some(named) = named.as_ref().filter(|n| !names.contains(n.as_str())) {
-                return Err((format!("{at}.{key}"), format!("no step is called {named:?}")));
+        for (key, name) in [("from", &expectation.from), ("until", &expectation.until)] {
+            if let Some(name) = name.as_ref().filter(|n| !names.contains(n.as_str())) {
+                return Err((format!("{at}.{key}"), format!("no step is called {name:?}")));
             }
         }
         for (key, value) in [("from_s", expectation.from_s), ("until_s", expectation.until_s)] {
@@ -569,12 +569,12 @@
                 return Err((format!("{at}.class"), "this figure cannot be restricted to a class".into()));
             }
         }
-        let zone = |named: &String| self.scenario.zones.contains(named);
+        let is_zone = |name: &String| self.scenario.zones.contains(name);
         let by_zone = [Metric::Split, Metric::ReturnedS, Metric::ZoneShare, Metric::ZoneAsked];
         match (&expectation.zone, by_zone.contains(&expectation.metric)) {
             (None, true) => Err((format!("{at}.zone"), "this figure needs a zone".into())),
-            (Some(named), _) if !zone(named) => {
-                Err((format!("{at}.zone"), format!("there is no zone {named:?}")))
+            (Some(name), _) if !is_zone(name) => {
+                Err((format!("{at}.zone"), format!("there is no zone {name:?}")))
             }
             _ => Ok(()),
         }
@@ -585,11 +585,11 @@
 mod tests {
     use super::*;
 
-    const WORLD: &str = include_str!("../../../scenarios/site.toml");
+    const SCENARIO: &str = include_str!("../../../scenarios/site.toml");
 
     fn error_of(text: &str) -> String {
         let all = format!("name = \"t\"\nworld = \"w\"\n{text}");
-        match parse::<TrialFile>(&all).and_then(|file| Trial::from_parts(&all, file, WORLD)) {
+        match parse::<TrialFile>(&all).and_then(|file| Trial::from_parts(&all, file, SCENARIO)) {
             Ok(_) => panic!("accepted: {text}"),
             Err(e) => e.to_string(),
         }
--- a/crates/trial/src/relay.rs
+++ b/crates/trial/src/relay.rs
@@ -114,9 +114,9 @@
         })
     }
 
-    fn count(&self, with: impl FnOnce(&mut RelayTotals)) {
+    fn count(&self, add: impl FnOnce(&mut RelayTotals)) {
         let mut totals = self.totals.get();
-        with(&mut totals);
+        add(&mut totals);
         self.totals.set(totals);
     }
 
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Waits for a reset after the first `seen` ones.
+    /// Waits until the number of resets differs from `seen`.
     async fn reset_after(&self, seen: u64) {
         loop {
             let changed = self.changed.notified();
@@ -207,8 +207,8 @@
     }
 
     /// Changes the conditions; traffic that is no longer blocked is released.
-    pub fn update(&self, with: impl FnOnce(&mut LinkConditions)) {
-        with(&mut self.state.conditions.borrow_mut());
+    pub fn update(&self, change: impl FnOnce(&mut LinkConditions)) {
+        change(&mut self.state.conditions.borrow_mut());
         self.state.changed.notify_waiters();
     }
 
--- a/crates/trial/src/report.rs
+++ b/crates/trial/src/report.rs
@@ -155,8 +155,8 @@
             writeln!(f, "  {:8.3} {what}", at - self.begin_s)?;
         }
         write!(f, "served in time, per second:")?;
-        for (_, part) in &self.per_second {
-            write!(f, " {part:.2}")?;
+        for (_, share) in &self.per_second {
+            write!(f, " {share:.2}")?;
         }
         writeln!(f)?;
         for result in &self.expectations {
--- a/crates/trial/src/request_tracker.rs
+++ b/crates/trial/src/request_tracker.rs
@@ -44,6 +44,7 @@
     ended: bool,
 }
 
+/// An attempt that arrived at a server.
 struct Attempt {
     at: Duration,
     node: NodeIndex,
@@ -74,7 +75,7 @@
     pub ended_twice: u64,
 }
 
-/// What a metric is restricted to.
+/// Zone and class that a metric is restricted to.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MetricScope {
     /// A zone, by index.
@@ -174,8 +175,8 @@
 
     /// The counts of all requests so far.
     pub fn totals(&self) -> RequestTotals {
-        let open = self.requests.values().filter(|t| !t.ended).count() as u64;
-        RequestTotals { unfinished: open, ..self.totals }
+        let unfinished = self.requests.values().filter(|t| !t.ended).count() as u64;
+        RequestTotals { unfinished, ..self.totals }
     }
 
     /// Whether a request sent to this node since then has been answered or forwarded.
@@ -193,7 +194,7 @@
     }
 
     fn has_waited(&self, t: &TrackedRequest) -> bool {
-        t.progressed_at.is_none_or(|moved| moved > t.sent_at + self.wait_limit)
+        t.progressed_at.is_none_or(|progressed_at| progressed_at > t.sent_at + self.wait_limit)
     }
 
     /// Time that a node took to react to a fault: from then on, for a whole window, its requests don't wait for unresponsive
@@ -302,9 +303,9 @@
                 .get(((latencies.len() as f64 * q) as usize).min(latencies.len().saturating_sub(1)))
                 .copied()
         };
-        let reaction_time_of = |part: f64| {
+        let reaction_time_of = |share: f64| {
             let times = self.reaction_times(from, until);
-            let needed = (self.node_count() as f64 * part).ceil() as usize;
+            let needed = (self.node_count() as f64 * share).ceil() as usize;
             times.get(needed.max(1) - 1).map(Duration::as_secs_f64)
         };
         match metric {
@@ -368,8 +369,8 @@
                 gave_up += u64::from(share(node, from, until) < before * GIVEN_UP_SHARE);
             }
         }
-        let part = if all == 0 { 0.0 } else { gave_up as f64 / all as f64 };
-        part.min(1.0 - part)
+        let gave_up_share = if all == 0 { 0.0 } else { gave_up as f64 / all as f64 };
+        gave_up_share.min(1.0 - gave_up_share)
     }
 
     /// Share of the selected attempts in an interval that went to a zone; `None` if there were none.
@@ -413,7 +414,7 @@
         let usual_share = self.in_time_share(Duration::from_secs_f64(WARM_UP_S), from)?;
         let second = Duration::from_secs(1);
         let is_usual = |at: Duration| {
-            self.in_time_share(at, at + second).is_none_or(|part| part >= RECOVERED_SHARE * usual_share)
+            self.in_time_share(at, at + second).is_none_or(|share| share >= RECOVERED_SHARE * usual_share)
         };
         let mut at = from;
         while at + second * 2 <= until {
--- a/crates/trial/src/soak.rs
+++ b/crates/trial/src/soak.rs
@@ -28,7 +28,8 @@
 const RECENT_ACTIVITY: Duration = Duration::from_secs(2);
 /// Clients may open new connections for this long after a drain.
 const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(200);
-/// Time that a command may be in transit to a node that closes the connection, as long as this process is not stalled.
+/// A command may be in transit or unread at its node for this long, in which the node may close the connection; more if
+/// this process stalls.
 const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(150);
 /// Interval of checks, and of the measurement of stalls.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
@@ -157,8 +158,8 @@
 impl SoakRun {
     async fn run(self: Rc<Self>, plan: &Plan) {
         let begin = Instant::now();
-        let until = begin + plan.load_duration;
-        self.persistent_clients.start(until);
+        let load_ends = begin + plan.load_duration;
+        self.persistent_clients.start(load_ends);
         let load = spawn_local(self.environment.clients.clone().generate_load(plan.load_duration));
         if let Some(per_s) = plan.stalled_connections_per_s {
             spawn_local(self.environment.clients.clone().open_stalled_connections(per_s, plan.load_duration));
@@ -175,22 +176,23 @@
                 soak.inject_fault(fault).await;
             }));
         }
-        for story in tasks {
-            let _ = story.await;
+        for task in tasks {
+            let _ = task.await;
         }
         let _ = load.await;
-        let last = Instant::now() + self.environment.trial.scenario.longest_deadline() + FINAL_REPLIES_GRACE;
+        let deadline =
+            Instant::now() + self.environment.trial.scenario.longest_deadline() + FINAL_REPLIES_GRACE;
         while self.environment.clients.in_flight() + self.persistent_clients.open_connections() > 0
-            && Instant::now() < last
+            && Instant::now() < deadline
         {
             sleep(POLL_INTERVAL).await;
         }
         self.failures.borrow_mut().extend(self.environment.poll_nodes());
     }
 
-    fn record_event(&self, what: String) {
-        self.environment.record_event(what.clone());
-        self.events.borrow_mut().push(what);
+    fn record_event(&self, description: String) {
+        self.environment.record_event(description.clone());
+        self.events.borrow_mut().push(description);
     }
 
     /// Applies the events of one node at their times.
@@ -200,22 +202,22 @@
         begin: Instant,
         events: Vec<(Duration, Event)>,
     ) {
-        let mut drained: Option<Instant> = None;
+        let mut drained_at: Option<Instant> = None;
         for (at, event) in events {
             sleep_until(begin + at).await;
             self.record_event(format!("{:.2} s node {node}: {event:?}", at.as_secs_f64()));
             match event {
                 Event::Drain => {
                     let called_at = Instant::now();
-                    if self.call_operations(node, "PUT /drain").await && drained.is_none() {
-                        drained = Some(called_at);
+                    if self.call_operations(node, "PUT /drain").await && drained_at.is_none() {
+                        drained_at = Some(called_at);
                     }
                 }
                 Event::Undrain => {
-                    drained = None;
+                    drained_at = None;
                     self.call_operations(node, "PUT /undrain").await;
                 }
-                Event::CheckDrained => self.check_drained(node, drained).await,
+                Event::CheckDrained => self.check_drained(node, drained_at).await,
                 Event::Reload => self.environment.signal(node, Signal::SIGHUP),
                 Event::Terminate => {
                     // Not awaited: the following events happen while the node terminates.
@@ -227,7 +229,7 @@
                     self.record_failure(killed);
                 }
                 Event::Start => {
-                    drained = None;
+                    drained_at = None;
                     while self.environment.process_state(node) != ProcessState::Exited {
                         sleep(POLL_INTERVAL).await;
                     }
@@ -236,7 +238,7 @@
                     self.record_failure(started);
                 }
                 Event::Upgrade => {
-                    drained = None;
+                    drained_at = None;
                     let upgraded = self.environment.upgrade(node).await;
                     self.record_failure(upgraded);
                 }
@@ -244,18 +246,18 @@
         }
     }
 
-    fn record_failure(&self, done: Result<(), String>) {
-        self.failures.borrow_mut().extend(done.err());
+    fn record_failure(&self, outcome: Result<(), String>) {
+        self.failures.borrow_mut().extend(outcome.err());
     }
 
     /// Calls a node's operations endpoint; whether the node carried the call out. A node that is not running may not answer.
     async fn call_operations(&self, node: NodeIndex, call: &str) -> bool {
-        let running = self.environment.incarnation(node).is_some();
+        let was_running = self.environment.incarnation(node).is_some();
         match self.environment.call_operations(node, call).await {
             Ok(status) => status == 200,
-            Err(what) => {
-                if running && self.environment.incarnation(node).is_some() {
-                    self.failures.borrow_mut().push(what);
+            Err(message) => {
+                if was_running && self.environment.incarnation(node).is_some() {
+                    self.failures.borrow_mut().push(message);
                 }
                 false
             }
@@ -263,8 +265,8 @@
     }
 
     /// Checks which connections a drained node still holds [`DRAIN_TIMEOUT`] after the call, and that it is not ready.
-    async fn check_drained(&self, node: NodeIndex, drained: Option<Instant>) {
-        let Some(called_at) = drained else { return };
+    async fn check_drained(&self, node: NodeIndex, drained_at: Option<Instant>) {
+        let Some(called_at) = drained_at else { return };
         let incarnation = self.environment.incarnation(node);
         sleep_until(called_at + DRAIN_TIMEOUT).await;
         if incarnation.is_none() || self.environment.incarnation(node) != incarnation {
--- a/crates/trial/src/soak/plan.rs
+++ b/crates/trial/src/soak/plan.rs
@@ -83,7 +83,7 @@
     pub seed: u64,
     /// Duration of the load.
     pub load_duration: Duration,
-    /// The deadlines of reads and of writes, milliseconds.
+    /// Deadlines of reads and of writes, in milliseconds.
     pub deadlines_ms: [u64; 2],
     /// Whether the platform holds the nodes' client sockets, and new versions take over.
     pub upgrades: bool,
@@ -101,7 +101,7 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let upgrades = rng.random_bool(0.4);
         let deadlines_ms =
-            *[[300, 400], [1500, 4000], [2500, 6000]].choose(&mut rng).expect("there are some");
+            *[[300, 400], [1500, 4000], [2500, 6000]].choose(&mut rng).expect("the array is not empty");
         let stalled_connections_per_s = (seed % 4 == 3).then(|| rng.random_range(30.0..120.0));
         let nodes = (0..NODES).map(|_| draw_node_events(upgrades, &mut rng)).collect();
         let count = rng.random_range(1..=4);
@@ -121,12 +121,12 @@
     /// The longest time by which links delay a command to a cache server: on a new connection, a relay also delays the first
     /// bytes for as long as the handshake takes.
     pub fn max_extra_server_delay(&self) -> Duration {
-        let by = |(_, fault): &(Duration, Fault)| match fault {
+        let extra_delay = |(_, fault): &(Duration, Fault)| match fault {
             Fault::ServersLate { by, .. } => *by,
             _ => Duration::ZERO,
         };
         // Several may overlap.
-        let delay: Duration = self.faults.iter().map(by).sum();
+        let delay: Duration = self.faults.iter().map(extra_delay).sum();
         (TRIPS_BEFORE_FIRST_COMMAND * delay).mul_f64(1.0 + LinkDelays::default().jitter)
     }
 
@@ -143,7 +143,8 @@
             class.deadline_ms = deadline_ms;
             class.aim_ms = class.aim_ms.min(deadline_ms);
         }
-        let topology = Topology::new(&scenario, &[], None).map_err(|(key, what)| format!("{key}: {what}"))?;
+        let topology =
+            Topology::new(&scenario, &[], None).map_err(|(key, message)| format!("{key}: {message}"))?;
         Ok(Trial {
             name: "soak".into(),
             about: "Drains, terminations and new versions under clients that go on using their connections."
@@ -166,11 +167,11 @@
     use Event::*;
     let ms = Duration::from_millis;
     let begin = EARLIEST_EVENT + ms(rng.random_range(0..1500));
-    let overlap = ms(*OVERLAP_DELAYS_MS.choose(rng).expect("there are some"));
+    let overlap = ms(*OVERLAP_DELAYS_MS.choose(rng).expect("the array is not empty"));
     let second_delay = ms(rng.random_range(0..1500));
     let after_check = begin + AFTER_DRAIN_CHECK;
-    let kinds = if upgrades { 9 } else { 7 };
-    match rng.random_range(0..kinds) {
+    let sequences = if upgrades { 9 } else { 7 };
+    match rng.random_range(0..sequences) {
         0 => vec![(begin, Drain), (begin, CheckDrained), (after_check, Undrain)],
         1 => vec![
             (begin, Drain),
--- a/crates/trial/src/topology.rs
+++ b/crates/trial/src/topology.rs
@@ -59,7 +59,7 @@
         origin: Option<&str>,
     ) -> Result<Topology, (String, String)> {
         let zones = scenario.zones.clone();
-        let place = |name: &str| zones.iter().position(|z| z == name);
+        let zone_index = |name: &str| zones.iter().position(|z| z == name);
         let mut region_of = vec![None; zones.len()];
         for (i, region) in regions.iter().enumerate() {
             let key = format!("region.{i}.zones");
@@ -67,32 +67,44 @@
                 return Err((format!("region.{i}.name"), "two regions of this name".into()));
             }
             for name in &region.zones {
-                let Some(zone) = place(name) else { return Err((key, format!("there is no zone {name:?}"))) };
+                let Some(zone) = zone_index(name) else {
+                    return Err((key, format!("there is no zone {name:?}")));
+                };
                 if region_of[zone].replace(i).is_some() {
                     return Err((key, format!("{name:?} is in two regions")));
                 }
             }
         }
-        let all = regions.is_empty();
-        let mut found = Vec::new();
+        let single_region = regions.is_empty();
+        let mut region_of_zone = Vec::new();
         for (zone, region) in region_of.into_iter().enumerate() {
-            let region = region.or(all.then_some(0));
+            let region = region.or(single_region.then_some(0));
             let unassigned = || ("region".to_owned(), format!("no region has the zone {:?}", zones[zone]));
-            found.push(region.ok_or_else(unassigned)?);
+            region_of_zone.push(region.ok_or_else(unassigned)?);
         }
-        let names =
-            if all { vec!["all".to_owned()] } else { regions.iter().map(|r| r.name.clone()).collect() };
+        let region_names = if single_region {
+            vec!["all".to_owned()]
+        } else {
+            regions.iter().map(|r| r.name.clone()).collect()
+        };
         if scenario.boxes.count < zones.len() || scenario.nodes.count < zones.len() {
             return Err(("world".into(), "there are fewer boxes or nodes than zones".into()));
         }
         let origin_zone = match origin {
             Some(name) => {
-                place(name).ok_or_else(|| ("origin".into(), format!("there is no zone {name:?}")))?
+                zone_index(name).ok_or_else(|| ("origin".into(), format!("there is no zone {name:?}")))?
             }
             None => 0,
         };
         let (nodes, cache_servers) = (scenario.nodes.count, scenario.boxes.count);
-        Ok(Topology { zones, regions: names, region_of: found, origin_zone, nodes, cache_servers })
+        Ok(Topology {
+            zones,
+            regions: region_names,
+            region_of: region_of_zone,
+            origin_zone,
+            nodes,
+            cache_servers,
+        })
     }
 
     /// The zone of a node or a cache server: these are assigned to the zones in turn.
@@ -120,12 +132,12 @@
 
     /// All endpoints. The index of a discovery service is that of its region; a single one for all regions has index 0.
     fn all_endpoints(&self) -> Endpoints {
-        let of = |kind, number, zone| Endpoint { kind, number, zone };
-        let clients = (0..self.zones.len()).map(|z| of(EndpointKind::Clients, z, z));
+        let endpoint = |kind, number, zone| Endpoint { kind, number, zone };
+        let clients = (0..self.zones.len()).map(|z| endpoint(EndpointKind::Clients, z, z));
         let nodes = (0..self.nodes).map(|n| self.node(n));
         let servers = (0..=self.cache_servers).map(|b| self.server(b));
         let discoveries =
-            (0..self.regions.len()).map(|r| of(EndpointKind::Discovery, r, self.zone_of_discovery(r)));
+            (0..self.regions.len()).map(|r| endpoint(EndpointKind::Discovery, r, self.zone_of_discovery(r)));
         clients.chain(nodes).chain(servers).chain(discoveries).collect()
     }
 
@@ -134,7 +146,7 @@
     ///
     /// # Errors
     /// What is wrong with the selector.
-    pub fn endpoints(&self, word: &str) -> Result<Endpoints, String> {
+    pub fn endpoints(&self, selector: &str) -> Result<Endpoints, String> {
         let kind = |word: &str| match word {
             "clients" => Some(EndpointKind::Clients),
             "nodes" => Some(EndpointKind::Node),
@@ -143,46 +155,48 @@
             "discovery" => Some(EndpointKind::Discovery),
             _ => None,
         };
-        let (what, place) = match word.split_once('@') {
-            Some((what, place)) => (what, Some(place)),
-            None if self.zones.iter().chain(&self.regions).any(|n| n == word) => ("*", Some(word)),
-            None => (word, None),
+        let (kind_name, place) = match selector.split_once('@') {
+            Some((kind_name, place)) => (kind_name, Some(place)),
+            None if self.zones.iter().chain(&self.regions).any(|n| n == selector) => ("*", Some(selector)),
+            None => (selector, None),
         };
-        let there = |p: &Endpoint| match place {
+        let is_there = |endpoint: &Endpoint| match place {
             None => true,
-            Some(name) => self.zones[p.zone] == name || self.regions[self.region_of[p.zone]] == name,
+            Some(name) => {
+                self.zones[endpoint.zone] == name || self.regions[self.region_of[endpoint.zone]] == name
+            }
         };
-        let one = |kind: EndpointKind, number: &str| -> Result<Endpoints, String> {
-            let number: usize = number.parse().map_err(|_| format!("{word:?}: no number"))?;
+        let numbered = |kind: EndpointKind, number: &str| -> Result<Endpoints, String> {
+            let number: usize = number.parse().map_err(|_| format!("{selector:?}: no number"))?;
             let found = self.all_endpoints().into_iter().find(|p| p.kind == kind && p.number == number);
-            found.map(|p| vec![p]).ok_or(format!("there is no {word}"))
+            found.map(|p| vec![p]).ok_or(format!("there is no {selector}"))
         };
         if place.is_some_and(|p| !self.zones.iter().chain(&self.regions).any(|n| n == p)) {
-            return Err(format!("{word:?}: there is no zone or region {:?}", place.unwrap_or_default()));
+            return Err(format!("{selector:?}: there is no zone or region {:?}", place.unwrap_or_default()));
         }
-        match what.split_once(':') {
-            Some(("node", number)) => one(EndpointKind::Node, number),
-            Some(("box", number)) => one(EndpointKind::CacheServer, number),
-            None if what == "*" => Ok(self.all_endpoints().into_iter().filter(there).collect()),
-            None if kind(what).is_some() => {
-                let fits = |p: &Endpoint| Some(p.kind) == kind(what) && there(p);
-                Ok(self.all_endpoints().into_iter().filter(fits).collect())
+        match kind_name.split_once(':') {
+            Some(("node", number)) => numbered(EndpointKind::Node, number),
+            Some(("box", number)) => numbered(EndpointKind::CacheServer, number),
+            None if kind_name == "*" => Ok(self.all_endpoints().into_iter().filter(is_there).collect()),
+            None if kind(kind_name).is_some() => {
+                let matches = |p: &Endpoint| Some(p.kind) == kind(kind_name) && is_there(p);
+                Ok(self.all_endpoints().into_iter().filter(matches).collect())
             }
             _ => Err(format!(
-                "{word:?} names nobody: *, a zone, a region, nodes, boxes, clients, origin, discovery, each \
+                "{selector:?} names no endpoint: *, a zone, a region, nodes, boxes, clients, origin, discovery, each \
                 with @PLACE, node:N or box:N"
             )),
         }
     }
 
     /// The delay between two zones, one way, in milliseconds.
-    pub fn delay_ms(&self, ways: &LinkDelays, a: usize, b: usize) -> f64 {
+    pub fn delay_ms(&self, delays: &LinkDelays, a: usize, b: usize) -> f64 {
         if a == b {
-            ways.zone_ms
+            delays.zone_ms
         } else if self.region_of[a] == self.region_of[b] {
-            ways.region_ms
+            delays.region_ms
         } else {
-            ways.across_ms
+            delays.across_ms
         }
     }
 }
