--- a/crates/trial/src/relay.rs
+++ b/crates/trial/src/relay.rs
@@ -255,7 +255,7 @@
         if conditions.refusing {
             // Without a listener the kernel refuses connections.
             listener = None;
-            state.wait_until(|w| !w.refusing).await;
+            state.wait_until(|c| !c.refusing).await;
             continue;
         }
         let Some(open) = listener.as_ref() else {
@@ -270,7 +270,7 @@
             let fillers = fill_backlog(at).await;
             let filler_addresses: Vec<SocketAddr> =
                 fillers.iter().filter_map(|f| f.local_addr().ok()).collect();
-            state.wait_until(|w| w.refusing || !(w.blocked_forward || w.blocked_backward)).await;
+            state.wait_until(|c| c.refusing || !(c.blocked_forward || c.blocked_backward)).await;
             drop(fillers);
             // Connections in the queue were established before the cut, except for the fillers.
             let _ = SockRef::from(open).listen(BACKLOG);
@@ -281,7 +281,7 @@
             }
             continue;
         }
-        let changed = state.wait_until(|w| w.refusing || w.blocked_forward || w.blocked_backward);
+        let changed = state.wait_until(|c| c.refusing || c.blocked_forward || c.blocked_backward);
         tokio::select! {
             biased;
             () = changed => {}
@@ -388,7 +388,7 @@
             if due > Instant::now() {
                 sleep_until(due).await;
             }
-            state.wait_until(|w| if forward { !w.blocked_forward } else { !w.blocked_backward }).await;
+            state.wait_until(|c| if forward { !c.blocked_forward } else { !c.blocked_backward }).await;
             match chunk {
                 Chunk::Bytes(bytes) => to.write_all(&bytes).await.map_err(|_| ConnectionBroken)?,
                 Chunk::Reset => return Err(ConnectionBroken),
--- a/crates/trial/src/runner.rs
+++ b/crates/trial/src/runner.rs
@@ -52,11 +52,12 @@
         let checker =
             Rc::new(RefCell::new(checker.with_unbounded_delay().with_extra_server_delay(extra_server_delay)));
         let timeline = Rc::new(RefCell::new(Vec::new()));
-        let (t, c, k, l) = (tracker.clone(), collector.clone(), checker.clone(), timeline.clone());
+        let (requests, results, rules, events) =
+            (tracker.clone(), collector.clone(), checker.clone(), timeline.clone());
         observer.subscribe(move |o| {
-            t.borrow_mut().observe(o);
-            c.borrow_mut().observe(o);
-            k.borrow_mut().observe(o);
+            requests.borrow_mut().observe(o);
+            results.borrow_mut().observe(o);
+            rules.borrow_mut().observe(o);
             let entry = match &o.event {
                 ObservedEvent::Fault(description) => Some(description.clone()),
                 ObservedEvent::CacheServerCollapsed { server } => {
@@ -64,7 +65,7 @@
                 }
                 _ => None,
             };
-            l.borrow_mut().extend(entry.map(|text| (o.at.as_secs_f64(), text)));
+            events.borrow_mut().extend(entry.map(|text| (o.at.as_secs_f64(), text)));
         });
         Observers { observer, tracker, collector, checker, timeline }
     }
@@ -178,8 +179,8 @@
     if let (Some(from), Some(to)) = (&step.from, &step.to) {
         text += &format!(" {from} {} {to}", if step.one_way { "->" } else { "<->" });
     }
-    for word in [&step.who, &step.zone, &step.how].into_iter().flatten() {
-        text += &format!(" {word}");
+    for detail in [&step.who, &step.zone, &step.how].into_iter().flatten() {
+        text += &format!(" {detail}");
     }
     text
 }
@@ -256,15 +257,15 @@
         Action::Heal => environment.heal(&from, &to, step.reset),
         Action::Refuse => environment.reset_links(&from, &to, true),
         Action::Reset => environment.reset_links(&from, &to, false),
-        Action::Weather => environment.change_links(&from, &to, |w| {
+        Action::Weather => environment.change_links(&from, &to, |conditions| {
             let ms = |ms: f64| Duration::from_secs_f64(ms / 1e3);
-            w.delay = step.delay_ms.map_or(w.delay, ms);
-            w.jitter = step.jitter.unwrap_or(w.jitter);
-            w.bytes_per_s = step.rate.unwrap_or(w.bytes_per_s);
-            w.lost_share = step.lost.unwrap_or(w.lost_share);
-            w.duplicated_share = step.twice.unwrap_or(w.duplicated_share);
-            w.late_share = step.late.unwrap_or(w.late_share);
-            w.late_by = step.late_ms.map_or(w.late_by, ms);
+            conditions.delay = step.delay_ms.map_or(conditions.delay, ms);
+            conditions.jitter = step.jitter.unwrap_or(conditions.jitter);
+            conditions.bytes_per_s = step.rate.unwrap_or(conditions.bytes_per_s);
+            conditions.lost_share = step.lost.unwrap_or(conditions.lost_share);
+            conditions.duplicated_share = step.twice.unwrap_or(conditions.duplicated_share);
+            conditions.late_share = step.late.unwrap_or(conditions.late_share);
+            conditions.late_by = step.late_ms.map_or(conditions.late_by, ms);
         }),
         Action::Kill => {
             for endpoint in targets {
@@ -347,9 +348,9 @@
             acts_on[line.node] = None;
         }
     }
-    let mut common: BTreeMap<Option<String>, usize> = BTreeMap::new();
-    acts_on.into_iter().for_each(|what| *common.entry(what).or_default() += 1);
-    common.into_values().max().unwrap_or(0) as f64 / nodes.max(1) as f64
+    let mut nodes_by_plan: BTreeMap<Option<String>, usize> = BTreeMap::new();
+    acts_on.into_iter().for_each(|plan| *nodes_by_plan.entry(plan).or_default() += 1);
+    nodes_by_plan.into_values().max().unwrap_or(0) as f64 / nodes.max(1) as f64
 }
 
 fn build_report(
--- a/crates/trial/tests/relay.rs
+++ b/crates/trial/tests/relay.rs
@@ -43,9 +43,9 @@
 }
 
 async fn receive(stream: &mut TcpStream, length: usize) -> Option<Vec<u8>> {
-    let mut answer = vec![0; length];
-    timeout(ARRIVAL_TIMEOUT, stream.read_exact(&mut answer)).await.ok()?.ok()?;
-    Some(answer)
+    let mut reply = vec![0; length];
+    timeout(ARRIVAL_TIMEOUT, stream.read_exact(&mut reply)).await.ok()?.ok()?;
+    Some(reply)
 }
 
 #[test]
@@ -54,14 +54,14 @@
         let relay = echo(LinkConditions::healthy(Duration::ZERO, 0.0)).await;
         let mut open = TcpStream::connect(relay.address).await.unwrap();
         assert!(echoes(&mut open, b"one").await);
-        relay.update(|w| (w.blocked_forward, w.blocked_backward) = (true, true));
+        relay.update(|c| (c.blocked_forward, c.blocked_backward) = (true, true));
         tokio::time::sleep(Duration::from_millis(50)).await;
         assert!(!echoes(&mut open, b"two").await, "nothing arrives, and the connection stays open");
         assert!(
             timeout(ARRIVAL_TIMEOUT, TcpStream::connect(relay.address)).await.is_err(),
             "no new connection is established"
         );
-        relay.update(|w| (w.blocked_forward, w.blocked_backward) = (false, false));
+        relay.update(|c| (c.blocked_forward, c.blocked_backward) = (false, false));
         assert_eq!(receive(&mut open, 3).await.as_deref(), Some(&b"two"[..]), "held bytes arrive");
         let mut new = timeout(TEST_TIMEOUT, TcpStream::connect(relay.address)).await.unwrap().unwrap();
         assert!(echoes(&mut new, b"three").await);
@@ -74,7 +74,7 @@
         let relay = echo(LinkConditions::healthy(Duration::ZERO, 0.0)).await;
         let mut open = TcpStream::connect(relay.address).await.unwrap();
         assert!(echoes(&mut open, b"one").await);
-        relay.update(|w| w.blocked_backward = true);
+        relay.update(|conditions| conditions.blocked_backward = true);
         let before = relay.totals();
         assert!(!echoes(&mut open, b"two").await);
         let after = relay.totals();
@@ -84,7 +84,7 @@
             3,
             "the request has arrived, and the reply is held"
         );
-        relay.update(|w| w.blocked_backward = false);
+        relay.update(|conditions| conditions.blocked_backward = false);
         assert_eq!(receive(&mut open, 3).await.as_deref(), Some(&b"two"[..]));
     });
 }
@@ -96,14 +96,14 @@
         let mut open = TcpStream::connect(relay.address).await.unwrap();
         assert!(echoes(&mut open, b"one").await);
         relay.reset();
-        let ended = open.read(&mut [0; 8]).await;
-        assert_eq!(ended.unwrap_err().kind(), std::io::ErrorKind::ConnectionReset);
-        relay.update(|w| w.refusing = true);
+        let result = open.read(&mut [0; 8]).await;
+        assert_eq!(result.unwrap_err().kind(), std::io::ErrorKind::ConnectionReset);
+        relay.update(|conditions| conditions.refusing = true);
         while let Ok(stream) = TcpStream::connect(relay.address).await {
             drop(stream);
             tokio::task::yield_now().await;
         }
-        relay.update(|w| w.refusing = false);
+        relay.update(|conditions| conditions.refusing = false);
         let mut again = loop {
             if let Ok(stream) = TcpStream::connect(relay.address).await {
                 break stream;
@@ -146,7 +146,7 @@
             assert!(open.read_buf(&mut all).await.unwrap() > 0);
         }
         assert_eq!(all, text);
-        relay.update(|w| w.bytes_per_s = 10_000.0);
+        relay.update(|conditions| conditions.bytes_per_s = 10_000.0);
         let begin = Instant::now();
         open.write_all(&[7; 2000]).await.unwrap();
         let mut back = vec![0; 2000];
@@ -180,31 +180,31 @@
             Some((2, at(&a_for_b))),
             "it comes from the address at which b sees a"
         );
-        there.update(|w| w.blocked_forward = true);
+        there.update(|conditions| conditions.blocked_forward = true);
         a.send_to(b"hi", at(&b_for_a)).await.unwrap();
         assert_eq!(receive(&b, &mut buffer).await, None);
         b.send_to(b"yo", at(&a_for_b)).await.unwrap();
         assert_eq!(receive(&a, &mut buffer).await, Some((2, at(&b_for_a))), "the other direction is open");
-        there.update(|w| (w.blocked_forward, w.duplicated_share) = (false, 1.0));
+        there.update(|c| (c.blocked_forward, c.duplicated_share) = (false, 1.0));
         a.send_to(b"hi", at(&b_for_a)).await.unwrap();
         assert!(receive(&b, &mut buffer).await.is_some() && receive(&b, &mut buffer).await.is_some());
         assert_eq!(receive(&b, &mut buffer).await, None, "duplicated once");
-        there.update(|w| {
-            (w.duplicated_share, w.late_share, w.late_by) = (0.0, 1.0, Duration::from_millis(100))
+        there.update(|c| {
+            (c.duplicated_share, c.late_share, c.late_by) = (0.0, 1.0, Duration::from_millis(100))
         });
         a.send_to(b"first", at(&b_for_a)).await.unwrap();
         while there.totals().datagrams < 4 {
             tokio::task::yield_now().await;
         }
-        there.update(|w| w.late_share = 0.0);
+        there.update(|conditions| conditions.late_share = 0.0);
         a.send_to(b"second", at(&b_for_a)).await.unwrap();
         assert_eq!(receive(&b, &mut buffer).await.map(|(n, _)| n), Some(6));
         assert_eq!(receive(&b, &mut buffer).await.map(|(n, _)| n), Some(5));
-        there.update(|w| w.lost_share = 1.0);
+        there.update(|conditions| conditions.lost_share = 1.0);
         a.send_to(b"hi", at(&b_for_a)).await.unwrap();
         assert_eq!(receive(&b, &mut buffer).await, None);
         let other_sender = socket().await;
-        back.update(|w| w.duplicated_share = 0.0);
+        back.update(|conditions| conditions.duplicated_share = 0.0);
         other_sender.send_to(b"xx", at(&a_for_b)).await.unwrap();
         assert_eq!(receive(&a, &mut buffer).await, None, "datagrams of other senders are dropped");
     });
