--- a/crates/chalksill/src/trial/soak.rs
+++ b/crates/chalksill/src/trial/soak.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::thread;
 
-use chalksill_trial::soak::{Outcome, play};
+use chalksill_trial::soak::{Outcome, run_seed};
 use clap::Args;
 use tokio::task::LocalSet;
 
@@ -41,10 +41,10 @@
                 return;
             }
             let folder = args.out.join(format!("soak-{seed}"));
-            match run_seed(seed, &program, &folder) {
+            match run_seed_on_runtime(seed, &program, &folder) {
                 Ok(outcome) => {
                     println!("{outcome}");
-                    if outcome.good() {
+                    if outcome.passed() {
                         let _ = std::fs::remove_dir_all(&folder);
                     } else if let Ok(mut failed) = failed.lock() {
                         failed.push(seed);
@@ -77,8 +77,8 @@
 }
 
 /// Runs one seed on a runtime of the calling thread.
-fn run_seed(seed: u64, program: &Path, folder: &Path) -> Result<Outcome, String> {
+fn run_seed_on_runtime(seed: u64, program: &Path, folder: &Path) -> Result<Outcome, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("cannot start the runtime: {e}"))?;
-    LocalSet::new().block_on(&runtime, play(seed, program, folder))
+    LocalSet::new().block_on(&runtime, run_seed(seed, program, folder))
 }
