--- a/crates/simnet/src/lib.rs
+++ b/crates/simnet/src/lib.rs
@@ -1,33 +1,35 @@
 //! A simulated network under a virtual clock.
 //!
-//! A [`Net`] joins machines, each an IP address with a zone. A program on one of them sees it as a
-//! [`SimHost`], which implements [`Host`](mothpier_host::Host): the same code that runs on real sockets runs here.
-//! One task, the *wire*, carries every packet in the order of its arrival time, then of its sending; together with
-//! tokio's paused clock and a single thread, a seed decides everything that happens. [`run`] sets that up.
+//! A [`Net`] connects machines, each with an IP address in a zone. Programs on a machine use a [`SimHost`],
+//! which implements [`Host`](mothpier_host::Host): the same code runs on real sockets and here. One task
+//! delivers all packets in the order of arrival, then of sending; with tokio's paused clock and a single
+//! thread, everything that happens follows from a seed. [`run`] sets that up.
 //!
-//! What of TCP is there: connections that come up one way and are known at the other, are refused, or never come up
-//! (a machine that is silent); half-close; reset, with what had arrived before it still readable, as on Linux; a
-//! close with unread bytes, which resets; bytes for a socket that is closed, which are answered with a reset;
-//! back-pressure by a window; a process that is killed (all its connections are reset) and a machine that vanishes
-//! (nothing is said); links cut in one or both directions, whose packets wait for the link, as retransmissions do.
-//! What is not: loss and reordering inside TCP beyond that, congestion, the cost of bandwidth, and times under 1 ms,
-//! the grain of tokio's clock (packets within it keep their order).
+//! Modelled parts of TCP: connects that succeed after one round trip, are refused, or never complete (the
+//! machine is silent); half-close; resets, after which data that had arrived is still readable, as on Linux;
+//! a close with unread data, which resets; data for a closed socket, which is answered with a reset;
+//! back-pressure by a window; killed processes, whose connections are all reset, and machines that lose
+//! power, which send nothing; links that are cut in one or both directions, whose packets wait for the link
+//! as retransmissions do.
+//!
+//! Not modelled: other loss and reordering inside TCP, congestion, limited bandwidth, and times below the 1
+//! ms resolution of tokio's clock (packets within a millisecond keep their order).
 
 mod net;
 mod socket;
-mod tally;
+mod traffic;
 
 use std::future::Future;
 use std::time::Duration;
 
 pub use net::{Links, Net, ProcessId};
 pub use socket::{SimDatagrams, SimHost, SimListener, SimReading, SimStream};
-pub use tally::{Traffic, TrafficKind};
+pub use traffic::{Traffic, TrafficKind};
 
-/// Runs a world to its end on a virtual clock: time passes only when everything waits.
+/// Runs a future to its end on a virtual clock, which advances only when all tasks wait.
 ///
 /// # Panics
-/// Where a runtime can't be made, which needs no more than memory.
+/// If the runtime cannot be created, for which only memory can be missing.
 pub fn run<F: Future>(make: impl FnOnce() -> F) -> F::Output {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
@@ -38,11 +40,11 @@
     local.block_on(&runtime, async { make().await })
 }
 
-/// How much one direction of a connection holds between a write and the read at the other side.
-pub const WINDOW: usize = 128 * 1024;
-/// Connections that a listener holds before its program accepts them; more are dropped, as if never sent.
+/// Bytes that one direction of a connection holds between the write and the read at the other side.
+pub const WINDOW_BYTES: usize = 128 * 1024;
+/// Connections that a listener queues until they are accepted; further ones are dropped without an answer.
 pub const BACKLOG: usize = 4096;
-/// Datagrams that a socket holds before its program reads them; more are dropped.
-pub const DATAGRAMS: usize = 256;
-/// The longest wait that a machine's log, or another part without better knowledge, needs: one hour.
-pub(crate) const LONG: Duration = Duration::from_secs(3600);
+/// Datagrams that a socket queues until they are read; further ones are dropped.
+pub const DATAGRAM_QUEUE_LENGTH: usize = 256;
+/// The longest wait of the delivery task when no packet is queued.
+pub(crate) const IDLE_WAIT: Duration = Duration::from_secs(3600);
--- a/crates/simnet/src/socket.rs
+++ b/crates/simnet/src/socket.rs
@@ -1,4 +1,4 @@
-//! Sockets of a simulated machine, as its programs hold them.
+//! Sockets of a simulated machine.
 
 use std::fmt;
 use std::future::poll_fn;
@@ -13,10 +13,10 @@
 use mothpier_host::{Datagrams, Host, Listener, Reading, Stream};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-use crate::WINDOW;
-use crate::net::{ConnId, Listening, Mailbox, Net, Packet, Phase, ProcessId, wake};
+use crate::WINDOW_BYTES;
+use crate::net::{ConnectionId, DatagramSocket, ListenerState, Net, Packet, Phase, ProcessId, wake};
 
-/// A program's view of its simulated machine.
+/// A process's interface to its simulated machine.
 #[derive(Clone)]
 pub struct SimHost {
     pub(crate) net: Net,
@@ -26,7 +26,7 @@
 }
 
 impl SimHost {
-    /// Which run of a program this is.
+    /// Its process id.
     pub fn process(&self) -> ProcessId {
         self.process
     }
@@ -36,16 +36,16 @@
         self.ip
     }
 
-    /// A listener that another process opened on this machine, as one that inherits it has it: each accepts what the
-    /// others have not, and it lives for as long as one of them does.
+    /// A listener that another process opened on this machine, as inherited by this one: each connection is
+    /// accepted by one of them, and the listener exists as long as one of them does.
     ///
     /// # Errors
-    /// Nothing listens there.
+    /// Nothing listens at the address.
     pub fn inherit(&self, at: SocketAddr) -> io::Result<SimListener> {
-        let mut s = self.net.state.borrow_mut();
-        let l = s.listeners.get_mut(&at).ok_or(ErrorKind::NotFound)?;
-        l.holders.push((self.process, None));
-        *s.sockets.entry(self.process).or_default() += 1;
+        let mut state = self.net.state.borrow_mut();
+        let listener = state.listeners.get_mut(&at).ok_or(ErrorKind::NotFound)?;
+        listener.acceptors.push((self.process, None));
+        *state.socket_counts.entry(self.process).or_default() += 1;
         Ok(SimListener { host: self.clone(), address: at })
     }
 }
@@ -56,18 +56,18 @@
     type Datagrams = SimDatagrams;
 
     async fn connect(&self, to: SocketAddr) -> io::Result<SimStream> {
-        let id = self.net.state.borrow_mut().new_conn(self.ip, self.process, to);
-        // Made before the wait: dropping it gives the connection up.
-        let socket = Socket::hold(&self.net, id, 0);
+        let id = self.net.state.borrow_mut().open_connection(self.ip, self.process, to);
+        // Created before the wait, so that dropping the future closes the connection.
+        let socket = Socket::open_handle(&self.net, id, 0);
         self.net.send(self.ip, to.ip(), Packet::Syn(id));
         poll_fn(|cx| {
-            let mut s = self.net.state.borrow_mut();
-            let Some(c) = s.conns.get_mut(&id) else {
+            let mut state = self.net.state.borrow_mut();
+            let Some(connection) = state.connections.get_mut(&id) else {
                 return Poll::Ready(Err(ErrorKind::ConnectionReset.into()));
             };
-            match c.phase {
+            match connection.phase {
                 Phase::Connecting => {
-                    c.connector = Some(cx.waker().clone());
+                    connection.connect_waker = Some(cx.waker().clone());
                     Poll::Pending
                 }
                 Phase::Up => Poll::Ready(Ok(())),
@@ -75,30 +75,35 @@
             }
         })
         .await?;
-        Ok(SimStream::whole(socket))
+        Ok(SimStream::unsplit(socket))
     }
 
     async fn listen(&self, mut at: SocketAddr) -> io::Result<SimListener> {
-        let mut s = self.net.state.borrow_mut();
+        let mut state = self.net.state.borrow_mut();
         if at.port() == 0 {
-            let free = (10_000..u16::MAX).find(|p| !s.listeners.contains_key(&SocketAddr::new(at.ip(), *p)));
+            let free =
+                (10_000..u16::MAX).find(|p| !state.listeners.contains_key(&SocketAddr::new(at.ip(), *p)));
             at.set_port(free.ok_or(ErrorKind::AddrInUse)?);
         }
-        if s.listeners.contains_key(&at) {
+        if state.listeners.contains_key(&at) {
             return Err(ErrorKind::AddrInUse.into());
         }
-        s.listeners.insert(at, Listening { holders: vec![(self.process, None)], queue: Default::default() });
-        *s.sockets.entry(self.process).or_default() += 1;
+        state
+            .listeners
+            .insert(at, ListenerState { acceptors: vec![(self.process, None)], queue: Default::default() });
+        *state.socket_counts.entry(self.process).or_default() += 1;
         Ok(SimListener { host: self.clone(), address: at })
     }
 
     async fn datagrams(&self, at: SocketAddr) -> io::Result<SimDatagrams> {
-        let mut s = self.net.state.borrow_mut();
-        if s.mailboxes.contains_key(&at) {
+        let mut state = self.net.state.borrow_mut();
+        if state.datagram_sockets.contains_key(&at) {
             return Err(ErrorKind::AddrInUse.into());
         }
-        s.mailboxes.insert(at, Mailbox { process: self.process, queue: Default::default(), waker: None });
-        *s.sockets.entry(self.process).or_default() += 1;
+        state
+            .datagram_sockets
+            .insert(at, DatagramSocket { process: self.process, queue: Default::default(), waker: None });
+        *state.socket_counts.entry(self.process).or_default() += 1;
         Ok(SimDatagrams { host: self.clone(), address: at })
     }
 
@@ -111,73 +116,73 @@
     }
 }
 
-/// One program's hold on one side of a connection.
+/// A handle of one side of a connection.
 struct Socket {
     net: Net,
-    id: ConnId,
+    id: ConnectionId,
     side: usize,
 }
 
 impl Socket {
-    fn hold(net: &Net, id: ConnId, side: usize) -> Socket {
-        if let Some(c) = net.state.borrow_mut().conns.get_mut(&id) {
-            c.ends[side].handles += 1;
+    fn open_handle(net: &Net, id: ConnectionId, side: usize) -> Socket {
+        if let Some(connection) = net.state.borrow_mut().connections.get_mut(&id) {
+            connection.endpoints[side].handles += 1;
         }
         Socket { net: net.clone(), id, side }
     }
 
-    /// Bytes that can be read now, the end (`None`), or why not.
-    fn poll_ready(&self, cx: Option<&mut Context<'_>>) -> Poll<io::Result<Option<usize>>> {
-        let mut s = self.net.state.borrow_mut();
-        let Some(c) = s.conns.get_mut(&self.id) else {
+    /// The number of readable bytes, `None` at the end of the stream, or the error.
+    fn poll_readable(&self, cx: Option<&mut Context<'_>>) -> Poll<io::Result<Option<usize>>> {
+        let mut state = self.net.state.borrow_mut();
+        let Some(connection) = state.connections.get_mut(&self.id) else {
             return Poll::Ready(Err(ErrorKind::ConnectionReset.into()));
         };
-        let end = &mut c.ends[self.side];
-        if !end.inbox.is_empty() {
-            return Poll::Ready(Ok(Some(end.inbox.len())));
+        let end = &mut connection.endpoints[self.side];
+        if !end.received.is_empty() {
+            return Poll::Ready(Ok(Some(end.received.len())));
         }
         if let Some(error) = end.error {
             return Poll::Ready(Err(error.into()));
         }
-        if end.ended {
+        if end.remote_closed {
             return Poll::Ready(Ok(None));
         }
         if let Some(cx) = cx {
-            end.reader = Some(cx.waker().clone());
+            end.read_waker = Some(cx.waker().clone());
         }
         Poll::Pending
     }
 
-    fn take(&self, most: usize) -> Bytes {
-        let mut s = self.net.state.borrow_mut();
-        let Some(c) = s.conns.get_mut(&self.id) else { return Bytes::new() };
-        let inbox = &mut c.ends[self.side].inbox;
-        let taken = inbox.split_to(inbox.len().min(most)).freeze();
-        let other = &mut c.ends[1 - self.side];
-        other.unread = other.unread.saturating_sub(taken.len());
-        wake(&mut other.writer);
+    fn read(&self, limit: usize) -> Bytes {
+        let mut state = self.net.state.borrow_mut();
+        let Some(connection) = state.connections.get_mut(&self.id) else { return Bytes::new() };
+        let inbox = &mut connection.endpoints[self.side].received;
+        let taken = inbox.split_to(inbox.len().min(limit)).freeze();
+        let other = &mut connection.endpoints[1 - self.side];
+        other.unread_by_remote = other.unread_by_remote.saturating_sub(taken.len());
+        wake(&mut other.write_waker);
         taken
     }
 
     fn poll_write(&self, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let (from, to, packet, length) = {
-            let mut s = self.net.state.borrow_mut();
-            let Some(c) = s.conns.get_mut(&self.id) else {
+            let mut state = self.net.state.borrow_mut();
+            let Some(connection) = state.connections.get_mut(&self.id) else {
                 return Poll::Ready(Err(ErrorKind::BrokenPipe.into()));
             };
-            let to = c.ends[1 - self.side].address.ip();
-            let end = &mut c.ends[self.side];
-            if end.error.is_some() || end.fin_sent || end.closed {
+            let to = connection.endpoints[1 - self.side].address.ip();
+            let endpoint = &mut connection.endpoints[self.side];
+            if endpoint.error.is_some() || endpoint.fin_sent || endpoint.closed {
                 return Poll::Ready(Err(ErrorKind::BrokenPipe.into()));
             }
-            let length = bytes.len().min(WINDOW - end.unread.min(WINDOW));
+            let length = bytes.len().min(WINDOW_BYTES - endpoint.unread_by_remote.min(WINDOW_BYTES));
             if length == 0 && !bytes.is_empty() {
-                end.writer = Some(cx.waker().clone());
+                endpoint.write_waker = Some(cx.waker().clone());
                 return Poll::Pending;
             }
-            end.unread += length;
+            endpoint.unread_by_remote += length;
             let packet = Packet::Data(self.id, 1 - self.side, Bytes::copy_from_slice(&bytes[..length]));
-            (end.address.ip(), to, packet, length)
+            (endpoint.address.ip(), to, packet, length)
         };
         if length > 0 {
             self.net.send(from, to, packet);
@@ -185,17 +190,18 @@
         Poll::Ready(Ok(length))
     }
 
-    /// Ends the sending.
-    fn finish(&self) {
+    /// Closes the sending direction.
+    fn shut_down_writing(&self) {
         let addresses = {
-            let mut s = self.net.state.borrow_mut();
-            let Some(c) = s.conns.get_mut(&self.id) else { return };
-            let to = c.ends[1 - self.side].address.ip();
-            let end = &mut c.ends[self.side];
-            if std::mem::replace(&mut end.fin_sent, true) || end.error.is_some() || end.closed {
+            let mut state = self.net.state.borrow_mut();
+            let Some(connection) = state.connections.get_mut(&self.id) else { return };
+            let to = connection.endpoints[1 - self.side].address.ip();
+            let endpoint = &mut connection.endpoints[self.side];
+            if std::mem::replace(&mut endpoint.fin_sent, true) || endpoint.error.is_some() || endpoint.closed
+            {
                 return;
             }
-            (end.address.ip(), to)
+            (endpoint.address.ip(), to)
         };
         self.net.send(addresses.0, addresses.1, Packet::Fin(self.id, 1 - self.side));
     }
@@ -204,28 +210,30 @@
 impl Drop for Socket {
     fn drop(&mut self) {
         let packet = {
-            let mut s = self.net.state.borrow_mut();
-            let Some(c) = s.conns.get_mut(&self.id) else { return };
-            let (to, connecting) = (c.ends[1 - self.side].address.ip(), c.phase != Phase::Up);
-            let end = &mut c.ends[self.side];
-            end.handles -= 1;
-            if end.handles > 0 || end.closed {
+            let mut state = self.net.state.borrow_mut();
+            let Some(connection) = state.connections.get_mut(&self.id) else { return };
+            let (to, connecting) =
+                (connection.endpoints[1 - self.side].address.ip(), connection.phase != Phase::Up);
+            let endpoint = &mut connection.endpoints[self.side];
+            endpoint.handles -= 1;
+            if endpoint.handles > 0 || endpoint.closed {
                 return;
             }
-            end.closed = true;
-            let process = end.process;
-            // A close with unread bytes resets, as Linux does.
-            let reset = !end.inbox.is_empty();
-            let silent = end.error.is_some() || (end.fin_sent && !reset) || (self.side == 0 && connecting);
-            let from = end.address.ip();
+            endpoint.closed = true;
+            let process = endpoint.process;
+            // A close with unread data resets, as on Linux.
+            let reset = !endpoint.received.is_empty();
+            let silent =
+                endpoint.error.is_some() || (endpoint.fin_sent && !reset) || (self.side == 0 && connecting);
+            let from = endpoint.address.ip();
             let packet = (!silent).then(|| {
                 let other = 1 - self.side;
                 if reset { Packet::Rst(self.id, other) } else { Packet::Fin(self.id, other) }
             });
-            if let Some(count) = s.sockets.get_mut(&process) {
+            if let Some(count) = state.socket_counts.get_mut(&process) {
                 *count = count.saturating_sub(1);
             }
-            s.tidy(self.id);
+            state.remove_if_done(self.id);
             packet.map(|p| (from, to, p))
         };
         if let Some((from, to, packet)) = packet {
@@ -234,19 +242,19 @@
     }
 }
 
-/// A TCP connection, or the half of one that is written to.
+/// A TCP connection, or its write half.
 pub struct SimStream {
     socket: Socket,
-    /// The other half is held elsewhere: dropping this one ends the sending.
-    half: bool,
+    /// The read half is held elsewhere: dropping this one closes the sending direction.
+    read_half_taken: bool,
 }
 
-/// The half of a connection that is read from.
+/// The read half of a connection.
 pub struct SimReading(Socket);
 
 impl SimStream {
-    fn whole(socket: Socket) -> SimStream {
-        SimStream { socket, half: false }
+    fn unsplit(socket: Socket) -> SimStream {
+        SimStream { socket, read_half_taken: false }
     }
 }
 
@@ -255,16 +263,16 @@
     type Writing = SimStream;
 
     fn into_halves(mut self) -> (SimReading, SimStream) {
-        let reading = Socket::hold(&self.socket.net, self.socket.id, self.socket.side);
-        self.half = true;
+        let reading = Socket::open_handle(&self.socket.net, self.socket.id, self.socket.side);
+        self.read_half_taken = true;
         (SimReading(reading), self)
     }
 }
 
 impl Drop for SimStream {
     fn drop(&mut self) {
-        if self.half {
-            self.socket.finish();
+        if self.read_half_taken {
+            self.socket.shut_down_writing();
         }
     }
 }
@@ -275,9 +283,9 @@
         cx: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        self.socket.poll_ready(Some(cx)).map_ok(|ready| {
+        self.socket.poll_readable(Some(cx)).map_ok(|ready| {
             if ready.is_some() {
-                buffer.put_slice(&self.socket.take(buffer.remaining()));
+                buffer.put_slice(&self.socket.read(buffer.remaining()));
             }
         })
     }
@@ -293,26 +301,26 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.socket.finish();
+        self.socket.shut_down_writing();
         Poll::Ready(Ok(()))
     }
 }
 
 impl Reading for SimReading {
     async fn readable(&self) -> io::Result<()> {
-        // An error is readable too: the read that follows gives it.
-        poll_fn(|cx| self.0.poll_ready(Some(cx)).map(|_| ())).await;
+        // An error counts as readable: the following read returns it.
+        poll_fn(|cx| self.0.poll_readable(Some(cx)).map(|_| ())).await;
         Ok(())
     }
 
     fn try_read_buf(&self, buffer: &mut BytesMut) -> io::Result<usize> {
-        match self.0.poll_ready(None) {
+        match self.0.poll_readable(None) {
             Poll::Pending => Err(ErrorKind::WouldBlock.into()),
             Poll::Ready(Err(e)) => Err(e),
             Poll::Ready(Ok(None)) => Ok(0),
             Poll::Ready(Ok(Some(_))) => {
                 let room = buffer.capacity() - buffer.len();
-                let mut bytes = self.0.take(room);
+                let mut bytes = self.0.read(room);
                 let length = bytes.len();
                 while bytes.has_remaining() {
                     buffer.extend_from_slice(bytes.chunk());
@@ -325,17 +333,17 @@
 
     fn since_last_arrival(&self) -> Option<Duration> {
         let state = self.0.net.state.borrow();
-        Some(state.conns.get(&self.0.id)?.ends[self.0.side].arrived.elapsed())
+        Some(state.connections.get(&self.0.id)?.endpoints[self.0.side].last_arrival.elapsed())
     }
 
     fn remote_end_closed(&self) -> bool {
         let state = self.0.net.state.borrow();
-        let end = state.conns.get(&self.0.id).map(|connection| &connection.ends[self.0.side]);
-        end.is_none_or(|end| end.ended || end.error.is_some())
+        let end = state.connections.get(&self.0.id).map(|connection| &connection.endpoints[self.0.side]);
+        end.is_none_or(|end| end.remote_closed || end.error.is_some())
     }
 }
 
-/// A TCP socket that waits for connections.
+/// A TCP listener.
 pub struct SimListener {
     host: SimHost,
     address: SocketAddr,
@@ -343,12 +351,12 @@
 
 impl SimListener {
     /// Waits until a connection can be accepted, and leaves it in the queue.
-    pub fn poll_waiting(&self, cx: &mut Context<'_>) -> Poll<()> {
-        let mut s = self.host.net.state.borrow_mut();
-        let Some(l) = s.listeners.get_mut(&self.address) else { return Poll::Pending };
-        let Some(place) = l.place(self.host.process) else { return Poll::Pending };
-        if l.queue.is_empty() {
-            l.holders[place].1 = Some(cx.waker().clone());
+    pub fn poll_pending_connection(&self, cx: &mut Context<'_>) -> Poll<()> {
+        let mut state = self.host.net.state.borrow_mut();
+        let Some(listener) = state.listeners.get_mut(&self.address) else { return Poll::Pending };
+        let Some(acceptor) = listener.acceptor_index(self.host.process) else { return Poll::Pending };
+        if listener.queue.is_empty() {
+            listener.acceptors[acceptor].1 = Some(cx.waker().clone());
             return Poll::Pending;
         }
         Poll::Ready(())
@@ -364,29 +372,29 @@
 
     fn poll_accept(&self, cx: &mut Context<'_>) -> Poll<io::Result<(SimStream, SocketAddr)>> {
         let (id, from) = {
-            let mut s = self.host.net.state.borrow_mut();
-            let mine = self.host.process;
-            let Some(l) = s.listeners.get_mut(&self.address) else { return Poll::Pending };
-            // Without a place it was killed: its tasks are about to end.
-            let Some(place) = l.place(mine) else { return Poll::Pending };
-            let Some(id) = l.queue.pop_front() else {
-                l.holders[place].1 = Some(cx.waker().clone());
+            let mut state = self.host.net.state.borrow_mut();
+            let process = self.host.process;
+            let Some(listener) = state.listeners.get_mut(&self.address) else { return Poll::Pending };
+            // The process was killed and its tasks are about to end.
+            let Some(acceptor) = listener.acceptor_index(process) else { return Poll::Pending };
+            let Some(id) = listener.queue.pop_front() else {
+                listener.acceptors[acceptor].1 = Some(cx.waker().clone());
                 return Poll::Pending;
             };
-            let (conns, sockets) = s.conns_and_sockets();
+            let (conns, sockets) = state.connections_and_socket_counts();
             match conns.get_mut(&id) {
-                Some(c) => {
-                    let before = std::mem::replace(&mut c.ends[1].process, mine);
-                    if before != mine {
-                        *sockets.entry(mine).or_default() += 1;
+                Some(connection) => {
+                    let before = std::mem::replace(&mut connection.endpoints[1].process, process);
+                    if before != process {
+                        *sockets.entry(process).or_default() += 1;
                         sockets.entry(before).and_modify(|count| *count = count.saturating_sub(1));
                     }
-                    (id, c.ends[0].address)
+                    (id, connection.endpoints[0].address)
                 }
                 None => return Poll::Ready(Err(ErrorKind::ConnectionAborted.into())),
             }
         };
-        Poll::Ready(Ok((SimStream::whole(Socket::hold(&self.host.net, id, 1)), from)))
+        Poll::Ready(Ok((SimStream::unsplit(Socket::open_handle(&self.host.net, id, 1)), from)))
     }
 
     fn local_addr(&self) -> io::Result<SocketAddr> {
@@ -395,23 +403,27 @@
 }
 
 impl Drop for SimListener {
-    /// What was not accepted is reset, new connections are refused.
+    /// Resets connections that were not accepted; new ones are refused.
     fn drop(&mut self) {
-        let waiting = {
-            let mut s = self.host.net.state.borrow_mut();
-            let mine = self.host.process;
-            if s.listeners.get(&self.address).is_none_or(|l| l.place(mine).is_none()) {
+        let queued = {
+            let mut state = self.host.net.state.borrow_mut();
+            let process = self.host.process;
+            if state
+                .listeners
+                .get(&self.address)
+                .is_none_or(|listener| listener.acceptor_index(process).is_none())
+            {
                 return;
             }
-            if let Some(count) = s.sockets.get_mut(&mine) {
+            if let Some(count) = state.socket_counts.get_mut(&process) {
                 *count = count.saturating_sub(1);
             }
-            s.let_go(self.address, mine)
+            state.remove_acceptor(self.address, process)
         };
-        for id in waiting {
-            let to = self.host.net.state.borrow_mut().conns.get_mut(&id).map(|c| {
-                c.ends[1].closed = true;
-                c.ends[0].address.ip()
+        for id in queued {
+            let to = self.host.net.state.borrow_mut().connections.get_mut(&id).map(|connection| {
+                connection.endpoints[1].closed = true;
+                connection.endpoints[0].address.ip()
             });
             if let Some(to) = to {
                 self.host.net.send(self.address.ip(), to, Packet::Rst(id, 0));
@@ -429,16 +441,16 @@
 impl Datagrams for SimDatagrams {
     async fn recv_from(&self, buffer: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
         poll_fn(|cx| {
-            let mut s = self.host.net.state.borrow_mut();
-            let Some(m) = s.mailboxes.get_mut(&self.address) else { return Poll::Pending };
-            match m.queue.pop_front() {
+            let mut state = self.host.net.state.borrow_mut();
+            let Some(socket) = state.datagram_sockets.get_mut(&self.address) else { return Poll::Pending };
+            match socket.queue.pop_front() {
                 Some((from, bytes)) => {
                     let length = bytes.len().min(buffer.len());
                     buffer[..length].copy_from_slice(&bytes[..length]);
                     Poll::Ready(Ok((length, from)))
                 }
                 None => {
-                    m.waker = Some(cx.waker().clone());
+                    socket.waker = Some(cx.waker().clone());
                     Poll::Pending
                 }
             }
@@ -455,10 +467,11 @@
 
 impl Drop for SimDatagrams {
     fn drop(&mut self) {
-        let mut s = self.host.net.state.borrow_mut();
-        if s.mailboxes.get(&self.address).is_some_and(|m| m.process == self.host.process) {
-            s.mailboxes.remove(&self.address);
-            if let Some(count) = s.sockets.get_mut(&self.host.process) {
+        let mut state = self.host.net.state.borrow_mut();
+        if state.datagram_sockets.get(&self.address).is_some_and(|socket| socket.process == self.host.process)
+        {
+            state.datagram_sockets.remove(&self.address);
+            if let Some(count) = state.socket_counts.get_mut(&self.host.process) {
                 *count = count.saturating_sub(1);
             }
         }
--- a/crates/simnet/src/tally.rs
+++ b/crates/simnet/src/traffic.rs
@@ -1,5 +1,4 @@
-//! A tally of traffic by machine and way, for those that ask for it. It takes no part in what happens on the network, nor in
-//! its digest.
+//! Counters of traffic by machine and kind, on request. They affect neither the network nor its digest.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -7,21 +6,21 @@
 /// A kind of traffic of a machine, by the port of the side that is called.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum TrafficKind {
-    /// TCP connections that the machine opened to this port elsewhere.
+    /// TCP connections that the machine opened to this port.
     Opened(u16),
-    /// TCP connections that it accepted on this port of its own.
+    /// TCP connections that the machine accepted on this port.
     Accepted(u16),
-    /// Datagrams to this port, its own or that of another machine.
+    /// Datagrams to this port, on this machine or another one.
     Datagrams(u16),
 }
 
-/// Messages and their bytes. A message is one datagram, or what one write gives to a TCP connection; bytes are without
-/// headers of IP, TCP and UDP.
+/// Messages and bytes. A message is a datagram, or the data of one write to a TCP connection; bytes exclude
+/// headers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Messages received. A datagram that finds its queue full, or no socket, is not received.
+    /// Messages received. Datagrams for a full queue or a missing socket are not received.
     pub messages_in: u64,
-    /// Messages sent, those included that are lost on their way.
+    /// Messages sent, including lost ones.
     pub messages_out: u64,
     /// Bytes received.
     pub bytes_in: u64,
@@ -42,18 +41,18 @@
     }
 }
 
-/// All traffic since the tally began.
+/// All traffic since counting started.
 #[derive(Default)]
-pub(crate) struct Tally(HashMap<(IpAddr, TrafficKind), Traffic>);
+pub(crate) struct TrafficCounters(HashMap<(IpAddr, TrafficKind), Traffic>);
 
-impl Tally {
-    pub fn sent(&mut self, ip: IpAddr, way: TrafficKind, bytes: usize) {
+impl TrafficCounters {
+    pub fn count_sent(&mut self, ip: IpAddr, way: TrafficKind, bytes: usize) {
         let traffic = self.0.entry((ip, way)).or_default();
         traffic.messages_out += 1;
         traffic.bytes_out += bytes as u64;
     }
 
-    pub fn received(&mut self, ip: IpAddr, way: TrafficKind, bytes: usize) {
+    pub fn count_received(&mut self, ip: IpAddr, way: TrafficKind, bytes: usize) {
         let traffic = self.0.entry((ip, way)).or_default();
         traffic.messages_in += 1;
         traffic.bytes_in += bytes as u64;
--- a/crates/simnet/tests/network.rs
+++ b/crates/simnet/tests/network.rs
@@ -1,4 +1,4 @@
-//! The simulated network against what TCP and UDP on Linux do in the same case.
+//! Compares the simulated network with the behaviour of TCP and UDP on Linux.
 #![allow(missing_docs)]
 
 use std::io::ErrorKind;
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use chalksill_simnet::{Links, Net, SimHost, SimListener, SimStream, WINDOW, run};
+use chalksill_simnet::{Links, Net, SimHost, SimListener, SimStream, WINDOW_BYTES, run};
 use mothpier_host::{Datagrams, Host, Listener, Reading, Stream};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::task::spawn_local;
@@ -23,14 +23,14 @@
     b: SimHost,
 }
 
-fn two() -> Two {
+fn two_machines() -> Two {
     let net = Net::new(1, Duration::from_secs(1000), Links::default());
     spawn_local(net.clone().deliver_packets());
     let (a, b) = (net.start_process(A, 0, "a"), net.start_process(B, 0, "b"));
     Two { net, a, b }
 }
 
-async fn joined(two: &Two) -> (SimStream, SimStream, SimListener) {
+async fn connected_pair(two: &Two) -> (SimStream, SimStream, SimListener) {
     let listener = two.b.listen(AT).await.unwrap();
     let near = two.a.connect(AT).await.unwrap();
     let (far, from) = listener.accept().await.unwrap();
@@ -39,25 +39,25 @@
 }
 
 #[test]
-fn a_connection_is_refused_or_never_comes_up_or_comes_up() {
+fn connects_are_refused_or_hang_or_succeed() {
     run(|| async {
-        let two = two();
+        let two = two_machines();
         assert_eq!(two.a.connect(AT).await.err().unwrap().kind(), ErrorKind::ConnectionRefused);
-        two.net.silence(B);
+        two.net.cut_off(B);
         assert!(
             timeout(Duration::from_secs(60), two.a.connect(AT)).await.is_err(),
             "a silent machine answered"
         );
         two.net.restore(B);
-        drop(joined(&two).await);
+        drop(connected_pair(&two).await);
     });
 }
 
 #[test]
-fn half_a_close_leaves_the_other_half_open() {
+fn half_close_leaves_the_other_half_open() {
     run(|| async {
-        let two = two();
-        let (mut near, mut far, _listener) = joined(&two).await;
+        let two = two_machines();
+        let (mut near, mut far, _listener) = connected_pair(&two).await;
         near.write_all(b"question").await.unwrap();
         near.shutdown().await.unwrap();
         let mut asked = Vec::new();
@@ -73,10 +73,10 @@
 }
 
 #[test]
-fn a_kill_resets_and_what_had_arrived_can_still_be_read() {
+fn kill_resets_connections_and_arrived_data_stays_readable() {
     run(|| async {
-        let two = two();
-        let (mut near, mut far, _listener) = joined(&two).await;
+        let two = two_machines();
+        let (mut near, mut far, _listener) = connected_pair(&two).await;
         far.write_all(b"half an ans").await.unwrap();
         sleep(SOON).await;
         two.net.kill(two.b.process());
@@ -85,15 +85,15 @@
         assert_eq!(near.read(&mut read).await.unwrap(), 11);
         assert_eq!(near.read(&mut read).await.err().unwrap().kind(), ErrorKind::ConnectionReset);
         assert_eq!(two.a.connect(AT).await.err().unwrap().kind(), ErrorKind::ConnectionRefused);
-        assert_eq!(two.net.sockets(two.b.process()), 0);
+        assert_eq!(two.net.socket_count(two.b.process()), 0);
     });
 }
 
 #[test]
-fn a_close_with_unread_bytes_resets_and_so_do_bytes_after_a_close() {
+fn close_with_unread_data_and_data_after_close_reset() {
     run(|| async {
-        let two = two();
-        let (mut near, far, listener) = joined(&two).await;
+        let two = two_machines();
+        let (mut near, far, listener) = connected_pair(&two).await;
         near.write_all(b"never read").await.unwrap();
         sleep(SOON).await;
         drop(far);
@@ -110,11 +110,11 @@
 }
 
 #[test]
-fn a_machine_that_vanishes_says_nothing_until_it_is_back() {
+fn machine_without_power_sends_nothing_until_restored() {
     run(|| async {
-        let two = two();
-        let (mut near, _far, _listener) = joined(&two).await;
-        two.net.vanish(B, two.b.process());
+        let two = two_machines();
+        let (mut near, _far, _listener) = connected_pair(&two).await;
+        two.net.lose_power(B, two.b.process());
         near.write_all(b"anybody there?").await.unwrap();
         let mut read = [0; 8];
         assert!(timeout(Duration::from_secs(600), near.read(&mut read)).await.is_err());
@@ -124,35 +124,35 @@
 }
 
 #[test]
-fn a_cut_in_one_direction_holds_that_direction_only_and_loses_nothing() {
+fn link_blocked_in_one_direction_delays_that_direction_only() {
     run(|| async {
-        let two = two();
-        let (mut near, mut far, _listener) = joined(&two).await;
-        two.net.cut(A, B);
+        let two = two_machines();
+        let (mut near, mut far, _listener) = connected_pair(&two).await;
+        two.net.block_link(A, B);
         near.write_all(b"one").await.unwrap();
         near.write_all(b"two").await.unwrap();
         far.write_all(b"back").await.unwrap();
         let mut read = [0; 6];
         near.read_exact(&mut read[..4]).await.unwrap();
         assert!(timeout(Duration::from_secs(5), far.read(&mut read)).await.is_err());
-        two.net.mend(A, B);
+        two.net.unblock_link(A, B);
         far.read_exact(&mut read).await.unwrap();
         assert_eq!(&read, b"onetwo");
     });
 }
 
 #[test]
-fn a_writer_waits_when_nobody_reads() {
+fn writer_waits_while_nothing_is_read() {
     run(|| async {
-        let two = two();
-        let (mut near, far, _listener) = joined(&two).await;
-        let all = vec![7u8; WINDOW * 3];
+        let two = two_machines();
+        let (mut near, far, _listener) = connected_pair(&two).await;
+        let all = vec![7u8; WINDOW_BYTES * 3];
         let writing = spawn_local(async move { near.write_all(&all).await.map(|()| near) });
         sleep(SOON).await;
         assert!(!writing.is_finished(), "more than the window was taken");
         let (reading, _writing) = far.into_halves();
         let (mut read, mut buffer) = (0, BytesMut::new());
-        while read < WINDOW * 3 {
+        while read < WINDOW_BYTES * 3 {
             reading.readable().await.unwrap();
             buffer.clear();
             buffer.reserve(4096);
@@ -166,9 +166,9 @@
 }
 
 #[test]
-fn datagrams_come_late_or_not_at_all() {
+fn datagrams_are_delayed_or_lost() {
     run(|| async {
-        let two = two();
+        let two = two_machines();
         let (from, to) = (SocketAddr::new(A, 9), SocketAddr::new(B, 9));
         let (near, far) = (two.a.datagrams(from).await.unwrap(), two.b.datagrams(to).await.unwrap());
         let begin = Instant::now();
@@ -176,7 +176,7 @@
         let mut buffer = [0; 3];
         assert_eq!(far.recv_from(&mut buffer).await.unwrap(), (3, from));
         assert!(begin.elapsed() >= Duration::from_millis(2));
-        two.net.lose_datagrams(0.5);
+        two.net.set_datagram_loss(0.5);
         for _ in 0..200 {
             near.try_send_to(b"x", to).unwrap();
             sleep(SOON).await;
@@ -190,13 +190,13 @@
 }
 
 #[test]
-fn the_digest_tells_any_difference_and_nothing_else() {
+fn digest_reflects_seed_and_data() {
     let digest = |seed: u64, word: &'static [u8]| {
         run(move || async move {
             let net = Net::new(seed, Duration::from_secs(1000), Links::default());
             spawn_local(net.clone().deliver_packets());
             let two = Two { a: net.start_process(A, 0, "a"), b: net.start_process(B, 0, "b"), net };
-            let (mut near, mut far, _listener) = joined(&two).await;
+            let (mut near, mut far, _listener) = connected_pair(&two).await;
             near.write_all(word).await.unwrap();
             far.read_exact(&mut vec![0; word.len()]).await.unwrap();
             two.net.digest()
@@ -208,9 +208,9 @@
 }
 
 #[test]
-fn a_listener_that_two_processes_hold_outlives_either_and_gives_each_connection_to_one() {
+fn shared_listener_outlives_either_process() {
     run(|| async {
-        let two = two();
+        let two = two_machines();
         let first = two.b.listen(AT).await.unwrap();
         let other = two.net.start_process(B, 0, "b again");
         assert!(other.listen(AT).await.is_err(), "bound a second time");
@@ -218,7 +218,7 @@
         let _near = two.a.connect(AT).await.unwrap();
         let (_far, _) = second.accept().await.unwrap();
         assert!(timeout(SOON, first.accept()).await.is_err(), "accepted twice");
-        // What waits when one lets go, or is killed, is the other's.
+        // Queued connections go to the other process when one drops the listener or is killed.
         let _waits = two.a.connect(AT).await.unwrap();
         drop(first);
         let (_taken, _) = timeout(SOON, second.accept()).await.expect("lost with the first").unwrap();
--- a/crates/simnet/tests/tally.rs
+++ b/crates/simnet/tests/tally.rs
@@ -1,4 +1,4 @@
-//! The tally of traffic, and cuts between groups of zones.
+//! Counters of traffic, and cuts between groups of zones.
 #![allow(missing_docs)]
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -16,7 +16,7 @@
 const SOON: Duration = Duration::from_millis(100);
 
 /// Two machines, in zones 1 and 2.
-fn two() -> (Net, SimHost, SimHost) {
+fn two_machines() -> (Net, SimHost, SimHost) {
     let net = Net::new(1, Duration::from_secs(1000), Links::default());
     spawn_local(net.clone().deliver_packets());
     let (a, b) = (net.start_process(A, 1, "a"), net.start_process(B, 2, "b"));
@@ -27,8 +27,8 @@
     Traffic { messages_in, messages_out, bytes_in, bytes_out }
 }
 
-/// A question of 8 bytes, an answer of 6, and a datagram of 5 that nobody hears.
-async fn talk(a: &SimHost, b: &SimHost) {
+/// Sends 8 bytes, a response of 6, and a datagram of 5 to a port without a socket.
+async fn exchange_messages(a: &SimHost, b: &SimHost) {
     let listener = b.listen(AT).await.unwrap();
     let mut near = a.connect(AT).await.unwrap();
     let (mut far, _) = listener.accept().await.unwrap();
@@ -42,11 +42,11 @@
 }
 
 #[test]
-fn messages_and_bytes_are_counted_by_machine_and_way() {
+fn messages_and_bytes_are_counted_by_machine_and_kind() {
     run(|| async {
-        let (net, a, b) = two();
+        let (net, a, b) = two_machines();
         net.count_traffic();
-        talk(&a, &b).await;
+        exchange_messages(&a, &b).await;
         assert_eq!(net.traffic(A, TrafficKind::Opened(80)), traffic(1, 1, 6, 8));
         assert_eq!(net.traffic(B, TrafficKind::Accepted(80)), traffic(1, 1, 8, 6));
         assert_eq!(net.traffic(A, TrafficKind::Datagrams(9)), traffic(0, 1, 0, 5));
@@ -57,14 +57,14 @@
 }
 
 #[test]
-fn a_tally_is_off_by_default_and_changes_no_digest() {
+fn counting_is_off_by_default_and_changes_no_digest() {
     let digest = |tallied: bool| {
         run(|| async {
-            let (net, a, b) = two();
+            let (net, a, b) = two_machines();
             if tallied {
                 net.count_traffic();
             }
-            talk(&a, &b).await;
+            exchange_messages(&a, &b).await;
             assert_eq!(net.traffic(A, TrafficKind::Opened(80)) != Traffic::default(), tallied);
             net.digest()
         })
@@ -73,9 +73,9 @@
 }
 
 #[test]
-fn connections_are_told_by_the_address_that_they_lead_to() {
+fn connections_are_counted_by_destination() {
     run(|| async {
-        let (net, a, b) = two();
+        let (net, a, b) = two_machines();
         let listener = b.listen(AT).await.unwrap();
         let near = (a.connect(AT).await.unwrap(), a.connect(AT).await.unwrap());
         let far = (listener.accept().await.unwrap(), listener.accept().await.unwrap());
@@ -87,9 +87,9 @@
 }
 
 #[test]
-fn a_cut_between_zones_holds_connections_until_it_is_mended_and_drops_datagrams() {
+fn zone_partition_delays_connections_and_drops_datagrams() {
     run(|| async {
-        let (net, a, b) = two();
+        let (net, a, b) = two_machines();
         let listener = b.listen(AT).await.unwrap();
         let mut near = a.connect(AT).await.unwrap();
         let (mut far, _) = listener.accept().await.unwrap();
--- a/crates/world/src/agreement.rs
+++ b/crates/world/src/agreement.rs
@@ -1,29 +1,29 @@
-//! What nodes' logs tell of plans of zones, and what a node is given so that it can agree with others.
+//! Parses plans of zones from nodes' logs, and writes the agreement settings of a node.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// The port on which members of the accord hear each other in worlds and trials.
+/// The port of agreement messages in simulated runs and trials.
 pub const PORT: u16 = 7947;
 
-/// A plan as a node's log tells it.
+/// A plan as reported by a node's log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReportedPlan {
-    /// The round of the decider's tenure, the plan's number in it, and the decider.
+    /// The round of the leader's term, the number of the plan in it, and the leader.
     pub number: (u32, u32, u16),
-    /// What it says.
+    /// Its description.
     pub description: String,
 }
 
 impl ReportedPlan {
-    /// Reads a line of a log; `None` where it tells of no plan.
+    /// Parses a log line; `None` if it does not report a plan.
     pub fn parse(line: &str) -> Option<ReportedPlan> {
-        let (_, told) = line.split_once("accord: plan ")?;
-        let (number, rest) = told.split_once(" of node ")?;
+        let (_, plan) = line.split_once("accord: plan ")?;
+        let (number, rest) = plan.split_once(" of node ")?;
         let (round, sequence) = number.split_once('.')?;
-        let (voter, says) = rest.split_once(": ")?;
+        let (voter, description) = rest.split_once(": ")?;
         let number = (round.parse().ok()?, sequence.parse().ok()?, voter.parse().ok()?);
-        Some(ReportedPlan { number, description: says.to_owned() })
+        Some(ReportedPlan { number, description: description.to_owned() })
     }
 
     /// The zones that it gives up.
@@ -33,7 +33,7 @@
     }
 }
 
-/// Whether a line of a log says that its node decides from now on, or no longer.
+/// Whether a log line says that its node became leader (`true`) or stopped being it (`false`).
 pub fn leadership_change(line: &str) -> Option<bool> {
     if line.contains("accord: this node decides from now on") {
         return Some(true);
@@ -41,11 +41,11 @@
     line.contains("accord: this node no longer decides").then_some(false)
 }
 
-/// The operator's file with a node's own address and those at which it finds all members, where it switches the accord on; else as it
-/// is.
+/// The operator's file, with the node's own agreement address and those of all members added if it enables
+/// agreement.
 ///
 /// # Errors
-/// A file that is no TOML.
+/// A file that is no valid TOML.
 pub fn operator_config(text: &str, own: SocketAddr, members: &[SocketAddr]) -> Result<String, String> {
     let mut table: toml::Table = toml::from_str(text).map_err(|e| format!("the operator's file: {e}"))?;
     let Some(accord) = table.get_mut("accord").and_then(toml::Value::as_table_mut) else {
@@ -67,9 +67,9 @@
     #[test]
     fn lines_of_plans_are_read_and_others_are_not() {
         let line = "mothpier: accord: plan 6.3 of node 1: south is given up, 40% of its keys go there; east is suspected, 100% of its keys go there";
-        let told = ReportedPlan::parse(line).unwrap();
-        assert_eq!(told.number, (6, 3, 1));
-        assert_eq!(told.given_up_zones(), BTreeSet::from(["south"]));
+        let plan = ReportedPlan::parse(line).unwrap();
+        assert_eq!(plan.number, (6, 3, 1));
+        assert_eq!(plan.given_up_zones(), BTreeSet::from(["south"]));
         for other in
             ["accord: plan x.3 of node 1: all zones serve", "accord: this node decides from now on (round 6)"]
         {
--- a/crates/world/src/cache.rs
+++ b/crates/world/src/cache.rs
@@ -1,5 +1,5 @@
-//! A cache box: RESP2 in order on each connection, cores and a waiting room, memory with eviction, a cold start, and
-//! the rule by which a cold one falls over.
+//! A stub cache server: in-order RESP2 connections, cores with a waiting queue, an LRU memory, a cold start,
+//! and the collapse of a cold server under too much load.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -21,158 +21,158 @@
 use crate::fleet::Fleet;
 use crate::observe::{AttemptOutcome, NodeIndex, ObservedEvent, RequestId, ServerIndex};
 
-pub mod second_answers;
+pub mod duplicate_responses;
 
-/// Commands of one connection that are begun at once.
-const PIPELINE: usize = 32;
-/// A connection that asks nothing for this long is closed.
-const IDLE: Duration = Duration::from_secs(60);
-/// A large answer is written in pieces of so many bytes, with this time between two.
-const PIECE: usize = 64 * 1024;
-const BETWEEN_PIECES: Duration = Duration::from_millis(2);
+/// Most commands of one connection that are processed at once.
+const MAX_PIPELINED_COMMANDS: usize = 32;
+/// A connection without commands is closed after this time.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// A large response is written in pieces of this size, with this pause between two.
+const CHUNK_BYTES: usize = 64 * 1024;
+const CHUNK_PAUSE: Duration = Duration::from_millis(2);
 
-/// What faults do to the answers of one box.
+/// Faults that apply to the responses of a cache server.
 #[derive(Debug, Default)]
-pub struct Spoil {
-    /// Part of the answers that end in a reset in their middle.
-    pub resets: Cell<f64>,
-    /// Part of the answers that begin and then stall.
-    pub stalls: Cell<f64>,
-    /// Answers that are given a second time.
-    pub second_answers: second_answers::Figures,
+pub struct ResponseFaults {
+    /// Share of responses that end in a reset halfway.
+    pub reset_share: Cell<f64>,
+    /// Share of responses that stop halfway without a reset.
+    pub stall_share: Cell<f64>,
+    /// Responses that are sent a second time.
+    pub duplicates: duplicate_responses::DuplicateSettings,
 }
 
-/// Keys, the least lately used going first.
+/// Keys in the order of their last use.
 #[derive(Default)]
-struct Memory {
-    used: BTreeMap<u64, u64>,
-    order: BTreeMap<u64, u64>,
-    tick: u64,
+struct LruKeys {
+    last_used: BTreeMap<u64, u64>,
+    by_last_use: BTreeMap<u64, u64>,
+    clock: u64,
 }
 
-impl Memory {
+impl LruKeys {
     fn touch(&mut self, key: u64) -> bool {
-        let Some(at) = self.used.get_mut(&key) else { return false };
-        self.order.remove(at);
-        self.tick += 1;
-        *at = self.tick;
-        self.order.insert(self.tick, key);
+        let Some(stamp) = self.last_used.get_mut(&key) else { return false };
+        self.by_last_use.remove(stamp);
+        self.clock += 1;
+        *stamp = self.clock;
+        self.by_last_use.insert(self.clock, key);
         true
     }
 
-    fn insert(&mut self, key: u64, most: usize) {
+    fn insert(&mut self, key: u64, capacity: usize) {
         if self.touch(key) {
             return;
         }
-        self.tick += 1;
-        self.used.insert(key, self.tick);
-        self.order.insert(self.tick, key);
-        if self.used.len() > most
-            && let Some((_, old)) = self.order.pop_first()
+        self.clock += 1;
+        self.last_used.insert(key, self.clock);
+        self.by_last_use.insert(self.clock, key);
+        if self.last_used.len() > capacity
+            && let Some((_, evicted)) = self.by_last_use.pop_first()
         {
-            self.used.remove(&old);
+            self.last_used.remove(&evicted);
         }
     }
 
     fn remove(&mut self, key: u64) {
-        if let Some(at) = self.used.remove(&key) {
-            self.order.remove(&at);
+        if let Some(stamp) = self.last_used.remove(&key) {
+            self.by_last_use.remove(&stamp);
         }
     }
 }
 
-/// One life of a box.
+/// One incarnation of a cache server.
 pub struct CacheServer {
-    /// Its number.
-    pub number: ServerIndex,
+    /// Its index.
+    pub index: ServerIndex,
     fleet: Rc<Fleet>,
     speed: f64,
     cold_since: Option<Instant>,
     cores: Semaphore,
-    waiting: Cell<usize>,
-    connections: Cell<usize>,
-    memory: RefCell<Memory>,
-    /// Reads that were told to fetch, by key: a second miss of it is `pending`.
+    queued: Cell<usize>,
+    open_connections: Cell<usize>,
+    keys: RefCell<LruKeys>,
+    /// Keys whose reads missed and are being fetched: another miss of them is answered with `pending`.
     fetching: RefCell<BTreeMap<u64, Instant>>,
-    /// Work sent lately, while it is cold.
-    sent: RefCell<VecDeque<(Instant, f64)>>,
-    fallen: Cell<bool>,
-    /// Told when it falls.
-    pub fell: Notify,
-    /// What faults do to its answers.
-    pub spoil: Spoil,
+    /// Recent work, while the server is cold.
+    recent_work: RefCell<VecDeque<(Instant, f64)>>,
+    has_collapsed: Cell<bool>,
+    /// Notified when the server collapses.
+    pub collapsed: Notify,
+    /// Faults that apply to its responses.
+    pub response_faults: ResponseFaults,
     draining: Cell<bool>,
     rng: RefCell<Pcg64Mcg>,
-    second_answers_rng: RefCell<Pcg64Mcg>,
+    duplicates_rng: RefCell<Pcg64Mcg>,
 }
 
-/// The figures of an attempt, read off its command.
-struct Asked {
+/// An attempt, as parsed from its command.
+struct ParsedAttempt {
     request: RequestId,
     key: u64,
     class: usize,
-    write: bool,
-    wait: Duration,
+    is_write: bool,
+    time_out: Duration,
 }
 
-/// A command, as it was read.
+/// A parsed command.
 enum Command {
-    Attempt(Asked),
-    /// One that is answered with a line, in its turn.
+    Attempt(ParsedAttempt),
+    /// A command that is answered with a fixed line, in its turn.
     Other(&'static [u8]),
 }
 
-/// An answer that is due on a connection, in the order of the commands.
-enum Due {
+/// A response that is due on a connection, in the order of the commands.
+enum DueResponse {
     Attempt(RequestId, oneshot::Receiver<(Bytes, AttemptOutcome)>),
     Line(&'static [u8]),
 }
 
-/// What goes out as the next answer.
-struct Answer {
+/// The next response to write.
+struct NextResponse {
     bytes: Bytes,
-    /// The attempt that it answers and what became of that; `None` for a command that is no attempt.
-    of: Option<(RequestId, AttemptOutcome)>,
+    /// The attempt that it answers with its outcome; `None` for other commands.
+    attempt: Option<(RequestId, AttemptOutcome)>,
 }
 
-/// The connection that waits for an attempt's answer.
-struct Waiter {
-    done: oneshot::Sender<(Bytes, AttemptOutcome)>,
-    /// Closed when the connection is.
+/// The connection that waits for a response.
+struct ResponseChannel {
+    sender: oneshot::Sender<(Bytes, AttemptOutcome)>,
+    /// Closed together with the connection.
     closed: Rc<Semaphore>,
 }
 
 impl CacheServer {
-    /// A box that starts now; a cold one holds nothing.
-    pub fn new(fleet: &Rc<Fleet>, number: ServerIndex, life: u64, cold: bool) -> Rc<CacheServer> {
+    /// A cache server that starts now; a cold one is empty.
+    pub fn new(fleet: &Rc<Fleet>, index: ServerIndex, incarnation: u64, cold: bool) -> Rc<CacheServer> {
         let boxes = &fleet.scenario.boxes;
         Rc::new(CacheServer {
-            number,
+            index,
             fleet: fleet.clone(),
-            speed: boxes.speeds[number % boxes.speeds.len()],
+            speed: boxes.speeds[index % boxes.speeds.len()],
             cold_since: cold.then(Instant::now),
             cores: Semaphore::new(boxes.cores),
-            waiting: Cell::new(0),
-            connections: Cell::new(0),
-            memory: RefCell::default(),
+            queued: Cell::new(0),
+            open_connections: Cell::new(0),
+            keys: RefCell::default(),
             fetching: RefCell::default(),
-            sent: RefCell::default(),
-            fallen: Cell::new(false),
-            fell: Notify::new(),
-            spoil: Spoil::default(),
+            recent_work: RefCell::default(),
+            has_collapsed: Cell::new(false),
+            collapsed: Notify::new(),
+            response_faults: ResponseFaults::default(),
             draining: Cell::new(false),
-            rng: RefCell::new(fleet.rng("box", number as u64 * 1000 + life)),
-            second_answers_rng: RefCell::new(fleet.rng("second answers", number as u64 * 1000 + life)),
+            rng: RefCell::new(fleet.rng("box", index as u64 * 1000 + incarnation)),
+            duplicates_rng: RefCell::new(fleet.rng("second answers", index as u64 * 1000 + incarnation)),
         })
     }
 
-    /// What it can do when warm: core-milliseconds of speed 1 in a millisecond.
+    /// Its capacity when warm: milliseconds of a core of speed 1 per millisecond.
     pub fn capacity(&self) -> f64 {
         self.speed * self.fleet.scenario.boxes.cores as f64
     }
 
-    /// The part of that which it can do now.
-    fn warmth(&self) -> f64 {
+    /// The share of its capacity that it has now.
+    fn capacity_share(&self) -> f64 {
         let rules = &self.fleet.scenario.rules;
         self.cold_since.map_or(1.0, |since| {
             let age = since.elapsed().as_secs_f64() * 1e3 / rules.warm_ms as f64;
@@ -180,23 +180,24 @@
         })
     }
 
-    /// Keeps a key.
+    /// Stores a key.
     pub fn store(&self, key: u64) {
-        self.memory.borrow_mut().insert(key, self.fleet.scenario.boxes.keys);
+        self.keys.borrow_mut().insert(key, self.fleet.scenario.boxes.keys);
         self.fetching.borrow_mut().remove(&key);
     }
 
     /// Drops a key.
     pub fn drop_key(&self, key: u64) {
-        self.memory.borrow_mut().remove(key);
+        self.keys.borrow_mut().remove(key);
     }
 
-    /// From now on it turns away what is new.
+    /// Rejects new requests from now on.
     pub fn drain(&self) {
         self.draining.set(true);
     }
 
-    /// Serves connections until its tasks are dropped. `node` tells who asks, by the address of the other side.
+    /// Serves connections until its tasks are dropped. `node` maps a remote address to the node that
+    /// connects.
     pub async fn serve<H: Host>(
         self: Rc<Self>,
         listener: H::Listener,
@@ -206,31 +207,31 @@
             let Ok((stream, from)) = listener.accept().await else { continue };
             let (cache, node) = (self.clone(), node(from));
             spawn_local(async move {
-                cache.connections.set(cache.connections.get() + 1);
-                cache.clone().connection(stream, node).await;
-                cache.connections.set(cache.connections.get() - 1);
+                cache.open_connections.set(cache.open_connections.get() + 1);
+                cache.clone().serve_connection(stream, node).await;
+                cache.open_connections.set(cache.open_connections.get() - 1);
             });
         }
     }
 
-    async fn connection<S: Stream>(self: Rc<Self>, stream: S, node: NodeIndex) {
+    async fn serve_connection<S: Stream>(self: Rc<Self>, stream: S, node: NodeIndex) {
         let (reading, mut writing) = stream.into_halves();
-        let crowded = self.connections.get() > self.fleet.scenario.boxes.connections;
+        let over_connection_limit = self.open_connections.get() > self.fleet.scenario.boxes.connections;
         let handshake = self.fleet.scenario.boxes.handshake_ms;
-        // Closed with the connection: work that waits is dropped with it.
+        // Closed with the connection, so that queued work is dropped with it.
         let closed = Rc::new(Semaphore::new(0));
-        let mut pending: VecDeque<Due> = VecDeque::new();
-        let mut second_answers = second_answers::Queue::default();
+        let mut pending: VecDeque<DueResponse> = VecDeque::new();
+        let mut duplicates = duplicate_responses::DuplicateQueue::default();
         let mut buffer = BytesMut::new();
-        let mut first = true;
-        // When what was read last reached this machine.
-        let mut came = Instant::now();
-        let lost = |pending: &mut VecDeque<Due>| {
+        let mut first_command = true;
+        // When the bytes that were read last reached this machine.
+        let mut received_at = Instant::now();
+        let abandon = |pending: &mut VecDeque<DueResponse>| {
             closed.close();
             for due in pending.drain(..) {
-                if let Due::Attempt(request, _) = due {
+                if let DueResponse::Attempt(request, _) = due {
                     self.fleet.observer.record(ObservedEvent::AttemptAbandoned {
-                        server: self.number,
+                        server: self.index,
                         node,
                         request,
                     });
@@ -238,80 +239,91 @@
             }
         };
         loop {
-            while pending.len() < PIPELINE {
+            while pending.len() < MAX_PIPELINED_COMMANDS {
                 match resp::take_frame(&mut buffer, resp::MAX_VALUE_BYTES) {
                     Ok(None) => break,
-                    Ok(Some(frame)) => match self.command(frame) {
-                        Ok(Command::Attempt(asked)) => {
-                            let (done, answer) = oneshot::channel();
-                            let waiter = Waiter { done, closed: closed.clone() };
-                            pending.push_back(Due::Attempt(asked.request, answer));
-                            let extra = if std::mem::take(&mut first) { handshake } else { 0.0 };
-                            let came = self.fleet.observer.since_start(came);
-                            self.clone().begin(asked, node, came, extra, crowded, waiter);
+                    Ok(Some(frame)) => match self.parse_command(frame) {
+                        Ok(Command::Attempt(attempt)) => {
+                            let (sender, response) = oneshot::channel();
+                            let channel = ResponseChannel { sender, closed: closed.clone() };
+                            pending.push_back(DueResponse::Attempt(attempt.request, response));
+                            let handshake_work =
+                                if std::mem::take(&mut first_command) { handshake } else { 0.0 };
+                            let received_at = self.fleet.observer.since_start(received_at);
+                            self.clone().start_attempt(
+                                attempt,
+                                node,
+                                received_at,
+                                handshake_work,
+                                over_connection_limit,
+                                channel,
+                            );
                         }
-                        Ok(Command::Other(line)) => pending.push_back(Due::Line(line)),
+                        Ok(Command::Other(line)) => pending.push_back(DueResponse::Line(line)),
                         Err(text) => {
                             let _ = writing.write_all(&resp::encode_error(text)).await;
-                            return lost(&mut pending);
+                            return abandon(&mut pending);
                         }
                     },
                     Err(_) => {
                         let _ = writing.write_all(&resp::encode_error("SYNTAX")).await;
-                        return lost(&mut pending);
+                        return abandon(&mut pending);
                     }
                 }
             }
-            let (waiting, room) = (pending.len(), pending.len() < PIPELINE);
+            let (pending_commands, room) = (pending.len(), pending.len() < MAX_PIPELINED_COMMANDS);
             tokio::select! {
                 biased;
-                repeat = second_answers.next() => {
-                    let second_answers::Repeat { request, bytes } = repeat;
-                    self.fleet.observer.record(ObservedEvent::DuplicateResponse { server: self.number, node, request, pending: waiting });
-                    if !write_in_pieces(&mut writing, &bytes).await {
-                        return lost(&mut pending);
+                duplicate = duplicates.next() => {
+                    let duplicate_responses::Duplicate { request, bytes } = duplicate;
+                    self.fleet.observer.record(ObservedEvent::DuplicateResponse {
+                        server: self.index, node, request, pending: pending_commands,
+                    });
+                    if !write_chunked(&mut writing, &bytes).await {
+                        return abandon(&mut pending);
                     }
                 }
-                answer = next_answer(&mut pending) => {
+                response = next_response(&mut pending) => {
                     pending.pop_front();
-                    let Some(Answer { bytes, of }) = answer else { return lost(&mut pending) };
-                    if let Some((request, how)) = of {
+                    let Some(NextResponse { bytes, attempt }) = response else { return abandon(&mut pending) };
+                    if let Some((request, outcome)) = attempt {
                         let draw: f64 = self.rng.borrow_mut().random();
-                        let (resets, stalls) = (self.spoil.resets.get(), self.spoil.stalls.get());
-                        let spoilt = draw < resets + stalls;
+                        let (resets, stalls) =
+                            (self.response_faults.reset_share.get(), self.response_faults.stall_share.get());
+                        let broken_off = draw < resets + stalls;
                         self.fleet.observer.record(ObservedEvent::AttemptEnded {
-                            server: self.number, node, request,
-                            outcome: if spoilt { AttemptOutcome::Dropped { started: true } } else { how },
+                            server: self.index, node, request,
+                            outcome: if broken_off { AttemptOutcome::Dropped { started: true } } else { outcome },
                         });
-                        if spoilt {
+                        if broken_off {
                             let _ = writing.write_all(&bytes[..bytes.len() / 2]).await;
                             if draw >= resets {
                                 sleep(Duration::from_secs(5)).await;
                             }
-                            return lost(&mut pending);
+                            return abandon(&mut pending);
                         }
                     }
-                    if !write_in_pieces(&mut writing, &bytes).await {
-                        return lost(&mut pending);
+                    if !write_chunked(&mut writing, &bytes).await {
+                        return abandon(&mut pending);
                     }
-                    let rng = &mut self.second_answers_rng.borrow_mut();
-                    let request = of.map(|(request, _)| request);
-                    second_answers.plan(&self.spoil.second_answers, rng, request, &bytes);
+                    let rng = &mut self.duplicates_rng.borrow_mut();
+                    let request = attempt.map(|(request, _)| request);
+                    duplicates.schedule(&self.response_faults.duplicates, rng, request, &bytes);
                 }
-                more = read(&reading, &mut buffer), if room => {
-                    // What ends its sending has given up what it asked for.
-                    if !more {
-                        return lost(&mut pending);
+                open = read_available(&reading, &mut buffer), if room => {
+                    // A node that ends its sending has given up its requests.
+                    if !open {
+                        return abandon(&mut pending);
                     }
-                    came = Instant::now() - reading.since_last_arrival().unwrap_or_default();
+                    received_at = Instant::now() - reading.since_last_arrival().unwrap_or_default();
                 }
-                () = sleep(IDLE), if waiting == 0 => return,
+                () = sleep(IDLE_TIMEOUT), if pending_commands == 0 => return,
             }
         }
     }
 
-    /// Reads a command.
-    fn command(&self, frame: BytesFrame) -> Result<Command, &'static str> {
+    /// Parses a command.
+    fn parse_command(&self, frame: BytesFrame) -> Result<Command, &'static str> {
         let BytesFrame::Array(parts) = frame else { return Err("SYNTAX") };
         let word = |p: &BytesFrame| match p {
             BytesFrame::BulkString(b) => std::str::from_utf8(b).ok().map(str::to_owned),
@@ -319,7 +331,7 @@
         };
         let words: Option<Vec<String>> = parts.iter().map(word).collect();
         let words = words.ok_or("SYNTAX")?;
-        let write = match words.first().map(String::as_str) {
+        let is_write = match words.first().map(String::as_str) {
             Some("CACHE.GET") if words.len() == 4 => false,
             Some("CACHE.SET") if words.len() == 5 => true,
             Some("CLIENT" | "SELECT") => return Ok(Command::Other(b"+OK\r\n")),
@@ -331,141 +343,144 @@
         let number = |text: &str| u64::from_str_radix(text, 16).map_err(|_| "SYNTAX");
         let extra = |name| words[3].split(',').filter_map(|p| p.split_once('=')).find(|(n, _)| *n == name);
         let class = extra("c").and_then(|(_, c)| self.fleet.scenario.class.iter().position(|k| k.name == c));
-        let wait = extra("d").and_then(|(_, d)| d.parse().ok());
-        Ok(Command::Attempt(Asked {
+        let time_out = extra("d").and_then(|(_, d)| d.parse().ok());
+        Ok(Command::Attempt(ParsedAttempt {
             request: number(&words[2])?,
             key: number(&words[1])?,
             class: class.ok_or("SYNTAX")?,
-            write,
-            wait: Duration::from_millis(wait.ok_or("SYNTAX")?),
+            is_write,
+            time_out: Duration::from_millis(time_out.ok_or("SYNTAX")?),
         }))
     }
 
-    /// Starts on an attempt whose last byte has come.
-    fn begin(
+    /// Starts an attempt whose last byte was received.
+    fn start_attempt(
         self: Rc<Self>,
-        asked: Asked,
+        attempt: ParsedAttempt,
         node: NodeIndex,
-        came: Duration,
-        extra: f64,
-        crowded: bool,
-        waiter: Waiter,
+        received_at: Duration,
+        handshake_work: f64,
+        over_connection_limit: bool,
+        channel: ResponseChannel,
     ) {
-        let Waiter { done, closed } = waiter;
-        let boxes = &self.fleet.scenario.boxes;
-        let [least, most] = self.fleet.scenario.class[asked.class].work_ms;
-        let whole = least + (most - least) * self.rng.borrow_mut().random::<f64>();
-        let held = self.memory.borrow_mut().touch(asked.key);
-        let work = extra + if held { whole } else { whole * boxes.miss_work };
-        let Asked { request, write, .. } = asked;
-        let until = came + asked.wait;
+        let ResponseChannel { sender, closed } = channel;
+        let settings = &self.fleet.scenario.boxes;
+        let [least, most] = self.fleet.scenario.class[attempt.class].work_ms;
+        let full_work = least + (most - least) * self.rng.borrow_mut().random::<f64>();
+        let hit = self.keys.borrow_mut().touch(attempt.key);
+        let work = handshake_work + if hit { full_work } else { full_work * settings.miss_work };
+        let ParsedAttempt { request, is_write, .. } = attempt;
+        let deadline = received_at + attempt.time_out;
         let arrived = ObservedEvent::AttemptArrived {
-            server: self.number,
+            server: self.index,
             node,
             request,
-            is_write: write,
+            is_write,
             work,
             running: 0,
-            received_at: came,
-            deadline: until,
+            received_at,
+            deadline,
         };
         self.fleet.observer.record(arrived);
-        self.press(work);
+        self.add_load(work);
         let busy = || (resp::encode_error("BUSY"), AttemptOutcome::Busy);
-        let full = self.waiting.get() >= boxes.room && self.cores.available_permits() == 0;
-        if crowded || full || self.draining.get() || self.fallen.get() {
-            let _ = done.send(busy());
+        let full = self.queued.get() >= settings.room && self.cores.available_permits() == 0;
+        if over_connection_limit || full || self.draining.get() || self.has_collapsed.get() {
+            let _ = sender.send(busy());
             return;
         }
         spawn_local(async move {
-            self.waiting.set(self.waiting.get() + 1);
+            self.queued.set(self.queued.get() + 1);
             let core = tokio::select! {
                 biased;
                 _ = closed.acquire() => None,
-                core = timeout(asked.wait, self.cores.acquire()) => core.ok().and_then(Result::ok),
+                core = timeout(attempt.time_out, self.cores.acquire()) => core.ok().and_then(Result::ok),
             };
-            self.waiting.set(self.waiting.get() - 1);
+            self.queued.set(self.queued.get() - 1);
             let Some(_core) = core else {
-                let _ = done.send(busy());
+                let _ = sender.send(busy());
                 return;
             };
-            sleep(Duration::from_secs_f64(work / 1e3 / (self.speed * self.warmth()))).await;
-            let _ = done.send(self.look(&asked));
+            sleep(Duration::from_secs_f64(work / 1e3 / (self.speed * self.capacity_share()))).await;
+            let _ = sender.send(self.look_up(&attempt));
         });
     }
 
-    fn look(&self, asked: &Asked) -> (Bytes, AttemptOutcome) {
+    fn look_up(&self, attempt: &ParsedAttempt) -> (Bytes, AttemptOutcome) {
         let word = |w: &str| BytesFrame::BulkString(Bytes::copy_from_slice(w.as_bytes()));
-        let answer =
+        let response =
             |value, how: &str| resp::encode(&BytesFrame::Array(vec![value, word(how), BytesFrame::Null]));
-        if !asked.write && self.memory.borrow_mut().touch(asked.key) {
-            let value = self.fleet.value(asked.key, asked.request, self.number);
-            let bytes = value.bytes(self.fleet.filling(asked.key));
-            return (answer(BytesFrame::BulkString(bytes), "hit"), AttemptOutcome::Value(value));
+        if !attempt.is_write && self.keys.borrow_mut().touch(attempt.key) {
+            let value = self.fleet.value(attempt.key, attempt.request, self.index);
+            let bytes = value.bytes(self.fleet.filler_bytes(attempt.key));
+            return (response(BytesFrame::BulkString(bytes), "hit"), AttemptOutcome::Value(value));
         }
-        self.fleet.missed(asked.request, self.number);
+        self.fleet.record_miss(attempt.request, self.index);
         let now = Instant::now();
         let mut fetching = self.fetching.borrow_mut();
-        let pending = fetching.get(&asked.key).is_some_and(|until| *until > now);
+        let pending = fetching.get(&attempt.key).is_some_and(|until| *until > now);
         if !pending {
             fetching.retain(|_, until| *until > now);
-            fetching.insert(asked.key, now + Duration::from_millis(300));
+            fetching.insert(attempt.key, now + Duration::from_millis(300));
         }
-        (answer(BytesFrame::Null, if pending { "pending" } else { "miss" }), AttemptOutcome::Miss)
+        (response(BytesFrame::Null, if pending { "pending" } else { "miss" }), AttemptOutcome::Miss)
     }
 
-    /// All work that reaches a cold box presses on it, also what it turns away. Sent more than the stated multiple of
-    /// what it can do over the stated time, with a slack of a few requests, it falls over and stays down.
-    fn press(&self, work: f64) {
-        let warmth = self.warmth();
-        if warmth >= 1.0 || self.fallen.get() {
+    /// Counts work against a cold server, rejected requests included. More than the configured multiple of
+    /// its current capacity over the configured time, with a slack of a few requests, makes it collapse for
+    /// good.
+    fn add_load(&self, work: f64) {
+        let warmth = self.capacity_share();
+        if warmth >= 1.0 || self.has_collapsed.get() {
             return;
         }
         let rules = &self.fleet.scenario.rules;
-        let span = Duration::from_millis(rules.fall_ms);
+        let window = Duration::from_millis(rules.fall_ms);
         let now = Instant::now();
-        let mut sent = self.sent.borrow_mut();
-        sent.push_back((now, work));
-        while sent.front().is_some_and(|(at, _)| now - *at > span) {
-            sent.pop_front();
+        let mut recent_work = self.recent_work.borrow_mut();
+        recent_work.push_back((now, work));
+        while recent_work.front().is_some_and(|(sent_at, _)| now - *sent_at > window) {
+            recent_work.pop_front();
         }
-        let all: f64 = sent.iter().map(|(_, w)| w).sum();
-        if all > rules.fall_multiple * warmth * self.capacity() * rules.fall_ms as f64 + 4.0 * work {
-            self.fallen.set(true);
-            self.fleet.observer.record(ObservedEvent::CacheServerCollapsed { server: self.number });
-            self.fell.notify_one();
+        let total: f64 = recent_work.iter().map(|(_, work)| work).sum();
+        if total > rules.fall_multiple * warmth * self.capacity() * rules.fall_ms as f64 + 4.0 * work {
+            self.has_collapsed.set(true);
+            self.fleet.observer.record(ObservedEvent::CacheServerCollapsed { server: self.index });
+            self.collapsed.notify_one();
         }
     }
 }
 
-/// Waits for the answer that comes next and leaves its place in front; `None` where its attempt was dropped.
-/// Safe to drop and call again.
-async fn next_answer(pending: &mut VecDeque<Due>) -> Option<Answer> {
+/// Waits for the next response and leaves it at the front of the queue; `None` where its attempt was dropped.
+/// Cancel safe.
+async fn next_response(pending: &mut VecDeque<DueResponse>) -> Option<NextResponse> {
     match pending.front_mut() {
-        Some(Due::Attempt(request, answer)) => {
-            let (request, answer) = (*request, answer.await);
-            answer.ok().map(|(bytes, how)| Answer { bytes, of: Some((request, how)) })
+        Some(DueResponse::Attempt(request, response)) => {
+            let (request, response) = (*request, response.await);
+            response.ok().map(|(bytes, outcome)| NextResponse { bytes, attempt: Some((request, outcome)) })
+        }
+        Some(DueResponse::Line(line)) => {
+            Some(NextResponse { bytes: Bytes::from_static(line), attempt: None })
         }
-        Some(Due::Line(line)) => Some(Answer { bytes: Bytes::from_static(line), of: None }),
         None => std::future::pending().await,
     }
 }
 
-/// Writes an answer, a large one in pieces; whether the other side took it.
-async fn write_in_pieces(writing: &mut (impl AsyncWrite + Unpin), bytes: &[u8]) -> bool {
-    for (number, piece) in bytes.chunks(PIECE).enumerate() {
-        if number > 0 {
-            sleep(BETWEEN_PIECES).await;
+/// Writes a response, a large one in pieces; returns whether all of it was written.
+async fn write_chunked(writing: &mut (impl AsyncWrite + Unpin), bytes: &[u8]) -> bool {
+    for (index, chunk) in bytes.chunks(CHUNK_BYTES).enumerate() {
+        if index > 0 {
+            sleep(CHUNK_PAUSE).await;
         }
-        if writing.write_all(piece).await.is_err() {
+        if writing.write_all(chunk).await.is_err() {
             return false;
         }
     }
     true
 }
 
-/// Reads what has come; whether the other side is still there. Safe to drop and call again.
-pub(crate) async fn read(reading: &impl Reading, buffer: &mut BytesMut) -> bool {
+/// Reads available bytes; returns whether the connection is still open. Cancel safe.
+pub(crate) async fn read_available(reading: &impl Reading, buffer: &mut BytesMut) -> bool {
     loop {
         if reading.readable().await.is_err() {
             return false;
--- a/crates/world/src/failing_host.rs
+++ b/crates/world/src/failing_host.rs
@@ -1,8 +1,8 @@
-//! A machine whose system calls fail for a while, as a node on it sees that.
+//! A host whose system calls fail for a while.
 //!
-//! It stands where [`SimHost`] does, in the test programs alone: the daemon is not built with it. Reads and writes are cut
-//! short but carry all bytes in the end; a failed `accept` leaves the connection in the queue, as Linux does where the
-//! process is short of descriptors, and the connection that an `ECONNABORTED` tells of is one that never was.
+//! It wraps [`SimHost`] in the test programs alone; the daemon does not contain it. Short reads and writes
+//! carry all bytes in the end. A failed `accept` leaves the connection in the queue, as Linux does where the
+//! process is short of descriptors; the connection of an `ECONNABORTED` is one that never existed.
 
 use std::fmt;
 use std::io;
@@ -20,14 +20,14 @@
 
 use crate::mutant::Mutant;
 use crate::observe::NodeIndex;
-use crate::system_calls::{FailingCalls, Failure, GRAIN, SystemCall};
+use crate::system_calls::{CLOCK_RESOLUTION, FailingCalls, Failure, SystemCall};
 
-/// A short write takes so many bytes at most.
-const SHORT_WRITE: usize = 8;
-/// After a short write the socket takes nothing for so many milliseconds, from 1 on: its buffer was full.
-const FULL_MS: usize = 3;
+/// Most bytes of a short write.
+const SHORT_WRITE_MAX_BYTES: usize = 8;
+/// After a short write the socket takes nothing for 1 to this many milliseconds, as its buffer was full.
+const FULL_BUFFER_MAX_MS: usize = 3;
 
-/// The machine of a node, whose calls fail as its world says.
+/// The host of a node whose calls may fail.
 #[derive(Clone)]
 pub struct FailingHost {
     host: SimHost,
@@ -37,12 +37,12 @@
 }
 
 impl FailingHost {
-    /// The machine of a node, with a fault of how errors are told where there is one.
+    /// Wraps the host of a node; `mutant` alters how errors are reported.
     pub fn new(host: SimHost, node: NodeIndex, calls: FailingCalls, mutant: Option<Mutant>) -> FailingHost {
         FailingHost { host, node, calls, mutant }
     }
 
-    /// A listener that this machine's program inherits.
+    /// Wraps a listener that the program inherits.
     pub fn listener(&self, listener: SimListener) -> FailingListener {
         FailingListener { listener, host: self.clone() }
     }
@@ -51,15 +51,17 @@
     fn error(&self, call: SystemCall) -> Option<io::Error> {
         let failure = self.calls.failure(self.node, call)?;
         Some(
-            self.mutant.and_then(|mutant| mutant.disguised(call, failure)).unwrap_or_else(|| failure.error()),
+            self.mutant
+                .and_then(|mutant| mutant.altered_error(call, failure))
+                .unwrap_or_else(|| failure.error()),
         )
     }
 
-    /// Fails a call that can wait, or lets it through.
+    /// Fails an asynchronous call, or lets it through.
     async fn may_fail(&self, call: SystemCall) -> io::Result<()> {
         while let Some(error) = self.error(call) {
             if self.calls.is_busy_loop(self.node, call) {
-                sleep(GRAIN).await;
+                sleep(CLOCK_RESOLUTION).await;
             }
             if !self.mutant.is_some_and(|mutant| mutant.retries_at_once(call)) {
                 return Err(error);
@@ -73,7 +75,7 @@
     }
 
     fn stream(&self, stream: SimStream) -> FailingStream {
-        FailingStream { stream, host: self.clone(), full: None, was_short: false }
+        FailingStream { stream, host: self.clone(), buffer_full: None, last_write_short: false }
     }
 }
 
@@ -106,7 +108,7 @@
     }
 }
 
-/// A listener on such a machine.
+/// A listener of a failing host.
 pub struct FailingListener {
     listener: SimListener,
     host: FailingHost,
@@ -120,8 +122,8 @@
     }
 
     fn poll_accept(&self, cx: &mut Context<'_>) -> Poll<io::Result<(FailingStream, SocketAddr)>> {
-        // A call is made only where a connection waits.
-        ready!(self.listener.poll_waiting(cx));
+        // As in a real program, `accept` is called only when a connection waits.
+        ready!(self.listener.poll_pending_connection(cx));
         let Some(error) = self.host.error(SystemCall::Accept) else {
             return self.listener.poll_accept(cx).map_ok(|(stream, from)| (self.host.stream(stream), from));
         };
@@ -130,7 +132,7 @@
         }
         let waker = cx.waker().clone();
         spawn_local(async move {
-            sleep(GRAIN).await;
+            sleep(CLOCK_RESOLUTION).await;
             waker.wake();
         });
         Poll::Pending
@@ -141,17 +143,17 @@
     }
 }
 
-/// A connection of such a machine, or the half of one that is written to.
+/// A connection of a failing host, or its write half.
 pub struct FailingStream {
     stream: SimStream,
     host: FailingHost,
-    /// Until it takes bytes again.
-    full: Option<Pin<Box<Sleep>>>,
-    /// The last write was short: the next one is not.
-    was_short: bool,
+    /// Set while the socket buffer is full.
+    buffer_full: Option<Pin<Box<Sleep>>>,
+    /// The last write was short, so the next one is not.
+    last_write_short: bool,
 }
 
-/// The half of a connection that is read from.
+/// The read half of a connection.
 pub struct FailingReading {
     reading: SimReading,
     host: FailingHost,
@@ -215,18 +217,18 @@
 
 impl AsyncWrite for FailingStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        if let Some(full) = &mut self.full {
+        if let Some(full) = &mut self.buffer_full {
             ready!(full.as_mut().poll(cx));
-            self.full = None;
+            self.buffer_full = None;
         }
-        let was_short = std::mem::take(&mut self.was_short);
+        let was_short = std::mem::take(&mut self.last_write_short);
         if was_short || bytes.len() < 2 || !self.host.is_short(SystemCall::Write) {
             return Pin::new(&mut self.stream).poll_write(cx, bytes);
         }
-        let few = 1 + self.host.calls.below(SHORT_WRITE.min(bytes.len() - 1));
+        let few = 1 + self.host.calls.below(SHORT_WRITE_MAX_BYTES.min(bytes.len() - 1));
         let written = ready!(Pin::new(&mut self.stream).poll_write(cx, &bytes[..few]))?;
-        let full = Duration::from_millis(1 + self.host.calls.below(FULL_MS) as u64);
-        (self.full, self.was_short) = (Some(Box::pin(sleep(full))), true);
+        let full = Duration::from_millis(1 + self.host.calls.below(FULL_BUFFER_MAX_MS) as u64);
+        (self.buffer_full, self.last_write_short) = (Some(Box::pin(sleep(full))), true);
         Poll::Ready(Ok(written))
     }
 
@@ -234,14 +236,14 @@
         Pin::new(&mut self.stream).poll_flush(cx)
     }
 
-    /// The other side has just gone where it fails: there is nothing left to shut down.
+    /// Where it fails the remote side has just closed, and there is nothing left to shut down.
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         ready!(Pin::new(&mut self.stream).poll_shutdown(cx))?;
         Poll::Ready(self.host.error(SystemCall::Shutdown).map_or(Ok(()), Err))
     }
 }
 
-/// A UDP socket of such a machine.
+/// A UDP socket of a failing host.
 pub struct FailingDatagrams {
     datagrams: SimDatagrams,
     host: FailingHost,
--- a/crates/world/src/faults.rs
+++ b/crates/world/src/faults.rs
@@ -1,4 +1,5 @@
-//! Faults: a script of what goes wrong and when, drawn from a seed, kept in replay files and cut down by shrinking.
+//! Faults: a script of what goes wrong and when. It is drawn from a seed, stored in replay files and
+//! minimized by shrinking.
 
 use rand::Rng;
 use rand::seq::IndexedRandom;
@@ -10,77 +11,77 @@
 use crate::system_calls::{self, Failure, SystemCall};
 use crate::wall_clock::WallClockStep;
 
-/// The largest filling of a value: what it says of itself comes on top.
-pub const LARGEST: usize = (4 << 20) - 64;
+/// The largest filler of a value; the description of the value is added to it.
+pub const MAX_FILLER_BYTES: usize = (4 << 20) - 64;
 
 /// A kind of fault that a scenario may allow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// A group of boxes dies at once and comes back cold.
+    /// Several cache servers die at once and come back cold.
     Crash,
-    /// All boxes are replaced, a batch at a time, by cold successors.
+    /// All cache servers are replaced, one batch at a time, by cold successors.
     Deploy,
-    /// A node is killed and comes back with its last list.
+    /// A node is killed and restarts with its last list.
     NodeKill,
-    /// A node is told to stop and comes back with its last list.
+    /// A node is asked to stop and restarts with its last list.
     NodeRestart,
-    /// The load jumps.
+    /// The load rises suddenly.
     Burst,
     /// Messages between nodes are lost.
     PeersLost,
-    /// Answers of discovery are seconds late, and out of order.
+    /// Responses of discovery are seconds late, and out of order.
     ListLate,
-    /// Discovery answers nothing.
+    /// Discovery answers with errors.
     ListDown,
-    /// Discovery answers with an older revision.
+    /// Discovery answers with an old revision.
     ListOld,
     /// Discovery's list is empty for a while.
     ListEmpty,
-    /// A box's machine is cut off and comes back.
+    /// The machine of a cache server is cut off and comes back.
     CutOff,
-    /// Nothing goes from a node to a box, or back.
+    /// Packets between a node and a cache server are lost in one direction.
     OneWay,
-    /// A box resets connections in the middle of answers.
+    /// A cache server resets connections in the middle of responses.
     Resets,
-    /// A box begins answers and stalls.
+    /// A cache server stalls in the middle of responses.
     Stalls,
     /// Clients read slowly.
     SlowReaders,
-    /// Clients leave before their time.
+    /// Clients leave before their time-out.
     Leavers,
     /// The origin resets calls after they ran.
     OriginResets,
-    /// A box's power goes and it comes back cold.
+    /// A cache server loses power and comes back cold.
     PowerLoss,
-    /// Staff drain a node and bring it back.
+    /// An operator drains a node and brings it back.
     Drain,
-    /// Staff drain a node and bring it back several times in a row, and drain it for good for some seconds.
+    /// An operator drains a node and brings it back several times in a row, then drains it for some seconds.
     DrainSeries,
-    /// A new process takes over a node beside the old one.
+    /// A new process takes over from the old one of a node.
     Upgrade,
-    /// Connections come that never finish a command, and clients write their heads slowly.
+    /// Connections are opened that never finish a command, and some clients write commands slowly.
     Crowd,
-    /// Part of the keys have large values.
+    /// Some keys have large values.
     Large,
-    /// All boxes of a zone die at once and come back cold.
+    /// All cache servers of a zone die at once and come back cold.
     ZoneLost,
-    /// All boxes of a zone are cut off from everybody, and come back as they were.
+    /// All cache servers of a zone are cut off, and come back as they were.
     ZoneSilent,
-    /// Two zones are cut from each other, nodes and boxes; all others see both.
+    /// Two zones are cut off from each other, nodes and cache servers; all others reach both.
     ZonesApart,
-    /// Several nodes are killed at once, those that vote among them.
+    /// Several nodes are killed at once, the voters first.
     NodesKilled,
-    /// Wall clocks are stepped by seconds or an hour: of a node, of all, of discovery.
+    /// Wall clocks are stepped by seconds or an hour: of a node, of all nodes, of discovery.
     WallClockStep,
     /// System calls of a node fail.
     SystemCalls,
-    /// A box answers part of its commands a second time.
+    /// A cache server sends some of its responses twice.
     SecondAnswers,
 }
 
 impl Kind {
-    /// All kinds, in the order in which the documents name them.
+    /// All kinds, in the order in which the documentation lists them.
     pub const ALL: [Kind; 30] = [
         Kind::Crash,
         Kind::Deploy,
@@ -118,312 +119,320 @@
 /// How an upgrade ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Ends {
-    /// The old process is told to stop once the new one can serve.
+pub enum UpgradeEnd {
+    /// The old process is asked to stop once the new one can serve.
     InOrder,
-    /// The old one is killed at that moment.
+    /// The old process is killed at that moment.
     OldKilled,
-    /// The new one is killed soon after it can serve; the old one goes on.
+    /// The new process is killed soon after it can serve; the old one continues.
     NewKilled,
 }
 
-/// What goes wrong. Times are milliseconds.
+/// A fault with its parameters. Times are in milliseconds.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(tag = "kind", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum What {
-    /// These boxes die at once and come back cold.
+    /// These cache servers die at once and come back cold.
     Crash {
-        /// Which.
+        /// The cache servers.
         boxes: Vec<ServerIndex>,
-        /// After how long each is back.
+        /// How long each is down.
         down_ms: u64,
     },
-    /// Boxes that are ready when it begins are replaced, a batch at a time.
+    /// The cache servers that are ready at the beginning are replaced, one batch at a time.
     Deploy {
-        /// How many at a time.
+        /// Size of a batch.
         batch: usize,
-        /// How many in all.
+        /// How many are replaced in all.
         most: usize,
-        /// How long a box drains.
+        /// How long a cache server drains.
         drain_ms: u64,
     },
     /// A node ends and starts again.
     Node {
-        /// Which.
+        /// The node.
         node: NodeIndex,
-        /// Told to stop first, or killed.
+        /// Whether it is asked to stop first; otherwise it is killed.
         planned: bool,
-        /// How long it is away.
+        /// How long it is down.
         down_ms: u64,
     },
-    /// The load is a multiple of the usual.
+    /// The load is multiplied.
     Burst {
-        /// The multiple.
+        /// The factor.
         factor: f64,
-        /// For how long.
+        /// Duration.
         for_ms: u64,
     },
-    /// No client asks anything.
+    /// Clients send no requests.
     Quiet {
-        /// For how long.
+        /// Duration.
         for_ms: u64,
     },
     /// Messages between nodes are lost.
     PeersLost {
-        /// The part that is lost.
+        /// Share of lost messages.
         part: f64,
-        /// For how long.
+        /// Duration.
         for_ms: u64,
     },
-    /// Answers of discovery are late.
+    /// Responses of discovery are late.
     ListLate {
-        /// By about how much.
+        /// Mean delay.
         late_ms: u64,
-        /// For how long.
+        /// Duration.
         for_ms: u64,
     },
-    /// Discovery answers nothing.
+    /// Discovery answers with errors.
     ListDown {
-        /// For how long.
+        /// Duration.
         for_ms: u64,
     },
-    /// Discovery answers with the list of so many revisions ago.
+    /// Discovery answers with an old revision of the list.
     ListOld {
-        /// How many.
+        /// How many revisions back.
         back: u64,
-        /// For how long.
+        /// Duration.
         for_ms: u64,
     },
-    /// Discovery's list holds no box.
+    /// Discovery's list has no cache servers.
     ListEmpty {
-        /// For how long.
+        /// Duration.
         for_ms: u64,
     },
-    /// A box's machine is cut off.
+    /// The machine of a cache server is cut off.
     CutOff {
-        /// Which.
+        /// The cache server.
         at: ServerIndex,
-        /// For how long.
+        /// Duration.
         for_ms: u64,
     },
     /// A link is cut in one direction.
     OneWay {
         /// The node.
         node: NodeIndex,
-        /// The box.
+        /// The cache server.
         at: ServerIndex,
-        /// From the node to the box, or back.
+        /// The direction: from the node to the cache server, or back.
         to_box: bool,
-        /// For how long.
+        /// Duration.
         for_ms: u64,
     },
-    /// A box spoils answers.
+    /// A cache server breaks off responses.
     Spoil {
-        /// Which.
+        /// The cache server.
         at: ServerIndex,
-        /// The part that ends in a reset.
+        /// Share of responses that end in a reset.
         resets: f64,
-        /// The part that stalls.
+        /// Share of responses that stall.
         stalls: f64,
-        /// For how long.
+        /// Duration.
         for_ms: u64,
     },
-    /// A box answers commands a second time, byte by byte the same: between other answers, never within one.
+    /// A cache server sends responses a second time, byte for byte, between other responses but never within
+    /// one.
     SecondAnswers {
-        /// Which.
+        /// The cache server.
         at: ServerIndex,
-        /// The part of the commands.
+        /// Share of the commands.
         part: f64,
-        /// So long after the first answer at most.
+        /// Longest delay after the first response.
         most_ms: u64,
-        /// For how long.
+        /// Duration.
         for_ms: u64,
     },
     /// Clients misbehave.
     Clients {
-        /// The part that leaves early.
+        /// Share of clients that leave early.
         leavers: f64,
-        /// The part that reads slowly.
+        /// Share of clients that read slowly.
         slow: f64,
-        /// For how long.
+        /// Duration.
         for_ms: u64,
     },
     /// The origin resets calls after they ran.
     OriginResets {
-        /// The part.
+        /// Share of the calls.
         part: f64,
-        /// For how long.
+        /// Duration.
         for_ms: u64,
     },
-    /// A box loses power and comes back cold.
+    /// A cache server loses power and comes back cold.
     PowerLoss {
-        /// Which.
+        /// The cache server.
         at: ServerIndex,
-        /// After how long.
+        /// How long it is down.
         down_ms: u64,
     },
-    /// Staff drain a node.
+    /// An operator drains a node.
     Drain {
-        /// Which.
+        /// The node.
         node: NodeIndex,
-        /// For how long.
+        /// Duration.
         for_ms: u64,
     },
-    /// Staff drain a node and bring it back in a row; it stays drained behind the last.
+    /// An operator drains a node and brings it back several times; after the last drain it stays drained for
+    /// a while.
     DrainSeries {
-        /// Which.
+        /// The node.
         node: NodeIndex,
-        /// How often it is brought back before.
+        /// How often it is brought back before the last drain.
         times: u32,
-        /// Between two calls.
+        /// Pause between two calls.
         apart_ms: u64,
-        /// For how long it is drained in the end.
+        /// How long it is drained in the end.
         for_ms: u64,
     },
-    /// A new process takes over from the one that runs.
+    /// A new process takes over from the running one.
     Upgrade {
-        /// Which node.
+        /// The node.
         node: NodeIndex,
-        /// What happens to the two.
-        ends: Ends,
+        /// How the upgrade ends.
+        ends: UpgradeEnd,
     },
-    /// Connections come that never finish a command.
+    /// Connections are opened that never finish a command.
     Crowd {
-        /// How many a second.
+        /// Connections per second.
         per_s: f64,
-        /// The part of the true clients that write a head in pieces, over up to 2 s.
+        /// Share of the regular clients that write a command in pieces, over up to 2 s.
         slow: f64,
-        /// For how long.
+        /// Duration.
         for_ms: u64,
     },
-    /// Part of the keys have large values, which come in pieces.
+    /// Some keys have large values, which are written in pieces.
     Large {
-        /// The part.
+        /// Share of the keys.
         part: f64,
-        /// Bytes of such a value.
+        /// Size of such a value in bytes.
         bytes: usize,
-        /// For how long.
+        /// Duration.
         for_ms: u64,
     },
-    /// All boxes of a zone die and come back cold.
+    /// All cache servers of a zone die and come back cold.
     ZoneLost {
-        /// The zone, by its place in the scenario.
+        /// The zone, by index in the scenario.
         zone: usize,
-        /// After how long.
+        /// How long they are down.
         down_ms: u64,
     },
-    /// All boxes of a zone are cut off.
+    /// All cache servers of a zone are cut off.
     ZoneSilent {
-        /// The zone.
+        /// The zone, by index in the scenario.
         zone: usize,
-        /// For how long.
+        /// Duration.
         for_ms: u64,
     },
-    /// Nodes and boxes of two zones are cut from each other.
+    /// Nodes and cache servers of two zones are cut off from each other.
     ZonesApart {
-        /// The one.
+        /// One zone.
         a: usize,
-        /// The other.
+        /// The other zone.
         b: usize,
-        /// For how long.
+        /// Duration.
         for_ms: u64,
     },
-    /// These nodes are killed at once and start from nothing.
+    /// Several nodes are killed at once and start without state.
     NodesKilled {
-        /// Which.
+        /// The nodes.
         nodes: Vec<NodeIndex>,
-        /// After how long.
+        /// How long they are down.
         down_ms: u64,
     },
-    /// A part of the system calls of a node fails.
+    /// Some of the system calls of a node fail.
     SystemCalls {
-        /// Which node.
+        /// The node.
         node: NodeIndex,
-        /// Which call. Where it opens a socket the node is killed, and starts while it fails.
+        /// The call. For calls that open a socket, the node is killed and starts while they fail.
         call: SystemCall,
         /// How it fails.
         failure: Failure,
-        /// The part of the calls.
+        /// Share of the calls.
         part: f64,
-        /// For how long.
+        /// Duration.
         for_ms: u64,
     },
-    /// A box is declared gone, and listed so at once, when so many packets have been carried.
+    /// A cache server is declared gone, and listed so at once, when a number of packets has been delivered.
     GoneAtPacket {
-        /// Which.
+        /// The cache server.
         at: ServerIndex,
-        /// The number of the packet.
+        /// The number of packets.
         packet: u64,
-        /// Whether it drains only.
+        /// Whether it only drains.
         drains: bool,
     },
-    /// Discovery moves: nodes are given new configurations in a row, of which only the last names an address that
-    /// answers.
+    /// Discovery moves: nodes get several new configurations in a row, of which only the last names an
+    /// address that answers.
     DiscoveryMoves {
-        /// How many.
+        /// Number of configurations.
         configurations: usize,
-        /// The time between two.
+        /// Pause between two.
         apart_ms: u64,
     },
-    /// Wall clocks are stepped, and stay so; monotonic clocks run on.
+    /// Wall clocks are stepped and stay so; monotonic clocks are unaffected.
     WallClockStep(WallClockStep),
 }
 
-/// A fault and when it begins, in milliseconds.
+/// A fault and when it begins.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Fault {
-    /// When.
+    /// When it begins, in milliseconds after the first request.
     pub at_ms: u64,
-    /// What.
+    /// The fault.
     #[serde(flatten)]
     pub what: What,
 }
 
 impl Fault {
-    /// Whether it can happen in a world of so many boxes and nodes; boxes that a deployment adds are not counted.
+    /// Checks a fault against the number of cache servers and nodes; those that a deployment adds are not
+    /// counted.
     ///
     /// # Errors
-    /// What names something that is not there, or is no possible figure.
+    /// A fault that names something that does not exist, or has an impossible parameter.
     pub fn validate(&self, boxes: usize, nodes: usize) -> Result<(), String> {
-        let is_box = |at: ServerIndex| if at < boxes { Ok(()) } else { Err(format!("there is no box {at}")) };
-        let is_node = |at: NodeIndex| if at < nodes { Ok(()) } else { Err(format!("there is no node {at}")) };
-        let part = |p: f64| if (0.0..=1.0).contains(&p) { Ok(()) } else { Err(format!("{p} is no part")) };
+        let server_exists =
+            |at: ServerIndex| if at < boxes { Ok(()) } else { Err(format!("there is no box {at}")) };
+        let node_exists =
+            |at: NodeIndex| if at < nodes { Ok(()) } else { Err(format!("there is no node {at}")) };
+        let is_share = |share: f64| {
+            if (0.0..=1.0).contains(&share) { Ok(()) } else { Err(format!("{share} is not between 0 and 1")) }
+        };
         match &self.what {
-            What::Crash { boxes, .. } => boxes.iter().try_for_each(|b| is_box(*b)),
+            What::Crash { boxes, .. } => boxes.iter().try_for_each(|b| server_exists(*b)),
             What::Node { node, .. }
             | What::Drain { node, .. }
             | What::DrainSeries { node, .. }
-            | What::Upgrade { node, .. } => is_node(*node),
-            What::WallClockStep(step) => step.nodes.iter().try_for_each(|n| is_node(*n)),
-            What::NodesKilled { nodes, .. } => nodes.iter().try_for_each(|n| is_node(*n)),
-            // Zones are dealt out over the boxes: one beyond them all has none.
-            What::ZoneLost { zone, .. } | What::ZoneSilent { zone, .. } => is_box(*zone),
-            What::ZonesApart { a, b, .. } => is_box(*a).and_then(|()| is_box(*b)),
+            | What::Upgrade { node, .. } => node_exists(*node),
+            What::WallClockStep(step) => step.nodes.iter().try_for_each(|n| node_exists(*n)),
+            What::NodesKilled { nodes, .. } => nodes.iter().try_for_each(|n| node_exists(*n)),
+            // Cache servers are assigned to zones in turn: an index beyond their number is a zone without
+            // any.
+            What::ZoneLost { zone, .. } | What::ZoneSilent { zone, .. } => server_exists(*zone),
+            What::ZonesApart { a, b, .. } => server_exists(*a).and_then(|()| server_exists(*b)),
             What::Burst { factor, .. } if !(0.01..=1000.0).contains(factor) => {
                 Err(format!("a burst of {factor} times the load"))
             }
-            What::PeersLost { part: p, .. } | What::OriginResets { part: p, .. } => part(*p),
+            What::PeersLost { part: share, .. } | What::OriginResets { part: share, .. } => is_share(*share),
             What::CutOff { at, .. } | What::PowerLoss { at, .. } | What::GoneAtPacket { at, .. } => {
-                is_box(*at)
+                server_exists(*at)
             }
-            What::OneWay { node, at, .. } => is_node(*node).and_then(|()| is_box(*at)),
+            What::OneWay { node, at, .. } => node_exists(*node).and_then(|()| server_exists(*at)),
             What::Spoil { at, resets, stalls, .. } => {
-                is_box(*at).and_then(|()| part(*resets)).and_then(|()| part(*stalls))
+                server_exists(*at).and_then(|()| is_share(*resets)).and_then(|()| is_share(*stalls))
             }
-            What::SecondAnswers { at, part: p, .. } => is_box(*at).and_then(|()| part(*p)),
-            What::Clients { leavers, slow, .. } => part(*leavers).and_then(|()| part(*slow)),
+            What::SecondAnswers { at, part: share, .. } => server_exists(*at).and_then(|()| is_share(*share)),
+            What::Clients { leavers, slow, .. } => is_share(*leavers).and_then(|()| is_share(*slow)),
             What::Crowd { per_s, .. } if !(0.1..=10_000.0).contains(per_s) => {
                 Err(format!("a crowd of {per_s} connections a second"))
             }
-            What::Crowd { slow, .. } => part(*slow),
-            What::Large { bytes, .. } if *bytes > LARGEST => {
-                Err(format!("a value of {bytes} bytes, {LARGEST} at most"))
+            What::Crowd { slow, .. } => is_share(*slow),
+            What::Large { bytes, .. } if *bytes > MAX_FILLER_BYTES => {
+                Err(format!("a value of {bytes} bytes, {MAX_FILLER_BYTES} at most"))
             }
-            What::Large { part: p, .. } => part(*p),
+            What::Large { part: share, .. } => is_share(*share),
             What::SystemCalls { call, failure, .. } if !call.failures().contains(failure) => {
                 Err(format!("{call:?} does not fail with {failure:?}"))
             }
-            What::SystemCalls { node, part: p, .. } => is_node(*node).and_then(|()| part(*p)),
+            What::SystemCalls { node, part: share, .. } => node_exists(*node).and_then(|()| is_share(*share)),
             _ => Ok(()),
         }
     }
@@ -432,18 +441,18 @@
 /// Draws the script of one run. Faults overlap as chance has it.
 pub fn draw(scenario: &Scenario, rng: &mut Pcg64Mcg) -> Vec<Fault> {
     let [least, most] = scenario.faults.count;
-    let span = (scenario.seconds * 1e3) as u64;
+    let duration_ms = (scenario.seconds * 1e3) as u64;
     let mut script = Vec::new();
     for _ in 0..rng.random_range(least..=most.max(least)) {
         let Some(kind) = scenario.faults.kinds.choose(rng) else { break };
-        let at_ms = rng.random_range(0..(span * 4 / 5).max(1));
-        script.push(Fault { at_ms, what: one(*kind, scenario, rng) });
+        let at_ms = rng.random_range(0..(duration_ms * 4 / 5).max(1));
+        script.push(Fault { at_ms, what: draw_fault(*kind, scenario, rng) });
     }
     script.sort_by_key(|f| f.at_ms);
     script
 }
 
-fn one(kind: Kind, scenario: &Scenario, rng: &mut Pcg64Mcg) -> What {
+fn draw_fault(kind: Kind, scenario: &Scenario, rng: &mut Pcg64Mcg) -> What {
     let boxes = scenario.boxes.count;
     let at = rng.random_range(0..boxes);
     let node = rng.random_range(0..scenario.nodes.count);
@@ -515,7 +524,8 @@
         },
         Kind::Upgrade => What::Upgrade {
             node,
-            ends: [Ends::InOrder, Ends::InOrder, Ends::OldKilled, Ends::NewKilled][rng.random_range(0..4)],
+            ends: [UpgradeEnd::InOrder, UpgradeEnd::InOrder, UpgradeEnd::OldKilled, UpgradeEnd::NewKilled]
+                [rng.random_range(0..4)],
         },
     }
 }
--- a/crates/world/src/lib.rs
+++ b/crates/world/src/lib.rs
@@ -1,9 +1,11 @@
-//! Stand-ins for everything round a node, faults from a seed, and the rules checked after each step.
+//! Simulated environment of a node: stubs for its neighbours, seeded faults, and rules that are checked after
+//! each event.
 //!
-//! The stand-ins ([`cache`], [`origin`], [`discovery`], [`clients`]) are written against
-//! [`Host`](mothpier_host::Host), as the node is: they run on the simulated network under a virtual clock ([`sim`])
-//! and on loopback sockets ([`live`]). What they see goes to a [`Observer`](observe::Observer); [`rules`] judges by
-//! that alone, [`report`] counts it. [`scenario`] says what a world consists of, [`faults`] what goes wrong in it, [`storm`] an outage and the way back.
+//! The stubs ([`cache`], [`origin`], [`discovery`], [`clients`]) are written against
+//! [`Host`](mothpier_host::Host), as the node is: they run on the simulated network under a virtual clock
+//! ([`sim`]) and on loopback sockets ([`live`]). They report to an [`Observer`](observe::Observer); [`rules`]
+//! checks these observations and nothing else, [`report`] aggregates them. A [`scenario`] configures an
+//! environment, [`faults`] describe what goes wrong in it, and [`storm`] an outage and the recovery from it.
 
 pub mod agreement;
 pub mod cache;
@@ -16,6 +18,7 @@
 pub mod mutant;
 pub mod observe;
 pub mod origin;
+mod original_time_outs;
 pub mod process;
 pub mod report;
 pub mod rules;
@@ -25,7 +28,6 @@
 mod swapped_values;
 pub mod system_calls;
 pub mod tape;
-mod time_told;
 pub mod users;
 pub mod values;
 pub mod wall_clock;
--- a/crates/world/src/live.rs
+++ b/crates/world/src/live.rs
@@ -1,7 +1,7 @@
-//! The same stand-ins on loopback sockets in real time, round real `mothpier` processes.
+//! The stubs on loopback sockets in real time, with real `mothpier` processes.
 //!
-//! Each node gets addresses of its own for discovery and for every box, as on the platform: that is how a stand-in
-//! knows which node asks, for all of them share one machine here.
+//! Each node gets its own addresses for discovery and for every cache server: as all share one machine here,
+//! a stub tells by the address which node connects.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -24,37 +24,37 @@
 use crate::scenario::Scenario;
 use crate::storm::OutageTarget;
 
-/// The machine that stand-ins run on.
+/// The host that the stubs run on.
 pub const HOST: SystemHost = SystemHost { program: "chalksill" };
-/// A node that was told to stop is killed after its longest deadline and this much.
-const STOP: Duration = Duration::from_secs(2);
+/// A node that was asked to stop is killed after its longest deadline and this time.
+const STOP_GRACE: Duration = Duration::from_secs(2);
 
-/// A box that serves: dropping its tasks closes all that it has open.
-struct BoxRun {
+/// A running cache server: dropping its tasks closes all its connections.
+struct CacheServerRun {
     addresses: Vec<SocketAddr>,
     task: AbortHandle,
 }
 
-/// A world on loopback sockets.
+/// An environment on loopback sockets.
 pub struct LoopbackEnvironment {
-    /// What its stand-ins share.
+    /// State that the stubs share.
     pub fleet: Rc<Fleet>,
-    /// Its discovery.
+    /// The stub of discovery.
     pub discovery: Rc<Discovery>,
     /// Its nodes.
     pub nodes: Vec<Process>,
-    boxes: RefCell<BTreeMap<ServerIndex, BoxRun>>,
-    /// Where the configurations of the nodes are.
+    cache_servers: RefCell<BTreeMap<ServerIndex, CacheServerRun>>,
+    /// The folder of the nodes' configurations.
     pub folder: PathBuf,
-    longest: Duration,
+    longest_deadline: Duration,
 }
 
-/// Lets a box serve each node at a listener of its own; it started cold at a time, or long ago. Dropping its task ends
-/// the box with all that it has open.
+/// Serves each node at a listener of its own; with `started`, the cache server starts cold at that time.
+/// Dropping the task ends the cache server with all its connections.
 pub fn serve_cache<L>(
     fleet: &Rc<Fleet>,
-    number: ServerIndex,
-    life: u64,
+    index: ServerIndex,
+    incarnation: u64,
     started: Option<u64>,
     listeners: Vec<L>,
 ) -> AbortHandle
@@ -63,15 +63,15 @@
     L: 'static,
 {
     let cold = started.is_some();
-    let cache = CacheServer::new(fleet, number, life, cold);
-    let start = started.unwrap_or(0);
+    let cache = CacheServer::new(fleet, index, incarnation, cold);
+    let started_ms = started.unwrap_or(0);
     fleet.observer.record(ObservedEvent::CacheServerStarted {
-        server: number,
-        started_ms: start,
+        server: index,
+        started_ms,
         capacity: cache.capacity(),
         cold,
     });
-    fleet.add_cache_server(number, cache.clone());
+    fleet.add_cache_server(index, cache.clone());
     let local = LocalSet::new();
     for (node, listener) in listeners.into_iter().enumerate() {
         local.spawn_local(cache.clone().serve::<SystemHost>(listener, move |_| node));
@@ -79,7 +79,7 @@
     spawn_local(local).abort_handle()
 }
 
-/// A port that was free a moment ago; whoever takes it meanwhile makes the start of a node fail, with a message.
+/// A port that was free a moment ago; if it is taken meanwhile, the start of the node fails with a message.
 async fn free_port(datagrams: bool) -> Result<SocketAddr, String> {
     let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
     let found = if datagrams {
@@ -91,62 +91,64 @@
 }
 
 impl LoopbackEnvironment {
-    /// Starts stand-ins and nodes of a scenario; the nodes run `program`. Must run inside a `LocalSet`.
+    /// Starts the stubs and nodes of a scenario; the nodes run `program`. Must be called inside a `LocalSet`.
     ///
     /// # Errors
-    /// What hinders a socket, a file or a process, or a node that does not answer.
+    /// A socket, file or process that cannot be created, or a node that does not become ready.
     pub async fn start(
         scenario: &Scenario,
         seed: u64,
         program: &Path,
         folder: &Path,
-        witness: Observer,
+        observer: Observer,
     ) -> Result<LoopbackEnvironment, String> {
-        let fleet = Fleet::new(scenario.clone(), seed, witness.clone());
+        let fleet = Fleet::new(scenario.clone(), seed, observer.clone());
         let nodes = scenario.nodes.count;
         let origin = scenario.boxes.count;
         let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let mut members = BTreeMap::new();
-        let mut boxes = BTreeMap::new();
-        for number in 0..=origin {
-            let cold = scenario.boxes.start_cold && number != origin;
-            let started = if cold { HOST.unix_time().as_millis() as u64 } else { 0 };
+        let mut cache_servers = BTreeMap::new();
+        for index in 0..=origin {
+            let cold = scenario.boxes.start_cold && index != origin;
+            let started_ms = if cold { HOST.unix_time().as_millis() as u64 } else { 0 };
             let mut listeners = Vec::new();
             for _ in 0..nodes {
                 listeners.push(
-                    HOST.listen(any).await.map_err(|e| format!("cannot listen for box {number}: {e}"))?,
+                    HOST.listen(any)
+                        .await
+                        .map_err(|e| format!("cannot listen for cache server {index}: {e}"))?,
                 );
             }
             let addresses = listeners.iter().map(|l| Listener::local_addr(l).map_err(|e| e.to_string()));
             let addresses = addresses.collect::<Result<Vec<_>, String>>()?;
-            if number == origin {
-                let all = Origin::new(&fleet, number);
+            if index == origin {
+                let all = Origin::new(&fleet, index);
                 for (node, listener) in listeners.into_iter().enumerate() {
                     spawn_local(all.clone().serve::<SystemHost>(listener, move |_| node));
                 }
             } else {
-                let task = serve_cache(&fleet, number, 0, cold.then_some(started), listeners);
-                boxes.insert(number, BoxRun { addresses: addresses.clone(), task });
+                let task = serve_cache(&fleet, index, 0, cold.then_some(started_ms), listeners);
+                cache_servers.insert(index, CacheServerRun { addresses: addresses.clone(), task });
             }
             let member = Member {
-                id: format!("s-{number:04}"),
+                id: format!("s-{index:04}"),
                 addresses,
-                zone: number % scenario.zones.len(),
-                is_origin: number == origin,
+                zone: index % scenario.zones.len(),
+                is_origin: index == origin,
                 phase: Phase::Ready,
-                started_ms: started,
+                started_ms,
             };
-            members.insert(number, member);
+            members.insert(index, member);
         }
         fleet.warm_caches((0..origin).collect::<Vec<ServerIndex>>().as_slice());
         let discovery = Discovery::new(&fleet, members);
-        let mut live = LoopbackEnvironment {
+        let mut environment = LoopbackEnvironment {
             fleet,
             discovery,
             nodes: Vec::new(),
-            boxes: RefCell::new(boxes),
+            cache_servers: RefCell::new(cache_servers),
             folder: folder.into(),
-            longest: scenario.longest_deadline(),
+            longest_deadline: scenario.longest_deadline(),
         };
         std::fs::create_dir_all(folder).map_err(|e| format!("cannot make {}: {e}", folder.display()))?;
         let mut peers = Vec::new();
@@ -156,15 +158,15 @@
         for node in 0..nodes {
             let listener = HOST.listen(any).await.map_err(|e| format!("cannot listen for discovery: {e}"))?;
             let at = Listener::local_addr(&listener).map_err(|e| e.to_string())?;
-            spawn_local(live.discovery.clone().serve::<SystemHost>(listener, move |_| node));
-            let process = live.start_node(node, at, &peers, program).await?;
-            witness.record(ObservedEvent::NodeStarted { node });
-            live.nodes.push(process);
+            spawn_local(environment.discovery.clone().serve::<SystemHost>(listener, move |_| node));
+            let process = environment.start_node(node, at, &peers, program).await?;
+            observer.record(ObservedEvent::NodeStarted { node });
+            environment.nodes.push(process);
         }
-        for node in &live.nodes {
+        for node in &environment.nodes {
             process::wait_until_ready(node.address).await?;
         }
-        Ok(live)
+        Ok(environment)
     }
 
     async fn start_node(
@@ -185,79 +187,86 @@
         Process::start(program, files, address)
     }
 
-    /// What is hit goes down at once, and comes back after a time as after a failure: boxes cold and empty, nodes with
-    /// the list that they last had.
+    /// Takes the target down at once and brings it back after `down` as after a failure: cache servers cold
+    /// and empty, nodes with their last list.
     ///
     /// # Errors
-    /// A node or a box that does not come back.
-    pub async fn outage(&mut self, hit: OutageTarget, down: Duration) -> Result<(), String> {
+    /// A node or a cache server that does not come back.
+    pub async fn outage(&mut self, target: OutageTarget, down: Duration) -> Result<(), String> {
         let fault = |text: String| self.fleet.observer.record(ObservedEvent::Fault(text));
-        fault(format!("begins: outage of {hit:?}"));
-        let hit_boxes = hit != OutageTarget::Nodes;
-        let hit_nodes = hit != OutageTarget::Boxes;
-        if hit_boxes {
-            for (number, run) in self.boxes.borrow().iter() {
+        fault(format!("begins: outage of {target:?}"));
+        let hits_servers = target != OutageTarget::Nodes;
+        let hits_nodes = target != OutageTarget::Boxes;
+        if hits_servers {
+            for (index, run) in self.cache_servers.borrow().iter() {
                 run.task.abort();
-                self.fleet.remove_cache_server(*number);
+                self.fleet.remove_cache_server(*index);
             }
         }
-        if hit_nodes {
+        if hits_nodes {
             for (node, process) in self.nodes.iter_mut().enumerate() {
-                // Said first: clients see their connections end before the process is gone.
+                // Recorded first, as clients see their connections end before the process is gone.
                 self.fleet.observer.record(ObservedEvent::NodeEnded { node, planned: false });
                 process.kill().await.map_err(|e| format!("cannot kill node {node}: {e}"))?;
             }
         }
         sleep(down).await;
-        if hit_boxes {
+        if hits_servers {
             let all: Vec<(ServerIndex, Vec<SocketAddr>)> =
-                self.boxes.borrow().iter().map(|(n, run)| (*n, run.addresses.clone())).collect();
-            for (number, addresses) in all {
-                self.return_box(number, addresses).await?;
+                self.cache_servers.borrow().iter().map(|(n, run)| (*n, run.addresses.clone())).collect();
+            for (index, addresses) in all {
+                self.restart_cache_server(index, addresses).await?;
             }
         }
-        if hit_nodes {
+        if hits_nodes {
             for (node, process) in self.nodes.iter_mut().enumerate() {
                 self.fleet.observer.record(ObservedEvent::NodeStarted { node });
                 process.restart()?;
             }
         }
-        self.fleet.observer.record(ObservedEvent::Fault(format!("is over: outage of {hit:?}")));
+        self.fleet.observer.record(ObservedEvent::Fault(format!("is over: outage of {target:?}")));
         Ok(())
     }
 
-    async fn return_box(&self, number: ServerIndex, addresses: Vec<SocketAddr>) -> Result<(), String> {
+    async fn restart_cache_server(
+        &self,
+        index: ServerIndex,
+        addresses: Vec<SocketAddr>,
+    ) -> Result<(), String> {
         let mut listeners = Vec::new();
         for at in &addresses {
-            listeners
-                .push(HOST.listen(*at).await.map_err(|e| format!("box {number} cannot listen again: {e}"))?);
+            listeners.push(
+                HOST.listen(*at)
+                    .await
+                    .map_err(|e| format!("cache server {index} cannot listen again: {e}"))?,
+            );
         }
-        let started = HOST.unix_time().as_millis() as u64;
-        let task = serve_cache(&self.fleet, number, 1, Some(started), listeners);
-        self.boxes.borrow_mut().insert(number, BoxRun { addresses, task });
-        if let Some(mut member) = self.discovery.member(number) {
-            member.started_ms = started;
-            self.discovery.update(number, member);
+        let started_ms = HOST.unix_time().as_millis() as u64;
+        let task = serve_cache(&self.fleet, index, 1, Some(started_ms), listeners);
+        self.cache_servers.borrow_mut().insert(index, CacheServerRun { addresses, task });
+        if let Some(mut member) = self.discovery.member(index) {
+            member.started_ms = started_ms;
+            self.discovery.update(index, member);
         }
         Ok(())
     }
 
-    /// CPU time of all nodes together since they started, as the kernel has it; `None` where it does not tell.
+    /// CPU time of all nodes since their start; `None` where the kernel does not report it.
     pub fn cpu_time(&self) -> Option<Duration> {
         self.nodes.iter().map(Process::cpu_time).sum()
     }
 
-    /// Resident memory of the largest node in KiB; `None` where the kernel does not tell.
+    /// Resident memory of the largest node in KiB; `None` where the kernel does not report it.
     pub fn memory_kib(&self) -> Option<u64> {
         self.nodes.iter().filter_map(Process::memory_kib).max()
     }
 
-    /// Descriptors of the node that has most of them open; `None` where the kernel does not tell.
+    /// Most open descriptors of a node; `None` where the kernel does not report them.
     pub fn descriptors(&self) -> Option<usize> {
         self.nodes.iter().filter_map(Process::descriptors).max()
     }
 
-    /// A node that has ended by itself, and how.
+    /// The first node that has exited, with its status.
     pub fn first_exit(&mut self) -> Option<String> {
         self.nodes
             .iter_mut()
@@ -265,8 +274,8 @@
             .find_map(|(i, p)| p.exit_status().map(|status| format!("node {i} has ended: {status}")))
     }
 
-    /// Tells the nodes to stop as the platform would, and waits for them.
+    /// Asks the nodes to stop as the platform would, and waits for them.
     pub async fn stop(mut self) {
-        process::stop_all(&mut self.nodes, self.longest + STOP).await;
+        process::stop_all(&mut self.nodes, self.longest_deadline + STOP_GRACE).await;
     }
 }
--- a/crates/world/src/mutant.rs
+++ b/crates/world/src/mutant.rs
@@ -1,7 +1,7 @@
-//! Faults planted in a node, to see that the checker finds each: a rule that catches nothing proves nothing.
+//! Defects planted in a node, to check that the rules detect each of them.
 //!
-//! The node itself stays as it is. A mutant is the node on a machine that garbles what it says or hears, or with
-//! settings that lie; what the stand-ins then see is what a node with that fault would show them.
+//! The node itself is unchanged. A mutant runs on a host that alters what it sends or receives, or with wrong
+//! settings, so that the stubs observe what a node with that defect would do.
 
 use std::cell::{Cell, RefCell};
 use std::fmt;
@@ -21,63 +21,63 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
+use crate::original_time_outs::OriginalTimeOuts;
 use crate::rules::Rule;
 use crate::scenario::{Effect, Scenario};
 use crate::swapped_values::LastValue;
 use crate::system_calls::{Failure, SystemCall};
-use crate::time_told::TimesAsTheyCame;
 
-/// One answer in so many is touched.
-const EVERY: u64 = 150;
+/// One reply in this many is altered.
+const ALTERED_EVERY: u64 = 150;
 
-/// A fault planted in the nodes.
+/// A defect planted in the nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Mutant {
-    /// Now and then an answer is given twice.
+    /// Now and then a reply is sent twice.
     AnswersTwice,
     /// Now and then a request is never answered.
     NeverAnswers,
-    /// Now and then a value is another request's.
+    /// Now and then a value names another request.
     WrongValue,
-    /// Now and then a client gets the value that was given before, to another.
+    /// Now and then a client gets the value of the previous reply, to another request.
     SwapsValues,
-    /// Every class is taken for one that may be repeated.
+    /// Every class is treated as one that may be retried.
     RepeatsWrites,
-    /// It is deaf to drains.
+    /// Drains of cache servers are ignored.
     IgnoresDrains,
-    /// It takes every cold box for a warm one.
+    /// Cold cache servers are treated as warm.
     IgnoresCold,
-    /// The gate before the origin stands open.
+    /// The gate before the origin does not limit calls.
     OpenGate,
-    /// Refusals are held back.
+    /// Refusals are delayed.
     HoldsBack,
-    /// Connections of clients are never closed.
+    /// Client connections are never closed.
     KeepsSockets,
-    /// Each node is the only voter in its own eyes.
+    /// Each node considers itself the only voter.
     VotesAlone,
-    /// A zone comes back as soon as anybody has reached it.
+    /// A zone is used again as soon as any node has reached it.
     ComesBackAtOnce,
-    /// It does not know that classes are bound to zones.
+    /// Restrictions of classes to zones are ignored.
     IgnoresBounds,
-    /// It does not notice that clients leave.
+    /// Clients that leave are not noticed.
     DeafToLeaving,
-    /// It asks discovery no more once it has begun.
+    /// Discovery is asked only once.
     AsksNoMore,
-    /// It tells servers and the origin the time that its client came with, however much of that is over.
+    /// Attempts carry the time with which the request came, without the part that has passed.
     TellsAllTime,
-    /// It takes a passing error of a bind for a lasting one.
+    /// A transient error of a bind is treated as permanent.
     GivesUpBind,
-    /// A datagram that can't be received is asked for again and again, without a pause.
+    /// A failing receive is retried without a pause.
     ReceivesAtOnce,
-    /// It says no once it is drained, and keeps the connections of its clients.
+    /// A drained node reports so, but keeps the connections of its clients.
     KeepsDrained,
-    /// It takes a failed connect for one that its server refused, whatever the error.
+    /// A failed connect is attributed to the server, whatever the error.
     BlamesServers,
 }
 
 impl Mutant {
-    /// All of them that break a rule, with that rule.
+    /// All mutants that break a rule, with that rule.
     pub const ALL: [(Mutant, Rule); 19] = [
         (Mutant::AnswersTwice, Rule::OneAnswer),
         (Mutant::NeverAnswers, Rule::OneAnswer),
@@ -100,39 +100,44 @@
         (Mutant::KeepsDrained, Rule::Retirement),
     ];
 
-    /// The settings that its node is told.
-    pub fn settings(self, scenario: &Scenario, me: usize) -> serde_json::Value {
-        let mut lying = scenario.clone();
+    /// The settings that the platform gives to its node.
+    pub fn node_settings(self, scenario: &Scenario, node: usize) -> serde_json::Value {
+        let mut altered = scenario.clone();
         match self {
-            Mutant::RepeatsWrites => lying.class.iter_mut().for_each(|c| c.effect = Effect::Pure),
-            Mutant::IgnoresBounds => lying.class.iter_mut().for_each(|c| c.only_zones.clear()),
-            Mutant::IgnoresCold => (lying.rules.cold_share, lying.rules.warm_ms) = (1.0, 1),
+            Mutant::RepeatsWrites => altered.class.iter_mut().for_each(|c| c.effect = Effect::Pure),
+            Mutant::IgnoresBounds => altered.class.iter_mut().for_each(|c| c.only_zones.clear()),
+            Mutant::IgnoresCold => (altered.rules.cold_share, altered.rules.warm_ms) = (1.0, 1),
             Mutant::OpenGate => {
-                lying.nodes.count = 1;
-                lying.tenant.iter_mut().for_each(|t| t.quota *= 1000.0);
+                altered.nodes.count = 1;
+                altered.tenant.iter_mut().for_each(|t| t.quota *= 1000.0);
             }
             _ => {}
         }
-        lying.settings(me)
+        altered.node_settings(node)
     }
 }
 
 impl Mutant {
-    /// The operator's file that its node is given.
-    pub fn operator(self, text: String, me: usize) -> String {
+    /// The operator's file of its node.
+    pub fn operator_config(self, text: String, node: usize) -> String {
         let mut table: toml::Table = toml::from_str(&text).unwrap_or_default();
         let Some(accord) = table.get_mut("accord").and_then(toml::Value::as_table_mut) else { return text };
         match self {
             Mutant::VotesAlone => {
-                accord.insert("voters".into(), toml::Value::Array(vec![toml::Value::Integer(me as i64)]));
+                accord.insert("voters".into(), toml::Value::Array(vec![toml::Value::Integer(node as i64)]));
             }
             Mutant::ComesBackAtOnce => {
-                // Just above what the third that can't reach a zone makes of its scouts.
+                // Just above what the third of the nodes that cannot reach a zone contributes by probe
+                // traffic.
                 let plan = [("hold_ms", 100.0), ("nodes", 0.33), ("lost", 0.33), ("step_ms", 100.0)];
                 let whole = |key: &str| key.ends_with("_ms");
-                let value = |(key, v): (&str, f64)| {
-                    let v = if whole(key) { toml::Value::Integer(v as i64) } else { toml::Value::Float(v) };
-                    (key.to_owned(), v)
+                let value = |(key, number): (&str, f64)| {
+                    let number = if whole(key) {
+                        toml::Value::Integer(number as i64)
+                    } else {
+                        toml::Value::Float(number)
+                    };
+                    (key.to_owned(), number)
                 };
                 accord.insert("plan".into(), toml::Value::Table(plan.into_iter().map(value).collect()));
             }
@@ -143,20 +148,20 @@
 }
 
 impl Mutant {
-    /// Whether it garbles the errors of system calls.
-    pub fn garbles_errors(self) -> bool {
+    /// Whether it alters errors of system calls.
+    pub fn alters_errors(self) -> bool {
         matches!(self, Mutant::GivesUpBind | Mutant::ReceivesAtOnce | Mutant::BlamesServers)
     }
 
-    /// Whether it makes a call that fails again and again, without a pause.
+    /// Whether it repeats a failing call without a pause.
     pub fn retries_at_once(self, call: SystemCall) -> bool {
         self == Mutant::ReceivesAtOnce && call == SystemCall::Receive
     }
 
-    /// What its node is told in place of an error, where that is something else.
-    pub fn disguised(self, call: SystemCall, failure: Failure) -> Option<io::Error> {
+    /// The error that its node sees in place of the real one, if it differs.
+    pub fn altered_error(self, call: SystemCall, failure: Failure) -> Option<io::Error> {
         match self {
-            Mutant::GivesUpBind if call.opens() => Some(io::ErrorKind::PermissionDenied.into()),
+            Mutant::GivesUpBind if call.opens_socket() => Some(io::ErrorKind::PermissionDenied.into()),
             Mutant::BlamesServers if call == SystemCall::Connect && failure.is_local() => {
                 Some(Failure::Econnrefused.error())
             }
@@ -165,45 +170,45 @@
     }
 }
 
-/// Writes other bytes in place of those that the node gave. Where they do not fit all at once the connection is broken: an
-/// attempt is small, and half of one can't be named in the node's own bytes.
-fn write_for(
+/// Writes other bytes in place of those that the node wrote. A partial write breaks the connection: attempts
+/// are small, and a part of the replacement cannot be expressed as a number of the node's own bytes.
+fn write_instead(
     writing: Pin<&mut SimStream>,
     cx: &mut Context<'_>,
-    given: &[u8],
-    other: &[u8],
+    original: &[u8],
+    replacement: &[u8],
 ) -> Poll<io::Result<usize>> {
-    writing.poll_write(cx, other).map(|written| match written? {
-        whole if whole == other.len() => Ok(given.len()),
+    writing.poll_write(cx, replacement).map(|written| match written? {
+        whole if whole == replacement.len() => Ok(original.len()),
         _ => Err(io::ErrorKind::BrokenPipe.into()),
     })
 }
 
-/// A machine that garbles what its node says or hears.
+/// A host that alters what its node sends or receives.
 #[derive(Clone)]
 pub struct MutantHost {
     host: SimHost,
     mutant: Mutant,
-    answers: Rc<Cell<u64>>,
+    replies: Rc<Cell<u64>>,
     last_value: LastValue,
-    times: TimesAsTheyCame,
+    time_outs: OriginalTimeOuts,
 }
 
 impl MutantHost {
-    /// The machine of one node.
+    /// The host of one node.
     pub fn new(host: SimHost, mutant: Mutant) -> MutantHost {
-        let (last_value, times) = (LastValue::default(), TimesAsTheyCame::default());
-        MutantHost { host, mutant, answers: Rc::default(), last_value, times }
+        let (last_value, time_outs) = (LastValue::default(), OriginalTimeOuts::default());
+        MutantHost { host, mutant, replies: Rc::default(), last_value, time_outs }
     }
 
-    /// What goes out in place of these bytes to a server or the origin, where that is something else.
-    fn garbled_attempt(&self, bytes: &[u8]) -> Option<Vec<u8>> {
-        (self.mutant == Mutant::TellsAllTime).then(|| self.times.put_back(bytes)).flatten()
+    /// The bytes to send to a server or the origin instead of these, if they differ.
+    fn altered_attempt(&self, bytes: &[u8]) -> Option<Vec<u8>> {
+        (self.mutant == Mutant::TellsAllTime).then(|| self.time_outs.restore(bytes)).flatten()
     }
 }
 
 impl MutantHost {
-    /// A listener that this machine's program inherits.
+    /// Wraps a listener that the program inherits.
     pub fn listener(&self, listener: SimListener) -> MutantListener {
         MutantListener { listener, host: self.clone() }
     }
@@ -216,7 +221,7 @@
 
     async fn connect(&self, to: SocketAddr) -> io::Result<MutantStream> {
         let stream = self.host.connect(to).await?;
-        Ok(MutantStream { stream, host: self.clone(), client: false })
+        Ok(MutantStream { stream, host: self.clone(), is_client: false })
     }
 
     async fn listen(&self, at: SocketAddr) -> io::Result<MutantListener> {
@@ -236,7 +241,7 @@
     }
 }
 
-/// A listener on such a machine.
+/// A listener of a mutant host.
 pub struct MutantListener {
     listener: SimListener,
     host: MutantHost,
@@ -247,13 +252,14 @@
 
     async fn accept(&self) -> io::Result<(MutantStream, SocketAddr)> {
         let (stream, from) = self.listener.accept().await?;
-        Ok((MutantStream { stream, host: self.host.clone(), client: true }, from))
+        Ok((MutantStream { stream, host: self.host.clone(), is_client: true }, from))
     }
 
     fn poll_accept(&self, cx: &mut Context<'_>) -> Poll<io::Result<(MutantStream, SocketAddr)>> {
         let accepted = self.listener.poll_accept(cx);
-        accepted
-            .map_ok(|(stream, from)| (MutantStream { stream, host: self.host.clone(), client: true }, from))
+        accepted.map_ok(|(stream, from)| {
+            (MutantStream { stream, host: self.host.clone(), is_client: true }, from)
+        })
     }
 
     fn local_addr(&self) -> io::Result<SocketAddr> {
@@ -261,35 +267,35 @@
     }
 }
 
-/// A connection of such a machine.
+/// A connection of a mutant host.
 pub struct MutantStream {
     stream: SimStream,
     host: MutantHost,
-    client: bool,
+    is_client: bool,
 }
 
-/// Its half that is read from.
+/// The read half of a connection.
 pub struct MutantReading {
     reading: Option<SimReading>,
-    keep: bool,
-    /// It does not tell the end.
-    deaf: bool,
+    keep_open: bool,
+    /// Does not report the end of the stream.
+    ignores_close: bool,
     ended: Cell<bool>,
-    /// Where it is told what its client asks, with what has come of that and is not whole.
-    times: Option<(TimesAsTheyCame, RefCell<BytesMut>)>,
+    /// Where client commands are watched: the times seen so far, and the bytes of a partial command.
+    time_outs: Option<(OriginalTimeOuts, RefCell<BytesMut>)>,
 }
 
-/// Its half that is written to.
+/// The write half of a connection.
 pub struct MutantWriting {
-    to: Writing,
+    target: Writing,
     host: MutantHost,
-    client: bool,
+    is_client: bool,
 }
 
 enum Writing {
     Plain(SimStream),
-    /// Through a task that can wait.
-    Late(mpsc::UnboundedSender<Vec<u8>>),
+    /// Written by a separate task, which can delay.
+    Delayed(mpsc::UnboundedSender<Vec<u8>>),
 }
 
 impl Stream for MutantStream {
@@ -299,30 +305,36 @@
     fn into_halves(self) -> (MutantReading, MutantWriting) {
         let (reading, mut writing) = self.stream.into_halves();
         let mutant = self.host.mutant;
-        let keep = self.client && mutant == Mutant::KeepsSockets;
-        let late = self.client && matches!(mutant, Mutant::HoldsBack | Mutant::KeepsSockets);
-        let to = if late {
-            let (send, mut come) = mpsc::unbounded_channel::<Vec<u8>>();
+        let keep_open = self.is_client && mutant == Mutant::KeepsSockets;
+        let delayed = self.is_client && matches!(mutant, Mutant::HoldsBack | Mutant::KeepsSockets);
+        let target = if delayed {
+            let (sender, mut received) = mpsc::unbounded_channel::<Vec<u8>>();
             spawn_local(async move {
-                while let Some(bytes) = come.recv().await {
+                while let Some(bytes) = received.recv().await {
                     if mutant == Mutant::HoldsBack && bytes.starts_with(b"-BUSY") {
                         sleep(Duration::from_millis(600)).await;
                     }
                     let _ = writing.write_all(&bytes).await;
                 }
-                if keep {
+                if keep_open {
                     std::future::pending::<()>().await;
                 }
             });
-            Writing::Late(send)
+            Writing::Delayed(sender)
         } else {
             Writing::Plain(writing)
         };
-        let deaf = self.client && mutant == Mutant::DeafToLeaving;
-        let times = self.client && mutant == Mutant::TellsAllTime;
-        let times = times.then(|| (self.host.times.clone(), RefCell::default()));
-        let reading = MutantReading { reading: Some(reading), keep, deaf, ended: Cell::new(false), times };
-        (reading, MutantWriting { to, host: self.host, client: self.client })
+        let ignores_close = self.is_client && mutant == Mutant::DeafToLeaving;
+        let time_outs = self.is_client && mutant == Mutant::TellsAllTime;
+        let time_outs = time_outs.then(|| (self.host.time_outs.clone(), RefCell::default()));
+        let reading = MutantReading {
+            reading: Some(reading),
+            keep_open,
+            ignores_close,
+            ended: Cell::new(false),
+            time_outs,
+        };
+        (reading, MutantWriting { target, host: self.host, is_client: self.is_client })
     }
 }
 
@@ -335,10 +347,10 @@
     }
 
     fn try_read_buf(&self, buffer: &mut BytesMut) -> io::Result<usize> {
-        let before = buffer.len();
+        let start = buffer.len();
         let read = match &self.reading {
             Some(reading) => match reading.try_read_buf(buffer) {
-                Ok(0) if self.deaf => {
+                Ok(0) if self.ignores_close => {
                     self.ended.set(true);
                     Err(io::ErrorKind::WouldBlock.into())
                 }
@@ -346,10 +358,10 @@
             },
             None => Err(io::ErrorKind::WouldBlock.into()),
         };
-        if let Some((times, come)) = &self.times {
-            let mut come = come.borrow_mut();
-            come.extend_from_slice(&buffer[before..]);
-            times.heard(&mut come);
+        if let Some((time_outs, received)) = &self.time_outs {
+            let mut received = received.borrow_mut();
+            received.extend_from_slice(&buffer[start..]);
+            time_outs.record_commands(&mut received);
         }
         read
     }
@@ -359,13 +371,13 @@
     }
 
     fn remote_end_closed(&self) -> bool {
-        !self.deaf && self.reading.as_ref().is_some_and(Reading::remote_end_closed)
+        !self.ignores_close && self.reading.as_ref().is_some_and(Reading::remote_end_closed)
     }
 }
 
 impl Drop for MutantReading {
     fn drop(&mut self) {
-        if self.keep
+        if self.keep_open
             && let Some(reading) = self.reading.take()
         {
             spawn_local(async move {
@@ -380,25 +392,25 @@
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let value = bytes.starts_with(b"$");
         if value {
-            self.host.answers.set(self.host.answers.get() + 1);
+            self.host.replies.set(self.host.replies.get() + 1);
         }
-        let hit = value && self.host.answers.get().is_multiple_of(EVERY);
+        let hit = value && self.host.replies.get().is_multiple_of(ALTERED_EVERY);
         let mutant = self.host.mutant;
-        let attempt = if self.client { None } else { self.host.garbled_attempt(bytes) };
-        let swaps = self.client && mutant == Mutant::SwapsValues;
+        let attempt = if self.is_client { None } else { self.host.altered_attempt(bytes) };
+        let swaps = self.is_client && mutant == Mutant::SwapsValues;
         let before = if swaps { self.host.last_value.replace(bytes) } else { None };
-        let writing = match &mut self.to {
+        let writing = match &mut self.target {
             Writing::Plain(writing) => writing,
-            Writing::Late(send) => {
+            Writing::Delayed(send) => {
                 let sent = send.send(bytes.to_vec());
                 return Poll::Ready(sent.map(|()| bytes.len()).map_err(|_| io::ErrorKind::BrokenPipe.into()));
             }
         };
         if let Some(attempt) = attempt {
-            return write_for(Pin::new(writing), cx, bytes, &attempt);
+            return write_instead(Pin::new(writing), cx, bytes, &attempt);
         }
         if let Some(before) = before.filter(|_| hit) {
-            return write_for(Pin::new(writing), cx, bytes, &before);
+            return write_instead(Pin::new(writing), cx, bytes, &before);
         }
         match mutant {
             Mutant::AnswersTwice if hit => {
@@ -421,9 +433,9 @@
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        match &mut self.to {
+        match &mut self.target {
             Writing::Plain(writing) => Pin::new(writing).poll_shutdown(cx),
-            Writing::Late(_) => Poll::Ready(Ok(())),
+            Writing::Delayed(_) => Poll::Ready(Ok(())),
         }
     }
 }
@@ -437,7 +449,7 @@
         let before = buffer.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(cx, buffer);
         if self.host.mutant == Mutant::IgnoresDrains {
-            // As long as before, and good JSON.
+            // Of the same length, and valid JSON.
             let (from, to) = (br#""draining""#, br#""ready"   "#);
             let come = &mut buffer.filled_mut()[before..];
             for at in 0..come.len().saturating_sub(from.len() - 1) {
@@ -455,8 +467,8 @@
         if self.host.mutant == Mutant::AsksNoMore && bytes.starts_with(b"GET /api/targets") {
             return Poll::Ready(Ok(bytes.len()));
         }
-        if let Some(attempt) = self.host.garbled_attempt(bytes) {
-            return write_for(Pin::new(&mut self.stream), cx, bytes, &attempt);
+        if let Some(attempt) = self.host.altered_attempt(bytes) {
+            return write_instead(Pin::new(&mut self.stream), cx, bytes, &attempt);
         }
         Pin::new(&mut self.stream).poll_write(cx, bytes)
     }
--- a/crates/world/src/observe.rs
+++ b/crates/world/src/observe.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins see, one thing at a time: all that the rules are judged by.
+//! Events that the stubs observe: the only input of the rules.
 
 use std::cell::RefCell;
 use std::fmt;
@@ -11,329 +11,332 @@
 use crate::system_calls::SystemCall;
 use crate::values::Value;
 
-/// Numbers a request of a client, a retry having its own.
+/// Identifies a request of a client; each retry has its own.
 pub type RequestId = u64;
-/// Numbers a box (or the origin) by its place among all that ever were.
+/// Index of a cache server (or the origin) among all that ever existed.
 pub type ServerIndex = usize;
-/// Numbers a node.
+/// Index of a node.
 pub type NodeIndex = usize;
 
-/// What a box or the origin did with an attempt.
+/// How a cache server or the origin finished an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// It gave this value or receipt.
+    /// It returned this value or receipt.
     Value(Value),
     /// It holds nothing for the key.
     Miss,
-    /// It turned it away unseen.
+    /// It rejected the attempt without running it.
     Busy,
-    /// It failed after it may have run.
+    /// It failed after the attempt may have run.
     Failed,
-    /// It dropped it without an answer; it may have run where it had begun.
+    /// It closed without a response; the attempt may have run if it had started.
     Dropped {
-        /// Whether it had begun.
+        /// Whether the attempt had started.
         started: bool,
     },
 }
 
-/// A final answer as a client read it.
+/// A final reply as a client read it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// A value, by what it tells.
+    /// A value.
     Value(Value),
-    /// `-BUSY`, with the milliseconds told, 0 for none.
+    /// `-BUSY`, with its number of milliseconds; 0 for none.
     Busy(u64),
     /// Any other error.
     Failed,
 }
 
-/// What a list says of a box.
+/// State of a cache server in a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Phase {
-    /// It runs.
+    /// Running.
     Ready,
-    /// It ends what it has.
+    /// Finishing what it has.
     Draining,
-    /// It is gone.
+    /// Gone.
     Gone,
 }
 
-/// Something that a stand-in saw or did.
+/// An event that a stub observed or caused.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ObservedEvent {
-    /// A client's command was written whole to a connection that the node's machine accepted.
+    /// A client wrote a whole command to a connection that the node's machine had accepted.
     RequestSent {
         /// The request.
         request: RequestId,
-        /// The one whose client tries again, or itself.
+        /// The first try of the request: itself, or the one that it retries.
         first_try: RequestId,
         /// The node.
         node: NodeIndex,
-        /// Its class, by its place in the scenario.
+        /// Its class, by index in the scenario.
         class: usize,
-        /// Its tenant.
+        /// Its tenant, by index in the scenario.
         tenant: usize,
-        /// The key that it asks for.
+        /// The requested key.
         key: u64,
-        /// For how long the client waits.
+        /// How long the client waits.
         timeout: Duration,
     },
-    /// A client read the whole answer.
+    /// A client read a whole reply.
     ReplyReceived {
         /// The request.
         request: RequestId,
-        /// What it said.
+        /// The reply.
         reply: Reply,
-        /// Whether the client took its time before it read.
+        /// Whether the client deliberately waited before it read.
         slow_reader: bool,
     },
-    /// Discovery has something about a box from now on.
+    /// Discovery lists a new state of a cache server from now on.
     Listed {
-        /// The box.
+        /// The cache server.
         server: ServerIndex,
-        /// What it is.
+        /// Its state.
         phase: Phase,
     },
-    /// Whether discovery can be reached and tells what it has.
+    /// Discovery became reachable and up to date, or stopped being so.
     DiscoveryHealth {
-        /// From now on.
+        /// The state from now on.
         healthy: bool,
     },
-    /// A caller has made a connection of its own.
+    /// A client with a connection of its own has connected.
     ClientConnected {
-        /// To which node.
+        /// The node.
         node: NodeIndex,
     },
-    /// Something came on a connection on which nothing was owed.
+    /// Bytes arrived on a connection without pending requests.
     UnsolicitedReply {
         /// The node.
         node: NodeIndex,
     },
-    /// What came can't be read as an answer.
+    /// A reply could not be parsed.
     MalformedReply {
         /// The request.
         request: RequestId,
     },
-    /// The connection ended without a whole answer.
+    /// The connection ended without a whole reply.
     ConnectionLost {
         /// The request.
         request: RequestId,
-        /// When its connection was begun, counted from the beginning.
+        /// When the connection attempt started, since the start of the run.
         connect_started: Duration,
     },
-    /// A value had begun and ended before it was whole, where the client could tell.
+    /// A value ended before it was complete, in a way that the client could notice.
     TruncatedReply {
         /// The request.
         request: RequestId,
     },
-    /// A drained node holds connections beyond their time.
+    /// A drained node holds connections for longer than it may.
     ConnectionsAfterDrain {
         /// The node.
         node: NodeIndex,
-        /// Connections on which nothing is open.
+        /// Connections without pending requests.
         idle: usize,
         /// Connections with a request from the last two seconds.
         recent: usize,
     },
-    /// A process that was told to stop had not ended when it might be killed.
+    /// A process that was asked to stop had not exited when it could be killed.
     StopOverdue {
         /// The node.
         node: NodeIndex,
     },
-    /// A connection on which no command was finished has met neither an answer nor a close in its time.
+    /// A connection without a finished command was neither answered nor closed in time.
     StalledConnectionKept {
         /// The node.
         node: NodeIndex,
-        /// When it was made, counted from the beginning.
+        /// When it was established, since the start of the run.
         connected_at: Duration,
     },
-    /// The close of an idle connection crossed the request: it was not read, and goes out once more.
+    /// The node closed an idle connection while the request was under way: it was not read, and is sent
+    /// again.
     RacedWithClose {
         /// The request.
         request: RequestId,
     },
-    /// The client has gone, having waited for as long as it said or, where `early`, for less.
+    /// The client closed its connection, at its time-out or, if `early`, before it.
     ClientLeft {
         /// The request.
         request: RequestId,
-        /// Whether it went before its time.
+        /// Whether it left before its time-out.
         early: bool,
     },
-    /// The last byte of an attempt came to a box or the origin.
+    /// A cache server or the origin received the last byte of an attempt.
     AttemptArrived {
-        /// Where.
+        /// The cache server or the origin.
         server: ServerIndex,
-        /// From which node.
+        /// The node that sent it.
         node: NodeIndex,
-        /// For which request.
+        /// The request.
         request: RequestId,
-        /// Whether it writes.
+        /// Whether it is a write.
         is_write: bool,
-        /// Its work, in core-milliseconds of speed 1.
+        /// Its work, in milliseconds of a core of speed 1.
         work: f64,
-        /// At the origin: calls of this node that are carried out or wait there, those included that it has given up
-        /// or that an earlier life of it has left behind; 0 at boxes.
+        /// At the origin: other calls of this node that are running or queued there, including those that the
+        /// node has given up or that an earlier incarnation of it started; 0 at cache servers.
         running: u32,
-        /// When that byte reached the machine, counted from the beginning. One that is busy with an answer before it may read it
-        /// long after.
+        /// When the last byte reached the machine, since the start of the run. A server that is busy with a
+        /// response may read it long after.
         received_at: Duration,
-        /// Until when it is waited for by what it tells, counted from the beginning: the time that it tells, from when it came.
+        /// When the remaining time that it carries ends, counted from `received_at`; since the start of the
+        /// run.
         deadline: Duration,
     },
-    /// The connection on which an attempt was out ended before its answer.
+    /// The connection of an attempt ended before its response.
     AttemptAbandoned {
-        /// Where.
+        /// The cache server or the origin.
         server: ServerIndex,
-        /// By which node.
+        /// The node.
         node: NodeIndex,
-        /// For which request.
+        /// The request.
         request: RequestId,
     },
-    /// A box or the origin is done with an attempt.
+    /// A cache server or the origin finished an attempt.
     AttemptEnded {
-        /// Where.
+        /// The cache server or the origin.
         server: ServerIndex,
-        /// From which node it was.
+        /// The node that sent it.
         node: NodeIndex,
-        /// For which request.
+        /// The request.
         request: RequestId,
-        /// What it did.
+        /// The outcome.
         outcome: AttemptOutcome,
     },
-    /// The origin carried a write out.
+    /// The origin carried out a write.
     WriteExecuted {
         /// The request.
         request: RequestId,
         /// Its idempotency key.
         idempotency_key: u64,
-        /// The key that has another value from now on.
+        /// The key whose value has changed.
         key: u64,
     },
-    /// The origin dropped the repeat of a keyed write.
+    /// The origin dropped a retry of a write with an idempotency key.
     DuplicateWriteDropped {
         /// The request.
         request: RequestId,
     },
-    /// Discovery has written to a node what it has to say of these boxes.
+    /// Discovery wrote a list, or changes of it, to a node.
     ListSent {
         /// The node.
         node: NodeIndex,
-        /// The version.
+        /// Revision of the list.
         revision: u64,
-        /// Whether it is the whole list: what it lacks is gone.
+        /// Whether it is the full list: servers that are missing in it are gone.
         full: bool,
-        /// The boxes: their phase, and which start of theirs the list knows of.
+        /// The cache servers with their state and the start time that the list gives.
         servers: Vec<(ServerIndex, Phase, u64)>,
     },
-    /// A box starts: the number of the start, its cores times their speed, and whether it is cold.
+    /// A cache server started.
     CacheServerStarted {
-        /// The box.
+        /// The cache server.
         server: ServerIndex,
-        /// The time of the start, as the list gives it.
+        /// Its start time as the list gives it; 0 for long ago.
         started_ms: u64,
-        /// What it can do when warm, core-milliseconds of speed 1 a millisecond.
+        /// Its capacity when warm, in milliseconds of a core of speed 1 per millisecond.
         capacity: f64,
-        /// Whether it is cold.
+        /// Whether its cache is cold.
         cold: bool,
     },
-    /// A box is no more, or its machine is cut off; `false` when it can be reached again.
+    /// A cache server became unreachable (it ended, or its machine was cut off) or reachable again.
     ReachabilityChanged {
-        /// The box.
+        /// The cache server.
         server: ServerIndex,
-        /// Whether it is away.
+        /// Whether it is unreachable now.
         unreachable: bool,
     },
-    /// A crowd begins, or is over: while there is one, connections wait before nodes accept them.
+    /// A wave of connections that finish no command begins or ends; meanwhile connections wait before nodes
+    /// accept them.
     ConnectionPressure {
         /// Whether it begins.
         begins: bool,
     },
-    /// A box has ended: what it was writing is cut.
+    /// A cache server ended: a response that it was writing is truncated.
     CacheServerEnded {
-        /// The box.
+        /// The cache server.
         server: ServerIndex,
     },
-    /// A cold box was pushed over.
+    /// A cold cache server collapsed under its load.
     CacheServerCollapsed {
-        /// The box.
+        /// The cache server.
         server: ServerIndex,
     },
-    /// A node starts.
+    /// A node started.
     NodeStarted {
         /// The node.
         node: NodeIndex,
     },
-    /// A node was told to stop.
+    /// A node was asked to stop.
     NodeStopping {
         /// The node.
         node: NodeIndex,
     },
-    /// A node was killed, or ended by itself after it was told to stop.
+    /// A node was killed, or exited after it was asked to stop.
     NodeEnded {
         /// The node.
         node: NodeIndex,
-        /// Whether it had been told to stop before.
+        /// Whether it had been asked to stop before.
         planned: bool,
     },
     /// How many sockets a node has open.
     OpenSockets {
         /// The node.
         node: NodeIndex,
-        /// How many.
+        /// The number of sockets.
         count: usize,
     },
     /// A fault begins or ends.
     Fault(String),
-    /// A node acts on a plan of zones, as its log tells.
+    /// A node applies a plan of zones, according to its log.
     PlanAdopted {
         /// The node.
         node: NodeIndex,
         /// The plan.
         plan: ReportedPlan,
     },
-    /// A node decides on plans from now on, or no longer, as its log tells.
+    /// A node became leader, or stopped being it, according to its log.
     LeadershipChanged {
         /// The node.
         node: NodeIndex,
-        /// Whether it does.
+        /// Whether it leads now.
         leads: bool,
     },
-    /// A node whose system calls may fail has started, or still has not.
+    /// A node with failing system calls became ready after its start, or did not within the observed time.
     StartupChecked {
         /// The node.
         node: NodeIndex,
-        /// How long its start has taken.
+        /// Time since its start.
         elapsed: Duration,
         /// Whether it is ready and listens.
         ready: bool,
     },
-    /// A failing system call is made again and again, without a pause between.
+    /// A failing system call is retried in a loop without a pause.
     BusyLoop {
         /// The node.
         node: NodeIndex,
         /// The call.
         call: SystemCall,
     },
-    /// A box answers a command a second time.
+    /// A cache server sent a response a second time.
     DuplicateResponse {
-        /// Which box.
+        /// The cache server.
         server: ServerIndex,
-        /// To which node.
+        /// The node.
         node: NodeIndex,
-        /// The request whose attempt it has answered before; `None` for a command that was no attempt.
+        /// The request whose attempt it had answered; `None` for a command that was no attempt.
         request: Option<RequestId>,
-        /// How many commands of the connection have come and are not answered: the first of them is the one
-        /// for whose answer this may be taken.
+        /// Commands on the connection that are received and not answered: the node may take this response for
+        /// that of the first of them.
         pending: usize,
     },
 }
 
-/// Something seen, and when, counted from the beginning of the world.
+/// An event and when it was observed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Observation {
-    /// When.
+    /// When, since the start of the run.
     pub at: Duration,
-    /// What.
+    /// The event.
     pub event: ObservedEvent,
 }
 
@@ -345,42 +348,42 @@
 
 type Sink = Box<dyn FnMut(&Observation)>;
 
-/// Where stand-ins report; a clone is the same place.
+/// Receives the events of the stubs and passes them on to its subscribers; clones share the same state.
 #[derive(Clone)]
 pub struct Observer {
-    start: Instant,
-    sinks: Rc<RefCell<Vec<Sink>>>,
+    started_at: Instant,
+    subscribers: Rc<RefCell<Vec<Sink>>>,
 }
 
 impl Observer {
-    /// One whose time begins now.
+    /// An observer whose clock starts now.
     pub fn starting_now() -> Observer {
-        Observer { start: Instant::now(), sinks: Rc::default() }
+        Observer { started_at: Instant::now(), subscribers: Rc::default() }
     }
 
-    /// Also gives all that is seen from now on to this one. It must not report itself.
+    /// Passes all events from now on to `sink` as well, which must not record events itself.
     pub fn subscribe(&self, sink: impl FnMut(&Observation) + 'static) {
-        self.sinks.borrow_mut().push(Box::new(sink));
+        self.subscribers.borrow_mut().push(Box::new(sink));
     }
 
-    /// Reports something.
-    pub fn record(&self, seen: ObservedEvent) {
-        let observation = Observation { at: self.start.elapsed(), event: seen };
-        self.sinks.borrow_mut().iter_mut().for_each(|sink| sink(&observation));
+    /// Records an event.
+    pub fn record(&self, event: ObservedEvent) {
+        let observation = Observation { at: self.started_at.elapsed(), event };
+        self.subscribers.borrow_mut().iter_mut().for_each(|sink| sink(&observation));
     }
 
-    /// A moment, counted from the beginning.
+    /// The time from the start of the run to `moment`.
     pub fn since_start(&self, moment: Instant) -> Duration {
-        moment.duration_since(self.start)
+        moment.duration_since(self.started_at)
     }
 
-    /// Time since the beginning.
+    /// Time since the start of the run.
     pub fn elapsed(&self) -> Duration {
-        self.start.elapsed()
+        self.started_at.elapsed()
     }
 
-    /// When it began.
+    /// When the run started.
     pub fn started_at(&self) -> Instant {
-        self.start
+        self.started_at
     }
 }
--- a/crates/world/src/origin.rs
+++ b/crates/world/src/origin.rs
@@ -1,4 +1,5 @@
-//! The origin: HTTP/1.1, few slots, a queue, and repeats of a keyed write dropped for their window.
+//! A stub of the origin: HTTP/1.1 with few slots and a queue; retries of a write with an idempotency key are
+//! dropped within its window.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -26,44 +27,44 @@
 
 /// The origin.
 pub struct Origin {
-    number: ServerIndex,
+    index: ServerIndex,
     fleet: Rc<Fleet>,
     slots: Arc<Semaphore>,
-    waiting: RefCell<usize>,
-    /// Calls that wait or are carried out, by node.
+    queued: RefCell<usize>,
+    /// Calls that wait or run, by node.
     running: RefCell<BTreeMap<NodeIndex, u32>>,
-    /// Keyed writes that were carried out, and when.
-    done: RefCell<BTreeMap<u64, Instant>>,
+    /// Idempotency keys of the writes that were carried out, and when.
+    applied_writes: RefCell<BTreeMap<u64, Instant>>,
     rng: RefCell<Pcg64Mcg>,
 }
 
-/// An attempt that is out; dropped with the connection's task, it was abandoned.
-struct Out {
+/// An outstanding attempt; it counts as abandoned if it is dropped with the connection's task.
+struct OutstandingAttempt {
     origin: Rc<Origin>,
     node: NodeIndex,
     request: RequestId,
     ended: bool,
 }
 
-impl Drop for Out {
+impl Drop for OutstandingAttempt {
     fn drop(&mut self) {
         if !self.ended {
-            let (at, node, request) = (self.origin.number, self.node, self.request);
-            self.origin.fleet.observer.record(ObservedEvent::AttemptAbandoned { server: at, node, request });
+            let (server, node, request) = (self.origin.index, self.node, self.request);
+            self.origin.fleet.observer.record(ObservedEvent::AttemptAbandoned { server, node, request });
         }
     }
 }
 
 impl Origin {
-    /// An origin that stands at this place among the boxes.
+    /// An origin with this index among the servers.
     pub fn new(fleet: &Rc<Fleet>, number: ServerIndex) -> Rc<Origin> {
         Rc::new(Origin {
-            number,
+            index: number,
             fleet: fleet.clone(),
             slots: Arc::new(Semaphore::new(fleet.scenario.origin.slots)),
-            waiting: RefCell::new(0),
+            queued: RefCell::new(0),
             running: RefCell::default(),
-            done: RefCell::default(),
+            applied_writes: RefCell::default(),
             rng: RefCell::new(fleet.rng("origin", 0)),
         })
     }
@@ -78,11 +79,11 @@
             let Ok((stream, from)) = listener.accept().await else { continue };
             let (origin, node) = (self.clone(), node(from));
             spawn_local(async move {
-                // A call may have to end its connection without an answer.
+                // Lets a call end its connection without a response.
                 let cut = Rc::new(Notify::new());
                 let calls = {
                     let cut = cut.clone();
-                    service_fn(move |request| origin.clone().call(request, node, cut.clone()))
+                    service_fn(move |request| origin.clone().handle_call(request, node, cut.clone()))
                 };
                 let serving = hyper::server::conn::http1::Builder::new()
                     .auto_date_header(false)
@@ -96,13 +97,13 @@
         }
     }
 
-    async fn call(
+    async fn handle_call(
         self: Rc<Self>,
         request: Request<Incoming>,
         node: NodeIndex,
         cut: Rc<Notify>,
     ) -> Result<Response<Full<Bytes>>, Infallible> {
-        let answer = |status: u16, body: Bytes| {
+        let response = |status: u16, body: Bytes| {
             let mut response = Response::new(Full::new(body));
             *response.status_mut() = hyper::StatusCode::from_u16(status).unwrap_or_default();
             if status == 503 {
@@ -117,128 +118,133 @@
         let id = number(header("X-Request-Id"));
         let key = number(request.uri().path().trim_start_matches('/'));
         let wait = extra("d").and_then(|(_, d)| d.parse().ok()).map(Duration::from_millis);
-        let (Some(id), Some(key), Some(wait)) = (id, key, wait) else { return answer(400, Bytes::new()) };
-        let token = extra("k").and_then(|(_, k)| number(k));
-        let window = extra("c").and_then(|(_, c)| self.fleet.scenario.class.iter().find(|k| k.name == c));
-        let window = Duration::from_millis(window.map_or(0, |c| c.window_ms));
-        let write = request.method() == Method::PUT;
+        let (Some(id), Some(key), Some(wait)) = (id, key, wait) else { return response(400, Bytes::new()) };
+        let idempotency_key = extra("k").and_then(|(_, k)| number(k));
+        let dedup_window =
+            extra("c").and_then(|(_, c)| self.fleet.scenario.class.iter().find(|k| k.name == c));
+        let dedup_window = Duration::from_millis(dedup_window.map_or(0, |c| c.window_ms));
+        let is_write = request.method() == Method::PUT;
         if request.into_body().collect().await.is_err() {
-            return answer(400, Bytes::new());
+            return response(400, Bytes::new());
         }
-        let figures = &self.fleet.scenario.origin;
-        let [least, most] = figures.time_ms;
-        let (work, luck, fate): (f64, f64, f64) = {
+        let settings = &self.fleet.scenario.origin;
+        let [least, most] = settings.time_ms;
+        let (work, failure_draw, reset_draw): (f64, f64, f64) = {
             let mut rng = self.rng.borrow_mut();
             (least + (most - least) * rng.random::<f64>(), rng.random(), rng.random())
         };
-        let saw = |seen| self.fleet.observer.record(seen);
-        let running = Running::begin(&self, node);
-        let came = self.fleet.observer.elapsed();
-        let (at, beside, until) = (self.number, running.1, came + wait);
-        saw(ObservedEvent::AttemptArrived {
-            server: at,
+        let record = |event| self.fleet.observer.record(event);
+        let running = RunningCall::begin(&self, node);
+        let received_at = self.fleet.observer.elapsed();
+        let (server, others, deadline) = (self.index, running.1, received_at + wait);
+        record(ObservedEvent::AttemptArrived {
+            server,
             node,
             request: id,
-            is_write: write,
+            is_write,
             work,
-            running: beside,
-            received_at: came,
-            deadline: until,
+            running: others,
+            received_at,
+            deadline,
         });
-        let mut out = Out { origin: self.clone(), node, request: id, ended: false };
-        let ended = |out: &mut Out, how| {
-            out.ended = true;
-            saw(ObservedEvent::AttemptEnded { server: self.number, node, request: id, outcome: how });
+        let mut attempt = OutstandingAttempt { origin: self.clone(), node, request: id, ended: false };
+        let ended = |attempt: &mut OutstandingAttempt, outcome| {
+            attempt.ended = true;
+            record(ObservedEvent::AttemptEnded { server: self.index, node, request: id, outcome });
         };
-        if *self.waiting.borrow() >= figures.room && self.slots.available_permits() == 0 {
-            ended(&mut out, AttemptOutcome::Busy);
-            return answer(503, Bytes::new());
+        if *self.queued.borrow() >= settings.room && self.slots.available_permits() == 0 {
+            ended(&mut attempt, AttemptOutcome::Busy);
+            return response(503, Bytes::new());
         }
-        *self.waiting.borrow_mut() += 1;
-        let waiting = Waiting(self.clone());
-        let Ok(slot) = self.slots.clone().acquire_owned().await else { return answer(503, Bytes::new()) };
+        *self.queued.borrow_mut() += 1;
+        let waiting = QueuedCall(self.clone());
+        let Ok(slot) = self.slots.clone().acquire_owned().await else { return response(503, Bytes::new()) };
         drop(waiting);
-        // What has begun is carried out, whether or not anybody still waits for it.
+        // A call that has started is carried out whether or not anybody still waits for it.
         let carried_out = spawn_local(self.clone().carry_out(
             slot,
             running,
-            Work { id, key, token, window, write, ms: work },
+            OriginCall { request: id, key, idempotency_key, dedup_window, is_write, duration_ms: work },
         ));
         let _ = carried_out.await;
-        if fate < self.fleet.fault_settings.origin_resets.get() {
-            ended(&mut out, AttemptOutcome::Dropped { started: true });
+        if reset_draw < self.fleet.fault_settings.origin_reset_share.get() {
+            ended(&mut attempt, AttemptOutcome::Dropped { started: true });
             cut.notify_one();
             std::future::pending::<()>().await;
         }
-        if luck < figures.fails {
-            ended(&mut out, AttemptOutcome::Failed);
-            return answer(500, Bytes::new());
+        if failure_draw < settings.fails {
+            ended(&mut attempt, AttemptOutcome::Failed);
+            return response(500, Bytes::new());
         }
-        if !write {
-            self.fleet.fetched(id, key);
+        if !is_write {
+            self.fleet.record_fetch(id, key);
         }
-        let value = self.fleet.value(key, id, self.number);
-        ended(&mut out, AttemptOutcome::Value(value));
-        answer(200, value.bytes(self.fleet.filling(key)))
+        let value = self.fleet.value(key, id, self.index);
+        ended(&mut attempt, AttemptOutcome::Value(value));
+        response(200, value.bytes(self.fleet.filler_bytes(key)))
     }
 }
 
 /// A call that is carried out.
-struct Work {
-    id: RequestId,
+struct OriginCall {
+    request: RequestId,
     key: u64,
-    token: Option<u64>,
-    window: Duration,
-    write: bool,
-    ms: f64,
+    idempotency_key: Option<u64>,
+    dedup_window: Duration,
+    is_write: bool,
+    duration_ms: f64,
 }
 
 impl Origin {
-    async fn carry_out(self: Rc<Self>, _slot: OwnedSemaphorePermit, _running: Running, work: Work) {
-        let Work { id, key, token, window, write, ms } = work;
-        let saw = |seen| self.fleet.observer.record(seen);
-        if write {
-            let again = token.is_some_and(|k| {
-                let mut done = self.done.borrow_mut();
-                done.retain(|_, at| at.elapsed() < window);
-                let known = done.contains_key(&k);
-                done.entry(k).or_insert_with(Instant::now);
+    async fn carry_out(self: Rc<Self>, _slot: OwnedSemaphorePermit, _running: RunningCall, work: OriginCall) {
+        let OriginCall { request, key, idempotency_key, dedup_window, is_write, duration_ms } = work;
+        let record = |event| self.fleet.observer.record(event);
+        if is_write {
+            let duplicate = idempotency_key.is_some_and(|k| {
+                let mut applied_writes = self.applied_writes.borrow_mut();
+                applied_writes.retain(|_, at| at.elapsed() < dedup_window);
+                let known = applied_writes.contains_key(&k);
+                applied_writes.entry(k).or_insert_with(Instant::now);
                 known
             });
-            if !again {
-                saw(ObservedEvent::WriteExecuted { request: id, idempotency_key: token.unwrap_or(0), key });
-                self.fleet.changed(key);
+            if !duplicate {
+                record(ObservedEvent::WriteExecuted {
+                    request,
+                    idempotency_key: idempotency_key.unwrap_or(0),
+                    key,
+                });
+                self.fleet.record_write(key);
             } else {
-                saw(ObservedEvent::DuplicateWriteDropped { request: id });
+                record(ObservedEvent::DuplicateWriteDropped { request });
             }
         }
-        sleep(Duration::from_secs_f64(ms / 1e3)).await;
+        sleep(Duration::from_secs_f64(duration_ms / 1e3)).await;
     }
 }
 
-/// Counts a call of a node for as long as it waits or is carried out; with how many there were before it.
-struct Running(Rc<Origin>, u32, NodeIndex);
+/// Counts a call of a node while it waits or runs; contains the number of calls before it.
+struct RunningCall(Rc<Origin>, u32, NodeIndex);
 
-impl Running {
-    fn begin(origin: &Rc<Origin>, node: NodeIndex) -> Running {
+impl RunningCall {
+    fn begin(origin: &Rc<Origin>, node: NodeIndex) -> RunningCall {
         let mut running = origin.running.borrow_mut();
         let count = running.entry(node).or_default();
         *count += 1;
-        Running(origin.clone(), *count - 1, node)
+        RunningCall(origin.clone(), *count - 1, node)
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningCall {
     fn drop(&mut self) {
         self.0.running.borrow_mut().entry(self.2).and_modify(|count| *count -= 1);
     }
 }
 
-/// Counts a call as waiting for as long as it lives.
-struct Waiting(Rc<Origin>);
+/// Counts a call as waiting while it exists.
+struct QueuedCall(Rc<Origin>);
 
-impl Drop for Waiting {
+impl Drop for QueuedCall {
     fn drop(&mut self) {
-        *self.0.waiting.borrow_mut() -= 1;
+        *self.0.queued.borrow_mut() -= 1;
     }
 }
